--- /dev/null
+++ b/store/tests/stored_data.rs
@@ -0,0 +1,244 @@
+//! Data folders that an earlier version wrote are read as they were, and the same values are written
+//! as the same bytes: a store takes up the folder of the version before it (design 6.1).
+
+use std::fmt::Write as _;
+use std::path::{Path, PathBuf};
+use vanepath_store::disk::Disk;
+use vanepath_store::register::{Found, Write};
+use vanepath_store::talk::{Ballot, Seats, Value, digest_of};
+
+/// What a folder's state gets as incarnation where its file counts as absent.
+const NEW_INCARNATION: u64 = 4242;
+
+fn fixture(kind: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/data").join(kind)
+}
+
+/// A copy of a fixture that a test may write to.
+fn copied(kind: &str, purpose: &str) -> PathBuf {
+    let name = format!("vanepath-stored-{kind}-{purpose}-{}", std::process::id());
+    let folder = std::env::temp_dir().join(name);
+    let _ = std::fs::remove_dir_all(&folder);
+    std::fs::create_dir_all(&folder).unwrap();
+    for entry in std::fs::read_dir(fixture(kind)).unwrap() {
+        let path = entry.unwrap().path();
+        std::fs::copy(&path, folder.join(path.file_name().unwrap())).unwrap();
+    }
+    folder
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn show_ballot(ballot: Ballot) -> String {
+    format!("{}.{}", ballot.number, ballot.incarnation)
+}
+
+fn show_seats(seats: &Seats) -> String {
+    let shown: Vec<String> = seats
+        .iter()
+        .map(|seat| match seat {
+            Some(one) => format!("{}/{}/{}", one.name, one.incarnation, one.admitted),
+            None => "vacant".to_string(),
+        })
+        .collect();
+    shown.join(" ")
+}
+
+fn show_value(value: &Value) -> String {
+    let mut text = format!("version {} {}\n", value.revision, hex(&digest_of(&value.encode())));
+    let _ = writeln!(text, "  parent {} {}", value.parent_revision, hex(&value.parent));
+    let _ = writeln!(text, "  setup {} {}", value.setup_revision, value.setup_version);
+    let _ = writeln!(text, "  bytes {}", String::from_utf8_lossy(&value.setup));
+    let _ = writeln!(text, "  emptied {:?} {:?}", value.emptied, value.further_orders);
+    let _ = writeln!(text, "  seats {} together {}", show_seats(&value.seats), value.together);
+    for key in &value.keys {
+        let _ = writeln!(
+            text,
+            "  key {} {:x} {} {} {}",
+            key.key, key.matter, key.revision, key.setup_revision, key.is_made
+        );
+    }
+    for number in 1..=60 {
+        let key = format!("operator-{number}");
+        if let Some(known) = value.older_keys.find(&key) {
+            let is_same = known.is_of(0x1111_0000_0000_0000 + number);
+            let (revision, setup_revision) = (known.revision, known.setup_revision);
+            let _ = writeln!(text, "  older {key} {is_same} {revision} {setup_revision}");
+        }
+    }
+    let _ = writeln!(text, "  versions {:x?}", value.versions);
+    text
+}
+
+fn show(found: &Found) -> String {
+    let mut text = format!(
+        "incarnation {} promised {}\n",
+        found.state.incarnation,
+        show_ballot(found.state.promised)
+    );
+    match &found.state.accepted {
+        Some(meta) => {
+            let ballot = show_ballot(meta.ballot);
+            let _ = writeln!(text, "accepted {ballot} {} {}", meta.revision, hex(&meta.digest));
+        }
+        None => text += "accepted nothing\n",
+    }
+    match &found.value {
+        Some(value) => text += &show_value(value),
+        None => text += "no value\n",
+    }
+    for value in &found.before {
+        let _ = writeln!(text, "together with {}", value.revision);
+    }
+    let mut kept: Vec<_> = found.kept.iter().collect();
+    kept.sort_by_key(|(revision, one)| (*revision, one.digest));
+    for (revision, one) in kept {
+        let (parent, digest) = (hex(&one.parent), hex(&one.digest));
+        let parent_revision = one.parent_revision;
+        let bytes = one.bytes;
+        let _ = writeln!(text, "kept {revision} {digest} {parent_revision} {parent} {bytes}");
+    }
+    text
+}
+
+/// All files of a folder whose names start so, with what they hold.
+fn files(folder: &Path, start: &str) -> Vec<(String, Vec<u8>)> {
+    let mut all: Vec<(String, Vec<u8>)> = std::fs::read_dir(folder)
+        .unwrap()
+        .map(|entry| entry.unwrap().path())
+        .map(|path| (path.file_name().unwrap().to_str().unwrap().to_string(), path))
+        .filter(|(name, _)| name.starts_with(start))
+        .map(|(name, path)| (name, std::fs::read(path).unwrap()))
+        .collect();
+    all.sort();
+    all
+}
+
+/// Reads a folder and compares what it holds with what the version that wrote it had put there.
+fn check(kind: &str, expected: expect_test::ExpectFile) {
+    let folder = copied(kind, "read");
+    let disk = Disk::open(&folder).unwrap();
+    let found = disk.load(NEW_INCARNATION).unwrap();
+    expected.assert_eq(&show(&found));
+    drop(disk);
+    std::fs::remove_dir_all(&folder).unwrap();
+}
+
+/// Writes every version and the state that can be read into an empty folder: the files must be the same.
+fn check_rewrite(kind: &str) {
+    let folder = copied(kind, "source");
+    let before_state = files(&folder, "state.cbor");
+    let source = Disk::open(&folder).unwrap();
+    let found = source.load(NEW_INCARNATION).unwrap();
+    let target_folder = copied("fresh", &format!("{kind}-target"));
+    let target = Disk::open(&target_folder).unwrap();
+    target.load(NEW_INCARNATION).unwrap();
+    let mut versions = 0;
+    for (revision, one) in &found.kept {
+        let Some(value) = source.version(*revision, &one.digest) else { continue };
+        let bytes = value.encode();
+        let digest = digest_of(&bytes);
+        assert_eq!(digest, one.digest, "{kind}: revision {revision} digests otherwise now");
+        target.save(&[Write::Version { revision: *revision, digest, bytes }]).unwrap();
+        versions += 1;
+    }
+    assert_eq!(versions, found.kept.len(), "{kind}");
+    target.save(&[Write::State(found.state)]).unwrap();
+    let written = files(&target_folder, "version-");
+    let was: Vec<(String, Vec<u8>)> = files(&folder, "version-")
+        .into_iter()
+        .filter(|(name, _)| written.iter().any(|(one, _)| one == name))
+        .collect();
+    assert_eq!(written, was, "{kind}: versions are written otherwise than they were");
+    assert_eq!(files(&target_folder, "state.cbor"), before_state, "{kind}: the state is");
+    drop((source, target));
+    std::fs::remove_dir_all(&folder).unwrap();
+    std::fs::remove_dir_all(&target_folder).unwrap();
+}
+
+#[test]
+fn a_fresh_folder_is_read_and_written_as_before() {
+    check("fresh", expect_test::expect_file!["fixtures/fresh.txt"]);
+    check_rewrite("fresh");
+}
+
+#[test]
+fn the_first_version_is_read_and_written_as_before() {
+    check("bootstrap", expect_test::expect_file!["fixtures/bootstrap.txt"]);
+    check_rewrite("bootstrap");
+}
+
+#[test]
+fn many_versions_proposed_in_batches_are_read_and_written_as_before() {
+    check("many-versions", expect_test::expect_file!["fixtures/many-versions.txt"]);
+    check_rewrite("many-versions");
+}
+
+#[test]
+fn evacuations_and_older_keys_are_read_and_written_as_before() {
+    let expected = expect_test::expect_file!["fixtures/evacuations-and-older-keys.txt"];
+    check("evacuations-and-older-keys", expected);
+    check_rewrite("evacuations-and-older-keys");
+}
+
+#[test]
+fn a_damaged_version_counts_as_absent_as_before() {
+    check("damaged-version", expect_test::expect_file!["fixtures/damaged-version.txt"]);
+    check_rewrite("damaged-version");
+    let accepted = expect_test::expect_file!["fixtures/damaged-accepted-version.txt"];
+    check("damaged-accepted-version", accepted);
+    check_rewrite("damaged-accepted-version");
+}
+
+#[test]
+fn a_damaged_state_makes_an_empty_disk_as_before() {
+    check("damaged-state", expect_test::expect_file!["fixtures/damaged-state.txt"]);
+}
+
+#[test]
+fn a_replacement_under_way_is_read_and_written_as_before() {
+    check("mid-replacement", expect_test::expect_file!["fixtures/mid-replacement.txt"]);
+    check_rewrite("mid-replacement");
+}
+
+#[test]
+fn a_version_that_only_the_spare_holds_is_found_as_before() {
+    check("spare-holds-version", expect_test::expect_file!["fixtures/spare-holds-version.txt"]);
+    check_rewrite("spare-holds-version");
+}
+
+#[test]
+fn a_version_without_the_later_fields_is_read_and_written_as_before() {
+    let expected = expect_test::expect_file!["fixtures/without-later-fields.txt"];
+    check("without-later-fields", expected);
+    check_rewrite("without-later-fields");
+}
+
+#[test]
+fn hints_are_read_and_written_as_before() {
+    let folder = copied("hints", "read");
+    let disk = Disk::open(&folder).unwrap();
+    disk.load(NEW_INCARNATION).unwrap();
+    let hints = disk.hints();
+    let plan = &hints.plan;
+    let mut text = format!("siblings {:?}\n", hints.siblings);
+    let _ =
+        writeln!(text, "plan {} {} {} {}", plan.epoch, plan.counter, plan.holder, plan.revision);
+    let _ = writeln!(text, "moved {:?}", plan.moved);
+    let cold: Vec<String> = plan
+        .cold
+        .iter()
+        .map(|(server, (age_ms, refused))| format!("{server} {age_ms} {refused}"))
+        .collect();
+    let _ = writeln!(text, "cold {cold:?}");
+    let _ = writeln!(text, "away {:?}", plan.away);
+    expect_test::expect_file!["fixtures/hints.txt"].assert_eq(&text);
+    let was = files(&folder, "hints.cbor");
+    std::fs::remove_file(folder.join("hints.cbor")).unwrap();
+    disk.save_hints(&hints).unwrap();
+    assert_eq!(files(&folder, "hints.cbor"), was);
+    drop(disk);
+    std::fs::remove_dir_all(&folder).unwrap();
+}
