--- /dev/null
+++ b/fleet/tests/outside_names.rs
@@ -0,0 +1,153 @@
+//! The names that face outside, as operators' scripts and callers' programs know them: paths, JSON keys,
+//! headers, counters, flags and exit codes (docs/operators.md). They stay whatever the code calls its own.
+
+use std::collections::BTreeSet;
+use std::time::Duration;
+use vanepath_fleet::harness::{Fleet, until};
+use vanepath_fleet::{http, shape};
+
+/// Objects whose keys are names that operators chose.
+const MAPS: [&str; 2] = ["orders", "labels"];
+
+/// All paths of keys in a JSON document, arrays as `[]`, chosen names as `*`.
+fn paths(value: &jzon::JsonValue, path: &str, into: &mut BTreeSet<String>) {
+    if let Some(object) = value.as_object() {
+        let is_map = MAPS.iter().any(|name| path.ends_with(&format!(".{name}")));
+        for (key, one) in object.iter() {
+            let next = format!("{path}.{}", if is_map { "*" } else { key });
+            into.insert(next.clone());
+            paths(one, &next, into);
+        }
+    } else if let Some(array) = value.as_array() {
+        for one in array {
+            paths(one, &format!("{path}[]"), into);
+        }
+    }
+}
+
+/// One call's status, own headers and keys.
+async fn call(
+    fleet: &Fleet,
+    index: usize,
+    method: &str,
+    path: &str,
+    headers: &[(&str, &str)],
+    body: &[u8],
+) -> String {
+    let address = fleet.members[index].address;
+    let reply = http::call(address, method, path, headers, body).await.expect("a reply");
+    let mut keys = BTreeSet::new();
+    paths(&reply.json(), "$", &mut keys);
+    let names: BTreeSet<String> = reply.headers.keys().map(|name| name.to_string()).collect();
+    let label = format!("{} {method} {path}", fleet.members[index].role);
+    let mut text = format!("{label} {}\n", reply.status);
+    text += &format!("  headers {}\n", Vec::from_iter(names).join(" "));
+    for key in keys {
+        text += &format!("  {key}\n");
+    }
+    text
+}
+
+fn small() -> shape::Shape {
+    let mut small = shape::raiocerto();
+    small.proxies = 2;
+    small.servers = vec![("ordering", 2), ("documents", 1)];
+    small
+}
+
+/// Everything that a running fleet answers, by names alone.
+#[tokio::test(flavor = "multi_thread")]
+async fn pages_and_answers_keep_their_names() {
+    let fleet = Fleet::start(small()).await;
+    let revision = fleet.put_setup(&fleet.shape.setup).await;
+    fleet.until_in_force(revision, Duration::from_secs(10)).await;
+    let (proxy, registry) = (fleet.of("proxy")[0], fleet.of("registry")[0]);
+    let store = fleet.of("store")[0];
+    until("the lookup is served", Duration::from_secs(5), async || {
+        let headers = [("x-request", "7")];
+        let address = fleet.members[proxy].address;
+        let reply = http::call(address, "GET", "/stock/7", &headers, b"").await;
+        reply.is_some_and(|reply| reply.status == 200)
+    })
+    .await;
+    until("the status has servers", Duration::from_secs(10), async || {
+        let status = fleet.page(registry, "status").await;
+        !status["servers"].is_empty() && status["ordersFromHere"][0]["order"].len() > 1
+    })
+    .await;
+    let mut text = String::new();
+    let key = ("idempotency-key", "key-1");
+    for (index, method, path, headers, body) in [
+        (registry, "GET", "/v1/live", vec![], ""),
+        (registry, "GET", "/v1/ready", vec![], ""),
+        (registry, "GET", "/v1/metrics", vec![], ""),
+        (registry, "GET", "/v1/steer?caller=7&why=1", vec![], ""),
+        (registry, "GET", "/v1/addresses", vec![], ""),
+        (registry, "PUT", "/v1/zones/north-1/emptied", vec![key], ""),
+        (registry, "PUT", "/v1/zones/nowhere/emptied", vec![], ""),
+        (registry, "GET", "/v1/zones", vec![], ""),
+        (registry, "GET", "/v1/status", vec![], ""),
+        (registry, "GET", "/v1/submissions/key-1", vec![], ""),
+        (registry, "GET", "/v1/submissions/key-2", vec![], ""),
+        (registry, "DELETE", "/v1/zones/north-1/emptied", vec![key], ""),
+        (registry, "DELETE", "/v1/zones/north-1/emptied", vec![], ""),
+        (registry, "GET", "/v1/setup", vec![], ""),
+        (registry, "GET", "/v1/setup/99999", vec![], ""),
+        (registry, "PUT", "/v1/setup", vec![], "{}"),
+        (registry, "PUT", "/v1/setup", vec![("if-match", "99")], fleet.shape.setup.as_str()),
+        (registry, "PUT", "/v1/setup", vec![("if-match", "x")], fleet.shape.setup.as_str()),
+        (registry, "PUT", "/v1/setup", vec![("idempotency-key", " ")], fleet.shape.setup.as_str()),
+        (registry, "POST", "/v1/setup", vec![], ""),
+        (registry, "GET", "/v1/nothing", vec![], ""),
+        (store, "GET", "/v1/live", vec![], ""),
+        (store, "GET", "/v1/ready", vec![], ""),
+        (store, "GET", "/v1/metrics", vec![], ""),
+        (store, "GET", "/v1/status", vec![], ""),
+        (store, "GET", "/v1/nothing", vec![], ""),
+        (proxy, "GET", "/vanepath/v1/live", vec![], ""),
+        (proxy, "GET", "/vanepath/v1/ready", vec![], ""),
+        (proxy, "GET", "/vanepath/v1/metrics", vec![], ""),
+        (proxy, "GET", "/vanepath/v1/status", vec![], ""),
+        (proxy, "GET", "/vanepath/v1/nothing", vec![], ""),
+        (proxy, "GET", "/stock/7", vec![("x-request", "8")], ""),
+        (proxy, "PATCH", "/nowhere", vec![], ""),
+    ] {
+        text += &call(&fleet, index, method, path, &headers, body.as_bytes()).await;
+    }
+    expect_test::expect_file!["fixtures/pages.txt"].assert_eq(&text);
+}
+
+/// The flags of a program, from its own help.
+fn flags(help: &str) -> Vec<&str> {
+    let words = help.split([' ', '\n', ',']);
+    let mut flags: Vec<&str> =
+        words.filter(|word| word.starts_with("--") && word.len() > 2).collect();
+    flags.sort_unstable();
+    flags.dedup();
+    flags
+}
+
+/// What programs take and how they end.
+#[tokio::test(flavor = "multi_thread")]
+async fn flags_and_exit_codes_keep_their_names() {
+    let fleet = Fleet::start(small()).await;
+    let mut text = String::new();
+    let run = |role: &str, arguments: &[&str]| {
+        let run = std::process::Command::new(fleet.program(role)).args(arguments).output().unwrap();
+        let said = String::from_utf8_lossy(&run.stdout).to_string();
+        (run.status.code(), said)
+    };
+    for role in ["proxy", "registry", "store"] {
+        let (code, help) = run(role, &["--help"]);
+        text += &format!("{role} --help {code:?} {}\n", flags(&help).join(" "));
+        let index = fleet.of(role)[0];
+        let settings = fleet.settings_file(index).to_string_lossy().to_string();
+        let (code, said) = run(role, &["--settings", &settings, "--check"]);
+        text += &format!("{role} --check {code:?} {said}");
+        for wrong in [vec!["--nothing"], vec!["--settings", "/nowhere"], vec!["free"], vec![]] {
+            let (code, said) = run(role, &wrong);
+            text += &format!("{role} {wrong:?} {code:?} {said}\n");
+        }
+    }
+    expect_test::expect_file!["fixtures/programs.txt"].assert_eq(&text);
+}
--- /dev/null
+++ b/setup/tests/settings_names.rs
@@ -0,0 +1,78 @@
+//! The keys of the settings files, as the operators' files have them (design 2.2): each is taken by the
+//! roles that have it and by no other.
+
+use vanepath_setup::settings::{Role, Start, start};
+
+/// Each key with a value, and the roles that take it beside what every file needs.
+const KEYS: [(&str, &str, &[Role]); 15] = [
+    ("advertise", r#""127.0.0.1:8000""#, &[Role::Proxy, Role::Registry, Role::Store]),
+    ("siblingAdvertise", r#""127.0.0.1:8001""#, &[Role::Proxy, Role::Registry, Role::Store]),
+    ("fleet", r#""vanepath""#, &[Role::Proxy, Role::Registry, Role::Store]),
+    ("seedPort", "7001", &[Role::Proxy, Role::Registry, Role::Store]),
+    ("graceMs", "10000", &[Role::Proxy, Role::Registry, Role::Store]),
+    ("pagesListen", r#""127.0.0.1:8002""#, &[Role::Proxy, Role::Registry, Role::Store]),
+    ("zones", r#"{"north-1": "north"}"#, &[Role::Proxy, Role::Registry, Role::Store]),
+    ("stores", "5", &[Role::Store]),
+    ("storeLosses", "2", &[Role::Store]),
+    ("firstStart", "false", &[Role::Store]),
+    ("directoryListen", r#""127.0.0.1:8003""#, &[Role::Registry]),
+    ("linkMegabits", "100", &[Role::Proxy]),
+    ("retries", r#"{"ratio": 0.2, "windowMs": 10000, "extra": 32}"#, &[Role::Proxy]),
+    ("dataFolder", r#""/tmp/data""#, &[Role::Store]),
+    ("platform", r#""http://127.0.0.1:9000/servers""#, &[Role::Registry]),
+];
+
+fn check(role: Role, key: &str, value: &str) -> Result<(), String> {
+    let mut fields = vec![
+        r#""name": "one""#.to_string(),
+        r#""region": "north""#.to_string(),
+        r#""zone": "north-1""#.to_string(),
+        r#""listen": "127.0.0.1:7000""#.to_string(),
+        r#""siblingListen": "127.0.0.1:7001""#.to_string(),
+        r#""seeds": ["127.0.0.1:7101"]"#.to_string(),
+    ];
+    for (needed, needed_value, needed_role) in [
+        ("dataFolder", r#""/tmp/data""#, Role::Store),
+        ("platform", r#""http://127.0.0.1:9000/servers""#, Role::Registry),
+    ] {
+        if role == needed_role && key != needed {
+            fields.push(format!(r#""{needed}": {needed_value}"#));
+        }
+    }
+    fields.push(format!(r#""{key}": {value}"#));
+    let name = format!("vanepath-settings-{role}-{key}-{}.json", std::process::id());
+    let file = std::env::temp_dir().join(name);
+    std::fs::write(&file, format!("{{{}}}", fields.join(", "))).unwrap();
+    let arguments =
+        ["--settings".to_string(), file.to_string_lossy().to_string(), "--check".to_string()];
+    let outcome = start(role, &arguments);
+    std::fs::remove_file(&file).unwrap();
+    match outcome {
+        Ok(Start::Say(_)) => Ok(()),
+        Ok(Start::Run(_)) => panic!("it was to be checked only"),
+        Err(report) => Err(report.to_string()),
+    }
+}
+
+#[test]
+fn each_key_is_taken_by_its_roles_alone() {
+    for (key, value, roles) in KEYS {
+        for role in [Role::Proxy, Role::Registry, Role::Store] {
+            let outcome = check(role, key, value);
+            if roles.contains(&role) {
+                assert_eq!(outcome, Ok(()), "{role} {key}");
+            } else {
+                let message = outcome.expect_err(key);
+                assert!(message.contains(&format!("$.{key}")), "{role} {key}: {message}");
+            }
+        }
+    }
+}
+
+#[test]
+fn a_key_that_there_is_not_is_named() {
+    for role in [Role::Proxy, Role::Registry, Role::Store] {
+        let message = check(role, "nothing", "1").expect_err("no such key");
+        assert!(message.contains("$.nothing"), "{message}");
+    }
+}
