--- a/caller/src/client.rs
+++ b/client/src/client.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use vanepath_setup::Verdict;
+use vanepath_config::Verdict;
 
 type Sender = hyper::client::conn::http1::SendRequest<http_body_util::Full<bytes::Bytes>>;
 
@@ -332,7 +332,7 @@
         };
         let verdict = head
             .headers
-            .get(vanepath_setup::fate::HEADER)
+            .get(vanepath_config::fate::HEADER)
             .and_then(|value| value.to_str().ok()?.parse().ok())
             .unwrap_or(Verdict::MayHaveRun);
         self.rest(address, sender);
--- a/caller/src/steering.rs
+++ b/client/src/steering.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 use std::time::Duration;
-use vanepath_setup::Verdict;
+use vanepath_config::Verdict;
 
 pub const TTL_MOST: Duration = Duration::from_secs(5);
 /// After a failed poll the next directory is asked so soon.
@@ -29,7 +29,7 @@
     fn matches(&self, method: &str, host: &str, path: &str) -> bool {
         (self.methods.is_empty() || self.methods.iter().any(|one| one == method))
             && self.host.as_deref().is_none_or(|own| own.eq_ignore_ascii_case(host))
-            && vanepath_setup::model::under_prefix(path, &self.path_prefix)
+            && vanepath_config::model::under_prefix(path, &self.path_prefix)
     }
 }
 
--- a/sibling/src/daemon.rs
+++ b/cluster/src/daemon.rs
@@ -49,8 +49,8 @@
 pub struct View {
     pub word: Arc<wire::Word>,
     /// The parsed setup of the word in force.
-    pub setup: Arc<vanepath_setup::model::Setup>,
-    pub platform: Arc<vanepath_setup::platform::PlatformList>,
+    pub setup: Arc<vanepath_config::model::Setup>,
+    pub platform: Arc<vanepath_config::platform::PlatformList>,
     /// When the newest read that found this list in force began.
     pub list_read_at: Option<Duration>,
     /// The highest revision of a list that anyone told of.
@@ -76,7 +76,7 @@
     /// A registry that has what all proxies tell of servers (design 5.3).
     pub knows_details: bool,
     /// How the operator's documents read here.
-    pub dialect: vanepath_setup::dialect::Spoken,
+    pub dialect: vanepath_config::dialect::Spoken,
 }
 
 impl View {
@@ -350,7 +350,7 @@
 
 /// A running daemon's shared parts.
 pub struct Daemon {
-    pub settings: vanepath_setup::settings::Settings,
+    pub settings: vanepath_config::settings::Settings,
     pub clock: Clock,
     pub links: Arc<link::Caller>,
     pub link_tally: Arc<link::Tally>,
@@ -372,7 +372,7 @@
 
 impl Daemon {
     pub async fn start(
-        settings: vanepath_setup::settings::Settings,
+        settings: vanepath_config::settings::Settings,
         store_handler: Option<StoreHandler>,
     ) -> Result<Arc<Daemon>, miette::Report> {
         let clock = Clock::start();
@@ -487,10 +487,10 @@
 /// The settings file may change while the daemon runs, with a SIGHUP or without: seeds are taken
 /// over then, everything else with the next start (design 2.2).
 async fn follow_settings(
-    mut known: vanepath_setup::settings::Settings,
+    mut known: vanepath_config::settings::Settings,
     news: xtra::Address<NewsActor>,
 ) {
-    use vanepath_setup::settings::{Start, start};
+    use vanepath_config::settings::{Start, start};
     let Some(file) = known.file.clone() else { return };
     let hangup = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::hangup());
     let Ok(mut hangup) = hangup else { return };
--- a/sibling/src/news.rs
+++ b/cluster/src/news.rs
@@ -171,10 +171,10 @@
     Report(wire::Report),
     Detail(wire::Detail),
     Word(Arc<wire::Word>),
-    Platform(Arc<vanepath_setup::platform::PlatformList>),
+    Platform(Arc<vanepath_config::platform::PlatformList>),
     /// This daemon has read the platform list: what is in force by that, and when the read began.
     ListRead {
-        list: Arc<vanepath_setup::platform::PlatformList>,
+        list: Arc<vanepath_config::platform::PlatformList>,
         began_at: Duration,
     },
     Plan(Arc<wire::Plan>),
@@ -269,7 +269,7 @@
     ) -> News {
         let seeds = seeds.into_iter().filter(|seed| *seed != own.sibling_address).collect();
         // Each begins its turn of the lost elsewhere: between them all are tried soon.
-        let turn = vanepath_setup::stable_hash(&["turn", &own.name]) as usize;
+        let turn = vanepath_config::stable_hash(&["turn", &own.name]) as usize;
         let short = wire::short_name(&own.name);
         News {
             own,
@@ -1294,7 +1294,7 @@
 fn digest_of(silent: &[u32]) -> u64 {
     let text: Vec<String> = silent.iter().map(u32::to_string).collect();
     let parts: Vec<&str> = text.iter().map(String::as_str).collect();
-    if parts.is_empty() { 0 } else { vanepath_setup::stable_hash(&parts) }
+    if parts.is_empty() { 0 } else { vanepath_config::stable_hash(&parts) }
 }
 
 fn known(card: &wire::Card) -> crate::peer_selection::Known<'_> {
--- a/sibling/src/peer_selection.rs
+++ b/cluster/src/peer_selection.rs
@@ -15,14 +15,14 @@
 /// kind.
 pub fn siblings(own: &Known<'_>, live: &[Known<'_>]) -> Vec<usize> {
     let rank = |index: &usize| {
-        (vanepath_setup::stable_hash(&[own.name, live[*index].name]), live[*index].name)
+        (vanepath_config::stable_hash(&[own.name, live[*index].name]), live[*index].name)
     };
     let all = || 0..live.len();
     let mut chosen = Vec::new();
     // Region by region, so that few of the pulls along the ring cross from one to another.
     let place = |region: &str, name: &str| {
-        let high = vanepath_setup::stable_hash(&["ring", region]) >> 48 << 48;
-        high | vanepath_setup::stable_hash(&["ring", name]) >> 16
+        let high = vanepath_config::stable_hash(&["ring", region]) >> 48 << 48;
+        high | vanepath_config::stable_hash(&["ring", name]) >> 16
     };
     let own_place = place(own.region, own.name);
     chosen.extend(all().min_by_key(|index| {
@@ -62,7 +62,7 @@
         (0..live.len()).filter(|index| live[*index].role == crate::wire::Role::Registry).collect();
     ranked.sort_by_key(|index| {
         let other = &live[*index];
-        let hash = vanepath_setup::stable_hash(&[own.name, other.name]);
+        let hash = vanepath_config::stable_hash(&[own.name, other.name]);
         let near = (is_whole(*index), other.zone == own.zone, other.region == own.region);
         std::cmp::Reverse((near, hash, other.name))
     });
@@ -82,7 +82,7 @@
     (0..live.len()).filter(|index| live[*index].role == crate::wire::Role::Store).max_by_key(
         |index| {
             let other = &live[*index];
-            let hash = vanepath_setup::stable_hash(&[own.name, other.name]);
+            let hash = vanepath_config::stable_hash(&[own.name, other.name]);
             (other.zone == own.zone, other.region == own.region, hash, other.name)
         },
     )
--- a/sibling/src/wire.rs
+++ b/cluster/src/wire.rs
@@ -16,12 +16,12 @@
     Store,
 }
 
-impl From<vanepath_setup::settings::Role> for Role {
-    fn from(role: vanepath_setup::settings::Role) -> Role {
+impl From<vanepath_config::settings::Role> for Role {
+    fn from(role: vanepath_config::settings::Role) -> Role {
         match role {
-            vanepath_setup::settings::Role::Proxy => Role::Proxy,
-            vanepath_setup::settings::Role::Registry => Role::Registry,
-            vanepath_setup::settings::Role::Store => Role::Store,
+            vanepath_config::settings::Role::Proxy => Role::Proxy,
+            vanepath_config::settings::Role::Registry => Role::Registry,
+            vanepath_config::settings::Role::Store => Role::Store,
         }
     }
 }
@@ -53,7 +53,7 @@
     pub sibling_address: std::net::SocketAddr,
 }
 
-impl vanepath_setup::selector::Labelled for Card {
+impl vanepath_config::selector::Labelled for Card {
     fn label(&self, key: &str) -> Option<&str> {
         match key {
             "zone" => Some(&self.zone),
@@ -256,9 +256,9 @@
 pub struct News {
     pub deltas: Vec<Delta>,
     pub word: Option<Word>,
-    pub platform: Option<vanepath_setup::platform::PlatformList>,
+    pub platform: Option<vanepath_config::platform::PlatformList>,
     /// Instead of the whole list, where the asker has one that the teller knows.
-    pub platform_delta: Option<vanepath_setup::platform::ListDelta>,
+    pub platform_delta: Option<vanepath_config::platform::ListDelta>,
     /// The newest read of the platform list that the teller knows of.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub list_read: Option<ListRead>,
@@ -305,7 +305,7 @@
 /// The name of a source in a pull's vector. Two names with one hash would hide one source from
 /// some daemons: with a hundred daemons one fleet in a million has such a pair.
 pub fn short_name(name: &str) -> u32 {
-    vanepath_setup::stable_hash(&["name", name]) as u32
+    vanepath_config::stable_hash(&["name", name]) as u32
 }
 
 pub fn encode<T: serde::Serialize>(value: &T) -> Vec<u8> {
--- a/sibling/tests/common/mod.rs
+++ b/cluster/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! What several tests of siblings begin with.
 
-use vanepath_sibling::wire;
+use vanepath_cluster::wire;
 
 /// Of a daemon in zone a1 of region a.
 pub fn card(name: &str, role: wire::Role, port: u16) -> wire::Card {
--- a/sibling/tests/floor.rs
+++ b/cluster/tests/floor.rs
@@ -5,10 +5,10 @@
 use common::card;
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_sibling::daemon::View;
-use vanepath_sibling::floor::{By, Floor, NEXT_AFTER, WITNESS_WAIT};
-use vanepath_sibling::news::{Effect, Event, News};
-use vanepath_sibling::wire::{self, Role};
+use vanepath_cluster::daemon::View;
+use vanepath_cluster::floor::{By, Floor, NEXT_AFTER, WITNESS_WAIT};
+use vanepath_cluster::news::{Effect, Event, News};
+use vanepath_cluster::wire::{self, Role};
 
 const START: Duration = Duration::from_secs(100);
 
--- a/sibling/tests/frames.rs
+++ b/cluster/tests/frames.rs
@@ -2,11 +2,11 @@
 //! are replaced one by one (design 5.1).
 
 use std::fmt::Write as _;
-use vanepath_setup::platform::{ListDelta, PlatformList, Server};
-use vanepath_sibling::wire::{
+use vanepath_cluster::wire::{
     Card, Delta, Detail, Disk, Greeting, ListRead, Mark, News, Plan, Pull, Reply, Report, Request,
     Role, SYSTEM, Sight, Word, decode, encode, short_name,
 };
+use vanepath_config::platform::{ListDelta, PlatformList, Server};
 
 #[derive(Default)]
 struct Frames {
--- a/sibling/tests/light.rs
+++ b/cluster/tests/light.rs
@@ -5,8 +5,8 @@
 use common::card;
 use std::net::SocketAddr;
 use std::time::Duration;
-use vanepath_sibling::news::{Effect, Event, News};
-use vanepath_sibling::wire;
+use vanepath_cluster::news::{Effect, Event, News};
+use vanepath_cluster::wire;
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
--- a/checker/src/lib.rs
+++ b/config-check/src/lib.rs
@@ -3,13 +3,13 @@
 
 pub mod floors;
 
-use vanepath_setup::model::Setup;
-use vanepath_setup::selector::Viewpoint;
+use vanepath_config::model::Setup;
+use vanepath_config::selector::Viewpoint;
 
 /// A server as a registry's status tells it.
 #[derive(Clone, Debug)]
 pub struct Server {
-    pub server: vanepath_setup::platform::Server,
+    pub server: vanepath_config::platform::Server,
     pub is_live: bool,
 }
 
@@ -155,7 +155,7 @@
             }
         }
     }
-    if let Some(Ok(before)) = fleet.in_force.as_deref().map(vanepath_setup::model::parse) {
+    if let Some(Ok(before)) = fleet.in_force.as_deref().map(vanepath_config::model::parse) {
         for line in changes(&before, setup) {
             find(Weight::Note, "$".to_string(), line);
         }
@@ -199,11 +199,11 @@
         &after.classes,
         |class| &class.name,
         |old, new| {
-            let loans = |setup: &Setup, class: &vanepath_setup::model::Class| {
+            let loans = |setup: &Setup, class: &vanepath_config::model::Class| {
                 let loans = class.borrows.iter();
                 loans.map(|one| (class_name(setup, one.class), one.most)).collect::<Vec<_>>()
             };
-            let bare = |class: &vanepath_setup::model::Class| {
+            let bare = |class: &vanepath_config::model::Class| {
                 let mut bare = class.clone();
                 bare.borrows.clear();
                 bare
@@ -234,13 +234,13 @@
         &after.rules,
         |rule| &rule.name,
         |old, new| {
-            let names = |setup: &Setup, rule: &vanepath_setup::model::Rule| {
+            let names = |setup: &Setup, rule: &vanepath_config::model::Rule| {
                 let services = std::iter::once(&rule.service).chain(&rule.spill);
                 let services: Vec<String> =
                     services.map(|index| service_name(setup, *index)).collect();
                 (class_name(setup, rule.class), services)
             };
-            let bare = |rule: &vanepath_setup::model::Rule| {
+            let bare = |rule: &vanepath_config::model::Rule| {
                 let mut bare = rule.clone();
                 bare.class = 0;
                 bare.service = 0;
@@ -286,7 +286,7 @@
             labels.insert(key.to_string(), text(value)?);
         }
         fleet.servers.push(Server {
-            server: vanepath_setup::platform::Server {
+            server: vanepath_config::platform::Server {
                 id: text(&server["id"])?,
                 address: server["address"].as_str()?.parse().ok()?,
                 region: text(&server["region"])?,
--- a/checker/src/main.rs
+++ b/config-check/src/main.rs
@@ -1,7 +1,7 @@
-//! vanepath-checker: checks a setup, alone or against the fleet as it is.
+//! vanepath-config-check: checks a setup, alone or against the fleet as it is.
 
 use http_body_util::BodyExt;
-use vanepath_checker::{FleetAsIs, Weight, check, fleet_from, floors};
+use vanepath_config_check::{FleetAsIs, Weight, check, fleet_from, floors};
 
 fn main() -> std::process::ExitCode {
     match run() {
@@ -26,17 +26,17 @@
     let matches =
         options.parse(&arguments).map_err(|error| miette::miette!("{error}; see --help"))?;
     if matches.opt_present("help") {
-        let brief = "Usage: vanepath-checker [options] SETUP-FILE\n\
+        let brief = "Usage: vanepath-config-check [options] SETUP-FILE\n\
                      Checks a setup as the interface would and, with --registry, against the \
                      fleet as it is.\n\
-                     vanepath-checker --floors IP:PORT [--floors IP:PORT]: asks every daemon that \
+                     vanepath-config-check --floors IP:PORT [--floors IP:PORT]: asks every daemon that \
                      these registries list whether it goes by less than it ever did.\n\
                      Exit codes: 0 good, 1 findings, 2 could not check, 3 invalid setup.";
         println!("{}", options.usage(brief));
         return Ok(0);
     }
     if matches.opt_present("version") {
-        println!("vanepath-checker {}", env!("CARGO_PKG_VERSION"));
+        println!("vanepath-config-check {}", env!("CARGO_PKG_VERSION"));
         return Ok(0);
     }
     let asked = matches.opt_strs("floors");
@@ -49,13 +49,13 @@
     let as_json = matches.opt_present("json");
     let bytes =
         std::fs::read(file).map_err(|error| miette::miette!("cannot read {file}: {error}"))?;
-    let setup = match vanepath_setup::model::parse(&bytes) {
+    let setup = match vanepath_config::model::parse(&bytes) {
         Ok(setup) => setup,
         Err(faults) => {
             if as_json {
                 let value = jzon::object! {
                     "valid": false,
-                    "faults": vanepath_setup::read::faults_as_json(&faults),
+                    "faults": vanepath_config::read::faults_as_json(&faults),
                 };
                 println!("{}", value.pretty(2));
             } else {
--- a/checker/src/tests.rs
+++ b/config-check/src/tests.rs
@@ -13,7 +13,7 @@
     .enumerate()
     {
         fleet.servers.push(Server {
-            server: vanepath_setup::platform::Server {
+            server: vanepath_config::platform::Server {
                 id: format!("{app}-{zone}"),
                 address: format!("127.0.0.1:{}", 9000 + index).parse().unwrap(),
                 region: zone[..1].to_string(),
@@ -60,7 +60,7 @@
     );
     let mut fleet = fleet();
     fleet.in_force = Some(before.into_bytes());
-    let setup = vanepath_setup::model::parse(after.as_bytes()).unwrap();
+    let setup = vanepath_config::model::parse(after.as_bytes()).unwrap();
     let shown: String = check(&setup, &fleet)
         .iter()
         .map(|one| format!("{} {}: {}\n", one.weight, one.path, one.message))
--- a/checker/tests/floor.rs
+++ b/config-check/tests/floor.rs
@@ -1,7 +1,7 @@
 //! What the checker says of daemons below their floor (design 5.8).
 
-use vanepath_checker::floors::{Fleet, State, row};
-use vanepath_checker::{Weight, check, fleet_from};
+use vanepath_config_check::floors::{Fleet, State, row};
+use vanepath_config_check::{Weight, check, fleet_from};
 
 #[test]
 fn daemons_below_their_floor_are_named() {
@@ -10,7 +10,7 @@
             format!(r#"{{"revision": 7, "emptied": [], {behind} "servers": [], "daemons": []}}"#);
         fleet_from(&jzon::parse(&text).unwrap(), None).unwrap()
     };
-    let setup = vanepath_setup::model::parse(
+    let setup = vanepath_config::model::parse(
         br#"{"classes": [{"name": "c", "urgency": 1, "kind": "repeatable"}],
           "services": [{"name": "s", "selector": "all", "livenessPath": "/"}],
           "rules": [{"name": "r", "class": "c", "service": "s"}]}"#,
--- a/setup/tests/routes.rs
+++ b/config/tests/routes.rs
@@ -1,6 +1,6 @@
 //! The index of the rules finds what the walk over all of them finds.
 
-use vanepath_setup::model;
+use vanepath_config::model;
 
 struct Random(u64);
 
--- a/setup/tests/settings_names.rs
+++ b/config/tests/settings_names.rs
@@ -1,7 +1,7 @@
 //! The keys of the settings files, as the operators' files have them (design 2.2): each is taken by the
 //! roles that have it and by no other.
 
-use vanepath_setup::settings::{Role, Start, start};
+use vanepath_config::settings::{Role, Start, start};
 
 /// Each key with a value, and the roles that take it beside what every file needs.
 const KEYS: [(&str, &str, &[Role]); 15] = [
--- a/proxy/src/carry.rs
+++ b/proxy/src/carry.rs
@@ -11,11 +11,11 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
-use vanepath_setup::Verdict;
-use vanepath_setup::model::Kind;
-use vanepath_sibling::daemon::{self, Body, BodyError, Daemon, View};
+use vanepath_cluster::daemon::{self, Body, BodyError, Daemon, View};
+use vanepath_config::Verdict;
+use vanepath_config::model::Kind;
 
-vanepath_sibling::counters! {
+vanepath_cluster::counters! {
     /// What a proxy counts.
     pub enum Counter {
         Requests,
@@ -56,7 +56,7 @@
     }
 }
 
-pub type Tally = vanepath_sibling::tally::Tally<Counter>;
+pub type Tally = vanepath_cluster::tally::Tally<Counter>;
 
 /// Receipts of lookups up to this size are held until they are whole, so that one that breaks
 /// off can still be fetched elsewhere.
@@ -563,7 +563,7 @@
         if proxy.daemon.table.load().is_stuck {
             return Err(Refusal::BelowFloor);
         }
-        if proxy.now().saturating_sub(received_at) >= vanepath_sibling::news::HOLD {
+        if proxy.now().saturating_sub(received_at) >= vanepath_cluster::news::HOLD {
             return Err(Refusal::NotReady);
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -571,8 +571,8 @@
     Ok(())
 }
 
-fn places_for(view: &View, rule: &vanepath_setup::model::Rule) -> Vec<jzon::JsonValue> {
-    let place = |card: &vanepath_sibling::wire::Card| {
+fn places_for(view: &View, rule: &vanepath_config::model::Rule) -> Vec<jzon::JsonValue> {
+    let place = |card: &vanepath_cluster::wire::Card| {
         jzon::object! {
             "zone": card.zone.as_str(),
             "region": card.region.as_str(),
@@ -763,7 +763,7 @@
 struct Go<'g> {
     proxy: &'g Arc<Proxy>,
     entry: &'g crate::servers::Entry,
-    service: &'g vanepath_setup::model::Service,
+    service: &'g vanepath_config::model::Service,
     deadline: Duration,
     is_other_zone: bool,
     table: &'g crate::servers::Table,
--- a/proxy/src/chart.rs
+++ b/proxy/src/chart.rs
@@ -1,8 +1,8 @@
 //! The way of a request through the proxy: a chart of named states, and what follows from each
 //! outcome of a go (design 8.1, 8.2). Pure; the shell in `carry` moves along it.
 
-use vanepath_setup::Verdict;
-use vanepath_setup::model::Kind;
+use vanepath_config::Verdict;
+use vanepath_config::model::Kind;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
@@ -106,7 +106,7 @@
             is_replayable: false,
             goes: 0,
             sends: 0,
-            sends_most: vanepath_setup::model::ATTEMPTS_MOST,
+            sends_most: vanepath_config::model::ATTEMPTS_MOST,
             sent_at: std::time::Duration::ZERO,
             may_sent: false,
         }
--- a/proxy/src/chart/tests.rs
+++ b/proxy/src/chart/tests.rs
@@ -1,6 +1,6 @@
 use super::{Chart, Miss, Next, Refusal};
 use strum::IntoEnumIterator;
-use vanepath_setup::model::Kind;
+use vanepath_config::model::Kind;
 
 /// Those whom a crowd sent away come back apart from each other, and with most of their time left.
 #[test]
--- a/proxy/src/classes.rs
+++ b/proxy/src/classes.rs
@@ -71,7 +71,7 @@
     /// Goes over to a new setup. A class keeps its place among the rooms for as long as anything of
     /// it is in hand or waiting, whatever the order of the setup's classes: slots that are out name
     /// places. A class that is gone keeps its room until it is empty.
-    pub fn adopt(&mut self, setup: &vanepath_setup::model::Setup) {
+    pub fn adopt(&mut self, setup: &vanepath_config::model::Setup) {
         for room in &mut self.rooms {
             room.close();
         }
--- a/proxy/src/classes/tests.rs
+++ b/proxy/src/classes/tests.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 fn classes() -> Classes {
-    let setup = vanepath_setup::model::parse(
+    let setup = vanepath_config::model::parse(
         br#"{"classes": [
             {"name": "lookup", "urgency": 1, "kind": "repeatable", "room": 16, "queue": 2},
             {"name": "bulk", "urgency": 5, "kind": "repeatable", "room": 1, "queue": 9,
@@ -57,7 +57,7 @@
     assert_eq!(last.iter().map(|one| one.0).collect::<Vec<_>>(), [bulk_waits]);
 }
 
-fn of_order(names: &[&str]) -> vanepath_setup::model::Setup {
+fn of_order(names: &[&str]) -> vanepath_config::model::Setup {
     let class = |name: &&str| {
         format!(
             r#"{{"name": "{name}", "urgency": 1, "kind": "repeatable", "room": 2, "queue": 9}}"#
@@ -71,7 +71,7 @@
         classes.join(","),
         names[0],
     );
-    vanepath_setup::model::parse(setup.as_bytes()).unwrap()
+    vanepath_config::model::parse(setup.as_bytes()).unwrap()
 }
 
 fn taken(classes: &mut Classes, name: &str) -> Option<super::Slot> {
--- a/proxy/src/pool.rs
+++ b/proxy/src/pool.rs
@@ -5,8 +5,8 @@
 use crate::servers::{Entry, Idle};
 use http_body_util::BodyExt;
 use std::time::Duration;
-use vanepath_setup::dialect::Spoken;
-use vanepath_sibling::daemon;
+use vanepath_cluster::daemon;
+use vanepath_config::dialect::Spoken;
 
 pub type Sender = hyper::client::conn::http1::SendRequest<daemon::Body>;
 pub type Resting = Idle<Sender>;
@@ -28,7 +28,7 @@
 pub async fn connect(
     dialect: Spoken,
     entry: &Entry,
-    service: &vanepath_setup::model::Service,
+    service: &vanepath_config::model::Service,
     untidy: impl FnOnce() + Send + 'static,
 ) -> Result<(Sender, Greeted), Failure> {
     let mut sender = open(entry, true, false, untidy).await?;
@@ -104,7 +104,7 @@
     dialect: Spoken,
     sender: &mut Sender,
     entry: &Entry,
-    service: &vanepath_setup::model::Service,
+    service: &vanepath_config::model::Service,
 ) -> Result<Greeted, Failure> {
     match tokio::time::timeout(LIMIT, greet_unbounded(dialect, sender, entry, service)).await {
         Ok(outcome) => outcome,
@@ -116,7 +116,7 @@
     dialect: Spoken,
     sender: &mut Sender,
     entry: &Entry,
-    service: &vanepath_setup::model::Service,
+    service: &vanepath_config::model::Service,
 ) -> Result<Greeted, Failure> {
     sender.ready().await.map_err(|_| Failure::Broken)?;
     let request = hyper::Request::builder()
--- a/proxy/src/servers.rs
+++ b/proxy/src/servers.rs
@@ -7,13 +7,13 @@
 use crate::usual::{Pace, Pools, Usuals};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_sibling::daemon::View;
-use vanepath_sibling::wire;
+use vanepath_cluster::daemon::View;
+use vanepath_cluster::wire;
 
 /// What the platform list and the setup say of a server; changes rarely.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    pub server: vanepath_setup::platform::Server,
+    pub server: vanepath_config::platform::Server,
     /// Indices into the setup's services whose selectors match.
     pub services: Vec<usize>,
     /// Where its quick state lies; a new slot for each life of a server.
@@ -25,7 +25,7 @@
 pub struct Table {
     /// The revisions of the setup and of the platform list that it was made from.
     pub revision: (u64, u64),
-    pub setup: Arc<vanepath_setup::model::Setup>,
+    pub setup: Arc<vanepath_config::model::Setup>,
     pub entries: Vec<Entry>,
     pub by_service: Vec<Vec<usize>>,
     /// Each of its servers was looked at once. That stays so, and is asked with every request.
@@ -103,9 +103,9 @@
 
 /// Whether this proxy is one of the few that watch a server for the whole fleet: by rendezvous
 /// hashing one of the server's own region and two of outside, who are there when the region isn't.
-fn is_watcher(view: &View, own: &str, server: &vanepath_setup::platform::Server) -> bool {
+fn is_watcher(view: &View, own: &str, server: &vanepath_config::platform::Server) -> bool {
     let is_near = |card: &wire::Card| card.region == server.region;
-    let rank = |card: &wire::Card| vanepath_setup::stable_hash(&["watch", &card.name, &server.id]);
+    let rank = |card: &wire::Card| vanepath_config::stable_hash(&["watch", &card.name, &server.id]);
     let all = || view.live.iter().map(|one| &one.0).filter(|card| card.role == wire::Role::Proxy);
     let Some(me) = all().find(|card| card.name == own) else { return false };
     let mine = (rank(me), own);
@@ -203,7 +203,7 @@
 /// The proxies that may carry requests of this rule.
 pub fn carriers<'v>(
     view: &'v View,
-    rule: &'v vanepath_setup::model::Rule,
+    rule: &'v vanepath_config::model::Rule,
 ) -> impl Iterator<Item = &'v wire::Card> {
     let all = view.live.iter().filter(|(card, report)| {
         card.role == wire::Role::Proxy
@@ -230,11 +230,11 @@
 pub fn cold_rate(
     view: &View,
     own: &str,
-    server: &vanepath_setup::platform::Server,
+    server: &vanepath_config::platform::Server,
     services: &[usize],
 ) -> ColdRate {
     let place = |card: &wire::Card| (card.region != server.region, card.zone != server.zone);
-    let draw = |card: &wire::Card| vanepath_setup::stable_hash(&["cold", &card.name, &server.id]);
+    let draw = |card: &wire::Card| vanepath_config::stable_hash(&["cold", &card.name, &server.id]);
     let all = || view.live.iter().map(|one| &one.0).filter(|card| card.role == wire::Role::Proxy);
     let proxies = all().count();
     let rank = all().find(|card| card.name == own).map_or(proxies, |me| {
@@ -371,9 +371,9 @@
         &self,
         now: Duration,
         revision: (u64, u64),
-        setup: &Arc<vanepath_setup::model::Setup>,
-        list: &vanepath_setup::platform::PlatformList,
-        rate: impl Fn(&vanepath_setup::platform::Server, &[usize]) -> ColdRate,
+        setup: &Arc<vanepath_config::model::Setup>,
+        list: &vanepath_config::platform::PlatformList,
+        rate: impl Fn(&vanepath_config::platform::Server, &[usize]) -> ColdRate,
     ) -> Vec<String> {
         let mut notes = Vec::new();
         let before = self.table.load_full();
@@ -384,7 +384,7 @@
             before.entries.iter().map(|entry| (entry.server.id.as_str(), entry)).collect();
         let mut slots = std::collections::HashSet::new();
         for server in &list.servers {
-            let view = vanepath_setup::selector::Viewpoint::default();
+            let view = vanepath_config::selector::Viewpoint::default();
             let services: Vec<usize> = (0..setup.services.len())
                 .filter(|service| setup.services[*service].selector.matches(server, view))
                 .collect();
@@ -510,7 +510,7 @@
     /// Which servers of its zone are this proxy's part (design 8.7), by who is live there.
     pub fn part(&self, view: &View, own: &wire::Card) {
         let table = self.table.load();
-        let hash = |kind: &str, name: &str| vanepath_setup::stable_hash(&["part", kind, name]);
+        let hash = |kind: &str, name: &str| vanepath_config::stable_hash(&["part", kind, name]);
         let mut proxies: Vec<(u64, &str)> = view
             .live
             .iter()
@@ -636,12 +636,12 @@
         if rule.spill.is_empty() && !own.is_empty() && own.iter().all(tells_slots) {
             return self.choose_by_slots(now, table, want, random);
         }
-        let zone = |server: &vanepath_setup::platform::Server| server.zone == want.zone;
-        let region = |server: &vanepath_setup::platform::Server| {
+        let zone = |server: &vanepath_config::platform::Server| server.zone == want.zone;
+        let region = |server: &vanepath_config::platform::Server| {
             server.region == want.region && server.zone != want.zone
         };
-        let far = |server: &vanepath_setup::platform::Server| server.region != want.region;
-        type Where<'s> = &'s dyn Fn(&vanepath_setup::platform::Server) -> bool;
+        let far = |server: &vanepath_config::platform::Server| server.region != want.region;
+        type Where<'s> = &'s dyn Fn(&vanepath_config::platform::Server) -> bool;
         let near: [Where<'_>; 2] = [&zone, &region];
         let all: [Where<'_>; 1] = [&far];
         let mut steps: Vec<(usize, Where<'_>)> = Vec::new();
@@ -650,7 +650,7 @@
                 steps.extend(places.iter().map(|place| (*service, *place)));
             }
         }
-        let is_lookup = setup.classes[rule.class].kind == vanepath_setup::model::Kind::Repeatable;
+        let is_lookup = setup.classes[rule.class].kind == vanepath_config::model::Kind::Repeatable;
         let mut cold_at: Option<Duration> = None;
         for pass in [Pass::Known, Pass::Later, Pass::Resort] {
             let is_resort = pass == Pass::Resort;
@@ -767,7 +767,7 @@
     ) -> Choice {
         let rule = &table.setup.rules[want.rule];
         let class = &table.setup.classes[rule.class];
-        let is_lookup = class.kind == vanepath_setup::model::Kind::Repeatable;
+        let is_lookup = class.kind == vanepath_config::model::Kind::Repeatable;
         let mut cold_at: Option<Duration> = None;
         // Well; not trusted with much; dead as far as is known.
         let mut tiers: [Vec<Candidate>; 3] = Default::default();
@@ -1081,7 +1081,7 @@
     }
 
     /// The pool of servers of these services in this zone; a new one if it is the first.
-    fn pool(&self, setup: &vanepath_setup::model::Setup, services: &[usize], zone: &str) -> usize {
+    fn pool(&self, setup: &vanepath_config::model::Setup, services: &[usize], zone: &str) -> usize {
         let service = services.first().map_or("", |index| setup.services[*index].name.as_str());
         let mut pools = self.pools.lock().expect("no panic under this lock");
         pools.index(service, zone)
--- a/proxy/src/servers/tests.rs
+++ b/proxy/src/servers/tests.rs
@@ -12,16 +12,16 @@
              "regions": ["b"]},
             {"name": "r", "class": "c", "service": "s", "spill": ["t"]}]}"#;
 
-fn setup() -> std::sync::Arc<vanepath_setup::model::Setup> {
-    std::sync::Arc::new(vanepath_setup::model::parse(SETUP.as_bytes()).unwrap())
+fn setup() -> std::sync::Arc<vanepath_config::model::Setup> {
+    std::sync::Arc::new(vanepath_config::model::parse(SETUP.as_bytes()).unwrap())
 }
 
-fn list() -> vanepath_setup::platform::PlatformList {
+fn list() -> vanepath_config::platform::PlatformList {
     let mut servers = Vec::new();
     for (index, (zone, app)) in
         [("a1", "s"), ("a2", "s"), ("b1", "s"), ("a1", "t"), ("b1", "t")].iter().enumerate()
     {
-        servers.push(vanepath_setup::platform::Server {
+        servers.push(vanepath_config::platform::Server {
             id: format!("{app}-{zone}"),
             address: format!("127.0.0.1:{}", 9000 + index).parse().unwrap(),
             region: zone[..1].to_string(),
@@ -32,12 +32,12 @@
             slots: 0,
         });
     }
-    vanepath_setup::platform::PlatformList { revision: 1, servers }
+    vanepath_config::platform::PlatformList { revision: 1, servers }
 }
 
 struct Case {
     servers: Servers<()>,
-    setup: std::sync::Arc<vanepath_setup::model::Setup>,
+    setup: std::sync::Arc<vanepath_config::model::Setup>,
     emptied: std::collections::BTreeSet<String>,
 }
 
@@ -159,7 +159,7 @@
 fn a_flood_goes_further_before_it_piles_up() {
     let mut case = case();
     let text = SETUP.replace(r#""serverRoom": 2"#, r#""serverRoom": 100"#);
-    let setup = std::sync::Arc::new(vanepath_setup::model::parse(text.as_bytes()).unwrap());
+    let setup = std::sync::Arc::new(vanepath_config::model::parse(text.as_bytes()).unwrap());
     case.servers.adopt(Duration::ZERO, (1, 1), &setup, &list(), |_, _| ColdRate::default());
     case.setup = setup;
     let mut counts = std::collections::BTreeMap::<String, u32>::new();
@@ -202,7 +202,7 @@
 fn a_cold_server_of_others_hides_no_resort() {
     let servers: Servers<()> = Servers::default();
     let case = Case { servers, setup: setup(), emptied: Default::default() };
-    let no_part = |_: &vanepath_setup::platform::Server, _: &[usize]| {
+    let no_part = |_: &vanepath_config::platform::Server, _: &[usize]| {
         ColdRate::of(1.0, Duration::from_secs(10), 1, 2)
     };
     case.servers.adopt(Duration::ZERO, (1, 1), &case.setup, &list(), no_part);
@@ -224,7 +224,7 @@
     moved.servers.retain(|server| server.id == "s-b1");
     moved.servers[0].address = "127.0.0.1:9999".parse().unwrap();
     let before = case.slot("s-b1");
-    let rate = |_: &vanepath_setup::platform::Server, _: &[usize]| {
+    let rate = |_: &vanepath_config::platform::Server, _: &[usize]| {
         ColdRate::of(2.0, Duration::from_secs(10), 0, 1)
     };
     case.servers.adopt(Duration::from_secs(1), (1, 2), &case.setup, &moved, rate);
@@ -276,7 +276,7 @@
     };
     assert!(!is_withdrawn(&case.emptied));
     assert!(is_withdrawn(&["a2".to_string()].into()), "its zone is emptied");
-    let adopt = |revision: u64, change: &dyn Fn(&mut vanepath_setup::platform::PlatformList)| {
+    let adopt = |revision: u64, change: &dyn Fn(&mut vanepath_config::platform::PlatformList)| {
         let mut list = list();
         change(&mut list);
         let now = Duration::from_secs(1);
--- a/proxy/src/shell.rs
+++ b/proxy/src/shell.rs
@@ -6,10 +6,10 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use vanepath_sibling::{daemon, news, wire};
+use vanepath_cluster::{daemon, news, wire};
 
 /// Runs a proxy until it is told to stop.
-pub async fn run(settings: vanepath_setup::settings::Settings) -> Result<(), miette::Report> {
+pub async fn run(settings: vanepath_config::settings::Settings) -> Result<(), miette::Report> {
     let listener = daemon::bind("listen", settings.listen).await?;
     let grace = settings.grace;
     let daemon = daemon::Daemon::start(settings, None).await?;
@@ -317,7 +317,7 @@
 async fn probe(
     proxy: Arc<Proxy>,
     entry: crate::servers::Entry,
-    service: vanepath_setup::model::Service,
+    service: vanepath_config::model::Service,
 ) {
     proxy.tally.one(Counter::Probes);
     let dialect = proxy.daemon.settings.dialect;
--- a/proxy/tests/cold_rate.rs
+++ b/proxy/tests/cold_rate.rs
@@ -1,9 +1,9 @@
 //! A proxy's part of a cold server's rate, reckoned without sorting all proxies, is what the sorted list says.
 
 use std::time::Duration;
+use vanepath_cluster::daemon::View;
+use vanepath_cluster::wire;
 use vanepath_proxy::liveness::ColdRate;
-use vanepath_sibling::daemon::View;
-use vanepath_sibling::wire;
 
 const ZONES: [&str; 5] = ["a1", "a2", "b1", "b2", "c1"];
 
@@ -26,14 +26,14 @@
         "services": [{"name": "s", "selector": "all", "livenessPath": "/",
                       "cold": {"ratePerSecond": 3, "periodMs": 5000}}],
         "rules": [{"name": "r", "class": "c", "service": "s"}]}"#;
-    let setup = std::sync::Arc::new(vanepath_setup::model::parse(setup).unwrap());
+    let setup = std::sync::Arc::new(vanepath_config::model::parse(setup).unwrap());
     let mut parts = 0;
     for daemons in [1, 2, 6, 30, 90] {
         let live = (0..daemons).map(|index| (card(index), wire::Report::default())).collect();
         let view = View { setup: setup.clone(), live, ..View::default() };
         for number in 0..40 {
             let zone = ZONES[number % 5];
-            let server = vanepath_setup::platform::Server {
+            let server = vanepath_config::platform::Server {
                 id: format!("s{number}"),
                 address: std::net::SocketAddr::from(([127, 0, 0, 2], 1000 + number as u16)),
                 region: zone[..1].to_string(),
@@ -48,7 +48,7 @@
                 .iter()
                 .filter(|(card, _)| card.role == wire::Role::Proxy)
                 .map(|(card, _)| {
-                    let rank = vanepath_setup::stable_hash(&["cold", &card.name, &server.id]);
+                    let rank = vanepath_config::stable_hash(&["cold", &card.name, &server.id]);
                     let is_far = card.region != server.region;
                     (is_far, card.zone != server.zone, rank, card.name.as_str())
                 })
--- a/proxy/tests/crowding.rs
+++ b/proxy/tests/crowding.rs
@@ -6,11 +6,11 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
+use vanepath_cluster::daemon::View;
+use vanepath_cluster::wire;
 use vanepath_proxy::liveness::ColdRate;
 use vanepath_proxy::longest::Longest;
 use vanepath_proxy::servers::{Answered, Choice, Servers, Want};
-use vanepath_sibling::daemon::View;
-use vanepath_sibling::wire;
 
 const SETUP: &str = r#"{"classes": [{"name": "c", "urgency": 1, "kind": "repeatable"}],
     "services": [{"name": "s", "selector": "all", "livenessPath": "/", "serverRoom": 1000,
@@ -121,11 +121,11 @@
     /// With an aim in its rule, `aim`.
     fn new(seed: u64, aim: &str) -> Fleet {
         let text = SETUP.replace(r#""service": "s"}"#, &format!(r#""service": "s"{aim}}}"#));
-        let setup = Arc::new(vanepath_setup::model::parse(text.as_bytes()).unwrap());
+        let setup = Arc::new(vanepath_config::model::parse(text.as_bytes()).unwrap());
         let address = |number: usize| std::net::SocketAddr::from(([127, 0, 0, 1], number as u16));
         let servers = (0..ZONES.len() * SERVERS_A_ZONE).map(|number| {
             let zone = ZONES[zone_of(number)];
-            vanepath_setup::platform::Server {
+            vanepath_config::platform::Server {
                 id: format!("s{number}"),
                 address: address(2000 + number),
                 region: zone[..1].to_string(),
@@ -137,7 +137,7 @@
             }
         });
         let servers = servers.collect();
-        let list = Arc::new(vanepath_setup::platform::PlatformList { revision: 1, servers });
+        let list = Arc::new(vanepath_config::platform::PlatformList { revision: 1, servers });
         let card = |number: usize| {
             let zone = ZONES[number / PROXIES_A_ZONE];
             wire::Card {
--- a/proxy/tests/resting.rs
+++ b/proxy/tests/resting.rs
@@ -10,14 +10,14 @@
 
 /// One server; a connection is its name.
 fn servers() -> (Servers<&'static str>, usize) {
-    let setup = vanepath_setup::model::parse(SETUP.as_bytes()).unwrap();
-    let list = vanepath_setup::platform::parse(
+    let setup = vanepath_config::model::parse(SETUP.as_bytes()).unwrap();
+    let list = vanepath_config::platform::parse(
         br#"{"revision": 1, "servers": [{"id": "i", "address": "127.0.0.1:9", "region": "a",
              "zone": "a1", "state": "ready"}]}"#,
     );
     let servers = Servers::default();
     let list = list.unwrap();
-    let rate = |_: &vanepath_setup::platform::Server, _: &[usize]| ColdRate::default();
+    let rate = |_: &vanepath_config::platform::Server, _: &[usize]| ColdRate::default();
     servers.adopt(Duration::ZERO, (1, 1), &std::sync::Arc::new(setup), &list, rate);
     let slot = servers.table.load().entries[0].slot;
     (servers, slot)
--- a/registry/src/api.rs
+++ b/registry/src/api.rs
@@ -8,7 +8,7 @@
 use hyper::header::{self, HeaderValue};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_sibling::{daemon, wire};
+use vanepath_cluster::{daemon, wire};
 use vanepath_store::talk::{Ask, Change, Outcome, Value};
 
 type Receipt = hyper::Response<daemon::Body>;
@@ -291,13 +291,13 @@
         },
         Some(Err(_)) => return fault(StatusCode::BAD_REQUEST, "if-match: not readable"),
     };
-    let most = vanepath_setup::model::BYTES_MOST;
+    let most = vanepath_config::model::BYTES_MOST;
     let body = http_body_util::Limited::new(request.into_body(), most);
     let bytes = match body.collect().await {
         Ok(collected) => collected.to_bytes(),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => {
             registry.tally.one(Counter::SetupsRefusedInvalid);
-            let path = vanepath_setup::Fault {
+            let path = vanepath_config::Fault {
                 path: "$".to_string(),
                 message: format!("larger than {most} bytes"),
             };
@@ -321,10 +321,10 @@
     told(registry, &key.text, outcome)
 }
 
-fn refused(status: StatusCode, faults: &[vanepath_setup::Fault]) -> Receipt {
+fn refused(status: StatusCode, faults: &[vanepath_config::Fault]) -> Receipt {
     let value = jzon::object! {
         "outcome": "nothing-done",
-        "faults": vanepath_setup::read::faults_as_json(faults),
+        "faults": vanepath_config::read::faults_as_json(faults),
     };
     daemon::json(status, &value)
 }
@@ -380,7 +380,7 @@
     if let Ok(tag) = HeaderValue::from_str(&format!("\"{}\"", value.setup_revision)) {
         headers.insert(header::ETAG, tag);
     }
-    headers.insert("vanepath-setup-revision", HeaderValue::from(value.setup_revision));
+    headers.insert("vanepath-config-revision", HeaderValue::from(value.setup_revision));
     headers.insert("vanepath-revision", HeaderValue::from(value.revision));
     receipt
 }
@@ -475,7 +475,7 @@
 /// What is known, with what proxies see of servers.
 async fn with_details(registry: &Registry) -> std::sync::Arc<daemon::View> {
     let daemon = &registry.daemon;
-    let _ = daemon.news.send(daemon::Tell(vanepath_sibling::news::Event::WantDetails)).await;
+    let _ = daemon.news.send(daemon::Tell(vanepath_cluster::news::Event::WantDetails)).await;
     let until = daemon.clock.now() + DETAILS_LIMIT;
     loop {
         let view = daemon.table.load_full();
@@ -582,10 +582,10 @@
 /// A server with the reason why it is or isn't given work, as all proxies together see it.
 fn server_status(
     view: &daemon::View,
-    sources: &[vanepath_sibling::news::Source],
-    server: &vanepath_setup::platform::Server,
+    sources: &[vanepath_cluster::news::Source],
+    server: &vanepath_config::platform::Server,
 ) -> jzon::JsonValue {
-    let viewpoint = vanepath_setup::selector::Viewpoint::default();
+    let viewpoint = vanepath_config::selector::Viewpoint::default();
     let services: Vec<&str> = view
         .setup
         .services
@@ -595,7 +595,7 @@
         .collect();
     let mut phases: std::collections::BTreeMap<&str, u32> = Default::default();
     let mut demand_milli = 0;
-    let is_live = |source: &&vanepath_sibling::news::Source| {
+    let is_live = |source: &&vanepath_cluster::news::Source| {
         view.live.iter().any(|(card, _)| card.name == source.card.name)
     };
     for source in sources.iter().filter(is_live) {
@@ -627,7 +627,7 @@
         "address": server.address.to_string(),
         "region": server.region.as_str(),
         "zone": server.zone.as_str(),
-        "labels": vanepath_setup::platform::labels_as_json(&server.labels),
+        "labels": vanepath_config::platform::labels_as_json(&server.labels),
         "leaving": server.leaving,
         "live": is_live,
         "services": services,
--- a/registry/src/directory.rs
+++ b/registry/src/directory.rs
@@ -1,9 +1,9 @@
 //! The directory: the steering design. For each caller that asks an ordered list of places and
 //! how long it holds, from memory alone (design 7.1 to 7.3). Pure.
 
-use vanepath_setup::selector::{Selector, Viewpoint};
-use vanepath_sibling::daemon::View;
-use vanepath_sibling::wire::Role;
+use vanepath_cluster::daemon::View;
+use vanepath_cluster::wire::Role;
+use vanepath_config::selector::{Selector, Viewpoint};
 
 /// The TTL of a receipt before jitter, and the most that any receipt holds.
 pub const TTL: std::time::Duration = std::time::Duration::from_millis(2000);
@@ -45,7 +45,7 @@
             return None;
         };
         let bucket = bucket.parse().ok().filter(|bucket| *bucket < BUCKETS)?;
-        if !vanepath_setup::read::is_name(zone) || !vanepath_setup::read::is_name(region) {
+        if !vanepath_config::read::is_name(zone) || !vanepath_config::read::is_name(region) {
             return None;
         }
         let (zone, region) = (zone.to_string(), region.to_string());
@@ -55,7 +55,7 @@
 }
 
 fn check_of(body: &str) -> u32 {
-    vanepath_setup::stable_hash(&["vanepath echo", body]) as u32
+    vanepath_config::stable_hash(&["vanepath echo", body]) as u32
 }
 
 /// A place that callers can be sent to: a zone with proxies that take requests.
@@ -69,7 +69,7 @@
     labels: std::collections::BTreeMap<String, String>,
 }
 
-impl vanepath_setup::selector::Labelled for Place {
+impl vanepath_config::selector::Labelled for Place {
     fn label(&self, key: &str) -> Option<&str> {
         match key {
             "zone" => Some(&self.zone),
@@ -195,7 +195,7 @@
     let service = &view.setup.services[view.setup.rules[rule].service].name;
     let Some(to) = view.plan.moved.get(service).and_then(|moved| moved.get(zone)) else { return };
     let moved: u32 = to.values().sum();
-    let turn = vanepath_setup::stable_hash(&["move", zone, &caller.bucket.to_string()]) % 1000;
+    let turn = vanepath_config::stable_hash(&["move", zone, &caller.bucket.to_string()]) % 1000;
     if turn >= u64::from(moved) {
         return;
     }
@@ -218,7 +218,7 @@
 
 /// A number in (0, 1) that is this bucket's own for this zone.
 fn draw(bucket: u64, zone: &str) -> f64 {
-    let hash = vanepath_setup::stable_hash(&["draw", zone, &bucket.to_string()]);
+    let hash = vanepath_config::stable_hash(&["draw", zone, &bucket.to_string()]);
     ((hash >> 11) as f64 + 0.5) / (1_u64 << 53) as f64
 }
 
@@ -241,7 +241,7 @@
             "NAME": rule.name.as_str(),
             "METHODS": rule.methods.iter().map(|one| one.as_str().into()).collect::<Vec<jzon::JsonValue>>(),
             "PATH-PREFIX": rule.path_prefix.as_str(),
-            "ONCE": kind == vanepath_setup::model::Kind::Once,
+            "ONCE": kind == vanepath_config::model::Kind::Once,
             "PATHWAY-PRIORITY": zones(&steps),
         };
         if let Some(host) = &rule.host {
@@ -330,14 +330,14 @@
         Some(_) if view.is_alone || view.is_cut_off => return none(NoReceipt::CutOff),
         Some(echo) => echo.caller,
         None => {
-            let name = |key: &str| get(key).filter(|name| vanepath_setup::read::is_name(name));
+            let name = |key: &str| get(key).filter(|name| vanepath_config::read::is_name(name));
             let zone = name("zone").unwrap_or(own.0);
             // The region of a zone that is known here; what a caller says of others is taken.
             let known = view.live.iter().find(|(card, _)| card.zone == zone);
             let region =
                 known.map(|(card, _)| card.region.as_str()).or(name("region")).unwrap_or(own.1);
             let bucket = match get("caller") {
-                Some(id) => vanepath_setup::stable_hash(&["caller", id]) % BUCKETS,
+                Some(id) => vanepath_config::stable_hash(&["caller", id]) % BUCKETS,
                 None => random % BUCKETS,
             };
             Caller { zone: zone.to_string(), region: region.to_string(), bucket }
@@ -390,7 +390,7 @@
     if found.len() < least {
         // Not enough there: the other regions' in the order of this zone's own draw.
         let mut others: Vec<&Place> = live().filter(is_far).collect();
-        others.sort_by_key(|place| vanepath_setup::stable_hash(&["far", zone, &place.zone]));
+        others.sort_by_key(|place| vanepath_config::stable_hash(&["far", zone, &place.zone]));
         for place in others {
             found.extend(&place.addresses);
             if found.len() >= least {
--- a/registry/src/directory/tests.rs
+++ b/registry/src/directory/tests.rs
@@ -1,7 +1,7 @@
 use super::{Caller, Echo, order, places};
 use std::sync::Arc;
-use vanepath_sibling::daemon::View;
-use vanepath_sibling::wire;
+use vanepath_cluster::daemon::View;
+use vanepath_cluster::wire;
 
 fn view(rules: &str) -> View {
     let setup = format!(
@@ -25,7 +25,7 @@
         live.push((card, wire::Report { ready: true, ..wire::Report::default() }));
     }
     View {
-        setup: Arc::new(vanepath_setup::model::parse(setup.as_bytes()).unwrap()),
+        setup: Arc::new(vanepath_config::model::parse(setup.as_bytes()).unwrap()),
         live,
         ..View::default()
     }
--- a/registry/src/duty.rs
+++ b/registry/src/duty.rs
@@ -1,6 +1,6 @@
 //! The duty of one registry: the plan of shares, under an epoch (design 5.6, 7.4). Pure.
 
-use vanepath_sibling::{daemon::View, news::Source, wire};
+use vanepath_cluster::{daemon::View, news::Source, wire};
 
 /// A server does no more than all of its work, in thousandths, whatever it tells.
 const DEMAND_MOST: u32 = 1000;
@@ -174,7 +174,7 @@
         zone.taken += f64::from(own.copied().unwrap_or(0));
         taken += f64::from(own.copied().unwrap_or(0));
     }
-    let none = vanepath_setup::selector::Viewpoint::default();
+    let none = vanepath_config::selector::Viewpoint::default();
     let mut work = Vec::new();
     let mut silent = 0.0;
     for server in &view.platform.servers {
--- a/registry/src/duty/tests.rs
+++ b/registry/src/duty/tests.rs
@@ -1,9 +1,9 @@
 use super::{Tenure, next};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_sibling::daemon::View;
-use vanepath_sibling::news::{Event, News};
-use vanepath_sibling::wire;
+use vanepath_cluster::daemon::View;
+use vanepath_cluster::news::{Event, News};
+use vanepath_cluster::wire;
 
 fn card(name: &str, role: wire::Role, zone: &str, port: u16) -> wire::Card {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], port));
@@ -41,7 +41,7 @@
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     let told = wire::News { deltas, ..wire::News::default() };
     news.step(now, Event::Told { address, news: Some(Box::new(told)) });
-    let setup = vanepath_setup::model::parse(
+    let setup = vanepath_config::model::parse(
         br#"{"classes": [{"name": "c", "urgency": 1, "kind": "repeatable"}],
           "services": [{"name": "s", "selector": "all", "livenessPath": "/"}],
           "rules": [{"name": "r", "class": "c", "service": "s"}]}"#,
@@ -51,7 +51,7 @@
         {"id": "s2", "address": "127.0.0.1:1002", "region": "b", "zone": "b1", "state": "ready"}]}"#;
     let (mut view, _) = View::of(&news, &View::default(), now);
     view.setup = Arc::new(setup.unwrap());
-    view.platform = Arc::new(vanepath_setup::platform::parse(list).unwrap());
+    view.platform = Arc::new(vanepath_config::platform::parse(list).unwrap());
     view.is_fresh = true;
     view.knows_details = true;
     (news, view)
--- a/registry/src/list_reader.rs
+++ b/registry/src/list_reader.rs
@@ -8,9 +8,9 @@
 
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_setup::platform::{PlatformList, Server};
-use vanepath_sibling::daemon::View;
-use vanepath_sibling::wire::Role;
+use vanepath_cluster::daemon::View;
+use vanepath_cluster::wire::Role;
+use vanepath_config::platform::{PlatformList, Server};
 
 /// The first live registry reads again so long after its last read began.
 const FIRST_EVERY: Duration = Duration::from_millis(600);
--- a/registry/src/list_reader/tests.rs
+++ b/registry/src/list_reader/tests.rs
@@ -1,9 +1,9 @@
 use super::{Effect, ListReader, READ_MOST};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_setup::platform::{PlatformList, Server};
-use vanepath_sibling::daemon::View;
-use vanepath_sibling::wire;
+use vanepath_cluster::daemon::View;
+use vanepath_cluster::wire;
+use vanepath_config::platform::{PlatformList, Server};
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
--- a/registry/src/main.rs
+++ b/registry/src/main.rs
@@ -2,13 +2,13 @@
 
 fn main() -> miette::Result<()> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let role = vanepath_setup::settings::Role::Registry;
-    match vanepath_setup::settings::start(role, &arguments)? {
-        vanepath_setup::settings::Start::Say(text) => println!("{text}"),
-        vanepath_setup::settings::Start::Run(settings) => {
-            vanepath_sibling::daemon::logs();
+    let role = vanepath_config::settings::Role::Registry;
+    match vanepath_config::settings::start(role, &arguments)? {
+        vanepath_config::settings::Start::Say(text) => println!("{text}"),
+        vanepath_config::settings::Start::Run(settings) => {
+            vanepath_cluster::daemon::logs();
             let grace = settings.grace;
-            vanepath_sibling::daemon::runtime(grace, vanepath_registry::shell::run(*settings))?;
+            vanepath_cluster::daemon::runtime(grace, vanepath_registry::shell::run(*settings))?;
         }
     }
     Ok(())
--- a/registry/src/platform.rs
+++ b/registry/src/platform.rs
@@ -5,8 +5,8 @@
 use http_body_util::BodyExt;
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_setup::platform::{PlatformList, Server};
-use vanepath_sibling::{daemon, news};
+use vanepath_cluster::{daemon, news};
+use vanepath_config::platform::{PlatformList, Server};
 
 /// A platform that numbers its lists is asked so often, by every registry.
 pub const EVERY: Duration = Duration::from_millis(500);
@@ -41,7 +41,7 @@
 
 /// What a reply of the platform amounts to, and the list where it is good.
 pub fn heard(last: &PlatformList, bytes: &[u8]) -> (State, Option<PlatformList>) {
-    match vanepath_setup::platform::parse(bytes) {
+    match vanepath_config::platform::parse(bytes) {
         Err(_) => (State::Malformed, None),
         Ok(list) => {
             let verdict = judge(last, &list);
@@ -56,7 +56,7 @@
     state: Arc<std::sync::Mutex<State>>,
 ) {
     let url = daemon.settings.platform.clone().expect("checked with the settings");
-    let (address, path) = vanepath_setup::settings::split_url(&url).expect("checked likewise");
+    let (address, path) = vanepath_config::settings::split_url(&url).expect("checked likewise");
     let path = path.to_string();
     let dialect = daemon.settings.dialect;
     let mut sender = None;
@@ -158,7 +158,7 @@
 struct Source<'s> {
     address: std::net::SocketAddr,
     path: &'s str,
-    dialect: vanepath_setup::dialect::Spoken,
+    dialect: vanepath_config::dialect::Spoken,
     zones: &'s std::collections::BTreeMap<String, String>,
 }
 
@@ -226,7 +226,7 @@
     let request = request.body(daemon::body(bytes::Bytes::new())).map_err(|_| ())?;
     let receipt = sender.send_request(request).await.map_err(|_| ())?;
     let (head, body) = receipt.into_parts();
-    let body = http_body_util::Limited::new(body, vanepath_setup::platform::BYTES_MOST);
+    let body = http_body_util::Limited::new(body, vanepath_config::platform::BYTES_MOST);
     let bytes = body.collect().await.map_err(|_| ())?.to_bytes();
     match head.status {
         hyper::StatusCode::NOT_MODIFIED => Ok(None),
--- a/registry/src/shares.rs
+++ b/registry/src/shares.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-pub use vanepath_sibling::wire::Shares;
+pub use vanepath_cluster::wire::Shares;
 
 /// One zone as a service sees it. Work is reckoned in servers: 1.0 keeps one of them wholly busy.
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/registry/src/shell.rs
+++ b/registry/src/shell.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_sibling::{daemon, news, wire};
+use vanepath_cluster::{daemon, news, wire};
 
-vanepath_sibling::counters! {
+vanepath_cluster::counters! {
     /// What a registry counts.
     pub enum Counter {
         SteerPolls,
@@ -29,7 +29,7 @@
     }
 }
 
-pub type Tally = vanepath_sibling::tally::Tally<Counter>;
+pub type Tally = vanepath_cluster::tally::Tally<Counter>;
 
 pub struct Registry {
     pub daemon: Arc<daemon::Daemon>,
@@ -46,7 +46,7 @@
 const REST_TIMES: u32 = 25;
 
 /// Runs a registry until it is told to stop.
-pub async fn run(settings: vanepath_setup::settings::Settings) -> Result<(), miette::Report> {
+pub async fn run(settings: vanepath_config::settings::Settings) -> Result<(), miette::Report> {
     let listener = daemon::bind("listen", settings.listen).await?;
     let grace = settings.grace;
     let daemon = daemon::Daemon::start(settings, None).await?;
--- a/registry/src/store_call.rs
+++ b/registry/src/store_call.rs
@@ -2,7 +2,7 @@
 //! (design 7.5). Pure; for writes it keeps in mind whether an earlier try may have got through.
 
 use std::time::Duration;
-use vanepath_sibling::wire;
+use vanepath_cluster::wire;
 use vanepath_store::orders;
 use vanepath_store::talk::{Ask, Change, Outcome, Tell};
 
@@ -119,7 +119,7 @@
 }
 
 /// Live stores that vote, in the order of the table of seats: the first of them proposes.
-pub fn stores(view: &vanepath_sibling::daemon::View) -> Vec<wire::Card> {
+pub fn stores(view: &vanepath_cluster::daemon::View) -> Vec<wire::Card> {
     let is_there = |report: &wire::Report| report.ready && !report.leaving;
     let mut stores: Vec<(Option<u8>, &wire::Card)> = view
         .live
--- a/registry/src/store_call/tests.rs
+++ b/registry/src/store_call/tests.rs
@@ -1,6 +1,6 @@
 use super::{LIMIT, Step, StoreCall, TRY_LIMIT};
 use std::time::Duration;
-use vanepath_sibling::wire;
+use vanepath_cluster::wire;
 use vanepath_store::talk::{Ask, Change, Outcome, Tell};
 
 fn store(number: u8) -> wire::Card {
--- a/registry/tests/world/mod.rs
+++ b/registry/tests/world/mod.rs
@@ -4,11 +4,11 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
+use vanepath_cluster::daemon::View;
+use vanepath_cluster::news::{Effect, Event, News};
+use vanepath_cluster::wire;
+use vanepath_config::platform::{PlatformList, Server};
 use vanepath_registry::list_reader::{Effect as Reads, ListReader, READ_MOST};
-use vanepath_setup::platform::{PlatformList, Server};
-use vanepath_sibling::daemon::View;
-use vanepath_sibling::news::{Effect, Event, News};
-use vanepath_sibling::wire;
 
 /// What happens on a day.
 pub struct Plan {
--- a/store/src/disk.rs
+++ b/store/src/disk.rs
@@ -15,13 +15,13 @@
 }
 
 fn frame(body: &[u8]) -> Vec<u8> {
-    let digest = vanepath_setup::digest(&[b"vanepath file", body]).to_vec();
-    vanepath_sibling::wire::encode(&Framed { digest, body: body.to_vec() })
+    let digest = vanepath_config::digest(&[b"vanepath file", body]).to_vec();
+    vanepath_cluster::wire::encode(&Framed { digest, body: body.to_vec() })
 }
 
 fn unframe(bytes: &[u8]) -> Option<Vec<u8>> {
-    let framed: Framed = vanepath_sibling::wire::decode(bytes)?;
-    let digest = vanepath_setup::digest(&[b"vanepath file", &framed.body]);
+    let framed: Framed = vanepath_cluster::wire::decode(bytes)?;
+    let digest = vanepath_config::digest(&[b"vanepath file", &framed.body]);
     (framed.digest == digest).then_some(framed.body)
 }
 
@@ -105,7 +105,7 @@
         let state: Option<State> = read
             .as_ref()
             .and_then(|bytes| unframe(bytes))
-            .and_then(|body| vanepath_sibling::wire::decode(&body));
+            .and_then(|body| vanepath_cluster::wire::decode(&body));
         if read.is_some() && state.is_none() {
             log::error!("{STATE} is damaged: this disk counts as empty and asks for admission");
         }
@@ -195,17 +195,17 @@
     pub fn hints(&self) -> crate::hints::Hints {
         let read = std::fs::read(self.folder.join(HINTS)).ok();
         let body = read.and_then(|bytes| unframe(&bytes));
-        body.and_then(|body| vanepath_sibling::wire::decode(&body)).unwrap_or_default()
+        body.and_then(|body| vanepath_cluster::wire::decode(&body)).unwrap_or_default()
     }
 
     pub fn save_hints(&self, hints: &crate::hints::Hints) -> std::io::Result<()> {
-        self.put(HINTS, &vanepath_sibling::wire::encode(hints))?;
+        self.put(HINTS, &vanepath_cluster::wire::encode(hints))?;
         self.sync_folder()
     }
 
     fn read_version(&self, path: &std::path::Path) -> Option<(Value, Digest)> {
         let body = unframe(&std::fs::read(path).ok()?)?;
-        let value: Value = vanepath_sibling::wire::decode(&body)?;
+        let value: Value = vanepath_cluster::wire::decode(&body)?;
         Some((value, crate::talk::digest_of(&body)))
     }
 
@@ -246,7 +246,7 @@
                         self.sync_folder()?;
                         syncs += 1;
                     }
-                    self.put(STATE, &vanepath_sibling::wire::encode(state))?;
+                    self.put(STATE, &vanepath_cluster::wire::encode(state))?;
                     syncs += 1;
                 }
                 Write::Remove { revision, digest } => {
--- a/store/src/keys.rs
+++ b/store/src/keys.rs
@@ -73,6 +73,6 @@
 }
 
 fn fingerprint(key: &str) -> [u8; KEY] {
-    let digest = vanepath_setup::digest(&[b"key", key.as_bytes()]);
+    let digest = vanepath_config::digest(&[b"key", key.as_bytes()]);
     digest[..KEY].try_into().expect("a digest is longer")
 }
--- a/store/src/shell.rs
+++ b/store/src/shell.rs
@@ -4,9 +4,9 @@
 use crate::talk::{Ask, Tell};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_sibling::{daemon, news, wire};
+use vanepath_cluster::{daemon, news, wire};
 
-vanepath_sibling::counters! {
+vanepath_cluster::counters! {
     /// What a store counts.
     pub enum Counter {
         StoreAsks,
@@ -22,7 +22,7 @@
     }
 }
 
-pub type Tally = vanepath_sibling::tally::Tally<Counter>;
+pub type Tally = vanepath_cluster::tally::Tally<Counter>;
 
 #[derive(xtra::Actor)]
 struct StoreActor {
@@ -208,7 +208,7 @@
 }
 
 /// Runs a store until it is told to stop.
-pub async fn run(settings: vanepath_setup::settings::Settings) -> Result<(), miette::Report> {
+pub async fn run(settings: vanepath_config::settings::Settings) -> Result<(), miette::Report> {
     let folder = settings.data_folder.clone().expect("checked with the settings");
     let founders = if settings.first_start { settings.stores } else { 0 };
     let identity = crate::register::Identity { name: settings.name.clone(), founders };
--- a/store/src/talk.rs
+++ b/store/src/talk.rs
@@ -111,7 +111,7 @@
 
 impl Value {
     pub fn encode(&self) -> Vec<u8> {
-        vanepath_sibling::wire::encode(self)
+        vanepath_cluster::wire::encode(self)
     }
 
     /// So many orders to empty this zone stand.
@@ -164,8 +164,8 @@
         recent.map(crate::keys::Known::of).or_else(|| self.older_keys.find(key))
     }
 
-    pub fn word(&self) -> vanepath_sibling::wire::Word {
-        vanepath_sibling::wire::Word {
+    pub fn word(&self) -> vanepath_cluster::wire::Word {
+        vanepath_cluster::wire::Word {
             revision: self.revision,
             setup_revision: self.setup_revision,
             setup_version: self.setup_version,
@@ -177,7 +177,7 @@
 }
 
 pub fn digest_of(encoded: &[u8]) -> Digest {
-    vanepath_setup::digest(&[b"vanepath value", encoded])
+    vanepath_config::digest(&[b"vanepath value", encoded])
 }
 
 /// What a copy has accepted; the bytes are apart.
@@ -216,9 +216,9 @@
     /// What it asks for, without the condition.
     pub fn matter(&self) -> u64 {
         let digest = match self {
-            Change::Setup { bytes, .. } => vanepath_setup::digest(&[b"setup", bytes]),
-            Change::Empty { zone } => vanepath_setup::digest(&[b"empty", zone.as_bytes()]),
-            Change::Return { zone } => vanepath_setup::digest(&[b"return", zone.as_bytes()]),
+            Change::Setup { bytes, .. } => vanepath_config::digest(&[b"setup", bytes]),
+            Change::Empty { zone } => vanepath_config::digest(&[b"empty", zone.as_bytes()]),
+            Change::Return { zone } => vanepath_config::digest(&[b"return", zone.as_bytes()]),
         };
         u64::from_be_bytes(digest[..8].try_into().expect("eight bytes"))
     }
--- a/store/tests/frames.rs
+++ b/store/tests/frames.rs
@@ -3,7 +3,7 @@
 
 use std::fmt::Write as _;
 use std::time::Duration;
-use vanepath_sibling::wire::{decode, encode};
+use vanepath_cluster::wire::{decode, encode};
 use vanepath_store::keys::OlderKeys;
 use vanepath_store::talk::{
     Ask, Ballot, Change, Holder, Membership, Meta, Outcome, Refusal, Submission, Tell, Value,
--- a/store/tests/growth.rs
+++ b/store/tests/growth.rs
@@ -73,7 +73,7 @@
                 };
                 match self.stores.iter().position(is_it) {
                     Some(to) => {
-                        self.count(to, vanepath_sibling::wire::encode(&ask).len());
+                        self.count(to, vanepath_cluster::wire::encode(&ask).len());
                         self.send(to, Event::Asked { ticket, ask });
                     }
                     None => self.answer(ticket, None),
@@ -101,7 +101,7 @@
         match self.tickets[ticket as usize] {
             Some((to, call)) => {
                 let bytes =
-                    tell.as_ref().map_or(0, |tell| vanepath_sibling::wire::encode(tell).len());
+                    tell.as_ref().map_or(0, |tell| vanepath_cluster::wire::encode(tell).len());
                 self.count(to, bytes);
                 self.send(to, Event::Told { call, tell });
             }
--- a/store/tests/model/world.rs
+++ b/store/tests/model/world.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_sibling::wire;
+use vanepath_cluster::wire;
 use vanepath_store::register::{
     At, Claim, Effect, Event, Found, Identity, Kept, Register, State, Write,
 };
--- a/store/tests/register.rs
+++ b/store/tests/register.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_sibling::wire;
+use vanepath_cluster::wire;
 use vanepath_store::register::{
     Claim, Effect, Event, Found, Identity, Kept, Register, State, Write,
 };
--- a/fleet/src/commands/demo.rs
+++ b/testbed/src/commands/demo.rs
@@ -9,12 +9,13 @@
     options.optopt("", "deployment", "raiocerto (default) or guild", "NAME");
     options.optopt("", "seconds", "end by itself after so long", "N");
     let more = "";
-    let Some(matches) = matches(options, arguments, "vanepath-fleet demo [options]", more)? else {
+    let Some(matches) = matches(options, arguments, "vanepath-testbed demo [options]", more)?
+    else {
         return Ok(());
     };
     let shape = match matches.opt_str("deployment").as_deref() {
-        None | Some("raiocerto") => vanepath_fleet::shape::raiocerto(),
-        Some("guild") => vanepath_fleet::shape::guild(),
+        None | Some("raiocerto") => vanepath_testbed::shape::raiocerto(),
+        Some("guild") => vanepath_testbed::shape::guild(),
         Some(other) => miette::bail!("--deployment: there is no '{other}'"),
     };
     let seconds: u64 =
@@ -22,10 +23,10 @@
     let runtime = tokio::runtime::Runtime::new()
         .map_err(|error| miette::miette!("cannot start threads: {error}"))?;
     runtime.block_on(async {
-        let fleet = vanepath_fleet::harness::Fleet::start(shape).await;
+        let fleet = vanepath_testbed::harness::Fleet::start(shape).await;
         let revision = fleet.put_setup(&fleet.shape.setup).await;
         fleet.until_in_force(revision, Duration::from_secs(20)).await;
-        let traffic = vanepath_fleet::traffic::Traffic::start(&fleet, 1, 0.1).await;
+        let traffic = vanepath_testbed::traffic::Traffic::start(&fleet, 1, 0.1).await;
         let registry = fleet.registries()[0];
         let proxy = fleet.members[fleet.of("proxy")[0]].address;
         let setup = fleet.folder.join("setup.json");
@@ -44,7 +45,7 @@
         println!("  curl -X PUT {registry}/v1/zones/north-1/emptied");
         println!("  curl -X DELETE {registry}/v1/zones/north-1/emptied");
         println!("  curl -T {} {registry}/v1/setup", setup.display());
-        println!("  target/debug/vanepath-checker --registry {registry} {}", setup.display());
+        println!("  target/debug/vanepath-config-check --registry {registry} {}", setup.display());
         println!("\nCtrl-C ends it.");
         tokio::select! {
             _ = tokio::signal::ctrl_c() => {}
@@ -52,7 +53,7 @@
         }
         let (told, wrong) = traffic.finish().await;
         println!("{} requests, {} of them wrong", told.len(), wrong.len());
-        for (kind, sum) in vanepath_fleet::traffic::sums(&told) {
+        for (kind, sum) in vanepath_testbed::traffic::sums(&told) {
             println!("  {kind:?}: {sum:?}");
         }
         Ok(())
--- a/fleet/src/commands/measure.rs
+++ b/testbed/src/commands/measure.rs
@@ -22,11 +22,11 @@
     let runtime = tokio::runtime::Runtime::new()
         .map_err(|error| miette::miette!("cannot start threads: {error}"))?;
     runtime.block_on(async {
-        let mut shape = vanepath_fleet::shape::raiocerto();
+        let mut shape = vanepath_testbed::shape::raiocerto();
         shape.proxies = 1;
         shape.servers = vec![("ordering", 1)];
         shape.setup = shape.setup.replace("app = documents", "app = ordering");
-        let fleet = vanepath_fleet::harness::Fleet::start(shape).await;
+        let fleet = vanepath_testbed::harness::Fleet::start(shape).await;
         let revision = fleet.put_setup(&fleet.shape.setup).await;
         fleet.until_in_force(revision, Duration::from_secs(20)).await;
         let proxy = fleet.of("proxy")[0];
@@ -45,7 +45,7 @@
                     let before = (ticks(own), ticks(proxy_pid));
                     let mut tasks = tokio::task::JoinSet::new();
                     for lane in 0..LANES {
-                        tasks.spawn(vanepath_fleet::http::many(
+                        tasks.spawn(vanepath_testbed::http::many(
                             address,
                             kind,
                             path,
--- a/fleet/src/commands/replay.rs
+++ b/testbed/src/commands/replay.rs
@@ -12,7 +12,7 @@
     options.optflag("", "filings", "replay what runs at most once too: it is filed again");
     let more = "";
     let Some(matches) =
-        matches(options, arguments, "vanepath-fleet replay [options] FILE.har", more)?
+        matches(options, arguments, "vanepath-testbed replay [options] FILE.har", more)?
     else {
         return Ok(());
     };
@@ -37,8 +37,8 @@
     };
     let bytes =
         std::fs::read(file).map_err(|error| miette::miette!("cannot read {file}: {error}"))?;
-    let recorded = vanepath_fleet::replay::read(&bytes)?;
-    let plan = vanepath_fleet::replay::Plan {
+    let recorded = vanepath_testbed::replay::read(&bytes)?;
+    let plan = vanepath_testbed::replay::Plan {
         registries,
         zone: matches.opt_str("zone").unwrap_or_default(),
         region: matches.opt_str("region").unwrap_or_default(),
@@ -47,7 +47,7 @@
     };
     let runtime = tokio::runtime::Runtime::new()
         .map_err(|error| miette::miette!("cannot start threads: {error}"))?;
-    let summary = runtime.block_on(vanepath_fleet::replay::replay(&plan, recorded));
+    let summary = runtime.block_on(vanepath_testbed::replay::replay(&plan, recorded));
     for (verdict, count) in &summary.verdicts {
         println!("{count} {verdict}");
     }
--- a/fleet/src/commands/scale.rs
+++ b/testbed/src/commands/scale.rs
@@ -16,7 +16,8 @@
     options.optflag("", "by-probes", "services as of old: judged by probes, no slots told");
     options.optflag("", "json", "JSON only");
     let more = "Servers, services and routes go with the daemons: 670 have 4,500, 270 and 1,100.";
-    let Some(matches) = matches(options, arguments, "vanepath-fleet scale [options]", more)? else {
+    let Some(matches) = matches(options, arguments, "vanepath-testbed scale [options]", more)?
+    else {
         return Ok(());
     };
     let whole = |name: &str, default: u64| match matches.opt_str(name) {
@@ -42,12 +43,12 @@
         miette::bail!("--only: there is no '{part}'; see --help");
     }
     let judged = match matches.opt_present("by-probes") {
-        true => vanepath_fleet::scale::Judged::ByProbes,
-        false => vanepath_fleet::scale::Judged::ByTraffic,
+        true => vanepath_testbed::scale::Judged::ByProbes,
+        false => vanepath_testbed::scale::Judged::ByTraffic,
     };
     let is_json = matches.opt_present("json");
     let mut all = Vec::new();
-    let mut show = |rows: Vec<vanepath_fleet::scale::Row>| {
+    let mut show = |rows: Vec<vanepath_testbed::scale::Row>| {
         for row in rows {
             if !is_json {
                 println!("{row}");
@@ -57,14 +58,14 @@
     };
     for part in parts.into_iter().filter(|part| only.as_deref().is_none_or(|only| only == *part)) {
         match part {
-            "memory" => show(vanepath_fleet::scale::cores::memory(judged)),
-            "setups" => show(vanepath_fleet::scale::cores::setups(span, judged)),
-            "proxies" => show(vanepath_fleet::scale::cores::proxies(span, judged)),
-            "registries" => show(vanepath_fleet::scale::cores::registries(span, judged)),
-            "stores" => show(vanepath_fleet::scale::cores::stores(span, judged)),
+            "memory" => show(vanepath_testbed::scale::cores::memory(judged)),
+            "setups" => show(vanepath_testbed::scale::cores::setups(span, judged)),
+            "proxies" => show(vanepath_testbed::scale::cores::proxies(span, judged)),
+            "registries" => show(vanepath_testbed::scale::cores::registries(span, judged)),
+            "stores" => show(vanepath_testbed::scale::cores::stores(span, judged)),
             _ => {
                 for daemons in &sizes {
-                    use vanepath_fleet::scale;
+                    use vanepath_testbed::scale;
                     let plan = scale::hollow::Plan {
                         daemons: *daemons,
                         servers: scale::in_proportion(scale::SERVERS, *daemons).max(34),
--- a/fleet/src/commands/simulate.rs
+++ b/testbed/src/commands/simulate.rs
@@ -3,7 +3,7 @@
 use super::{matches, seeds};
 use std::time::Duration;
 use strum::IntoEnumIterator;
-use vanepath_fleet::sim::day::{Deployment, Fault, Plan};
+use vanepath_testbed::sim::day::{Deployment, Fault, Plan};
 
 /// Runs days over a range of seeds and prints what the judges found.
 pub fn run(arguments: &[String]) -> miette::Result<()> {
@@ -22,7 +22,7 @@
     options.optflag("", "trace", "print the history of each day that a judge finds fault with");
     let kinds: Vec<String> = Fault::iter().map(|fault| fault.to_string()).collect();
     let more = &format!("Kinds of fault: {}", kinds.join(", "));
-    let Some(matches) = matches(options, arguments, "vanepath-fleet simulate [options]", more)?
+    let Some(matches) = matches(options, arguments, "vanepath-testbed simulate [options]", more)?
     else {
         return Ok(());
     };
@@ -54,15 +54,15 @@
     let threads = matches
         .opt_str("threads")
         .and_then(|text| text.parse().ok())
-        .unwrap_or(vanepath_fleet::sim::cores());
+        .unwrap_or(vanepath_testbed::sim::cores());
 
     let mut work: Vec<(u64, Deployment, Vec<Fault>)> = Vec::new();
     for seed in first..=last {
         for deployment in &deployments {
             if kind == "overlap" {
-                work.push((seed, *deployment, vanepath_fleet::sim::day::overlapping(seed)));
+                work.push((seed, *deployment, vanepath_testbed::sim::day::overlapping(seed)));
             } else if kind == "mixed" {
-                let mut random = vanepath_fleet::sim::Random::new(seed ^ 0x6d69_7865);
+                let mut random = vanepath_testbed::sim::Random::new(seed ^ 0x6d69_7865);
                 let count = 2 + random.below(3);
                 let mix = (0..count).map(|_| faults[random.below(faults.len())]).collect();
                 work.push((seed, *deployment, mix));
@@ -74,7 +74,7 @@
         }
     }
     let sums = std::sync::Mutex::new(std::collections::BTreeMap::<String, Sum>::new());
-    vanepath_fleet::sim::on_threads(threads, work.len(), |index| {
+    vanepath_testbed::sim::on_threads(threads, work.len(), |index| {
         let (seed, deployment, faults) = &work[index];
         let overlap = kind == "overlap";
         let plan = Plan { rate, traces, operator_every, overlap, ..Plan::new(*deployment, faults) };
@@ -173,8 +173,8 @@
     sums: &std::sync::Mutex<std::collections::BTreeMap<String, Sum>>,
 ) {
     let (deployment, faults, traces) = (plan.deployment, &plan.faults, plan.traces);
-    let run = vanepath_fleet::sim::day::run(seed, plan);
-    let judgement = vanepath_fleet::sim::judge::judge(&run);
+    let run = vanepath_testbed::sim::day::run(seed, plan);
+    let judgement = vanepath_testbed::sim::judge::judge(&run);
     let names: Vec<String> = faults.iter().map(|fault| fault.to_string()).collect();
     let name = match (is_mixed, plan.overlap) {
         (true, true) => "overlap".to_string(),
--- a/fleet/src/commands/soak.rs
+++ b/testbed/src/commands/soak.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_fleet::soak::{LARGE_EVERY, Outcome, Plan, run as run_seed};
+use vanepath_testbed::soak::{LARGE_EVERY, Outcome, Plan, run as run_seed};
 
 const PROXIES_MOST: usize = 78;
 const SERVERS_MOST: usize = 140;
@@ -42,7 +42,8 @@
         "Each seed plays its own script of troubles on a fleet of its own. Every {LARGE_EVERY}th seed has \
          64 proxies."
     );
-    let Some(matches) = matches(options, arguments, "vanepath-fleet soak [options]", more)? else {
+    let Some(matches) = matches(options, arguments, "vanepath-testbed soak [options]", more)?
+    else {
         return Ok(None);
     };
     if let Some(word) = matches.free.first() {
@@ -168,7 +169,7 @@
     let Plan { proxies, servers, length, clients } = &options.plan;
     println!("    script, logs and reasons: {}", folder.display());
     println!(
-        "    again: vanepath-fleet soak --seeds {seed}-{seed} --proxies {proxies} --servers {servers} \
+        "    again: vanepath-testbed soak --seeds {seed}-{seed} --proxies {proxies} --servers {servers} \
          --clients {clients} --seconds {}",
         length.as_secs()
     );
--- a/fleet/src/commands/starts.rs
+++ b/testbed/src/commands/starts.rs
@@ -3,17 +3,17 @@
 use super::{matches, seeds};
 use std::time::Duration;
 use strum::IntoEnumIterator;
-use vanepath_fleet::sim::day::{Deployment, Plan};
+use vanepath_testbed::sim::day::{Deployment, Plan};
 
 /// How long daemons take from their start until they take work (design 5.8).
 pub fn run(arguments: &[String]) -> miette::Result<()> {
-    use vanepath_fleet::sim::{breaks::Break, starts};
+    use vanepath_testbed::sim::{breaks::Break, starts};
     let mut options = getopts::Options::new();
     options.optopt("", "seeds", "first and last seed, as in 1-8 (default)", "A-B");
     options.optopt("", "stores", "core machines (default 3)", "N");
     options.optflag("", "without-floor", "daemons go by whatever they are told first");
     let more = "";
-    let Some(matches) = matches(options, arguments, "vanepath-fleet starts [options]", more)?
+    let Some(matches) = matches(options, arguments, "vanepath-testbed starts [options]", more)?
     else {
         return Ok(());
     };
@@ -28,8 +28,8 @@
     }
     type Rows = std::collections::BTreeMap<(String, starts::Scene, String), Vec<Option<Duration>>>;
     let rows = std::sync::Mutex::new(Rows::new());
-    let threads = vanepath_fleet::sim::cores().min(3);
-    vanepath_fleet::sim::on_threads(threads, work.len(), |index| {
+    let threads = vanepath_testbed::sim::cores().min(3);
+    vanepath_testbed::sim::on_threads(threads, work.len(), |index| {
         let (deployment, scene, seed) = work[index];
         let plan = Plan { breaks, stores, ..Plan::new(deployment, &[]) };
         let all = starts::measure(seed, scene, &plan);
--- a/fleet/src/harness.rs
+++ b/testbed/src/harness.rs
@@ -83,7 +83,7 @@
         let pid = std::process::id();
         let number = FLEETS.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let net = [64 + (pid % 128) as u8, (pid / 128 % 8) as u8 * 32 + number % 32];
-        let folder = std::env::temp_dir().join(format!("vanepath-fleet-{pid}-{number}"));
+        let folder = std::env::temp_dir().join(format!("vanepath-testbed-{pid}-{number}"));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("the folder for temporary files takes a folder");
         let platform =
--- a/fleet/src/main.rs
+++ b/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! vanepath-fleet: the simulator, the soak and the demonstration fleet from the command line.
+//! vanepath-testbed: the simulator, the soak and the demonstration fleet from the command line.
 
 mod commands;
 
@@ -13,12 +13,12 @@
         Some("soak") => commands::soak::run(&arguments[1..]),
         Some("starts") => commands::starts::run(&arguments[1..]),
         Some("--version") => {
-            println!("vanepath-fleet {}", env!("CARGO_PKG_VERSION"));
+            println!("vanepath-testbed {}", env!("CARGO_PKG_VERSION"));
             Ok(())
         }
         _ => {
             println!(
-                "Usage: vanepath-fleet COMMAND\n\
+                "Usage: vanepath-testbed COMMAND\n\
                  demo      a whole fleet on loopback addresses, until Ctrl-C\n\
                  replay    the requests of a HAR file against a fleet; --help says more\n\
                  measure   processor time that a proxy adds to a request, against going direct\n\
--- a/fleet/src/replay.rs
+++ b/testbed/src/replay.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_caller::{Caller, Outcome};
+use vanepath_client::{Caller, Outcome};
 
 /// One recorded request, ready to be sent.
 #[derive(Clone, Debug, PartialEq)]
--- a/fleet/src/scale/cores.rs
+++ b/testbed/src/scale/cores.rs
@@ -3,9 +3,9 @@
 use super::{Judged, Row, each, weigh};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_sibling::daemon::View;
-use vanepath_sibling::news::{Event, News};
-use vanepath_sibling::wire;
+use vanepath_cluster::daemon::View;
+use vanepath_cluster::news::{Event, News};
+use vanepath_cluster::wire;
 
 fn us(time: Duration) -> f64 {
     time.as_secs_f64() * 1e6
@@ -78,7 +78,7 @@
         );
         let table = weigh(count, || {
             let table: vanepath_proxy::servers::Servers<()> = Default::default();
-            let rate = |_: &vanepath_setup::platform::Server, _: &[usize]| Default::default();
+            let rate = |_: &vanepath_config::platform::Server, _: &[usize]| Default::default();
             table.adopt(Duration::ZERO, (1, 1), &setup_of, &list_of, rate);
             table
         });
@@ -107,7 +107,7 @@
     let mut rows = Vec::new();
     for (routes, services) in [(100, 25), (275, 68), (550, 135), (1100, 270), (2200, 540)] {
         let text = super::setup_text(routes, services, judged);
-        let parse = each(span, || vanepath_setup::model::parse(text.as_bytes()));
+        let parse = each(span, || vanepath_config::model::parse(text.as_bytes()));
         let setup = super::setup(routes, services, judged);
         let asked: Vec<(String, String)> = (0..routes)
             .map(|route| {
@@ -141,10 +141,10 @@
     for servers in [34, 560, 1680, 4500, 9000] {
         let list = super::platform(servers, 270, judged);
         let text = super::platform_text(&list);
-        let parse = each(span, || vanepath_setup::platform::parse(text.as_bytes()));
+        let parse = each(span, || vanepath_config::platform::parse(text.as_bytes()));
         let bytes = wire::encode(&list);
         let encode = each(span, || wire::encode(&list));
-        let decode = each(span, || wire::decode::<vanepath_setup::platform::PlatformList>(&bytes));
+        let decode = each(span, || wire::decode::<vanepath_config::platform::PlatformList>(&bytes));
         rows.push(Row {
             what: "platform list".to_string(),
             size: vec![("servers", servers)],
@@ -169,7 +169,7 @@
         let own = super::cards(daemons).pop().expect("a proxy");
         let table: vanepath_proxy::servers::Servers<()> = Default::default();
         let list = super::platform(servers, services, judged);
-        let rate = |server: &vanepath_setup::platform::Server, services: &[usize]| {
+        let rate = |server: &vanepath_config::platform::Server, services: &[usize]| {
             vanepath_proxy::servers::cold_rate(&view, &own.name, server, services)
         };
         let started = super::spent();
@@ -195,7 +195,7 @@
                 looks: None,
                 is_past_aim: false,
             };
-            let random = vanepath_setup::stable_hash(&[&turn.to_string()]);
+            let random = vanepath_config::stable_hash(&[&turn.to_string()]);
             if let vanepath_proxy::servers::Choice::Server(index, _) =
                 table.choose(now, &whole, &want, random)
             {
@@ -256,7 +256,7 @@
                 looks: None,
                 is_past_aim: false,
             };
-            let random = vanepath_setup::stable_hash(&[&turn.to_string()]);
+            let random = vanepath_config::stable_hash(&[&turn.to_string()]);
             if let vanepath_proxy::servers::Choice::Server(index, _) =
                 table.choose(Duration::from_secs(2), &whole, &want, random)
             {
--- a/fleet/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -5,8 +5,8 @@
 use std::cmp::Reverse;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use vanepath_sibling::news::{Effect, Event, News};
-use vanepath_sibling::wire;
+use vanepath_cluster::news::{Effect, Event, News};
+use vanepath_cluster::wire;
 
 #[derive(Clone, Debug)]
 pub struct Plan {
@@ -81,7 +81,7 @@
     whats: std::collections::HashMap<u64, What>,
     next: u64,
     addresses: std::collections::HashMap<std::net::SocketAddr, usize>,
-    list: vanepath_setup::platform::PlatformList,
+    list: vanepath_config::platform::PlatformList,
     oversized: u64,
     /// Its machine is gone without a word: nothing comes or goes.
     silenced: Option<usize>,
--- a/fleet/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -5,8 +5,8 @@
 pub mod hollow;
 
 use std::time::Duration;
-use vanepath_setup::platform::{PlatformList, Server};
-use vanepath_sibling::wire;
+use vanepath_cluster::wire;
+use vanepath_config::platform::{PlatformList, Server};
 
 /// The design size.
 pub const DAEMONS: usize = 670;
@@ -102,8 +102,8 @@
     text + r#"{"name": "rest", "class": "lookup", "service": "service-0"}]}"#
 }
 
-pub fn setup(routes: usize, services: usize, judged: Judged) -> vanepath_setup::model::Setup {
-    vanepath_setup::model::parse(setup_text(routes, services, judged).as_bytes())
+pub fn setup(routes: usize, services: usize, judged: Judged) -> vanepath_config::model::Setup {
+    vanepath_config::model::parse(setup_text(routes, services, judged).as_bytes())
         .expect("a setup without faults")
 }
 
@@ -144,7 +144,7 @@
                 server.address,
                 server.region,
                 server.zone,
-                vanepath_setup::platform::labels_as_json(&server.labels).dump()
+                vanepath_config::platform::labels_as_json(&server.labels).dump()
             )
         })
         .collect();
--- a/fleet/src/sim/control.rs
+++ b/testbed/src/sim/control.rs
@@ -12,10 +12,10 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
+use vanepath_cluster::daemon::View;
+use vanepath_cluster::{news, wire};
 use vanepath_registry::list_reader::{Effect as Reads, ListReader, READ_MOST};
 use vanepath_registry::store_call::{Step, StoreCall};
-use vanepath_sibling::daemon::View;
-use vanepath_sibling::{news, wire};
 use vanepath_store::register::{self, Register};
 use vanepath_store::talk::{Ask, Change, Digest, Outcome, Tell, Value};
 
@@ -132,7 +132,7 @@
     pub platform_host: HostId,
     /// The platform says what is no list, or an older one, now and then.
     pub platform_lies: bool,
-    pub platform: Arc<vanepath_setup::platform::PlatformList>,
+    pub platform: Arc<vanepath_config::platform::PlatformList>,
     /// When each revision of the platform list came.
     pub platform_at: Vec<(Duration, u64)>,
     /// The platform does not tell the numbers of its lists.
@@ -564,7 +564,7 @@
                     self.net.reply(ticket, Body::News(news));
                 }
                 news::Effect::AskFloor { address } => {
-                    let limit = vanepath_sibling::floor::LIMIT;
+                    let limit = vanepath_cluster::floor::LIMIT;
                     let purpose = Purpose::Floor { address };
                     let body = Body::Ask(Ask::Floor);
                     self.net.ask(host, Net::host_at(address), limit, body, purpose);
--- a/fleet/src/sim/control/registries.rs
+++ b/testbed/src/sim/control/registries.rs
@@ -61,7 +61,7 @@
     pub(super) fn platform_told(
         &mut self,
         index: usize,
-        list: Option<Arc<vanepath_setup::platform::PlatformList>>,
+        list: Option<Arc<vanepath_config::platform::PlatformList>>,
     ) {
         if self.is_platform_plain {
             return self.plain_list_told(index, list);
@@ -80,7 +80,7 @@
     pub(super) fn plain_list_told(
         &mut self,
         index: usize,
-        list: Option<Arc<vanepath_setup::platform::PlatformList>>,
+        list: Option<Arc<vanepath_config::platform::PlatformList>>,
     ) {
         let now = self.net.local(self.daemons[index].host);
         let view = self.daemons[index].view.clone();
@@ -148,7 +148,7 @@
         if let What::Change { change: Change::Setup { bytes, version, .. }, .. } =
             &mut self.operations[operation].what
         {
-            match vanepath_setup::model::parse(bytes) {
+            match vanepath_config::model::parse(bytes) {
                 Ok(setup) => *version = setup.version,
                 Err(faults) if self.breaks != Some(Break::TakesInvalid) => {
                     let why: Vec<&str> = faults.iter().map(|fault| fault.path.as_str()).collect();
--- a/fleet/src/sim/data.rs
+++ b/testbed/src/sim/data.rs
@@ -11,14 +11,14 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_caller::steering::{Steering, parse};
+use vanepath_client::steering::{Steering, parse};
+use vanepath_cluster::{news, wire};
+use vanepath_config::Verdict;
+use vanepath_config::model::Kind;
 use vanepath_proxy::chart::{Chart, Miss, Next, Refusal, State};
 use vanepath_proxy::classes::{Classes, Entry as Entered, Slot};
 use vanepath_proxy::liveness::{Failure, Phase};
 use vanepath_proxy::servers::{Choice, Idle, Servers, Table, Want};
-use vanepath_setup::Verdict;
-use vanepath_setup::model::Kind;
-use vanepath_sibling::{news, wire};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Manner {
@@ -336,12 +336,12 @@
                     let is_there = self.net.hosts[target].powered && !self.net.is_cut(host, target);
                     let pause = match is_there {
                         true => 2 * self.net.delays.caller,
-                        false => vanepath_caller::client::REACH_LIMIT,
+                        false => vanepath_client::client::REACH_LIMIT,
                     };
                     let what = Timer::Knocked { request, target, call, is_there };
                     self.net.timer(host, pause, what);
                 } else {
-                    self.net.timer(host, vanepath_caller::client::TRY_LIMIT, what);
+                    self.net.timer(host, vanepath_client::client::TRY_LIMIT, what);
                 }
             }
             Timer::Knocked { request, target, call, is_there } if self.net.call(call).is_some() => {
@@ -352,7 +352,7 @@
                     self.carried(request, target, None, false);
                 } else {
                     let what = Timer::Leave { request, target, call };
-                    self.net.timer(host, vanepath_caller::client::TRY_LIMIT, what);
+                    self.net.timer(host, vanepath_client::client::TRY_LIMIT, what);
                 }
             }
             Timer::Stale { request, target } => self.carried(request, target, None, true),
--- a/fleet/src/sim/data/proxies.rs
+++ b/testbed/src/sim/data/proxies.rs
@@ -20,7 +20,7 @@
             proxy.request_counts.adopt(view.setup.services.iter().map(|one| one.name.as_str()));
         }
         proxy.revision = Some(revision);
-        let cold = |server: &vanepath_setup::platform::Server, services: &[usize]| {
+        let cold = |server: &vanepath_config::platform::Server, services: &[usize]| {
             vanepath_proxy::servers::cold_rate(&view, &name, server, services)
         };
         let mut list = (*view.platform).clone();
--- a/fleet/src/sim/day.rs
+++ b/testbed/src/sim/day.rs
@@ -13,7 +13,7 @@
 use super::net::{Delays, Event, Timer};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_sibling::wire::Role;
+use vanepath_cluster::wire::Role;
 use vanepath_store::talk::{Change, Outcome};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -304,11 +304,11 @@
 }
 
 /// Changes the platform's list.
-fn publish(sim: &mut Sim, change: impl FnOnce(&mut Vec<vanepath_setup::platform::Server>)) {
+fn publish(sim: &mut Sim, change: impl FnOnce(&mut Vec<vanepath_config::platform::Server>)) {
     let mut list = (*sim.platform).clone();
     if list.revision == 0 {
         for server in &sim.world.servers {
-            list.servers.push(vanepath_setup::platform::Server {
+            list.servers.push(vanepath_config::platform::Server {
                 id: server.id.clone(),
                 address: super::net::Net::address_of(server.host),
                 region: server.region.clone(),
--- a/fleet/src/sim/judge.rs
+++ b/testbed/src/sim/judge.rs
@@ -6,8 +6,8 @@
 use super::day::Run;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
-use vanepath_setup::Verdict;
-use vanepath_sibling::wire::Role;
+use vanepath_cluster::wire::Role;
+use vanepath_config::Verdict;
 use vanepath_store::talk::{Change, Outcome};
 
 #[derive(Debug, Default)]
@@ -135,7 +135,7 @@
     // Callers are only ever cut from the proxies of their own region.
     let caller = &sim.world.callers[caller];
     let is_cut = sim.net.was_ill(caller.host, from, to);
-    let is_reached = |card: &vanepath_sibling::wire::Card| {
+    let is_reached = |card: &vanepath_cluster::wire::Card| {
         !is_cut || caller.zone.split('-').next() != Some(card.region.as_str())
     };
     let is_within = |one: &str| region.is_none_or(|region| one == region);
--- a/fleet/src/sim/net.rs
+++ b/testbed/src/sim/net.rs
@@ -30,15 +30,15 @@
 
 #[derive(Clone, Debug)]
 pub enum Body {
-    Pull(vanepath_sibling::wire::Pull),
-    News(vanepath_sibling::wire::News),
+    Pull(vanepath_cluster::wire::Pull),
+    News(vanepath_cluster::wire::News),
     Ask(vanepath_store::talk::Ask),
     Tell(vanepath_store::talk::Tell),
     /// An operator's call, by its number in the history.
     Operate(usize),
     Operated(vanepath_store::talk::Outcome),
     ReadPlatform,
-    Platform(std::sync::Arc<vanepath_setup::platform::PlatformList>),
+    Platform(std::sync::Arc<vanepath_config::platform::PlatformList>),
     /// What the platform says in place of its list, as it says it.
     PlatformText(String),
     Steer(String),
@@ -46,7 +46,7 @@
     /// A caller's request, by its number.
     Carry(usize),
     Carried {
-        verdict: vanepath_setup::Verdict,
+        verdict: vanepath_config::Verdict,
         status: u16,
         /// With 421: who may carry it.
         named: Vec<std::net::SocketAddr>,
--- a/fleet/src/sim/reach.rs
+++ b/testbed/src/sim/reach.rs
@@ -5,7 +5,7 @@
 use super::control::{Daemon, Duty, Sim, What};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use vanepath_sibling::wire::Role;
+use vanepath_cluster::wire::Role;
 use vanepath_store::talk::{Change, Outcome};
 
 /// A new word or list, or a leaving mark, holds after so long.
--- a/fleet/src/sim/starts.rs
+++ b/testbed/src/sim/starts.rs
@@ -1,10 +1,10 @@
 //! How long daemons take from their start until they take work, in simulated time (design 5.8): for
-//! `vanepath-fleet starts`.
+//! `vanepath-testbed starts`.
 
 use super::control::{Duty, Sim};
 use super::day::{self, Act, Plan};
 use std::time::Duration;
-use vanepath_sibling::wire::Role;
+use vanepath_cluster::wire::Role;
 
 /// Looked at so often.
 const LOOK: Duration = Duration::from_millis(5);
--- a/fleet/src/sim/worst.rs
+++ b/testbed/src/sim/worst.rs
@@ -5,7 +5,7 @@
 use super::data::Manner;
 use super::day::{Act, Fault, any_registry, at, of_role, tagged};
 use std::time::Duration;
-use vanepath_sibling::wire::Role;
+use vanepath_cluster::wire::Role;
 use vanepath_store::talk::{Change, Outcome};
 
 fn ms(count: u64) -> Duration {
--- a/fleet/src/traffic.rs
+++ b/testbed/src/traffic.rs
@@ -5,8 +5,8 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use vanepath_caller::{Caller, Outcome};
-use vanepath_setup::Verdict;
+use vanepath_client::{Caller, Outcome};
+use vanepath_config::Verdict;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Kind {
--- a/fleet/tests/control.rs
+++ b/testbed/tests/control.rs
@@ -2,10 +2,10 @@
 //! freezes.
 
 use std::time::Duration;
-use vanepath_fleet::harness::{Fleet, until};
-use vanepath_fleet::http::{Reply, call};
-use vanepath_fleet::shape;
-use vanepath_fleet::sim::day::tagged;
+use vanepath_testbed::harness::{Fleet, until};
+use vanepath_testbed::http::{Reply, call};
+use vanepath_testbed::shape;
+use vanepath_testbed::sim::day::tagged;
 
 fn tiny() -> shape::Shape {
     let mut tiny = shape::raiocerto();
@@ -85,7 +85,7 @@
     let refused = put(&fleet, 0, &[], bad.as_bytes()).await;
     assert_eq!(refused.status, 422);
     assert_eq!(refused.json()["faults"].as_array().unwrap().len(), 2);
-    let large = vec![b' '; vanepath_setup::model::BYTES_MOST + 1];
+    let large = vec![b' '; vanepath_config::model::BYTES_MOST + 1];
     assert_eq!(put(&fleet, 0, &[], &large).await.status, 413);
     for (method, path, status) in [
         ("GET", "/v1/setup/99", 404),
@@ -291,8 +291,8 @@
     fleet.until_in_force(revision, SOON).await;
     let registry = fleet.of("registry")[0];
     let sibling = fleet.members[registry].sibling_address;
-    let greeting = vanepath_sibling::wire::encode(&vanepath_sibling::wire::Greeting {
-        system: vanepath_sibling::wire::SYSTEM.to_string(),
+    let greeting = vanepath_cluster::wire::encode(&vanepath_cluster::wire::Greeting {
+        system: vanepath_cluster::wire::SYSTEM.to_string(),
         fleet: "another".to_string(),
         name: "stranger".to_string(),
     });
@@ -393,8 +393,8 @@
 /// all of it is in force soon after the links are whole.
 #[tokio::test(flavor = "multi_thread")]
 async fn cut_and_slow_links_hold_nothing_up_for_long() {
-    use vanepath_fleet::relay::Link;
-    use vanepath_fleet::traffic::{Traffic, judge_filings, sums};
+    use vanepath_testbed::relay::Link;
+    use vanepath_testbed::traffic::{Traffic, judge_filings, sums};
     let mut shape = tiny();
     shape.proxies = 3;
     let fleet = Fleet::start_relayed(shape).await;
@@ -427,7 +427,7 @@
     let (told, wrong) = traffic.finish().await;
     assert_eq!(wrong, Vec::<String>::new());
     assert_eq!(judge_filings(&told, &fleet.runs()), Vec::<String>::new());
-    let lost = told.iter().filter(|one| one.verdict != vanepath_setup::Verdict::Ran).count();
+    let lost = told.iter().filter(|one| one.verdict != vanepath_config::Verdict::Ran).count();
     assert_eq!(lost, 0, "{:?}", sums(&told));
 }
 
@@ -435,7 +435,7 @@
 /// nothing goes to another service at an old address.
 #[tokio::test(flavor = "multi_thread")]
 async fn kills_and_freezes_under_traffic_lose_no_lookup() {
-    use vanepath_fleet::traffic::{Kind, Traffic, judge_filings};
+    use vanepath_testbed::traffic::{Kind, Traffic, judge_filings};
     let mut shape = shape::raiocerto();
     shape.proxies = 4;
     shape.servers = vec![("ordering", 6), ("documents", 3)];
@@ -455,7 +455,7 @@
     let address = fleet.servers[0].address;
     fleet.servers[0].stop();
     let heir = loop {
-        match vanepath_fleet::standin::Server::start("heir", address).await {
+        match vanepath_testbed::standin::Server::start("heir", address).await {
             Ok(heir) => break heir,
             Err(_) => tokio::task::yield_now().await,
         }
@@ -469,7 +469,7 @@
     assert_eq!(judge_filings(&told, &fleet.runs()), Vec::<String>::new());
     let lost: Vec<_> = told
         .iter()
-        .filter(|one| one.kind != Kind::Filing && one.verdict != vanepath_setup::Verdict::Ran)
+        .filter(|one| one.kind != Kind::Filing && one.verdict != vanepath_config::Verdict::Ran)
         .collect();
     assert!(lost.is_empty(), "{lost:?}");
 }
--- a/fleet/tests/days.rs
+++ b/testbed/tests/days.rs
@@ -1,14 +1,14 @@
 //! Simulated days with fixed seeds: each kind of fault in both deployments, judged from outside.
-//! Longer runs: `cargo run --release -p vanepath-fleet -- simulate --seeds 1-1000`.
+//! Longer runs: `cargo run --release -p vanepath-testbed -- simulate --seeds 1-1000`.
 
 use std::time::Duration;
 use strum::IntoEnumIterator;
-use vanepath_fleet::sim::control::{Duty, Sim, What};
-use vanepath_fleet::sim::day::{Deployment, Fault, Plan, run};
-use vanepath_fleet::sim::judge::judge;
-use vanepath_fleet::sim::net::Delays;
-use vanepath_fleet::sim::{cores, on_threads};
-use vanepath_sibling::wire::Role;
+use vanepath_cluster::wire::Role;
+use vanepath_testbed::sim::control::{Duty, Sim, What};
+use vanepath_testbed::sim::day::{Deployment, Fault, Plan, run};
+use vanepath_testbed::sim::judge::judge;
+use vanepath_testbed::sim::net::Delays;
+use vanepath_testbed::sim::{cores, on_threads};
 
 /// How often an operator does something.
 const OPERATOR: Duration = Duration::from_millis(900);
@@ -138,7 +138,7 @@
     let faults: Vec<Fault> = Fault::iter().filter(|fault| !fault.is_several()).collect();
     let mut work = Vec::new();
     for seed in 101..=116 {
-        let mut random = vanepath_fleet::sim::Random::new(seed);
+        let mut random = vanepath_testbed::sim::Random::new(seed);
         let mix = (0..3).map(|_| faults[random.below(faults.len())]).collect();
         let deployment = if seed % 2 == 0 { Deployment::Raiocerto } else { Deployment::Guild };
         work.push((seed, deployment, mix));
@@ -173,7 +173,7 @@
 fn overlapping_faults() {
     use Fault::*;
     let mut work: Vec<(u64, Vec<Fault>)> =
-        (201..=214).map(|seed| (seed, vanepath_fleet::sim::day::overlapping(seed))).collect();
+        (201..=214).map(|seed| (seed, vanepath_testbed::sim::day::overlapping(seed))).collect();
     // These found what is listed in docs/proof.md.
     work.push((1, vec![FreezeProxyLong, KillProxy, SwapAllCore]));
     work.push((9, vec![ServerColdTwice, KillAll, FreezeProxyLong]));
@@ -282,7 +282,7 @@
 /// time. Figures: docs/measurements.md, "From start to ready".
 #[test]
 fn who_starts_takes_work_soon() {
-    use vanepath_fleet::sim::starts::{Scene, measure};
+    use vanepath_testbed::sim::starts::{Scene, measure};
     let mut late = Vec::new();
     for deployment in [Deployment::Raiocerto, Deployment::Guild] {
         for scene in Scene::iter() {
@@ -474,7 +474,7 @@
 /// Each judge sees what it is there for: the product is broken on purpose, one way at a time.
 #[test]
 fn every_judge_can_find_fault() {
-    use vanepath_fleet::sim::breaks::Break;
+    use vanepath_testbed::sim::breaks::Break;
     let cases = [
         (Break::FilingsGoAgain, Fault::ServersMisbehave, "filing"),
         (Break::LiesNotRun, Fault::ServersMisbehave, "filing"),
@@ -543,7 +543,7 @@
 /// Daemons are killed at every numbered point of what they do, each in turn.
 #[test]
 fn killed_at_every_point_in_turn() {
-    use vanepath_fleet::sim::breaks::{Point, Visit};
+    use vanepath_testbed::sim::breaks::{Point, Visit};
     let points: Vec<(Point, u32)> =
         Point::iter().flat_map(|point| [1, 2, 3, 5, 8, 13].map(|turn| (point, turn))).collect();
     let found = std::sync::Mutex::new(Vec::new());
--- a/fleet/tests/edges.rs
+++ b/testbed/tests/edges.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use vanepath_fleet::harness::Fleet;
-use vanepath_fleet::shape;
-use vanepath_fleet::standin::{Manner, pattern};
+use vanepath_testbed::harness::Fleet;
+use vanepath_testbed::shape;
+use vanepath_testbed::standin::{Manner, pattern};
 
 const SETUP: &str = r#"{
   "classes": [
@@ -124,7 +124,7 @@
     let fleet = start(1).await;
     let proxy = fleet.members[fleet.of("proxy")[0]].address;
     let call = async |method: &str, path: &str, headers: &[(&str, &str)], body: &[u8]| {
-        vanepath_fleet::http::call(proxy, method, path, headers, body).await.unwrap()
+        vanepath_testbed::http::call(proxy, method, path, headers, body).await.unwrap()
     };
     // Target, method and end-to-end headers as they are; hop-by-hop ones are not passed on.
     let reply = call("PUT", "/look/a%2Fb?c=%20d&e", &[("x-request", "1")], b"12345").await;
@@ -171,7 +171,7 @@
     let fleet = start(3).await;
     let proxy = fleet.members[fleet.of("proxy")[0]].address;
     let call = async |method: &str, path: &str, number: &str| {
-        vanepath_fleet::http::call(proxy, method, path, &[("x-request", number)], b"").await
+        vanepath_testbed::http::call(proxy, method, path, &[("x-request", number)], b"").await
     };
     // The proxy's own zone has server 0 alone: it gets the first go of each request.
     for (manner, status) in [
@@ -183,7 +183,7 @@
     ] {
         // Whatever came before, it is well again and known to be.
         fleet.servers[0].behave(Manner::Good);
-        vanepath_fleet::harness::until("it is given work", Duration::from_secs(20), async || {
+        vanepath_testbed::harness::until("it is given work", Duration::from_secs(20), async || {
             // One that limps is tried with lookups.
             assert_eq!(call("GET", "/look", "well").await.unwrap().status, 200);
             let status = fleet.page(fleet.of("proxy")[0], "status").await;
@@ -224,12 +224,12 @@
     let index = fleet.of("proxy")[0];
     let proxy = fleet.members[index].address;
     let call = async |method: &str, path: &str, number: &str| {
-        vanepath_fleet::http::call(proxy, method, path, &[("x-request", number)], b"").await
+        vanepath_testbed::http::call(proxy, method, path, &[("x-request", number)], b"").await
     };
     fleet.servers[0].behave(Manner::LateSurplus);
     assert_eq!(call("GET", "/look", "first").await.unwrap().status, 200);
     let limit = Duration::from_secs(5);
-    vanepath_fleet::harness::until("the second reply is seen", limit, async || {
+    vanepath_testbed::harness::until("the second reply is seen", limit, async || {
         fleet.page(index, "metrics").await["surplusBytes"].as_u64() == Some(1)
     })
     .await;
@@ -238,7 +238,7 @@
             if round % 3 == 0 { ("POST", "/file?waitMs=30") } else { ("GET", "/look?waitMs=30") };
         // Just when the last connection has rested and its second reply is still to come.
         let ended = std::time::Instant::now();
-        vanepath_fleet::harness::until("it rested", limit, async || {
+        vanepath_testbed::harness::until("it rested", limit, async || {
             ended.elapsed().as_millis() > 24
         })
         .await;
@@ -259,15 +259,16 @@
     let proxy = fleet.members[index].address;
     let narrow = |number: &'static str| async move {
         let path = "/narrow?waitMs=1500";
-        vanepath_fleet::http::call(proxy, "GET", path, &[("x-request", number)], b"").await
+        vanepath_testbed::http::call(proxy, "GET", path, &[("x-request", number)], b"").await
     };
     let class = async |key: &str| fleet.page(index, "status").await["classes"][2][key].clone();
     let limit = Duration::from_secs(5);
     let first = tokio::spawn(narrow("n1"));
-    vanepath_fleet::harness::until("one is in hand", limit, async || class("used").await == 1)
+    vanepath_testbed::harness::until("one is in hand", limit, async || class("used").await == 1)
         .await;
     let second = tokio::spawn(narrow("n2"));
-    vanepath_fleet::harness::until("one waits", limit, async || class("waiting").await == 1).await;
+    vanepath_testbed::harness::until("one waits", limit, async || class("waiting").await == 1)
+        .await;
     let bound = SETUP.replace(
         r#""class": "narrow", "service": "s""#,
         r#""class": "narrow", "service": "s", "regions": ["south"]"#,
@@ -289,16 +290,17 @@
     // One in the server's hands, one in the queue; the next is dropped without delay.
     let slow = |number: &'static str| async move {
         let path = "/narrow?waitMs=2000";
-        vanepath_fleet::http::call(proxy, "GET", path, &[("x-request", number)], b"").await
+        vanepath_testbed::http::call(proxy, "GET", path, &[("x-request", number)], b"").await
     };
     let index = fleet.of("proxy")[0];
     let class = async |key: &str| fleet.page(index, "status").await["classes"][2][key].clone();
     let first = tokio::spawn(slow("n1"));
     let limit = Duration::from_secs(5);
-    vanepath_fleet::harness::until("one is in hand", limit, async || class("used").await == 1)
+    vanepath_testbed::harness::until("one is in hand", limit, async || class("used").await == 1)
         .await;
     let second = tokio::spawn(slow("n2"));
-    vanepath_fleet::harness::until("one waits", limit, async || class("waiting").await == 1).await;
+    vanepath_testbed::harness::until("one waits", limit, async || class("waiting").await == 1)
+        .await;
     let begun = std::time::Instant::now();
     let third = slow("n3").await.unwrap();
     assert!(begun.elapsed() < Duration::from_millis(500));
@@ -315,8 +317,8 @@
     assert_eq!(runs.get("n3"), None);
     // No server at all: told at once too, for filings and lookups.
     fleet.platform.change(|list| list[0].leaving = true);
-    vanepath_fleet::harness::until("no work for it", Duration::from_secs(4), async || {
-        let reply = vanepath_fleet::http::call(proxy, "POST", "/file", &[], b"").await.unwrap();
+    vanepath_testbed::harness::until("no work for it", Duration::from_secs(4), async || {
+        let reply = vanepath_testbed::http::call(proxy, "POST", "/file", &[], b"").await.unwrap();
         reply.status == 503 && reply.headers.contains_key("retry-after")
     })
     .await;
@@ -332,12 +334,12 @@
     let address = fleet.members[proxy].address;
     let sent = std::time::Instant::now();
     let asked = tokio::spawn(async move {
-        let reply = vanepath_fleet::http::call(address, "GET", "/look/1", &[], b"").await;
+        let reply = vanepath_testbed::http::call(address, "GET", "/look/1", &[], b"").await;
         (reply.map(|reply| reply.status), sent.elapsed())
     });
     let in_hand =
         || fleet.servers.iter().any(|server| !server.state.arrivals.lock().unwrap().is_empty());
-    vanepath_fleet::harness::until("a server has it", Duration::from_secs(2), async || in_hand())
+    vanepath_testbed::harness::until("a server has it", Duration::from_secs(2), async || in_hand())
         .await;
     // Nobody is there to tell what is in force once it wakes.
     let core = (0..fleet.members.len()).filter(|index| *index != proxy);
--- a/fleet/tests/fleets.rs
+++ b/testbed/tests/fleets.rs
@@ -2,9 +2,9 @@
 //! zone emptied and returned, and a rolling restart of every daemon under way.
 
 use std::time::Duration;
-use vanepath_fleet::harness::{Fleet, until};
-use vanepath_fleet::shape::{self, Shape};
-use vanepath_fleet::traffic::{Kind, Traffic, judge_filings, sums};
+use vanepath_testbed::harness::{Fleet, until};
+use vanepath_testbed::shape::{self, Shape};
+use vanepath_testbed::traffic::{Kind, Traffic, judge_filings, sums};
 
 /// Requests in the hands of stand-in servers of a zone, by arrivals.
 fn arrivals_in(fleet: &Fleet, zone: &str) -> usize {
@@ -39,7 +39,7 @@
     let zone = fleet.shape.zones[1].0;
     let registry = fleet.registries()[0];
     let path = format!("/v1/zones/{zone}/emptied");
-    let emptied = vanepath_fleet::http::call(registry, "PUT", &path, &[], b"").await.unwrap();
+    let emptied = vanepath_testbed::http::call(registry, "PUT", &path, &[], b"").await.unwrap();
     assert_eq!(emptied.status, 200, "{:?}", emptied.body);
     let revision = emptied.json()["revision"].as_u64().unwrap();
     fleet.until_in_force(revision, Duration::from_secs(4)).await;
@@ -52,7 +52,7 @@
     fleet.put_setup(&fleet.shape.setup).await;
     let zones = fleet.get(fleet.of("registry")[1], "/v1/zones").await.unwrap().json();
     assert_eq!(zones["emptied"][0].as_str(), Some(zone));
-    let returned = vanepath_fleet::http::call(registry, "DELETE", &path, &[], b"").await.unwrap();
+    let returned = vanepath_testbed::http::call(registry, "DELETE", &path, &[], b"").await.unwrap();
     assert_eq!(returned.status, 200);
     let revision = returned.json()["revision"].as_u64().unwrap();
     fleet.until_in_force(revision, Duration::from_secs(4)).await;
@@ -80,7 +80,7 @@
     let sums = sums(&told);
     println!("{}: {sums:?}", fleet.shape.name);
     let lost: Vec<_> =
-        told.iter().filter(|one| one.verdict != vanepath_setup::Verdict::Ran).collect();
+        told.iter().filter(|one| one.verdict != vanepath_config::Verdict::Ran).collect();
     assert!(lost.is_empty(), "lost in planned work: {lost:?}");
     assert!(sums[&Kind::Filing].ran > 50);
 }
--- a/fleet/tests/losses.rs
+++ b/testbed/tests/losses.rs
@@ -2,12 +2,12 @@
 //! traffic.
 
 use std::time::Duration;
-use vanepath_fleet::harness::{Fleet, until};
-use vanepath_fleet::http::call;
-use vanepath_fleet::shape;
-use vanepath_fleet::sim::day::tagged;
-use vanepath_fleet::standin::pattern;
-use vanepath_fleet::traffic::{Kind, Told, Traffic, judge_filings};
+use vanepath_testbed::harness::{Fleet, until};
+use vanepath_testbed::http::call;
+use vanepath_testbed::shape;
+use vanepath_testbed::sim::day::tagged;
+use vanepath_testbed::standin::pattern;
+use vanepath_testbed::traffic::{Kind, Told, Traffic, judge_filings};
 
 const SOON: Duration = Duration::from_secs(15);
 
@@ -34,7 +34,7 @@
 /// Lookups and downloads that no server ran, or nobody knows.
 fn lost(told: &[Told]) -> Vec<&Told> {
     let lookups = told.iter().filter(|one| one.kind != Kind::Filing);
-    lookups.filter(|one| one.verdict != vanepath_setup::Verdict::Ran).collect()
+    lookups.filter(|one| one.verdict != vanepath_config::Verdict::Ran).collect()
 }
 
 /// A zone goes with its proxies and servers, then a region with a core machine as well; each comes
@@ -378,7 +378,7 @@
         .collect();
     let (fleet_ref, asked) = (&fleet, &asked);
     until("the operator's command finds nobody behind", SOON, async || {
-        let mut command = std::process::Command::new(fleet_ref.program("checker"));
+        let mut command = std::process::Command::new(fleet_ref.program("config-check"));
         let out = tokio::task::block_in_place(|| command.args(asked).output());
         out.is_ok_and(|out| out.status.success())
     })
--- a/fleet/tests/outside_names.rs
+++ b/testbed/tests/outside_names.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeSet;
 use std::time::Duration;
-use vanepath_fleet::harness::{Fleet, until};
-use vanepath_fleet::{http, shape};
+use vanepath_testbed::harness::{Fleet, until};
+use vanepath_testbed::{http, shape};
 
 /// Objects whose keys are names that operators chose.
 const MAPS: [&str; 2] = ["orders", "labels"];
--- a/fleet/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -1,25 +1,25 @@
 //! What the design size (docs/CAPACITY.md) needs is within all bounds, and twice of it too.
 
 use std::time::Duration;
-use vanepath_fleet::scale;
-use vanepath_fleet::scale::Judged::{ByProbes, ByTraffic};
-use vanepath_sibling::wire;
+use vanepath_cluster::wire;
+use vanepath_testbed::scale;
+use vanepath_testbed::scale::Judged::{ByProbes, ByTraffic};
 
 #[test]
 fn a_setup_and_a_list_of_twice_the_design_size_are_taken() {
     for (times, judged) in [(1, ByProbes), (2, ByProbes), (1, ByTraffic), (2, ByTraffic)] {
         let text = scale::setup_text(times * scale::ROUTES, times * scale::SERVICES, judged);
-        let setup = vanepath_setup::model::parse(text.as_bytes()).unwrap();
+        let setup = vanepath_config::model::parse(text.as_bytes()).unwrap();
         assert_eq!(setup.rules.len(), times * scale::ROUTES);
         assert_eq!(setup.services.len(), times * scale::SERVICES);
         // Tenants are of later setups: a hundred bytes for each.
-        let room = vanepath_setup::model::BYTES_MOST;
+        let room = vanepath_config::model::BYTES_MOST;
         assert!(text.len() + times * scale::TENANTS * 100 < room, "{} of {room}", text.len());
         let list = scale::platform(times * scale::SERVERS, times * scale::SERVICES, judged);
         let text = scale::platform_text(&list);
-        let read = vanepath_setup::platform::parse(text.as_bytes()).unwrap();
+        let read = vanepath_config::platform::parse(text.as_bytes()).unwrap();
         assert!(read == list);
-        assert!(text.len() < vanepath_setup::platform::BYTES_MOST / 2, "{}", text.len());
+        assert!(text.len() < vanepath_config::platform::BYTES_MOST / 2, "{}", text.len());
     }
 }
 
@@ -30,10 +30,10 @@
     let mut asked = scale::cores::informed(daemons, servers, 2 * scale::SERVICES, true, ByProbes);
     let mut setup =
         scale::setup_text(2 * scale::ROUTES, 2 * scale::SERVICES, ByProbes).into_bytes();
-    setup.resize(vanepath_setup::model::BYTES_MOST, b' ');
+    setup.resize(vanepath_config::model::BYTES_MOST, b' ');
     let word = wire::Word { revision: 9, setup_revision: 9, setup, ..wire::Word::default() };
     let now = Duration::from_secs(101);
-    asked.step(now, vanepath_sibling::news::Event::Word(std::sync::Arc::new(word)));
+    asked.step(now, vanepath_cluster::news::Event::Word(std::sync::Arc::new(word)));
     assert_eq!(asked.sources.len(), daemons - 1);
     let card = scale::cards(daemons).swap_remove(1);
     let pull = wire::Pull {
@@ -55,9 +55,9 @@
         silent: 0,
         list_age_ms: None,
     };
-    let effects = asked.step(now, vanepath_sibling::news::Event::Asked { ticket: 1, pull });
+    let effects = asked.step(now, vanepath_cluster::news::Event::Asked { ticket: 1, pull });
     let answer = effects.into_iter().find_map(|effect| match effect {
-        vanepath_sibling::news::Effect::Answer { news, .. } => Some(news),
+        vanepath_cluster::news::Effect::Answer { news, .. } => Some(news),
         _ => None,
     });
     let reply = wire::Reply::News(answer.unwrap());
--- a/fleet/tests/soak.rs
+++ b/testbed/tests/soak.rs
@@ -1,9 +1,9 @@
 //! A short soak with real processes and fixed seeds. Longer ones:
-//! `cargo run --release -p vanepath-fleet -- soak --seeds 1-50`.
+//! `cargo run --release -p vanepath-testbed -- soak --seeds 1-50`.
 
 use std::time::Duration;
-use vanepath_fleet::soak::script::{Action, Size, draw};
-use vanepath_fleet::soak::{Plan, run};
+use vanepath_testbed::soak::script::{Action, Size, draw};
+use vanepath_testbed::soak::{Plan, run};
 
 const SIZE: Size = Size { proxies: 6, cores: 3, servers: 18, zones: 6 };
 
--- a/fleet/tests/whole_path.rs
+++ b/testbed/tests/whole_path.rs
@@ -1,8 +1,8 @@
 //! The whole path with real processes on loopback.
 
 use std::time::Duration;
-use vanepath_fleet::harness::{Fleet, until};
-use vanepath_fleet::shape;
+use vanepath_testbed::harness::{Fleet, until};
+use vanepath_testbed::shape;
 
 fn small() -> shape::Shape {
     let mut small = shape::raiocerto();
@@ -20,7 +20,7 @@
     let proxy = fleet.members[fleet.of("proxy")[0]].address;
     let headers = [("x-request", "7")];
     until("the lookup is served", Duration::from_secs(5), async || {
-        let reply = vanepath_fleet::http::call(proxy, "GET", "/stock/7", &headers, b"").await;
+        let reply = vanepath_testbed::http::call(proxy, "GET", "/stock/7", &headers, b"").await;
         reply.is_some_and(|reply| {
             reply.status == 200
                 && reply.headers.get("vanepath-verdict").is_some_and(|told| told == "ran")
@@ -69,7 +69,7 @@
     );
     let file = fleet.folder.join("day.har");
     std::fs::write(&file, text).unwrap();
-    let tool = fleet.program("fleet");
+    let tool = fleet.program("testbed");
     let run = |arguments: &[&str]| {
         let run = std::process::Command::new(&tool).arg("replay").args(arguments).output().unwrap();
         let said = String::from_utf8_lossy(&run.stdout).to_string();
