--- a/registry/src/api.rs
+++ b/registry/src/api.rs
@@ -380,7 +380,7 @@
     if let Ok(tag) = HeaderValue::from_str(&format!("\"{}\"", value.setup_revision)) {
         headers.insert(header::ETAG, tag);
     }
-    headers.insert("vanepath-config-revision", HeaderValue::from(value.setup_revision));
+    headers.insert("vanepath-setup-revision", HeaderValue::from(value.setup_revision));
     headers.insert("vanepath-revision", HeaderValue::from(value.revision));
     receipt
 }
--- a/testbed/src/soak/operator.rs
+++ b/testbed/src/soak/operator.rs
@@ -132,7 +132,7 @@
             let call = crate::http::call(*registry, "GET", "/v1/setup", &[], b"");
             let reply = tokio::time::timeout(SENDING, call).await.ok().flatten();
             let Some(reply) = reply.filter(|reply| reply.status == 200) else { continue };
-            let revision = reply.headers.get("vanepath-config-revision");
+            let revision = reply.headers.get("vanepath-setup-revision");
             let revision = revision.and_then(|value| value.to_str().ok()?.parse().ok());
             let daemon = daemon.clone();
             let told = Told { daemon, asked_at, revision: revision.unwrap_or_default() };
