--- a/client/src/client.rs
+++ b/client/src/client.rs
@@ -332,7 +332,7 @@
         };
         let verdict = head
             .headers
-            .get(vanepath_config::fate::HEADER)
+            .get(vanepath_config::execution_status::HEADER)
             .and_then(|value| value.to_str().ok()?.parse().ok())
             .unwrap_or(Verdict::MayHaveRun);
         self.rest(address, sender);
--- a/cluster/src/lists.rs
+++ b/cluster/src/endpoint_cache.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_config::platform::{ListDelta, PlatformList};
+use vanepath_config::endpoint_list::{ListDelta, PlatformList};
 
 /// So many earlier lists are kept for deltas.
 const EARLIER_KEPT: usize = 16;
--- a/cluster/src/news.rs
+++ b/cluster/src/gossip.rs
@@ -171,10 +171,10 @@
     Report(wire::Report),
     Detail(wire::Detail),
     Word(Arc<wire::Word>),
-    Platform(Arc<vanepath_config::platform::PlatformList>),
+    Platform(Arc<vanepath_config::endpoint_list::PlatformList>),
     /// This daemon has read the platform list: what is in force by that, and when the read began.
     ListRead {
-        list: Arc<vanepath_config::platform::PlatformList>,
+        list: Arc<vanepath_config::endpoint_list::PlatformList>,
         began_at: Duration,
     },
     Plan(Arc<wire::Plan>),
@@ -222,7 +222,7 @@
     /// Loud changes so far: what was not loud for somebody is not until there is another one.
     loud: u64,
     pub word: Arc<wire::Word>,
-    pub lists: crate::lists::Lists,
+    pub lists: crate::endpoint_cache::Lists,
     pub plan: Arc<wire::Plan>,
     lines: std::collections::BTreeMap<std::net::SocketAddr, Line>,
     parked: Vec<Parked>,
@@ -253,7 +253,7 @@
     /// When a pull last came back.
     good_at: Duration,
     /// What this life has to have before it goes by a word, or tells of one (design 5.8).
-    floor: crate::floor::Floor,
+    floor: crate::read_index::Floor,
     /// The highest revision that each name ever told as in force there, over all its lives.
     floors: std::collections::HashMap<String, u64>,
     /// The highest of them, and of what others said of it.
@@ -282,7 +282,7 @@
             by_name: std::collections::HashMap::new(),
             loud: 1,
             word: Arc::default(),
-            lists: crate::lists::Lists::default(),
+            lists: crate::endpoint_cache::Lists::default(),
             plan: Arc::default(),
             lines: std::collections::BTreeMap::new(),
             parked: Vec::new(),
@@ -303,7 +303,7 @@
             fresh_registry: false,
             awake_since: now,
             good_at: now,
-            floor: crate::floor::Floor::new(now),
+            floor: crate::read_index::Floor::new(now),
             floors: std::collections::HashMap::new(),
             highest: 0,
         }
@@ -331,7 +331,7 @@
     }
 
     /// How this life came to go by a word; `None`: it does not yet.
-    pub fn floor(&self) -> &crate::floor::Floor {
+    pub fn floor(&self) -> &crate::read_index::Floor {
         &self.floor
     }
 
--- a/cluster/src/lib.rs
+++ b/cluster/src/lib.rs
@@ -1,10 +1,10 @@
 //! Sibling traffic and news: how the system's own daemons know each other (design 5).
 
-pub mod daemon;
-pub mod floor;
-pub mod link;
-pub mod lists;
-pub mod news;
+pub mod counters;
+pub mod endpoint_cache;
+pub mod gossip;
+pub mod node;
 pub mod peer_selection;
-pub mod tally;
+pub mod read_index;
+pub mod transport;
 pub mod wire;
--- a/cluster/src/daemon.rs
+++ b/cluster/src/node.rs
@@ -1,7 +1,7 @@
 //! What the three programs share: logs, the clock, the news actor, HTTP and the way to stop
 //! (design 2). Thin shells; whatever decides is in the pure cores.
 
-use crate::{link, news, wire};
+use crate::{gossip, transport, wire};
 use http_body_util::BodyExt;
 use std::sync::Arc;
 use std::time::Duration;
@@ -50,7 +50,7 @@
     pub word: Arc<wire::Word>,
     /// The parsed setup of the word in force.
     pub setup: Arc<vanepath_config::model::Setup>,
-    pub platform: Arc<vanepath_config::platform::PlatformList>,
+    pub platform: Arc<vanepath_config::endpoint_list::PlatformList>,
     /// When the newest read that found this list in force began.
     pub list_read_at: Option<Duration>,
     /// The highest revision of a list that anyone told of.
@@ -62,7 +62,7 @@
     pub lost: Vec<(wire::Card, wire::Report)>,
     pub is_fresh: bool,
     /// How this life came to go by a word (design 5.8); `None`: it goes by none yet.
-    pub floor: Option<crate::floor::Met>,
+    pub floor: Option<crate::read_index::Met>,
     /// What it has to reach before that, as far as it is known.
     pub floor_wanted: Option<u64>,
     /// It has waited for that in vain: what comes is turned away at once (design 5.8).
@@ -76,12 +76,12 @@
     /// A registry that has what all proxies tell of servers (design 5.3).
     pub knows_details: bool,
     /// How the operator's documents read here.
-    pub dialect: vanepath_config::dialect::Spoken,
+    pub dialect: vanepath_config::wire_format::Spoken,
 }
 
 impl View {
     /// Whether what time alone changes is still as it was when this view was made.
-    pub fn is_up_to_date(&self, core: &news::News, now: Duration) -> bool {
+    pub fn is_up_to_date(&self, core: &gossip::News, now: Duration) -> bool {
         self.is_fresh == is_fresh(core, now)
             && self.list_read_at == core.lists.read_at()
             && self.highest_list == core.lists.highest()
@@ -117,7 +117,7 @@
     }
 
     /// What the news amount to now, and the changes worth a line.
-    pub fn of(core: &news::News, before: &View, now: Duration) -> (View, Vec<String>) {
+    pub fn of(core: &gossip::News, before: &View, now: Duration) -> (View, Vec<String>) {
         let mut notes = Vec::new();
         let word = core.word.clone();
         let mut setup = before.setup.clone();
@@ -200,16 +200,16 @@
 }
 
 /// What is known is of now, and not below what an earlier life went by.
-fn is_fresh(core: &news::News, now: Duration) -> bool {
+fn is_fresh(core: &gossip::News, now: Duration) -> bool {
     core.is_fresh(now) && core.floor().met().is_some()
 }
 
 #[derive(xtra::Actor)]
 pub struct NewsActor {
-    core: news::News,
+    core: gossip::News,
     clock: Clock,
-    links: Arc<link::Caller>,
-    tally: Arc<link::Tally>,
+    links: Arc<transport::Caller>,
+    tally: Arc<transport::Tally>,
     view: tokio::sync::watch::Sender<Arc<View>>,
     table: Arc<arc_swap::ArcSwap<View>>,
     waiting: std::collections::HashMap<u64, tokio::sync::oneshot::Sender<wire::News>>,
@@ -217,18 +217,18 @@
 }
 
 /// An event for the core.
-pub struct Tell(pub news::Event);
+pub struct Tell(pub gossip::Event);
 /// A sibling's pull; the reply comes through the channel.
 struct Asked(u64, wire::Pull, tokio::sync::oneshot::Sender<wire::News>);
 /// All sources with their details.
 pub struct Sources;
 
 impl NewsActor {
-    fn perform(&mut self, effects: Vec<news::Effect>, own: &xtra::Address<NewsActor>) {
+    fn perform(&mut self, effects: Vec<gossip::Effect>, own: &xtra::Address<NewsActor>) {
         let mut changed = false;
         for effect in effects {
             match effect {
-                news::Effect::Pull { address, pull } => {
+                gossip::Effect::Pull { address, pull } => {
                     let links = self.links.clone();
                     let own = own.clone();
                     let other_zone = self.core.sources.iter().any(|source| {
@@ -240,40 +240,40 @@
                         let request = wire::Request::Pull(pull);
                         let told = match links.call(address, &request, limit, other_zone).await {
                             Ok(wire::Reply::News(news)) => Some(Box::new(news)),
-                            Err(link::Broken::Refused) => {
-                                let refused = news::Event::Refused { address };
+                            Err(transport::Broken::Refused) => {
+                                let refused = gossip::Event::Refused { address };
                                 let _ = own.send(Tell(refused)).await;
                                 None
                             }
                             _ => None,
                         };
-                        let _ = own.send(Tell(news::Event::Told { address, news: told })).await;
+                        let _ = own.send(Tell(gossip::Event::Told { address, news: told })).await;
                     });
                 }
-                news::Effect::Answer { ticket, news } => {
+                gossip::Effect::Answer { ticket, news } => {
                     if let Some(waiting) = self.waiting.remove(&ticket) {
                         let _ = waiting.send(news);
                     }
                 }
-                news::Effect::AskFloor { address } => {
-                    self.tally.one(link::Counter::FloorAsks);
+                gossip::Effect::AskFloor { address } => {
+                    self.tally.one(transport::Counter::FloorAsks);
                     let links = self.links.clone();
                     let own = own.clone();
                     tokio::spawn(async move {
-                        let limit = crate::floor::LIMIT;
+                        let limit = crate::read_index::LIMIT;
                         let asked = links.call(address, &wire::Request::Floor, limit, true).await;
                         let revision = match asked {
                             Ok(wire::Reply::Floor(revision)) => revision,
                             _ => None,
                         };
-                        let told = news::Event::Floor { address, revision };
+                        let told = gossip::Event::Floor { address, revision };
                         let _ = own.send(Tell(told)).await;
                     });
                 }
-                news::Effect::Changed => changed = true,
-                news::Effect::Noted(what) => {
+                gossip::Effect::Changed => changed = true,
+                gossip::Effect::Noted(what) => {
                     if what.contains("freeze") {
-                        self.tally.one(link::Counter::Freezes);
+                        self.tally.one(transport::Counter::Freezes);
                     }
                     log::info!("news: {what}");
                 }
@@ -288,8 +288,8 @@
         let before = self.table.load_full();
         if let (None, Some(met)) = (&before.floor, self.core.floor().met()) {
             self.tally.one(match met.by {
-                crate::floor::By::Majority => link::Counter::FloorsByMajority,
-                crate::floor::By::Witnesses => link::Counter::FloorsByWitnesses,
+                crate::read_index::By::Majority => transport::Counter::FloorsByMajority,
+                crate::read_index::By::Witnesses => transport::Counter::FloorsByWitnesses,
             });
         }
         let (view, notes) = View::of(&self.core, &before, self.clock.now());
@@ -308,7 +308,7 @@
     async fn handle(&mut self, Tell(event): Tell, context: &mut xtra::Context<Self>) {
         let own = context.mailbox().address().try_upgrade();
         let Some(own) = own else { return };
-        let is_pulse = matches!(event, news::Event::Pulse);
+        let is_pulse = matches!(event, gossip::Event::Pulse);
         let now = self.clock.now();
         let effects = self.core.step(now, event);
         self.perform(effects, &own);
@@ -335,15 +335,15 @@
         };
         self.waiting.retain(|_, waiting| !waiting.is_closed());
         self.waiting.insert(ticket, reply);
-        let effects = self.core.step(self.clock.now(), news::Event::Asked { ticket, pull });
+        let effects = self.core.step(self.clock.now(), gossip::Event::Asked { ticket, pull });
         self.perform(effects, &own);
     }
 }
 
 impl xtra::Handler<Sources> for NewsActor {
-    type Return = Vec<news::Source>;
+    type Return = Vec<gossip::Source>;
 
-    async fn handle(&mut self, _: Sources, _: &mut xtra::Context<Self>) -> Vec<news::Source> {
+    async fn handle(&mut self, _: Sources, _: &mut xtra::Context<Self>) -> Vec<gossip::Source> {
         self.core.sources.clone()
     }
 }
@@ -352,8 +352,8 @@
 pub struct Daemon {
     pub settings: vanepath_config::settings::Settings,
     pub clock: Clock,
-    pub links: Arc<link::Caller>,
-    pub link_tally: Arc<link::Tally>,
+    pub links: Arc<transport::Caller>,
+    pub link_tally: Arc<transport::Tally>,
     pub news: xtra::Address<NewsActor>,
     pub table: Arc<arc_swap::ArcSwap<View>>,
     pub view: tokio::sync::watch::Receiver<Arc<View>>,
@@ -384,13 +384,13 @@
             address: settings.advertise,
             sibling_address: settings.sibling_advertise,
         };
-        let link_tally: Arc<link::Tally> = Arc::default();
+        let link_tally: Arc<transport::Tally> = Arc::default();
         let greeting = wire::Greeting {
             system: wire::SYSTEM.to_string(),
             fleet: settings.fleet.clone(),
             name: settings.name.clone(),
         };
-        let links = Arc::new(link::Caller::new(greeting.clone(), link_tally.clone()));
+        let links = Arc::new(transport::Caller::new(greeting.clone(), link_tally.clone()));
         let listener = bind("siblingListen", settings.sibling_listen).await?;
         // Rises with each start in ordinary running; where the wall clock went back, the news
         // core outlives the earlier life (design 5.3).
@@ -398,7 +398,7 @@
             .duration_since(std::time::UNIX_EPOCH)
             .map_or(0, |since| since.as_millis() as u64);
         let life = (life << 12) | (random() & 0xfff);
-        let core = news::News::new(card.clone(), settings.seeds.clone(), life, clock.now());
+        let core = gossip::News::new(card.clone(), settings.seeds.clone(), life, clock.now());
         let first = View { dialect: settings.dialect, ..View::default() };
         let table = Arc::new(arc_swap::ArcSwap::from_pointee(first));
         let (sender, view) = tokio::sync::watch::channel(table.load_full());
@@ -441,7 +441,7 @@
             pulse.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
             loop {
                 pulse.tick().await;
-                if pulsed.send(Tell(news::Event::Pulse)).await.is_err() {
+                if pulsed.send(Tell(gossip::Event::Pulse)).await.is_err() {
                     return;
                 }
             }
@@ -470,13 +470,13 @@
     }
 
     pub async fn report(&self, report: wire::Report) {
-        let _ = self.news.send(Tell(news::Event::Report(report))).await;
+        let _ = self.news.send(Tell(gossip::Event::Report(report))).await;
     }
 
     /// False right after a freeze, before the pulse that will find it out (design 5.5).
     pub fn is_awake(&self) -> bool {
         let pulsed_at_ms = self.pulsed_at_ms.load(std::sync::atomic::Ordering::Relaxed);
-        self.clock.now().saturating_sub(Duration::from_millis(pulsed_at_ms)) < news::FREEZE
+        self.clock.now().saturating_sub(Duration::from_millis(pulsed_at_ms)) < gossip::FREEZE
     }
 
     pub fn is_stopping(&self) -> bool {
@@ -511,7 +511,7 @@
                 if settings.seeds != known.seeds {
                     log::info!("other seeds: {:?}", settings.seeds);
                     known.seeds = settings.seeds.clone();
-                    let _ = news.send(Tell(news::Event::Seeds(settings.seeds))).await;
+                    let _ = news.send(Tell(gossip::Event::Seeds(settings.seeds))).await;
                 }
             }
             Ok(Start::Say(_)) => {}
@@ -534,7 +534,7 @@
         if !self.is_over {
             let (news, ticket) = (self.news.clone(), self.ticket);
             tokio::spawn(async move {
-                let _ = news.send(Tell(news::Event::Left { ticket })).await;
+                let _ = news.send(Tell(gossip::Event::Left { ticket })).await;
             });
         }
     }
@@ -543,7 +543,7 @@
 async fn serve_siblings(
     listener: tokio::net::TcpListener,
     greeting: wire::Greeting,
-    tally: Arc<link::Tally>,
+    tally: Arc<transport::Tally>,
     news: xtra::Address<NewsActor>,
     store_handler: Option<StoreHandler>,
 ) {
@@ -573,7 +573,7 @@
             }
         }
     };
-    link::serve(listener, greeting, tally, handler).await;
+    transport::serve(listener, greeting, tally, handler).await;
 }
 
 pub async fn bind(
--- a/cluster/src/floor.rs
+++ b/cluster/src/read_index.rs
@@ -18,7 +18,7 @@
 /// as well, until its directory knows.
 const STUCK_AFTER: Duration = Duration::from_millis(2300);
 const _: () = assert!(STUCK_AFTER.as_millis() > WITNESS_WAIT.as_millis());
-const _: () = assert!(STUCK_AFTER.as_millis() < crate::news::HOLD.as_millis());
+const _: () = assert!(STUCK_AFTER.as_millis() < crate::gossip::HOLD.as_millis());
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
--- a/cluster/src/link.rs
+++ b/cluster/src/transport.rs
@@ -25,7 +25,7 @@
     }
 }
 
-pub type Tally = crate::tally::Tally<Counter>;
+pub type Tally = crate::counters::Tally<Counter>;
 
 #[derive(Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
--- a/cluster/tests/details.rs
+++ b/cluster/tests/details.rs
@@ -4,7 +4,7 @@
 
 use common::card;
 use std::time::Duration;
-use vanepath_cluster::news::{Effect, Event, News};
+use vanepath_cluster::gossip::{Effect, Event, News};
 use vanepath_cluster::wire;
 
 const NOW: Duration = Duration::from_secs(100);
@@ -152,8 +152,11 @@
     assert_eq!(seen(&asker), (5, 5), "who just started or woke gets all there is");
 }
 
-fn list(revision: u64, leaving: &[u64]) -> std::sync::Arc<vanepath_config::platform::PlatformList> {
-    let one = |number: u64| vanepath_config::platform::Server {
+fn list(
+    revision: u64,
+    leaving: &[u64],
+) -> std::sync::Arc<vanepath_config::endpoint_list::PlatformList> {
+    let one = |number: u64| vanepath_config::endpoint_list::Server {
         id: format!("s{number}"),
         address: ([127, 0, 0, 1], 9000 + number as u16).into(),
         region: "a".to_string(),
@@ -164,7 +167,7 @@
         slots: 2,
     };
     let servers = (0..50).map(one).collect();
-    std::sync::Arc::new(vanepath_config::platform::PlatformList { revision, servers })
+    std::sync::Arc::new(vanepath_config::endpoint_list::PlatformList { revision, servers })
 }
 
 /// Who has a list that the teller knows is told what changed; who has another one under the same
--- a/cluster/tests/floor.rs
+++ b/cluster/tests/floor.rs
@@ -5,9 +5,9 @@
 use common::card;
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_cluster::daemon::View;
-use vanepath_cluster::floor::{By, Floor, NEXT_AFTER, WITNESS_WAIT};
-use vanepath_cluster::news::{Effect, Event, News};
+use vanepath_cluster::gossip::{Effect, Event, News};
+use vanepath_cluster::node::View;
+use vanepath_cluster::read_index::{By, Floor, NEXT_AFTER, WITNESS_WAIT};
 use vanepath_cluster::wire::{self, Role};
 
 const START: Duration = Duration::from_secs(100);
--- a/cluster/tests/frames.rs
+++ b/cluster/tests/frames.rs
@@ -6,7 +6,7 @@
     Card, Delta, Detail, Disk, Greeting, ListRead, Mark, News, Plan, Pull, Reply, Report, Request,
     Role, SYSTEM, Sight, Word, decode, encode, short_name,
 };
-use vanepath_config::platform::{ListDelta, PlatformList, Server};
+use vanepath_config::endpoint_list::{ListDelta, PlatformList, Server};
 
 #[derive(Default)]
 struct Frames {
--- a/cluster/tests/light.rs
+++ b/cluster/tests/light.rs
@@ -5,7 +5,7 @@
 use common::card;
 use std::net::SocketAddr;
 use std::time::Duration;
-use vanepath_cluster::news::{Effect, Event, News};
+use vanepath_cluster::gossip::{Effect, Event, News};
 use vanepath_cluster::wire;
 
 fn ms(millis: u64) -> Duration {
--- a/config-check/src/lib.rs
+++ b/config-check/src/lib.rs
@@ -9,7 +9,7 @@
 /// A server as a registry's status tells it.
 #[derive(Clone, Debug)]
 pub struct Server {
-    pub server: vanepath_config::platform::Server,
+    pub server: vanepath_config::endpoint_list::Server,
     pub is_live: bool,
 }
 
@@ -286,7 +286,7 @@
             labels.insert(key.to_string(), text(value)?);
         }
         fleet.servers.push(Server {
-            server: vanepath_config::platform::Server {
+            server: vanepath_config::endpoint_list::Server {
                 id: text(&server["id"])?,
                 address: server["address"].as_str()?.parse().ok()?,
                 region: text(&server["region"])?,
--- a/config-check/src/tests.rs
+++ b/config-check/src/tests.rs
@@ -13,7 +13,7 @@
     .enumerate()
     {
         fleet.servers.push(Server {
-            server: vanepath_config::platform::Server {
+            server: vanepath_config::endpoint_list::Server {
                 id: format!("{app}-{zone}"),
                 address: format!("127.0.0.1:{}", 9000 + index).parse().unwrap(),
                 region: zone[..1].to_string(),
--- a/config/src/platform.rs
+++ b/config/src/endpoint_list.rs
@@ -99,7 +99,7 @@
 
 /// Reads the platform's document; one fault anywhere refuses the whole of it.
 pub fn parse(bytes: &[u8]) -> Result<PlatformList, Vec<crate::Fault>> {
-    let mut reader = crate::read::Reader::default();
+    let mut reader = crate::json_reader::Reader::default();
     if bytes.len() > BYTES_MOST {
         reader.fault("$", "too large");
         return Err(reader.faults);
@@ -135,7 +135,11 @@
     if reader.faults.is_empty() { Ok(list) } else { Err(reader.faults) }
 }
 
-fn server(reader: &mut crate::read::Reader, path: &str, entry: &jzon::JsonValue) -> Option<Server> {
+fn server(
+    reader: &mut crate::json_reader::Reader,
+    path: &str,
+    entry: &jzon::JsonValue,
+) -> Option<Server> {
     let known = ["id", "address", "region", "zone", "labels", "state", "cold", "slots"];
     let object = reader.object(path, entry, &known)?;
     let id = reader.name(&format!("{path}.id"), object.get("id"));
@@ -192,7 +196,7 @@
 
 /// Labels of servers and places; `zone` and `region` are always the place's own.
 pub fn labels(
-    reader: &mut crate::read::Reader,
+    reader: &mut crate::json_reader::Reader,
     path: &str,
     value: Option<&jzon::JsonValue>,
 ) -> std::collections::BTreeMap<String, String> {
--- a/config/src/lib.rs
+++ b/config/src/lib.rs
@@ -1,17 +1,17 @@
 //! The setup model: reading, checking and selecting (design 3).
 
-pub mod dialect;
-pub mod fate;
-pub mod load;
+pub mod endpoint_list;
+pub mod execution_status;
+pub mod json_reader;
+pub mod load_report;
 pub mod model;
-pub mod platform;
-pub mod read;
-pub mod routes;
+pub mod rule_index;
 pub mod selector;
 pub mod settings;
+pub mod wire_format;
 
-pub use fate::Verdict;
-pub use read::Fault;
+pub use execution_status::Verdict;
+pub use json_reader::Fault;
 
 /// A stable 64-bit hash for rendezvous ranks and sticky buckets (design 5.2, 7.3). The same on
 /// every machine and in every version, which the standard library does not promise of its own.
--- a/config/src/model.rs
+++ b/config/src/model.rs
@@ -174,13 +174,13 @@
     pub places: Vec<Place>,
     pub rules: Vec<Rule>,
     /// Made of the rules once all are read.
-    routes: crate::routes::Routes,
+    routes: crate::rule_index::Routes,
 }
 
 impl Setup {
     /// To be called once all rules are there: requests find them by an index.
     pub fn index_rules(&mut self) {
-        self.routes = crate::routes::Routes::of(&self.rules);
+        self.routes = crate::rule_index::Routes::of(&self.rules);
     }
 
     /// The first rule in the document's order that matches.
@@ -200,7 +200,7 @@
 
 /// The one check of a setup: the interface, `--check-setup` and the checker all come here (3.2).
 pub fn parse(bytes: &[u8]) -> Result<Setup, Vec<crate::Fault>> {
-    let mut reader = crate::read::Reader::default();
+    let mut reader = crate::json_reader::Reader::default();
     if bytes.len() > BYTES_MOST {
         reader.fault("$", format!("larger than {BYTES_MOST} bytes"));
         return Err(reader.faults);
@@ -253,7 +253,7 @@
 
 /// The names of a list's entries; a repeated one is a fault, and stands for the first.
 fn names(
-    reader: &mut crate::read::Reader,
+    reader: &mut crate::json_reader::Reader,
     path: &str,
     value: Option<&jzon::JsonValue>,
     most: usize,
@@ -271,7 +271,7 @@
 }
 
 fn reference(
-    reader: &mut crate::read::Reader,
+    reader: &mut crate::json_reader::Reader,
     path: &str,
     value: Option<&jzon::JsonValue>,
     names: &Names,
@@ -284,7 +284,11 @@
     found
 }
 
-fn places(reader: &mut crate::read::Reader, value: Option<&jzon::JsonValue>, setup: &mut Setup) {
+fn places(
+    reader: &mut crate::json_reader::Reader,
+    value: Option<&jzon::JsonValue>,
+    setup: &mut Setup,
+) {
     for (index, entry) in reader.array("$.places", value, 256).iter().enumerate() {
         let path = format!("$.places[{index}]");
         let Some(object) = reader.object(&path, entry, &["zone", "region", "labels"]) else {
@@ -293,7 +297,7 @@
         let zone = reader.name(&format!("{path}.zone"), object.get("zone"));
         let region = reader.name(&format!("{path}.region"), object.get("region"));
         let labels =
-            crate::platform::labels(reader, &format!("{path}.labels"), object.get("labels"));
+            crate::endpoint_list::labels(reader, &format!("{path}.labels"), object.get("labels"));
         if let (Some(zone), Some(region)) = (zone, region) {
             if setup.places.iter().any(|place| place.zone == zone) {
                 reader.fault(&format!("{path}.zone"), format!("'{zone}' is named twice"));
@@ -304,7 +308,7 @@
 }
 
 fn class(
-    reader: &mut crate::read::Reader,
+    reader: &mut crate::json_reader::Reader,
     path: &str,
     entry: &jzon::JsonValue,
     class_names: &Names,
@@ -368,7 +372,7 @@
     setup.classes.push(class);
 }
 
-fn borrow_cycles(reader: &mut crate::read::Reader, setup: &Setup) {
+fn borrow_cycles(reader: &mut crate::json_reader::Reader, setup: &Setup) {
     for (index, class) in setup.classes.iter().enumerate() {
         let mut seen = vec![false; setup.classes.len()];
         let mut open: Vec<usize> = class.borrows.iter().map(|borrow| borrow.class).collect();
@@ -386,7 +390,7 @@
 }
 
 fn service(
-    reader: &mut crate::read::Reader,
+    reader: &mut crate::json_reader::Reader,
     path: &str,
     entry: &jzon::JsonValue,
     setup: &mut Setup,
@@ -469,7 +473,7 @@
 }
 
 fn selector(
-    reader: &mut crate::read::Reader,
+    reader: &mut crate::json_reader::Reader,
     path: &str,
     value: Option<&jzon::JsonValue>,
     relative: bool,
@@ -492,7 +496,7 @@
 }
 
 fn rule(
-    reader: &mut crate::read::Reader,
+    reader: &mut crate::json_reader::Reader,
     path: &str,
     entry: &jzon::JsonValue,
     class_names: &Names,
@@ -660,7 +664,7 @@
 }
 
 fn split(
-    reader: &mut crate::read::Reader,
+    reader: &mut crate::json_reader::Reader,
     path: &str,
     value: Option<&jzon::JsonValue>,
     service_names: &std::collections::HashMap<String, usize>,
--- a/config/src/settings.rs
+++ b/config/src/settings.rs
@@ -40,7 +40,7 @@
     /// Millions of bits a second that its machine's link carries, if it is narrow enough to matter.
     pub link_mbps: Option<f64>,
     /// How the outside is spoken to; set by the program, not by its settings.
-    pub dialect: crate::dialect::Spoken,
+    pub dialect: crate::wire_format::Spoken,
     /// What it was started with, so that changed settings can be read again (design 2.2).
     pub arguments: Vec<String>,
     pub file: Option<std::path::PathBuf>,
@@ -165,7 +165,7 @@
         };
     }
 
-    let mut reader = crate::read::Reader::default();
+    let mut reader = crate::json_reader::Reader::default();
     let mut values = jzon::object::Object::new();
     if let Some(file) = matches.opt_str("settings") {
         let bytes = std::fs::read(&file)
@@ -220,7 +220,7 @@
 fn check(
     role: Role,
     values: &jzon::object::Object,
-    reader: &mut crate::read::Reader,
+    reader: &mut crate::json_reader::Reader,
 ) -> Option<Settings> {
     let fleet = match values.get("fleet") {
         Some(value) => reader.name("$.fleet", Some(value)),
@@ -326,7 +326,7 @@
 }
 
 fn zones(
-    reader: &mut crate::read::Reader,
+    reader: &mut crate::json_reader::Reader,
     value: Option<&jzon::JsonValue>,
 ) -> std::collections::BTreeMap<String, String> {
     let mut zones = std::collections::BTreeMap::new();
@@ -337,7 +337,7 @@
     };
     for (zone, region) in object.iter() {
         let path = format!("$.zones.{zone}");
-        if !crate::read::is_name(zone) {
+        if !crate::json_reader::is_name(zone) {
             reader.fault(&path, "not a zone's name");
         }
         if let Some(region) = reader.name(&path, Some(region)) {
@@ -347,7 +347,7 @@
     zones
 }
 
-fn retries(reader: &mut crate::read::Reader, value: Option<&jzon::JsonValue>) -> Retries {
+fn retries(reader: &mut crate::json_reader::Reader, value: Option<&jzon::JsonValue>) -> Retries {
     let mut retries = Retries::default();
     if let Some(value) = value
         && let Some(object) = reader.object("$.retries", value, &["ratio", "windowMs", "extra"])
@@ -363,7 +363,7 @@
 }
 
 fn address(
-    reader: &mut crate::read::Reader,
+    reader: &mut crate::json_reader::Reader,
     path: &str,
     value: Option<&jzon::JsonValue>,
     reachable: bool,
--- a/config/src/dialect.rs
+++ b/config/src/wire_format.rs
@@ -35,7 +35,7 @@
 pub struct Page {
     /// Where the platform numbers its lists; else the reader does.
     pub revision: Option<u64>,
-    pub servers: Vec<crate::platform::Server>,
+    pub servers: Vec<crate::endpoint_list::Server>,
     /// The path of the next page.
     pub next: Option<String>,
 }
@@ -80,9 +80,9 @@
     target: None,
     not_run: None,
     seal: None,
-    load: crate::load::HEADER,
+    load: crate::load_report::HEADER,
     cold_left: None,
-    verdict: Some(crate::fate::HEADER),
+    verdict: Some(crate::execution_status::HEADER),
     close_ends_answer: false,
 };
 
@@ -101,12 +101,12 @@
         _path: &str,
         _zones: &BTreeMap<String, String>,
     ) -> Result<Page, Vec<crate::Fault>> {
-        let list = crate::platform::parse(bytes)?;
+        let list = crate::endpoint_list::parse(bytes)?;
         Ok(Page { revision: Some(list.revision), servers: list.servers, next: None })
     }
 
     fn load(&self, text: &str) -> Option<u32> {
-        crate::load::parse(text)
+        crate::load_report::parse(text)
     }
 
     /// Whole seconds, as the published protocol has it.
--- a/proxy/src/pool.rs
+++ b/proxy/src/connector.rs
@@ -1,14 +1,14 @@
 //! Connections to servers: the first exchange of each is a liveness check in which the server
 //! names itself, and the connection is that server's for life (design 8.6).
 
-use crate::liveness::Failure;
-use crate::servers::{Entry, Idle};
+use crate::endpoints::{Entry, Idle};
+use crate::health::Failure;
 use http_body_util::BodyExt;
 use std::time::Duration;
-use vanepath_cluster::daemon;
-use vanepath_config::dialect::Spoken;
+use vanepath_cluster::node;
+use vanepath_config::wire_format::Spoken;
 
-pub type Sender = hyper::client::conn::http1::SendRequest<daemon::Body>;
+pub type Sender = hyper::client::conn::http1::SendRequest<node::Body>;
 pub type Resting = Idle<Sender>;
 
 /// For a connection and for a greeting: many times what the farthest region takes.
@@ -83,7 +83,7 @@
         let mut pairs = text.split(',').filter_map(|pair| pair.trim().split_once('='));
         pairs.find(|(key, _)| key.eq_ignore_ascii_case("timeout"))?.1.trim().parse().ok()
     });
-    told.map_or(crate::servers::IDLE_MOST, Duration::from_secs)
+    told.map_or(crate::endpoints::IDLE_MOST, Duration::from_secs)
 }
 
 /// The library has a name for every other end of a connection; this one comes without a cause.
@@ -124,7 +124,7 @@
         .uri(service.liveness_path.as_str())
         .header(hyper::header::HOST, entry.server.address.to_string())
         .header("vanepath-liveness", entry.server.id.as_str())
-        .body(daemon::body(bytes::Bytes::new()))
+        .body(node::body(bytes::Bytes::new()))
         .map_err(|_| Failure::Unwell)?;
     let receipt = sender.send_request(request).await.map_err(|_| Failure::Broken)?;
     let (head, body) = receipt.into_parts();
--- a/proxy/src/servers.rs
+++ b/proxy/src/endpoints.rs
@@ -1,19 +1,19 @@
 //! The servers as this proxy knows them: a table by read-copy-update, what changes quickly in
 //! shards under their own locks, and the choice among them (design 8.6, 8.7).
 
-use crate::budget::Need;
-use crate::choice::{Candidate, Distance, Job};
-use crate::liveness::{ColdRate, Failure, Liveness, Phase};
-use crate::usual::{Pace, Pools, Usuals};
+use crate::health::{ColdRate, Failure, Liveness, Phase};
+use crate::latency_model::{Pace, Pools, Usuals};
+use crate::load_balancing::{Candidate, Distance, Job};
+use crate::retry_budget::Need;
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_cluster::daemon::View;
+use vanepath_cluster::node::View;
 use vanepath_cluster::wire;
 
 /// What the platform list and the setup say of a server; changes rarely.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    pub server: vanepath_config::platform::Server,
+    pub server: vanepath_config::endpoint_list::Server,
     /// Indices into the setup's services whose selectors match.
     pub services: Vec<usize>,
     /// Where its quick state lies; a new slot for each life of a server.
@@ -103,7 +103,7 @@
 
 /// Whether this proxy is one of the few that watch a server for the whole fleet: by rendezvous
 /// hashing one of the server's own region and two of outside, who are there when the region isn't.
-fn is_watcher(view: &View, own: &str, server: &vanepath_config::platform::Server) -> bool {
+fn is_watcher(view: &View, own: &str, server: &vanepath_config::endpoint_list::Server) -> bool {
     let is_near = |card: &wire::Card| card.region == server.region;
     let rank = |card: &wire::Card| vanepath_config::stable_hash(&["watch", &card.name, &server.id]);
     let all = || view.live.iter().map(|one| &one.0).filter(|card| card.role == wire::Role::Proxy);
@@ -230,7 +230,7 @@
 pub fn cold_rate(
     view: &View,
     own: &str,
-    server: &vanepath_config::platform::Server,
+    server: &vanepath_config::endpoint_list::Server,
     services: &[usize],
 ) -> ColdRate {
     let place = |card: &wire::Card| (card.region != server.region, card.zone != server.zone);
@@ -372,8 +372,8 @@
         now: Duration,
         revision: (u64, u64),
         setup: &Arc<vanepath_config::model::Setup>,
-        list: &vanepath_config::platform::PlatformList,
-        rate: impl Fn(&vanepath_config::platform::Server, &[usize]) -> ColdRate,
+        list: &vanepath_config::endpoint_list::PlatformList,
+        rate: impl Fn(&vanepath_config::endpoint_list::Server, &[usize]) -> ColdRate,
     ) -> Vec<String> {
         let mut notes = Vec::new();
         let before = self.table.load_full();
@@ -540,7 +540,7 @@
             near.sort_unstable_by_key(|one| one.0);
             let count = near.len();
             for (place, (_, entry)) in near.into_iter().enumerate() {
-                let is_own = crate::choice::is_own(rank, proxies.len(), place, count);
+                let is_own = crate::load_balancing::is_own(rank, proxies.len(), place, count);
                 self.with(entry.slot, |quick| quick.is_own = is_own);
             }
         }
@@ -636,12 +636,12 @@
         if rule.spill.is_empty() && !own.is_empty() && own.iter().all(tells_slots) {
             return self.choose_by_slots(now, table, want, random);
         }
-        let zone = |server: &vanepath_config::platform::Server| server.zone == want.zone;
-        let region = |server: &vanepath_config::platform::Server| {
+        let zone = |server: &vanepath_config::endpoint_list::Server| server.zone == want.zone;
+        let region = |server: &vanepath_config::endpoint_list::Server| {
             server.region == want.region && server.zone != want.zone
         };
-        let far = |server: &vanepath_config::platform::Server| server.region != want.region;
-        type Where<'s> = &'s dyn Fn(&vanepath_config::platform::Server) -> bool;
+        let far = |server: &vanepath_config::endpoint_list::Server| server.region != want.region;
+        type Where<'s> = &'s dyn Fn(&vanepath_config::endpoint_list::Server) -> bool;
         let near: [Where<'_>; 2] = [&zone, &region];
         let all: [Where<'_>; 1] = [&far];
         let mut steps: Vec<(usize, Where<'_>)> = Vec::new();
@@ -775,7 +775,7 @@
         let job = self.job(&class.name, &service.name, class.bulk);
         let pools = self.pools.lock().expect("no panic under this lock");
         let usual = pools.usual_fill(now, &service.name);
-        let opens_anyway = crate::choice::opens_anyway(random);
+        let opens_anyway = crate::load_balancing::opens_anyway(random);
         for index in &table.by_service[want.service] {
             let entry = &table.entries[*index];
             let server = &entry.server;
@@ -833,7 +833,7 @@
         };
         let limit_ms = rule.aim.filter(|_| !may_be_late);
         let limit_ms = limit_ms.map(|aim| {
-            let patience_ms = |calm| crate::choice::patience_ms(aim, !is_lookup, calm);
+            let patience_ms = |calm| crate::load_balancing::patience_ms(aim, !is_lookup, calm);
             let mut usual = self.usual.lock().expect("no panic under this lock");
             let usual = usual.of(&class.name, &service.name, class.bulk);
             if want.looks.is_none() {
@@ -855,7 +855,7 @@
                 is_crowded |= candidates.len() < before;
             }
             for _ in 0..3 {
-                let Some(index) = crate::choice::choose(candidates, &job, random) else {
+                let Some(index) = crate::load_balancing::choose(candidates, &job, random) else {
                     break;
                 };
                 if want.looks.is_some() || self.take(now, table, index, want.service, tier == 2) {
@@ -913,9 +913,9 @@
     }
 
     /// The same once it missed. Only silence may be slowness; of every other miss nothing comes any more.
-    pub fn need_after(&self, miss: crate::chart::Miss, slot: usize, sent_at: Duration) -> Need {
+    pub fn need_after(&self, miss: crate::lifecycle::Miss, slot: usize, sent_at: Duration) -> Need {
         match miss {
-            crate::chart::Miss::Silent => self.need(slot, sent_at),
+            crate::lifecycle::Miss::Silent => self.need(slot, sent_at),
             _ => Need::Lost,
         }
     }
@@ -1024,9 +1024,9 @@
         &self,
         now: Duration,
         slot: usize,
-        outcome: Result<(), crate::chart::Miss>,
+        outcome: Result<(), crate::lifecycle::Miss>,
     ) -> Option<Phase> {
-        use crate::chart::Miss;
+        use crate::lifecycle::Miss;
         let phase = match outcome {
             Ok(()) => self.good(now, slot),
             Err(Miss::Truncated) => self.bad(now, slot, Failure::Unwell),
@@ -1107,7 +1107,7 @@
             let slots = f64::from(quick.slots.max(1));
             let distance = if quick.is_own { Distance::Own } else { Distance::Zone };
             let load = quick.load(now, distance, pools.fill(now, quick.pool) * slots);
-            crate::choice::lateness(load.max(1.0), slots)
+            crate::load_balancing::lateness(load.max(1.0), slots)
         });
         lateness.unwrap_or(1.0)
     }
@@ -1156,7 +1156,8 @@
             return self.pace.times(now);
         }
         let owed_ms = now.saturating_sub(self.owes_since).as_secs_f64() * 1000.0 - way_ms;
-        let usual_ms = work_ms * crate::choice::lateness(load, f64::from(self.slots.max(1)));
+        let usual_ms =
+            work_ms * crate::load_balancing::lateness(load, f64::from(self.slots.max(1)));
         self.pace.times_owing(now, owed_ms / usual_ms)
     }
 
--- a/proxy/src/servers/tests.rs
+++ b/proxy/src/endpoints/tests.rs
@@ -1,6 +1,6 @@
 use super::{Choice, Servers, Want};
-use crate::budget::Need;
-use crate::liveness::{ColdRate, Failure};
+use crate::health::{ColdRate, Failure};
+use crate::retry_budget::Need;
 use std::time::Duration;
 
 const SETUP: &str = r#"{"classes": [{"name": "c", "urgency": 1, "kind": "repeatable"}],
@@ -16,12 +16,12 @@
     std::sync::Arc::new(vanepath_config::model::parse(SETUP.as_bytes()).unwrap())
 }
 
-fn list() -> vanepath_config::platform::PlatformList {
+fn list() -> vanepath_config::endpoint_list::PlatformList {
     let mut servers = Vec::new();
     for (index, (zone, app)) in
         [("a1", "s"), ("a2", "s"), ("b1", "s"), ("a1", "t"), ("b1", "t")].iter().enumerate()
     {
-        servers.push(vanepath_config::platform::Server {
+        servers.push(vanepath_config::endpoint_list::Server {
             id: format!("{app}-{zone}"),
             address: format!("127.0.0.1:{}", 9000 + index).parse().unwrap(),
             region: zone[..1].to_string(),
@@ -32,7 +32,7 @@
             slots: 0,
         });
     }
-    vanepath_config::platform::PlatformList { revision: 1, servers }
+    vanepath_config::endpoint_list::PlatformList { revision: 1, servers }
 }
 
 struct Case {
@@ -202,7 +202,7 @@
 fn a_cold_server_of_others_hides_no_resort() {
     let servers: Servers<()> = Servers::default();
     let case = Case { servers, setup: setup(), emptied: Default::default() };
-    let no_part = |_: &vanepath_config::platform::Server, _: &[usize]| {
+    let no_part = |_: &vanepath_config::endpoint_list::Server, _: &[usize]| {
         ColdRate::of(1.0, Duration::from_secs(10), 1, 2)
     };
     case.servers.adopt(Duration::ZERO, (1, 1), &case.setup, &list(), no_part);
@@ -224,7 +224,7 @@
     moved.servers.retain(|server| server.id == "s-b1");
     moved.servers[0].address = "127.0.0.1:9999".parse().unwrap();
     let before = case.slot("s-b1");
-    let rate = |_: &vanepath_config::platform::Server, _: &[usize]| {
+    let rate = |_: &vanepath_config::endpoint_list::Server, _: &[usize]| {
         ColdRate::of(2.0, Duration::from_secs(10), 0, 1)
     };
     case.servers.adopt(Duration::from_secs(1), (1, 2), &case.setup, &moved, rate);
@@ -276,12 +276,13 @@
     };
     assert!(!is_withdrawn(&case.emptied));
     assert!(is_withdrawn(&["a2".to_string()].into()), "its zone is emptied");
-    let adopt = |revision: u64, change: &dyn Fn(&mut vanepath_config::platform::PlatformList)| {
-        let mut list = list();
-        change(&mut list);
-        let now = Duration::from_secs(1);
-        case.servers.adopt(now, (1, revision), &case.setup, &list, |_, _| ColdRate::default());
-    };
+    let adopt =
+        |revision: u64, change: &dyn Fn(&mut vanepath_config::endpoint_list::PlatformList)| {
+            let mut list = list();
+            change(&mut list);
+            let now = Duration::from_secs(1);
+            case.servers.adopt(now, (1, revision), &case.setup, &list, |_, _| ColdRate::default());
+        };
     adopt(2, &|list| list.servers[0].leaving = true);
     assert!(!is_withdrawn(&case.emptied), "it is another one that leaves");
     adopt(3, &|list| list.servers[1].leaving = true);
--- a/proxy/src/carry.rs
+++ b/proxy/src/forward.rs
@@ -1,17 +1,17 @@
 //! Carries one request along the chart (design 8.1). The shell round `chart`, `classes`,
 //! `servers` and `budget`.
 
-use crate::budget::Need;
-use crate::chart::{Chart, Miss, Next, Refusal, State};
-use crate::classes::{Classes, Entry as Entered, Slot};
-use crate::liveness::Failure;
-use crate::servers::{Choice, Idle, Servers, Want};
+use crate::admission::{Classes, Entry as Entered, Slot};
+use crate::endpoints::{Choice, Idle, Servers, Want};
+use crate::health::Failure;
+use crate::lifecycle::{Chart, Miss, Next, Refusal, State};
+use crate::retry_budget::Need;
 use http_body_util::BodyExt;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
-use vanepath_cluster::daemon::{self, Body, BodyError, Daemon, View};
+use vanepath_cluster::node::{self, Body, BodyError, Daemon, View};
 use vanepath_config::Verdict;
 use vanepath_config::model::Kind;
 
@@ -56,7 +56,7 @@
     }
 }
 
-pub type Tally = vanepath_cluster::tally::Tally<Counter>;
+pub type Tally = vanepath_cluster::counters::Tally<Counter>;
 
 /// Receipts of lookups up to this size are held until they are whole, so that one that breaks
 /// off can still be fetched elsewhere.
@@ -75,23 +75,23 @@
 
 pub struct Proxy {
     pub daemon: Arc<Daemon>,
-    pub servers: Servers<crate::pool::Sender>,
+    pub servers: Servers<crate::connector::Sender>,
     pub classes: std::sync::Mutex<Classes>,
     waiting:
         std::sync::Mutex<std::collections::HashMap<u64, tokio::sync::oneshot::Sender<(Slot, ())>>>,
-    pub budget: std::sync::Mutex<crate::budget::Budgets>,
+    pub budget: std::sync::Mutex<crate::retry_budget::Budgets>,
     pub tally: Arc<Tally>,
     pub is_ready: AtomicBool,
     pub is_leaving: AtomicBool,
     /// A server's phase changed: registries hear of it soon.
     pub is_news: AtomicBool,
     pub live_proxies: std::sync::atomic::AtomicUsize,
-    pub request_counts: std::sync::Mutex<crate::request_counts::RequestCounts>,
-    longest: std::sync::Mutex<crate::longest::Longest>,
+    pub request_counts: std::sync::Mutex<crate::request_rates::RequestCounts>,
+    longest: std::sync::Mutex<crate::client_deadlines::Longest>,
     /// For large answers, where the link is narrow.
-    gate: Option<std::sync::Mutex<crate::gate::Gate>>,
+    gate: Option<std::sync::Mutex<crate::bandwidth_limiter::Gate>>,
     /// The same for what is read of them.
-    gate_in: Option<std::sync::Mutex<crate::gate::Gate>>,
+    gate_in: Option<std::sync::Mutex<crate::bandwidth_limiter::Gate>>,
     random: AtomicU64,
 }
 
@@ -102,13 +102,14 @@
         servers.proves_answers = proves_answers;
         let retries = daemon.settings.retries;
         let narrow = daemon.settings.link_mbps.filter(|mbps| *mbps < WIDE_MBPS);
-        let gate = || narrow.map(|mbps| std::sync::Mutex::new(crate::gate::Gate::new(mbps)));
+        let gate =
+            || narrow.map(|mbps| std::sync::Mutex::new(crate::bandwidth_limiter::Gate::new(mbps)));
         Proxy {
             daemon,
             servers,
             classes: Default::default(),
             waiting: Default::default(),
-            budget: std::sync::Mutex::new(crate::budget::Budgets::new(retries)),
+            budget: std::sync::Mutex::new(crate::retry_budget::Budgets::new(retries)),
             tally: Default::default(),
             is_ready: AtomicBool::new(false),
             is_leaving: AtomicBool::new(false),
@@ -118,7 +119,7 @@
             longest: Default::default(),
             gate: gate(),
             gate_in: gate(),
-            random: AtomicU64::new(daemon::random()),
+            random: AtomicU64::new(node::random()),
         }
     }
 
@@ -306,7 +307,7 @@
     if !more.detail.is_empty() {
         value["detail"] = more.detail.as_str().into();
     }
-    let mut receipt = daemon::json(refusal.status(verdict), &value);
+    let mut receipt = node::json(refusal.status(verdict), &value);
     let headers = receipt.headers_mut();
     if let Some(verdict) = proxy.daemon.settings.dialect.headers().verdict {
         headers.insert(verdict, HeaderValue::from_static(told));
@@ -483,7 +484,7 @@
 }
 
 /// The drawn service in the setup in force, or what the rule has by now.
-fn service_of(table: &crate::servers::Table, rule: usize, drawn: &str) -> usize {
+fn service_of(table: &crate::endpoints::Table, rule: usize, drawn: &str) -> usize {
     let facts = &table.setup.rules[rule];
     let split = facts.split.iter().map(|one| one.0);
     let mut allowed = split.filter(|index| table.setup.services[*index].name == drawn);
@@ -494,7 +495,7 @@
 /// most once waits for its turn.
 pub fn begin(
     proxy: &Arc<Proxy>,
-    head: &crate::ahead::Head,
+    head: &crate::pipelining::Head,
 ) -> Option<tokio::task::JoinHandle<hyper::Response<Body>>> {
     if head.method != "GET" && head.method != "HEAD" {
         return None;
@@ -557,13 +558,17 @@
     let is_fit = || {
         let view = proxy.daemon.table.load();
         proxy.daemon.is_awake()
-            && proxy.servers.is_fit(proxy.now(), view.is_fresh, crate::servers::revision_of(&view))
+            && proxy.servers.is_fit(
+                proxy.now(),
+                view.is_fresh,
+                crate::endpoints::revision_of(&view),
+            )
     };
     while !is_fit() {
         if proxy.daemon.table.load().is_stuck {
             return Err(Refusal::BelowFloor);
         }
-        if proxy.now().saturating_sub(received_at) >= vanepath_cluster::news::HOLD {
+        if proxy.now().saturating_sub(received_at) >= vanepath_cluster::gossip::HOLD {
             return Err(Refusal::NotReady);
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -579,7 +584,7 @@
             "address": card.address.to_string(),
         }
     };
-    crate::servers::carriers(view, rule).map(place).collect()
+    crate::endpoints::carriers(view, rule).map(place).collect()
 }
 
 async fn enter(proxy: &Arc<Proxy>, class: &str, deadline: Duration) -> Result<Held, Refusal> {
@@ -690,7 +695,7 @@
 /// The rule of a request, where this proxy may carry it at all.
 fn matched(
     proxy: &Proxy,
-    table: &crate::servers::Table,
+    table: &crate::endpoints::Table,
     method: &str,
     host: &str,
     path: &str,
@@ -709,7 +714,7 @@
 /// cold one's turn where only cold ones are left: look again.
 async fn choose(
     proxy: &Proxy,
-    table: &crate::servers::Table,
+    table: &crate::endpoints::Table,
     rule: usize,
     service: usize,
     tried: &[usize],
@@ -753,7 +758,7 @@
     head: hyper::http::response::Parts,
     read: std::collections::VecDeque<hyper::body::Frame<bytes::Bytes>>,
     rest: Option<hyper::body::Incoming>,
-    sender: Option<crate::pool::Sender>,
+    sender: Option<crate::connector::Sender>,
     greeted_at: Duration,
     kept_for: Duration,
     slot: usize,
@@ -762,11 +767,11 @@
 
 struct Go<'g> {
     proxy: &'g Arc<Proxy>,
-    entry: &'g crate::servers::Entry,
+    entry: &'g crate::endpoints::Entry,
     service: &'g vanepath_config::model::Service,
     deadline: Duration,
     is_other_zone: bool,
-    table: &'g crate::servers::Table,
+    table: &'g crate::endpoints::Table,
     rule: usize,
     /// The service that was drawn for this request.
     drawn: &'g str,
@@ -839,7 +844,7 @@
         }
 
         let body = match &mut told.body {
-            TellBody::Whole(bytes) => daemon::body(bytes.clone()),
+            TellBody::Whole(bytes) => node::body(bytes.clone()),
             TellBody::Stream(rest) => {
                 let (read, incoming, most) = rest.take().ok_or(Miss::NotSent)?;
                 streamed(read, incoming, most)
@@ -887,7 +892,7 @@
         self.prove(&head, &told.headers)?;
         let is_bodiless = told.method == hyper::Method::HEAD;
         let may_close = self.proxy.daemon.settings.dialect.headers().close_ends_answer;
-        if !is_bodiless && !may_close && !crate::pool::is_framed(&head) {
+        if !is_bodiless && !may_close && !crate::connector::is_framed(&head) {
             self.proxy.tally.one(Counter::ReceiptsTruncated);
             return Err(Miss::Truncated);
         }
@@ -897,7 +902,7 @@
         if !head.status.is_server_error() {
             self.hear_time(&head.headers, told, sent_at, lateness);
         }
-        let kept_for = crate::pool::kept_for(&head.headers);
+        let kept_for = crate::connector::kept_for(&head.headers);
         let mut reply = Reply {
             head,
             read: Default::default(),
@@ -972,7 +977,7 @@
         let asked = length(&told.headers).unwrap_or(0.0);
         let class = &self.table.setup.classes[self.table.setup.rules[self.rule].class];
         let now = self.proxy.now();
-        let answered = crate::servers::Answered {
+        let answered = crate::endpoints::Answered {
             slot: self.entry.slot,
             class: &class.name,
             service: &self.service.name,
@@ -998,10 +1003,10 @@
     }
 
     /// A connection that was greeted by this very server; for a filing, moments ago.
-    async fn connection(&self, kind: Kind) -> Result<(crate::pool::Sender, Duration), Miss> {
+    async fn connection(&self, kind: Kind) -> Result<(crate::connector::Sender, Duration), Miss> {
         let now = self.proxy.now();
         let slot = self.entry.slot;
-        let fit = |idle: &Idle<crate::pool::Sender>| idle.connection.is_ready();
+        let fit = |idle: &Idle<crate::connector::Sender>| idle.connection.is_ready();
         let dialect = self.proxy.daemon.settings.dialect;
         let is_greeted = dialect.headers().target.is_none();
         // What runs once takes no connection on which a late answer may be lying.
@@ -1018,8 +1023,13 @@
                 && kind == Kind::Once
                 && now.saturating_sub(idle.greeted_at) > GREETED_LATELY
             {
-                match crate::pool::greet(dialect, &mut idle.connection, self.entry, self.service)
-                    .await
+                match crate::connector::greet(
+                    dialect,
+                    &mut idle.connection,
+                    self.entry,
+                    self.service,
+                )
+                .await
                 {
                     Ok(_) => idle.greeted_at = self.proxy.now(),
                     // Closed while it rested: no sign against the server.
@@ -1038,8 +1048,8 @@
         let is_far = self.entry.server.region != self.proxy.daemon.settings.region;
         let opened_at = self.proxy.now();
         let connected = match is_greeted {
-            true => crate::pool::connect(dialect, self.entry, self.service, untidy).await,
-            false => crate::pool::open(self.entry, is_far, self.proxy.gate.is_some(), untidy)
+            true => crate::connector::connect(dialect, self.entry, self.service, untidy).await,
+            false => crate::connector::open(self.entry, is_far, self.proxy.gate.is_some(), untidy)
                 .await
                 .map(|sender| (sender, Default::default())),
         };
@@ -1050,14 +1060,14 @@
             Ok((sender, greeted)) => {
                 if is_greeted && self.proxy.servers.is_untidy(slot) {
                     // What the greeting may bring on top shows first.
-                    tokio::time::sleep(crate::servers::QUIET).await;
+                    tokio::time::sleep(crate::endpoints::QUIET).await;
                     if !sender.is_ready() {
                         return Err(Miss::NotConnected);
                     }
                 }
                 if greeted.says_cold {
                     self.proxy.servers.moved(slot, |liveness| {
-                        if liveness.phase == crate::liveness::Phase::Live {
+                        if liveness.phase == crate::health::Phase::Live {
                             liveness.chill(now, Duration::ZERO);
                         }
                     });
@@ -1100,7 +1110,7 @@
 /// Waits until so many bytes of large answers may go through, where there is a gate.
 async fn pass_gate(
     proxy: &Proxy,
-    gate: &Option<std::sync::Mutex<crate::gate::Gate>>,
+    gate: &Option<std::sync::Mutex<crate::bandwidth_limiter::Gate>>,
     bytes: usize,
 ) {
     let Some(gate) = gate else { return };
@@ -1200,11 +1210,11 @@
         false => tail.boxed_unsync(),
         true => {
             let proxy = proxy.clone();
-            let pass = move |bytes| -> crate::paced::Passing {
+            let pass = move |bytes| -> crate::throttled_body::Passing {
                 let proxy = proxy.clone();
                 Box::pin(async move { pass_gate(&proxy, &proxy.gate, bytes).await })
             };
-            crate::paced::Paced::new(tail, pass).boxed_unsync()
+            crate::throttled_body::Paced::new(tail, pass).boxed_unsync()
         }
     };
     hyper::Response::from_parts(head, body)
@@ -1215,7 +1225,7 @@
     proxy: Arc<Proxy>,
     read: std::collections::VecDeque<hyper::body::Frame<bytes::Bytes>>,
     rest: Option<hyper::body::Incoming>,
-    sender: Option<crate::pool::Sender>,
+    sender: Option<crate::connector::Sender>,
     greeted_at: Duration,
     kept_for: Duration,
     slot: usize,
--- a/proxy/src/usual.rs
+++ b/proxy/src/latency_model.rs
@@ -1,7 +1,7 @@
 //! What is usual, learned from answers (design 8.7): how long a class's requests take at a service and
 //! how large they are, how full a zone's servers are with others' requests, how far a zone is. Pure.
 
-use crate::choice::{Distance, Job};
+use crate::load_balancing::{Distance, Job};
 use std::time::Duration;
 
 /// Before the first answer.
--- a/proxy/src/usual/tests.rs
+++ b/proxy/src/latency_model/tests.rs
@@ -1,5 +1,5 @@
 use super::{Pace, Pool, Pools, Usual, Usuals};
-use crate::choice::Distance;
+use crate::load_balancing::Distance;
 use std::time::Duration;
 
 fn ms(ms: u64) -> Duration {
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -1,17 +1,17 @@
 //! The proxy: carries requests, keeps nothing on disk (design 8).
 
-pub mod ahead;
-pub mod budget;
-pub mod carry;
-pub mod chart;
-pub mod choice;
-pub mod classes;
-pub mod gate;
-pub mod liveness;
-pub mod longest;
-pub mod paced;
-pub mod pool;
-pub mod request_counts;
-pub mod servers;
+pub mod admission;
+pub mod bandwidth_limiter;
+pub mod client_deadlines;
+pub mod connector;
+pub mod endpoints;
+pub mod forward;
+pub mod health;
+pub mod latency_model;
+pub mod lifecycle;
+pub mod load_balancing;
+pub mod pipelining;
+pub mod request_rates;
+pub mod retry_budget;
 pub mod shell;
-pub mod usual;
+pub mod throttled_body;
--- a/proxy/src/ahead.rs
+++ b/proxy/src/pipelining.rs
@@ -113,17 +113,17 @@
 
 impl Head {
     /// As the library would give it; `None` where it would not.
-    pub fn request(&self) -> Option<hyper::Request<vanepath_cluster::daemon::Body>> {
+    pub fn request(&self) -> Option<hyper::Request<vanepath_cluster::node::Body>> {
         let mut request =
             hyper::Request::builder().method(self.method.as_str()).uri(self.target.as_str());
         for (name, value) in &self.fields {
             request = request.header(name.as_str(), value.as_slice());
         }
-        request.body(vanepath_cluster::daemon::body(bytes::Bytes::new())).ok()
+        request.body(vanepath_cluster::node::body(bytes::Bytes::new())).ok()
     }
 }
 
-pub type Answer = hyper::Response<vanepath_cluster::daemon::Body>;
+pub type Answer = hyper::Response<vanepath_cluster::node::Body>;
 
 /// A request that was begun before its turn; nobody wants it any more once this is dropped.
 struct Begun {
@@ -304,7 +304,7 @@
 
 /// An answer's body that tells when it is written or given up.
 pub struct Watched {
-    pub body: vanepath_cluster::daemon::Body,
+    pub body: vanepath_cluster::node::Body,
     pub ahead: Ahead,
 }
 
@@ -316,7 +316,7 @@
 
 impl hyper::body::Body for Watched {
     type Data = bytes::Bytes;
-    type Error = vanepath_cluster::daemon::BodyError;
+    type Error = vanepath_cluster::node::BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
--- a/proxy/src/shell.rs
+++ b/proxy/src/shell.rs
@@ -1,26 +1,26 @@
 //! The proxy as a daemon: the loops that keep the servers and classes as the news wants them,
 //! probes, readiness and the way to stop (design 8.8).
 
-use crate::carry::{Counter, Proxy};
-use crate::liveness::{Failure, Phase};
+use crate::forward::{Counter, Proxy};
+use crate::health::{Failure, Phase};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use vanepath_cluster::{daemon, news, wire};
+use vanepath_cluster::{gossip, node, wire};
 
 /// Runs a proxy until it is told to stop.
 pub async fn run(settings: vanepath_config::settings::Settings) -> Result<(), miette::Report> {
-    let listener = daemon::bind("listen", settings.listen).await?;
+    let listener = node::bind("listen", settings.listen).await?;
     let grace = settings.grace;
-    let daemon = daemon::Daemon::start(settings, None).await?;
+    let daemon = node::Daemon::start(settings, None).await?;
     let proxy = Arc::new(Proxy::new(daemon.clone()));
     let keeper = xtra::spawn_tokio(
         Keeper {
             proxy: proxy.clone(),
             revision: (u64::MAX, u64::MAX),
             plan: None,
-            paces: crate::servers::Paces::default(),
-            telling: crate::servers::Telling::default(),
+            paces: crate::endpoints::Paces::default(),
+            telling: crate::endpoints::Telling::default(),
             parted: None,
             part_at: Duration::ZERO,
         },
@@ -55,14 +55,14 @@
         close_sender.send_replace(true);
         std::future::pending::<()>().await;
     });
-    let http = daemon::HttpSettings {
+    let http = node::HttpSettings {
         header_limit: Duration::from_secs(30),
         preserve_header_case: true,
         buffer_most: 64 << 10,
     };
     let has_pages = proxy.daemon.settings.pages_listen.is_some();
     if let Some(address) = proxy.daemon.settings.pages_listen {
-        let listener = daemon::bind("pagesListen", address).await?;
+        let listener = node::bind("pagesListen", address).await?;
         let proxy = proxy.clone();
         let pages = move |request: hyper::Request<hyper::body::Incoming>| {
             let receipt = answer_own(&proxy, request.uri().path());
@@ -70,10 +70,10 @@
         };
         // Until the process ends: who asks whether it is ready is told so to the last.
         let (keeper, never) = tokio::sync::watch::channel(false);
-        let http = daemon::HttpSettings::default();
+        let http = node::HttpSettings::default();
         tokio::spawn(async move {
             let _keeper = keeper;
-            daemon::serve_http(listener, never, http, pages).await;
+            node::serve_http(listener, never, http, pages).await;
         });
     }
     let served = proxy.clone();
@@ -84,7 +84,7 @@
         tokio::time::sleep(grace).await;
     };
     tokio::select! {
-        _ = daemon::accept(listener, close, serve) => log::info!("stopped"),
+        _ = node::accept(listener, close, serve) => log::info!("stopped"),
         _ = cut => log::warn!("stopped at the end of the grace period with work in hand"),
     }
     Ok(())
@@ -95,22 +95,23 @@
     proxy: Arc<Proxy>,
     stream: tokio::net::TcpStream,
     stop: tokio::sync::watch::Receiver<bool>,
-    http: daemon::HttpSettings,
+    http: node::HttpSettings,
     has_pages: bool,
 ) {
-    let ahead = crate::ahead::Ahead::new(stream);
+    let ahead = crate::pipelining::Ahead::new(stream);
     let (beginner, handed) = (proxy.clone(), ahead.clone());
-    let io = crate::ahead::Io {
+    let io = crate::pipelining::Io {
         ahead: ahead.clone(),
-        begin: Box::new(move |head| crate::carry::begin(&beginner, head)),
+        begin: Box::new(move |head| crate::forward::begin(&beginner, head)),
     };
     let server = proxy.clone();
     let service = hyper::service::service_fn(move |request| {
         let (proxy, ahead) = (server.clone(), handed.clone());
         async move {
             let answer = take(&proxy, &ahead, request, has_pages).await;
-            let watch =
-                |body| http_body_util::BodyExt::boxed_unsync(crate::ahead::Watched { body, ahead });
+            let watch = |body| {
+                http_body_util::BodyExt::boxed_unsync(crate::pipelining::Watched { body, ahead })
+            };
             Ok::<_, std::convert::Infallible>(answer.map(watch))
         }
     });
@@ -125,7 +126,7 @@
             is_stopping = true;
             connection.as_mut().graceful_shutdown();
         }
-        let begin = |head: &crate::ahead::Head| crate::carry::begin(&proxy, head);
+        let begin = |head: &crate::pipelining::Head| crate::forward::begin(&proxy, head);
         ahead.poll(context, &begin);
         let polled = connection.as_mut().poll(context).map(|_| ());
         if polled.is_pending() {
@@ -140,13 +141,13 @@
 /// One request as the library gives it.
 async fn take(
     proxy: &Arc<Proxy>,
-    ahead: &crate::ahead::Ahead,
+    ahead: &crate::pipelining::Ahead,
     request: hyper::Request<hyper::body::Incoming>,
     has_pages: bool,
-) -> hyper::Response<daemon::Body> {
+) -> hyper::Response<node::Body> {
     let target = request.uri().path_and_query().map_or("", |target| target.as_str());
     let begun = ahead.take(request.method().as_str(), target);
-    let own = request.uri().path().strip_prefix(crate::carry::OWN_PREFIX);
+    let own = request.uri().path().strip_prefix(crate::forward::OWN_PREFIX);
     if let Some(path) = own.filter(|_| !has_pages) {
         return answer_own(proxy, &format!("/{path}"));
     }
@@ -157,18 +158,18 @@
     }
     let boxed = |body: hyper::body::Incoming| {
         use http_body_util::BodyExt;
-        body.map_err(daemon::BodyError::from).boxed_unsync()
+        body.map_err(node::BodyError::from).boxed_unsync()
     };
-    crate::carry::carry(proxy.clone(), request.map(boxed)).await
+    crate::forward::carry(proxy.clone(), request.map(boxed)).await
 }
 
 /// A request that was begun before its turn, and ends when nobody waits for it any more.
 struct Wanted {
-    task: tokio::task::JoinHandle<crate::ahead::Answer>,
+    task: tokio::task::JoinHandle<crate::pipelining::Answer>,
 }
 
 impl Future for Wanted {
-    type Output = Result<crate::ahead::Answer, tokio::task::JoinError>;
+    type Output = Result<crate::pipelining::Answer, tokio::task::JoinError>;
 
     fn poll(
         mut self: std::pin::Pin<&mut Self>,
@@ -191,8 +192,8 @@
     revision: (u64, u64),
     /// The plan and the revision for which it was heard last.
     plan: Option<((u64, u64), (u64, u64))>,
-    paces: crate::servers::Paces,
-    telling: crate::servers::Telling,
+    paces: crate::endpoints::Paces,
+    telling: crate::endpoints::Telling,
     /// For which revision and how many live daemons its part was made, and when it is made anew.
     parted: Option<((u64, u64), usize)>,
     part_at: Duration,
@@ -215,8 +216,8 @@
 }
 
 impl Keeper {
-    fn adopt(&mut self, now: Duration, view: &daemon::View) {
-        let revision = crate::servers::revision_of(view);
+    fn adopt(&mut self, now: Duration, view: &node::View) {
+        let revision = crate::endpoints::revision_of(view);
         if revision == self.revision {
             return;
         }
@@ -238,7 +239,7 @@
             revision,
             &view.setup,
             &view.platform,
-            |server, services| crate::servers::cold_rate(view, own, server, services),
+            |server, services| crate::endpoints::cold_rate(view, own, server, services),
         );
         if let Some(read_at) = view.list_read_at.filter(|_| !notes.is_empty()) {
             let age_ms = now.saturating_sub(read_at).as_millis();
@@ -249,9 +250,9 @@
         }
     }
 
-    fn pulse_servers(&mut self, now: Duration, view: &daemon::View) {
+    fn pulse_servers(&mut self, now: Duration, view: &node::View) {
         let proxy = &self.proxy;
-        proxy.live_proxies.store(crate::servers::live_proxies(view), Ordering::Relaxed);
+        proxy.live_proxies.store(crate::endpoints::live_proxies(view), Ordering::Relaxed);
         let table = proxy.servers.table.load_full();
         let plan = (view.plan.epoch, view.plan.counter);
         if self.plan != Some((plan, self.revision)) {
@@ -280,7 +281,7 @@
     }
 
     /// Tells siblings what is in force here, and registries what this proxy sees.
-    async fn tell(&mut self, now: Duration, view: &daemon::View) {
+    async fn tell(&mut self, now: Duration, view: &node::View) {
         let proxy = &self.proxy;
         let is_leaving = proxy.is_leaving.load(Ordering::Relaxed);
         let ready = proxy.servers.is_fit(now, view.is_fresh, self.revision) && !is_leaving;
@@ -299,7 +300,7 @@
         if services.iter().all(|service| service.probes_in_doubt_only) {
             // Nobody plans by told demand where servers are judged by traffic.
             let detail = wire::Detail { sights, ..wire::Detail::default() };
-            let _ = proxy.daemon.news.send(daemon::Tell(news::Event::Detail(detail))).await;
+            let _ = proxy.daemon.news.send(node::Tell(gossip::Event::Detail(detail))).await;
             return;
         }
         let counts = proxy.classes.lock().expect("no panic under this lock").counts();
@@ -309,28 +310,28 @@
             waiting: counts.iter().map(|one| one.3 as u32).collect(),
             taken: proxy.request_counts.lock().expect("no panic under this lock").tell(now),
         };
-        let _ = proxy.daemon.news.send(daemon::Tell(news::Event::Detail(detail))).await;
+        let _ = proxy.daemon.news.send(node::Tell(gossip::Event::Detail(detail))).await;
     }
 }
 
 /// A liveness check, over a resting connection where one is there.
 async fn probe(
     proxy: Arc<Proxy>,
-    entry: crate::servers::Entry,
+    entry: crate::endpoints::Entry,
     service: vanepath_config::model::Service,
 ) {
     proxy.tally.one(Counter::Probes);
     let dialect = proxy.daemon.settings.dialect;
-    let mut kept_for = crate::servers::IDLE_MOST;
+    let mut kept_for = crate::endpoints::IDLE_MOST;
     let now = proxy.daemon.clock.now();
-    let fit = |idle: &crate::servers::Idle<crate::pool::Sender>| idle.connection.is_ready();
+    let fit = |idle: &crate::endpoints::Idle<crate::connector::Sender>| idle.connection.is_ready();
     let mut outcome = None;
     let mut is_used = false;
     if let Some(idle) = proxy.servers.take_idle(now, entry.slot, fit) {
         is_used = idle.is_used;
         kept_for = idle.kept_for;
         let mut sender = idle.connection;
-        match crate::pool::greet(dialect, &mut sender, &entry, &service).await {
+        match crate::connector::greet(dialect, &mut sender, &entry, &service).await {
             Ok(greeted) => outcome = Some(Ok((sender, greeted))),
             // Closed while it rested, which says nothing of the server.
             Err(Failure::Broken) => {}
@@ -342,7 +343,7 @@
         None => {
             is_used = false;
             let untidy = proxy.untidy(entry.slot, &entry.server.id);
-            crate::pool::connect(dialect, &entry, &service, untidy).await
+            crate::connector::connect(dialect, &entry, &service, untidy).await
         }
     };
     let now = proxy.daemon.clock.now();
@@ -360,7 +361,7 @@
             if let Some(phase) = moved {
                 log::info!("server {} says that it is {phase}", entry.server.id);
             }
-            let idle = crate::servers::Idle {
+            let idle = crate::endpoints::Idle {
                 connection,
                 greeted_at: now,
                 quiet_since: now,
@@ -377,14 +378,14 @@
     proxy.servers.with(entry.slot, |quick| quick.probing = false);
 }
 
-fn answer_own(proxy: &Proxy, path: &str) -> hyper::Response<daemon::Body> {
+fn answer_own(proxy: &Proxy, path: &str) -> hyper::Response<node::Body> {
     let ready = proxy.is_ready.load(Ordering::Relaxed);
-    if let Some(receipt) = daemon::common(&proxy.daemon, path, ready, |all| proxy.tally.show(all)) {
+    if let Some(receipt) = node::common(&proxy.daemon, path, ready, |all| proxy.tally.show(all)) {
         return receipt;
     }
     if path != "/v1/status" {
         let error = jzon::object! { "error": "no such path" };
-        return daemon::json(hyper::StatusCode::NOT_FOUND, &error);
+        return node::json(hyper::StatusCode::NOT_FOUND, &error);
     }
     let view = proxy.daemon.table.load();
     let now = proxy.daemon.clock.now();
@@ -449,5 +450,5 @@
         "classes": classes,
         "servers": servers,
     };
-    daemon::json(hyper::StatusCode::OK, &status)
+    node::json(hyper::StatusCode::OK, &status)
 }
--- a/proxy/src/paced.rs
+++ b/proxy/src/throttled_body.rs
@@ -1,7 +1,7 @@
 //! A body whose data passes a gate, piece by piece (design 8.10): each piece by its own length, and only
 //! once it is there to be written.
 
-use crate::gate::PIECE;
+use crate::bandwidth_limiter::PIECE;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use std::pin::Pin;
--- a/proxy/tests/cold_rate.rs
+++ b/proxy/tests/cold_rate.rs
@@ -1,9 +1,9 @@
 //! A proxy's part of a cold server's rate, reckoned without sorting all proxies, is what the sorted list says.
 
 use std::time::Duration;
-use vanepath_cluster::daemon::View;
+use vanepath_cluster::node::View;
 use vanepath_cluster::wire;
-use vanepath_proxy::liveness::ColdRate;
+use vanepath_proxy::health::ColdRate;
 
 const ZONES: [&str; 5] = ["a1", "a2", "b1", "b2", "c1"];
 
@@ -33,7 +33,7 @@
         let view = View { setup: setup.clone(), live, ..View::default() };
         for number in 0..40 {
             let zone = ZONES[number % 5];
-            let server = vanepath_config::platform::Server {
+            let server = vanepath_config::endpoint_list::Server {
                 id: format!("s{number}"),
                 address: std::net::SocketAddr::from(([127, 0, 0, 2], 1000 + number as u16)),
                 region: zone[..1].to_string(),
@@ -59,7 +59,7 @@
                 let own = format!("p{own}");
                 let rank = sorted.iter().position(|one| one.3 == own).unwrap_or(sorted.len());
                 let wanted = ColdRate::of(3.0, Duration::from_millis(5000), rank, sorted.len());
-                let found = vanepath_proxy::servers::cold_rate(&view, &own, &server, &[0]);
+                let found = vanepath_proxy::endpoints::cold_rate(&view, &own, &server, &[0]);
                 assert_eq!(found, wanted, "{own} of {daemons} for {}", server.id);
                 parts += usize::from(found.every.is_some());
             }
--- a/proxy/tests/crowding.rs
+++ b/proxy/tests/crowding.rs
@@ -6,11 +6,11 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_cluster::daemon::View;
+use vanepath_cluster::node::View;
 use vanepath_cluster::wire;
-use vanepath_proxy::liveness::ColdRate;
-use vanepath_proxy::longest::Longest;
-use vanepath_proxy::servers::{Answered, Choice, Servers, Want};
+use vanepath_proxy::client_deadlines::Longest;
+use vanepath_proxy::endpoints::{Answered, Choice, Servers, Want};
+use vanepath_proxy::health::ColdRate;
 
 const SETUP: &str = r#"{"classes": [{"name": "c", "urgency": 1, "kind": "repeatable"}],
     "services": [{"name": "s", "selector": "all", "livenessPath": "/", "serverRoom": 1000,
@@ -125,7 +125,7 @@
         let address = |number: usize| std::net::SocketAddr::from(([127, 0, 0, 1], number as u16));
         let servers = (0..ZONES.len() * SERVERS_A_ZONE).map(|number| {
             let zone = ZONES[zone_of(number)];
-            vanepath_config::platform::Server {
+            vanepath_config::endpoint_list::Server {
                 id: format!("s{number}"),
                 address: address(2000 + number),
                 region: zone[..1].to_string(),
@@ -137,7 +137,7 @@
             }
         });
         let servers = servers.collect();
-        let list = Arc::new(vanepath_config::platform::PlatformList { revision: 1, servers });
+        let list = Arc::new(vanepath_config::endpoint_list::PlatformList { revision: 1, servers });
         let card = |number: usize| {
             let zone = ZONES[number / PROXIES_A_ZONE];
             wire::Card {
--- a/proxy/tests/resting.rs
+++ b/proxy/tests/resting.rs
@@ -1,8 +1,8 @@
 //! Which resting connections are used again: by the public face of the table of servers.
 
 use std::time::Duration;
-use vanepath_proxy::liveness::ColdRate;
-use vanepath_proxy::servers::{IDLE_MOST, Idle, QUIET, Servers};
+use vanepath_proxy::endpoints::{IDLE_MOST, Idle, QUIET, Servers};
+use vanepath_proxy::health::ColdRate;
 
 const SETUP: &str = r#"{"classes": [{"name": "c", "urgency": 1, "kind": "repeatable"}],
     "services": [{"name": "s", "selector": "all", "livenessPath": "/"}],
@@ -11,13 +11,13 @@
 /// One server; a connection is its name.
 fn servers() -> (Servers<&'static str>, usize) {
     let setup = vanepath_config::model::parse(SETUP.as_bytes()).unwrap();
-    let list = vanepath_config::platform::parse(
+    let list = vanepath_config::endpoint_list::parse(
         br#"{"revision": 1, "servers": [{"id": "i", "address": "127.0.0.1:9", "region": "a",
              "zone": "a1", "state": "ready"}]}"#,
     );
     let servers = Servers::default();
     let list = list.unwrap();
-    let rate = |_: &vanepath_config::platform::Server, _: &[usize]| ColdRate::default();
+    let rate = |_: &vanepath_config::endpoint_list::Server, _: &[usize]| ColdRate::default();
     servers.adopt(Duration::ZERO, (1, 1), &std::sync::Arc::new(setup), &list, rate);
     let slot = servers.table.load().entries[0].slot;
     (servers, slot)
@@ -89,9 +89,9 @@
 fn a_refusal_closes_what_rests() {
     let (servers, slot) = servers();
     servers.put_idle(slot, idle("one", ms(5000), true));
-    servers.bad(ms(1050), slot, vanepath_proxy::liveness::Failure::Broken);
+    servers.bad(ms(1050), slot, vanepath_proxy::health::Failure::Broken);
     servers.put_idle(slot, idle("two", ms(5000), true));
-    servers.bad(ms(1060), slot, vanepath_proxy::liveness::Failure::Refused);
+    servers.bad(ms(1060), slot, vanepath_proxy::health::Failure::Refused);
     assert_eq!(taken(&servers, slot, ms(1100)), None);
 }
 
@@ -100,7 +100,7 @@
 #[test]
 fn what_rests_stays_below_what_a_server_takes() {
     for proxies in 1..700 {
-        let all = vanepath_proxy::servers::idle_most(490, proxies) * proxies;
+        let all = vanepath_proxy::endpoints::idle_most(490, proxies) * proxies;
         assert!(all <= 245 || all == proxies, "{proxies}: {all}");
     }
 }
--- a/registry/src/api.rs
+++ b/registry/src/api.rs
@@ -1,17 +1,17 @@
 //! The operator's and the callers' interface: HTTP with JSON (design 7.5).
 
-use crate::directory::Caller;
 use crate::shell::{Counter, Registry};
-use crate::store_call::{Step, StoreCall};
+use crate::steering::Caller;
+use crate::store_client::{Step, StoreCall};
 use http_body_util::BodyExt;
 use hyper::StatusCode;
 use hyper::header::{self, HeaderValue};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_cluster::{daemon, wire};
-use vanepath_store::talk::{Ask, Change, Outcome, Value};
+use vanepath_cluster::{node, wire};
+use vanepath_store::protocol::{Ask, Change, Outcome, Value};
 
-type Receipt = hyper::Response<daemon::Body>;
+type Receipt = hyper::Response<node::Body>;
 
 const KEY_MOST: usize = 128;
 
@@ -24,7 +24,7 @@
     let path = path.strip_prefix("/vanepath").unwrap_or(&path).to_string();
     let ready = registry.is_ready.load(std::sync::atomic::Ordering::Relaxed);
     let tally = &registry.tally;
-    if let Some(receipt) = daemon::common(&registry.daemon, &path, ready, |all| tally.show(all)) {
+    if let Some(receipt) = node::common(&registry.daemon, &path, ready, |all| tally.show(all)) {
         return receipt;
     }
     let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
@@ -57,11 +57,11 @@
 }
 
 fn fault(status: StatusCode, message: &str) -> Receipt {
-    daemon::json(status, &jzon::object! { "error": message })
+    node::json(status, &jzon::object! { "error": message })
 }
 
 fn come_back(status: StatusCode, value: &jzon::JsonValue, after_s: u32) -> Receipt {
-    let mut receipt = daemon::json(status, value);
+    let mut receipt = node::json(status, value);
     receipt.headers_mut().insert(header::RETRY_AFTER, HeaderValue::from(after_s));
     receipt
 }
@@ -75,7 +75,7 @@
         registry.is_ready.load(std::sync::atomic::Ordering::Relaxed) && registry.daemon.is_awake();
     let settings = &registry.daemon.settings;
     let own = (settings.zone.as_str(), settings.region.as_str());
-    let steered = crate::directory::steer(&view, is_ready, own, query, daemon::random());
+    let steered = crate::steering::steer(&view, is_ready, own, query, node::random());
     if steered.is_first {
         registry.tally.one(Counter::SteerPollsFirst);
     }
@@ -83,17 +83,17 @@
         registry.tally.one(Counter::SteerEchoesBad);
     }
     match steered.receipt {
-        Ok(receipt) => daemon::json(StatusCode::OK, &receipt),
+        Ok(receipt) => node::json(StatusCode::OK, &receipt),
         Err(why) => steers_nobody(registry, why),
     }
 }
 
 /// Why there is no order from here; another directory may have one.
-fn steers_nobody(registry: &Registry, why: crate::directory::NoReceipt) -> Receipt {
+fn steers_nobody(registry: &Registry, why: crate::steering::NoReceipt) -> Receipt {
     registry.tally.one(match why {
-        crate::directory::NoReceipt::Behind => Counter::SteerRefusedBehind,
-        crate::directory::NoReceipt::CutOff => Counter::SteerRefusedCutOff,
-        crate::directory::NoReceipt::NotReady => Counter::SteerRefusedNotReady,
+        crate::steering::NoReceipt::Behind => Counter::SteerRefusedBehind,
+        crate::steering::NoReceipt::CutOff => Counter::SteerRefusedCutOff,
+        crate::steering::NoReceipt::NotReady => Counter::SteerRefusedNotReady,
     });
     let error = jzon::object! { "error": why.to_string() };
     come_back(StatusCode::SERVICE_UNAVAILABLE, &error, 1)
@@ -106,8 +106,8 @@
     let settings = &registry.daemon.settings;
     let own = (settings.zone.as_str(), settings.region.as_str());
     let is_ready = view.is_fresh && registry.daemon.is_awake() && !registry.daemon.is_stopping();
-    match crate::directory::addresses(&view, is_ready, own, query, daemon::random()) {
-        Ok(answer) => daemon::json(StatusCode::OK, &answer),
+    match crate::steering::addresses(&view, is_ready, own, query, node::random()) {
+        Ok(answer) => node::json(StatusCode::OK, &answer),
         Err(why) => steers_nobody(registry, why),
     }
 }
@@ -119,7 +119,7 @@
     let now = || registry.daemon.clock.now();
     let mut store_call = StoreCall::new(question, now());
     loop {
-        let stores = crate::store_call::stores(&registry.daemon.table.load());
+        let stores = crate::store_client::stores(&registry.daemon.table.load());
         match store_call.next(now(), stores) {
             Step::Pause(pause) => tokio::time::sleep(pause).await,
             Step::End(outcome) => return outcome,
@@ -129,7 +129,7 @@
                 let request = wire::Request::Store(wire::encode(&question).into());
                 let other_zone = card.zone != registry.daemon.settings.zone;
                 let links = &registry.daemon.links;
-                let limit = crate::store_call::TRY_LIMIT;
+                let limit = crate::store_client::TRY_LIMIT;
                 let tell = match links.call(card.sibling_address, &request, limit, other_zone).await
                 {
                     Ok(wire::Reply::Store(bytes)) => wire::decode(&bytes),
@@ -149,11 +149,11 @@
 /// Tells all stores something that needs no reply.
 fn tell_stores(registry: &Registry, told: &Ask) {
     let request = wire::Request::Store(wire::encode(told).into());
-    for card in crate::store_call::stores(&registry.daemon.table.load()) {
+    for card in crate::store_client::stores(&registry.daemon.table.load()) {
         let (links, request) = (registry.daemon.links.clone(), request.clone());
         let other_zone = card.zone != registry.daemon.settings.zone;
         tokio::spawn(async move {
-            let limit = crate::store_call::TRY_LIMIT;
+            let limit = crate::store_client::TRY_LIMIT;
             let _ = links.call(card.sibling_address, &request, limit, other_zone).await;
         });
     }
@@ -187,7 +187,7 @@
 fn key_of(headers: &hyper::HeaderMap) -> Result<Key, Receipt> {
     match headers.get("idempotency-key") {
         None => {
-            let text = format!("{:016x}{:016x}", daemon::random(), daemon::random());
+            let text = format!("{:016x}{:016x}", node::random(), node::random());
             Ok(Key { text, is_made: true })
         }
         Some(value) => match value.to_str() {
@@ -268,7 +268,7 @@
         }
     };
     value["submission"] = key.into();
-    daemon::json(status, &value)
+    node::json(status, &value)
 }
 
 async fn write_setup(
@@ -324,9 +324,9 @@
 fn refused(status: StatusCode, faults: &[vanepath_config::Fault]) -> Receipt {
     let value = jzon::object! {
         "outcome": "nothing-done",
-        "faults": vanepath_config::read::faults_as_json(faults),
+        "faults": vanepath_config::json_reader::faults_as_json(faults),
     };
-    daemon::json(status, &value)
+    node::json(status, &value)
 }
 
 /// Whether anything that this registry knows of stands in a zone of that name.
@@ -373,7 +373,7 @@
 }
 
 fn setup_receipt(value: &Value) -> Receipt {
-    let mut receipt = hyper::Response::new(daemon::body(value.setup.clone()));
+    let mut receipt = hyper::Response::new(node::body(value.setup.clone()));
     let headers = receipt.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     headers.insert(header::CACHE_CONTROL, HeaderValue::from_static("no-store"));
@@ -403,7 +403,7 @@
         Ok(Outcome::Value { value }) if value.setup_revision > 0 => setup_receipt(&value),
         Ok(Outcome::NoSuchRevision { latest }) => {
             let value = jzon::object! { "error": "no such revision", "latest": latest };
-            daemon::json(StatusCode::NOT_FOUND, &value)
+            node::json(StatusCode::NOT_FOUND, &value)
         }
         Ok(_) => fault(StatusCode::NOT_FOUND, "no setup was in force at that revision"),
         Err(receipt) => receipt,
@@ -433,7 +433,7 @@
                 "orders": orders_as_json(&value.emptied, &value.further_orders),
                 "revision": value.revision,
             };
-            daemon::json(StatusCode::OK, &value)
+            node::json(StatusCode::OK, &value)
         }
         Ok(_) => fault(StatusCode::INTERNAL_SERVER_ERROR, "a store replied to another question"),
         Err(receipt) => receipt,
@@ -458,7 +458,7 @@
                     "why": "no write under this key is among the last ones in force",
                     "revision": value.revision,
                 };
-                daemon::json(StatusCode::NOT_FOUND, &value)
+                node::json(StatusCode::NOT_FOUND, &value)
             }
         },
         Ok(_) => fault(StatusCode::INTERNAL_SERVER_ERROR, "a store replied to another question"),
@@ -473,9 +473,9 @@
 const DETAILS_LIMIT: std::time::Duration = std::time::Duration::from_millis(2500);
 
 /// What is known, with what proxies see of servers.
-async fn with_details(registry: &Registry) -> std::sync::Arc<daemon::View> {
+async fn with_details(registry: &Registry) -> std::sync::Arc<node::View> {
     let daemon = &registry.daemon;
-    let _ = daemon.news.send(daemon::Tell(vanepath_cluster::news::Event::WantDetails)).await;
+    let _ = daemon.news.send(node::Tell(vanepath_cluster::gossip::Event::WantDetails)).await;
     let until = daemon.clock.now() + DETAILS_LIMIT;
     loop {
         let view = daemon.table.load_full();
@@ -489,7 +489,7 @@
 async fn status(registry: &Registry) -> Receipt {
     let daemon = &registry.daemon;
     let view = with_details(registry).await;
-    let sources = daemon.news.send(daemon::Sources).await.unwrap_or_default();
+    let sources = daemon.news.send(node::Sources).await.unwrap_or_default();
     let daemons: Vec<jzon::JsonValue> = view
         .live
         .iter()
@@ -523,10 +523,10 @@
         region: daemon.settings.region.clone(),
         bucket: 0,
     };
-    let places = crate::directory::places(&view);
+    let places = crate::steering::places(&view);
     let rules: Vec<jzon::JsonValue> = (0..view.setup.rules.len())
         .map(|rule| {
-            let steps = crate::directory::order(&view, &places, rule, &caller);
+            let steps = crate::steering::order(&view, &places, rule, &caller);
             let order: Vec<jzon::JsonValue> = steps
                 .iter()
                 .map(|step| {
@@ -576,14 +576,14 @@
         "ordersFromHere": rules,
         "servers": servers,
     };
-    daemon::json(StatusCode::OK, &value)
+    node::json(StatusCode::OK, &value)
 }
 
 /// A server with the reason why it is or isn't given work, as all proxies together see it.
 fn server_status(
-    view: &daemon::View,
-    sources: &[vanepath_cluster::news::Source],
-    server: &vanepath_config::platform::Server,
+    view: &node::View,
+    sources: &[vanepath_cluster::gossip::Source],
+    server: &vanepath_config::endpoint_list::Server,
 ) -> jzon::JsonValue {
     let viewpoint = vanepath_config::selector::Viewpoint::default();
     let services: Vec<&str> = view
@@ -595,7 +595,7 @@
         .collect();
     let mut phases: std::collections::BTreeMap<&str, u32> = Default::default();
     let mut demand_milli = 0;
-    let is_live = |source: &&vanepath_cluster::news::Source| {
+    let is_live = |source: &&vanepath_cluster::gossip::Source| {
         view.live.iter().any(|(card, _)| card.name == source.card.name)
     };
     for source in sources.iter().filter(is_live) {
@@ -627,7 +627,7 @@
         "address": server.address.to_string(),
         "region": server.region.as_str(),
         "zone": server.zone.as_str(),
-        "labels": vanepath_config::platform::labels_as_json(&server.labels),
+        "labels": vanepath_config::endpoint_list::labels_as_json(&server.labels),
         "leaving": server.leaving,
         "live": is_live,
         "services": services,
--- a/registry/src/duty.rs
+++ b/registry/src/leader.rs
@@ -1,6 +1,6 @@
 //! The duty of one registry: the plan of shares, under an epoch (design 5.6, 7.4). Pure.
 
-use vanepath_cluster::{daemon::View, news::Source, wire};
+use vanepath_cluster::{gossip::Source, node::View, wire};
 
 /// A server does no more than all of its work, in thousandths, whatever it tells.
 const DEMAND_MOST: u32 = 1000;
@@ -132,7 +132,7 @@
     let demand = demand(proxies);
     for (index, service) in view.setup.services.iter().enumerate() {
         let before = view.plan.moved.get(&service.name).cloned().unwrap_or_default();
-        let shares = crate::shares::next(&zones(view, proxies, &demand, index), &before);
+        let shares = crate::traffic_shift::next(&zones(view, proxies, &demand, index), &before);
         if !shares.is_empty() {
             moved.insert(service.name.clone(), shares);
         }
@@ -161,8 +161,9 @@
     proxies: &[&Source],
     demand: &Demand<'_>,
     service: usize,
-) -> std::collections::BTreeMap<String, crate::shares::Zone> {
-    let mut zones: std::collections::BTreeMap<String, crate::shares::Zone> = Default::default();
+) -> std::collections::BTreeMap<String, crate::traffic_shift::Zone> {
+    let mut zones: std::collections::BTreeMap<String, crate::traffic_shift::Zone> =
+        Default::default();
     let mut taken = 0.0;
     for source in proxies {
         let zone = zones.entry(source.card.zone.clone()).or_default();
--- a/registry/src/duty/tests.rs
+++ b/registry/src/leader/tests.rs
@@ -1,8 +1,8 @@
 use super::{Tenure, next};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_cluster::daemon::View;
-use vanepath_cluster::news::{Event, News};
+use vanepath_cluster::gossip::{Event, News};
+use vanepath_cluster::node::View;
 use vanepath_cluster::wire;
 
 fn card(name: &str, role: wire::Role, zone: &str, port: u16) -> wire::Card {
@@ -51,7 +51,7 @@
         {"id": "s2", "address": "127.0.0.1:1002", "region": "b", "zone": "b1", "state": "ready"}]}"#;
     let (mut view, _) = View::of(&news, &View::default(), now);
     view.setup = Arc::new(setup.unwrap());
-    view.platform = Arc::new(vanepath_config::platform::parse(list).unwrap());
+    view.platform = Arc::new(vanepath_config::endpoint_list::parse(list).unwrap());
     view.is_fresh = true;
     view.knows_details = true;
     (news, view)
--- a/registry/src/lib.rs
+++ b/registry/src/lib.rs
@@ -2,10 +2,10 @@
 //! that callers poll (design 7). It keeps nothing on disk.
 
 pub mod api;
-pub mod directory;
-pub mod duty;
-pub mod list_reader;
-pub mod platform;
-pub mod shares;
+pub mod leader;
+pub mod list_poller;
+pub mod list_sequencer;
 pub mod shell;
-pub mod store_call;
+pub mod steering;
+pub mod store_client;
+pub mod traffic_shift;
--- a/registry/src/platform.rs
+++ b/registry/src/list_poller.rs
@@ -1,12 +1,12 @@
 //! Polling of the platform list (design 4). Whatever goes wrong, the last good list stays.
 
-use crate::list_reader::{Effect, ListReader, READ_MOST};
+use crate::list_sequencer::{Effect, ListReader, READ_MOST};
 use crate::shell::Counter;
 use http_body_util::BodyExt;
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_cluster::{daemon, news};
-use vanepath_config::platform::{PlatformList, Server};
+use vanepath_cluster::{gossip, node};
+use vanepath_config::endpoint_list::{PlatformList, Server};
 
 /// A platform that numbers its lists is asked so often, by every registry.
 pub const EVERY: Duration = Duration::from_millis(500);
@@ -41,7 +41,7 @@
 
 /// What a reply of the platform amounts to, and the list where it is good.
 pub fn heard(last: &PlatformList, bytes: &[u8]) -> (State, Option<PlatformList>) {
-    match vanepath_config::platform::parse(bytes) {
+    match vanepath_config::endpoint_list::parse(bytes) {
         Err(_) => (State::Malformed, None),
         Ok(list) => {
             let verdict = judge(last, &list);
@@ -51,7 +51,7 @@
 }
 
 pub async fn run(
-    daemon: Arc<daemon::Daemon>,
+    daemon: Arc<node::Daemon>,
     tally: Arc<crate::shell::Tally>,
     state: Arc<std::sync::Mutex<State>>,
 ) {
@@ -61,7 +61,7 @@
     let dialect = daemon.settings.dialect;
     let mut sender = None;
     let mut etag: Option<hyper::header::HeaderValue> = None;
-    let mut reader = ListReader::new(&daemon.card.name, daemon::random());
+    let mut reader = ListReader::new(&daemon.card.name, node::random());
     let mut is_numbered = false;
     let mut tried_at: Option<Duration> = None;
     let mut pulse = tokio::time::interval(PULSE);
@@ -116,8 +116,8 @@
                 tally.one(Counter::PlatformChanges);
                 note(&list, daemon.clock.now().saturating_sub(began_at));
             }
-            let event = news::Event::ListRead { list, began_at };
-            let _ = daemon.news.send(daemon::Tell(event)).await;
+            let event = gossip::Event::ListRead { list, began_at };
+            let _ = daemon.news.send(node::Tell(event)).await;
         }
         if found != State::Good {
             tally.one(Counter::PlatformReadsBad);
@@ -142,7 +142,7 @@
     );
 }
 
-type Sender = hyper::client::conn::http1::SendRequest<daemon::Body>;
+type Sender = hyper::client::conn::http1::SendRequest<node::Body>;
 type Tag = Option<hyper::header::HeaderValue>;
 
 /// What a read of the platform's list found.
@@ -158,7 +158,7 @@
 struct Source<'s> {
     address: std::net::SocketAddr,
     path: &'s str,
-    dialect: vanepath_config::dialect::Spoken,
+    dialect: vanepath_config::wire_format::Spoken,
     zones: &'s std::collections::BTreeMap<String, String>,
 }
 
@@ -223,10 +223,10 @@
     if let Some(etag) = etag {
         request = request.header(hyper::header::IF_NONE_MATCH, etag);
     }
-    let request = request.body(daemon::body(bytes::Bytes::new())).map_err(|_| ())?;
+    let request = request.body(node::body(bytes::Bytes::new())).map_err(|_| ())?;
     let receipt = sender.send_request(request).await.map_err(|_| ())?;
     let (head, body) = receipt.into_parts();
-    let body = http_body_util::Limited::new(body, vanepath_config::platform::BYTES_MOST);
+    let body = http_body_util::Limited::new(body, vanepath_config::endpoint_list::BYTES_MOST);
     let bytes = body.collect().await.map_err(|_| ())?.to_bytes();
     match head.status {
         hyper::StatusCode::NOT_MODIFIED => Ok(None),
--- a/registry/src/platform/tests.rs
+++ b/registry/src/list_poller/tests.rs
@@ -7,7 +7,7 @@
                          "state": "ready"}"#;
         let servers = if is_empty { "" } else { server };
         let text = format!(r#"{{"revision": {revision}, "servers": [{servers}]}}"#);
-        vanepath_config::platform::parse(text.as_bytes()).unwrap()
+        vanepath_config::endpoint_list::parse(text.as_bytes()).unwrap()
     };
     let last = list(5, false);
     assert_eq!(super::judge(&last, &list(6, false)), State::Good);
--- a/registry/src/list_reader.rs
+++ b/registry/src/list_sequencer.rs
@@ -8,9 +8,9 @@
 
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_cluster::daemon::View;
+use vanepath_cluster::node::View;
 use vanepath_cluster::wire::Role;
-use vanepath_config::platform::{PlatformList, Server};
+use vanepath_config::endpoint_list::{PlatformList, Server};
 
 /// The first live registry reads again so long after its last read began.
 const FIRST_EVERY: Duration = Duration::from_millis(600);
--- a/registry/src/list_reader/tests.rs
+++ b/registry/src/list_sequencer/tests.rs
@@ -1,9 +1,9 @@
 use super::{Effect, ListReader, READ_MOST};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_cluster::daemon::View;
+use vanepath_cluster::node::View;
 use vanepath_cluster::wire;
-use vanepath_config::platform::{PlatformList, Server};
+use vanepath_config::endpoint_list::{PlatformList, Server};
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
--- a/registry/src/main.rs
+++ b/registry/src/main.rs
@@ -6,9 +6,9 @@
     match vanepath_config::settings::start(role, &arguments)? {
         vanepath_config::settings::Start::Say(text) => println!("{text}"),
         vanepath_config::settings::Start::Run(settings) => {
-            vanepath_cluster::daemon::logs();
+            vanepath_cluster::node::logs();
             let grace = settings.grace;
-            vanepath_cluster::daemon::runtime(grace, vanepath_registry::shell::run(*settings))?;
+            vanepath_cluster::node::runtime(grace, vanepath_registry::shell::run(*settings))?;
         }
     }
     Ok(())
--- a/registry/src/shell.rs
+++ b/registry/src/shell.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_cluster::{daemon, news, wire};
+use vanepath_cluster::{gossip, node, wire};
 
 vanepath_cluster::counters! {
     /// What a registry counts.
@@ -29,12 +29,12 @@
     }
 }
 
-pub type Tally = vanepath_cluster::tally::Tally<Counter>;
+pub type Tally = vanepath_cluster::counters::Tally<Counter>;
 
 pub struct Registry {
-    pub daemon: Arc<daemon::Daemon>,
+    pub daemon: Arc<node::Daemon>,
     pub tally: Arc<Tally>,
-    pub platform: Arc<std::sync::Mutex<crate::platform::State>>,
+    pub platform: Arc<std::sync::Mutex<crate::list_poller::State>>,
     pub is_ready: std::sync::atomic::AtomicBool,
 }
 
@@ -47,18 +47,18 @@
 
 /// Runs a registry until it is told to stop.
 pub async fn run(settings: vanepath_config::settings::Settings) -> Result<(), miette::Report> {
-    let listener = daemon::bind("listen", settings.listen).await?;
+    let listener = node::bind("listen", settings.listen).await?;
     let grace = settings.grace;
-    let daemon = daemon::Daemon::start(settings, None).await?;
+    let daemon = node::Daemon::start(settings, None).await?;
     let tally: Arc<Tally> = Arc::default();
-    let platform = Arc::new(std::sync::Mutex::new(crate::platform::State::NotYetRead));
+    let platform = Arc::new(std::sync::Mutex::new(crate::list_poller::State::NotYetRead));
     let registry = Arc::new(Registry {
         daemon: daemon.clone(),
         tally: tally.clone(),
         platform: platform.clone(),
         is_ready: std::sync::atomic::AtomicBool::new(false),
     });
-    tokio::spawn(crate::platform::run(daemon.clone(), tally.clone(), platform));
+    tokio::spawn(crate::list_poller::run(daemon.clone(), tally.clone(), platform));
     let keeper = Keeper {
         registry: registry.clone(),
         step_at: Duration::ZERO,
@@ -79,11 +79,11 @@
     let handler = move |request: hyper::Request<hyper::body::Incoming>| {
         crate::api::answer(registry.clone(), request)
     };
-    let http = daemon::HttpSettings::default();
+    let http = node::HttpSettings::default();
     if let Some(address) = daemon.settings.directory_listen {
-        let listener = daemon::bind("directoryListen", address).await?;
+        let listener = node::bind("directoryListen", address).await?;
         let stop = daemon.stop.clone();
-        tokio::spawn(daemon::serve_http(listener, stop, http, handler.clone()));
+        tokio::spawn(node::serve_http(listener, stop, http, handler.clone()));
     }
     let mut stop = daemon.stop.clone();
     let cut = async {
@@ -91,7 +91,7 @@
         tokio::time::sleep(grace).await;
     };
     tokio::select! {
-        _ = daemon::serve_http(listener, daemon.stop.clone(), http, handler) => {}
+        _ = node::serve_http(listener, daemon.stop.clone(), http, handler) => {}
         _ = cut => {}
     }
     // A moment for the siblings to hear that it leaves.
@@ -106,7 +106,7 @@
     step_at: Duration,
     /// What it sees is looked at again then.
     look_at: Duration,
-    tenure: crate::duty::Tenure,
+    tenure: crate::leader::Tenure,
 }
 
 struct Pulse;
@@ -129,7 +129,7 @@
             leaving: daemon.is_stopping(),
             revision: view.word.revision,
             settled: may_hold,
-            whole: crate::duty::is_whole(&view),
+            whole: crate::leader::is_whole(&view),
             ..wire::Report::default()
         };
         daemon.report(report).await;
@@ -142,7 +142,7 @@
         if began < self.look_at {
             return;
         }
-        let Ok(sources) = daemon.news.send(daemon::Sources).await else {
+        let Ok(sources) = daemon.news.send(node::Sources).await else {
             return;
         };
         let now = daemon.clock.now();
@@ -150,7 +150,7 @@
         if may_move {
             self.step_at = now + STEP_SHOWS_AFTER;
         }
-        let plan = crate::duty::next(&view, &daemon.card.name, &sources, may_move);
+        let plan = crate::leader::next(&view, &daemon.card.name, &sources, may_move);
         let ended = daemon.clock.now();
         self.look_at = ended + ((ended - began) * REST_TIMES).min(STEP_SHOWS_AFTER);
         if let Some(plan) = plan {
@@ -158,7 +158,7 @@
                 log::info!("has the duty of shares from epoch {} on", plan.epoch);
             }
             self.registry.tally.one(Counter::PlansMade);
-            let _ = daemon.news.send(daemon::Tell(news::Event::Plan(Arc::new(plan)))).await;
+            let _ = daemon.news.send(node::Tell(gossip::Event::Plan(Arc::new(plan)))).await;
         }
     }
 }
--- a/registry/src/directory.rs
+++ b/registry/src/steering.rs
@@ -1,7 +1,7 @@
 //! The directory: the steering design. For each caller that asks an ordered list of places and
 //! how long it holds, from memory alone (design 7.1 to 7.3). Pure.
 
-use vanepath_cluster::daemon::View;
+use vanepath_cluster::node::View;
 use vanepath_cluster::wire::Role;
 use vanepath_config::selector::{Selector, Viewpoint};
 
@@ -45,7 +45,9 @@
             return None;
         };
         let bucket = bucket.parse().ok().filter(|bucket| *bucket < BUCKETS)?;
-        if !vanepath_config::read::is_name(zone) || !vanepath_config::read::is_name(region) {
+        if !vanepath_config::json_reader::is_name(zone)
+            || !vanepath_config::json_reader::is_name(region)
+        {
             return None;
         }
         let (zone, region) = (zone.to_string(), region.to_string());
@@ -330,7 +332,8 @@
         Some(_) if view.is_alone || view.is_cut_off => return none(NoReceipt::CutOff),
         Some(echo) => echo.caller,
         None => {
-            let name = |key: &str| get(key).filter(|name| vanepath_config::read::is_name(name));
+            let name =
+                |key: &str| get(key).filter(|name| vanepath_config::json_reader::is_name(name));
             let zone = name("zone").unwrap_or(own.0);
             // The region of a zone that is known here; what a caller says of others is taken.
             let known = view.live.iter().find(|(card, _)| card.zone == zone);
--- a/registry/src/directory/tests.rs
+++ b/registry/src/steering/tests.rs
@@ -1,6 +1,6 @@
 use super::{Caller, Echo, order, places};
 use std::sync::Arc;
-use vanepath_cluster::daemon::View;
+use vanepath_cluster::node::View;
 use vanepath_cluster::wire;
 
 fn view(rules: &str) -> View {
--- a/registry/src/store_call.rs
+++ b/registry/src/store_client.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 use vanepath_cluster::wire;
-use vanepath_store::orders;
-use vanepath_store::talk::{Ask, Change, Outcome, Tell};
+use vanepath_store::protocol::{Ask, Change, Outcome, Tell};
+use vanepath_store::retransmission;
 
 /// A question is asked again for so long.
 pub const LIMIT: Duration = Duration::from_millis(4000);
@@ -67,7 +67,7 @@
             return None;
         }
         let Outcome::Accepted { revision, .. } = outcome else { return None };
-        let is_in_time = *waited + now.saturating_sub(self.begun_at) < orders::SURE_WITHIN;
+        let is_in_time = *waited + now.saturating_sub(self.begun_at) < retransmission::SURE_WITHIN;
         let (matter, revision) = (change.matter(), *revision);
         is_in_time.then_some(Ask::Answered { matter, revision })
     }
@@ -119,7 +119,7 @@
 }
 
 /// Live stores that vote, in the order of the table of seats: the first of them proposes.
-pub fn stores(view: &vanepath_cluster::daemon::View) -> Vec<wire::Card> {
+pub fn stores(view: &vanepath_cluster::node::View) -> Vec<wire::Card> {
     let is_there = |report: &wire::Report| report.ready && !report.leaving;
     let mut stores: Vec<(Option<u8>, &wire::Card)> = view
         .live
--- a/registry/src/store_call/tests.rs
+++ b/registry/src/store_client/tests.rs
@@ -1,7 +1,7 @@
 use super::{LIMIT, Step, StoreCall, TRY_LIMIT};
 use std::time::Duration;
 use vanepath_cluster::wire;
-use vanepath_store::talk::{Ask, Change, Outcome, Tell};
+use vanepath_store::protocol::{Ask, Change, Outcome, Tell};
 
 fn store(number: u8) -> wire::Card {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 7000 + u16::from(number)));
--- a/registry/tests/world/mod.rs
+++ b/registry/tests/world/mod.rs
@@ -4,11 +4,11 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_cluster::daemon::View;
-use vanepath_cluster::news::{Effect, Event, News};
+use vanepath_cluster::gossip::{Effect, Event, News};
+use vanepath_cluster::node::View;
 use vanepath_cluster::wire;
-use vanepath_config::platform::{PlatformList, Server};
-use vanepath_registry::list_reader::{Effect as Reads, ListReader, READ_MOST};
+use vanepath_config::endpoint_list::{PlatformList, Server};
+use vanepath_registry::list_sequencer::{Effect as Reads, ListReader, READ_MOST};
 
 /// What happens on a day.
 pub struct Plan {
--- a/store/src/register.rs
+++ b/store/src/consensus.rs
@@ -8,9 +8,9 @@
 mod proposer;
 mod reader;
 
-use crate::orders::Orders;
-use crate::talk::{Ask, Ballot, Change, Digest, Membership, Meta, Outcome, Seats};
-use crate::talk::{GENESIS, Tell, Value, holders, seat_of};
+use crate::protocol::{Ask, Ballot, Change, Digest, Membership, Meta, Outcome, Seats};
+use crate::protocol::{GENESIS, Tell, Value, holders, seat_of};
+use crate::retransmission::Orders;
 pub use change::rescued;
 use change::{changed, genesis, owned, seated};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -245,7 +245,7 @@
 /// Silent for so long when asked directly, a holder is lost even if the news still have it.
 const SILENT_AFTER: Duration = Duration::from_millis(1500);
 /// What lies further back than so many bytes is not kept once the disk holds the most.
-const CHAIN_BYTES_MOST: usize = crate::talk::HISTORY_BYTES_MOST / 4 * 3;
+const CHAIN_BYTES_MOST: usize = crate::protocol::HISTORY_BYTES_MOST / 4 * 3;
 /// Versions, and bytes of them, that one reply to a copy that lacks them holds.
 const FETCH_MOST: usize = 64;
 const FETCH_BYTES_MOST: usize = 1 << 20;
--- a/store/src/register/acceptor.rs
+++ b/store/src/consensus/acceptor.rs
@@ -3,10 +3,10 @@
 
 use super::{Aside, At, Effect, Kept, Op, Register, Write, owned};
 use super::{CHAIN_BYTES_MOST, FETCH_MOST, QUEUE_MOST};
-use crate::orders::Verdict;
-use crate::talk::{
+use crate::protocol::{
     Ask, Ballot, Digest, GENESIS, Membership, Meta, Outcome, Refusal, Tell, Value, seat_of,
 };
+use crate::retransmission::Verdict;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
@@ -61,7 +61,7 @@
                     let may_begin = value.revision == 0
                         && !holder.admitted
                         && self.identity.founders == value.seats.len();
-                    let digest = crate::talk::digest_of(&value.encode());
+                    let digest = crate::protocol::digest_of(&value.encode());
                     let has_it = self.state.accepted.is_some_and(|meta| meta.digest == digest);
                     if !(has_it || (self.is_blank() && may_begin)) {
                         return self.refuse(ticket, Refusal::NoVote, effects);
@@ -205,7 +205,7 @@
         effects: &mut Vec<Effect>,
     ) -> bool {
         let bytes = value.encode();
-        let digest = crate::talk::digest_of(&bytes);
+        let digest = crate::protocol::digest_of(&bytes);
         let meta = Meta { ballot, revision: value.revision, digest };
         if let Some(accepted) = self.state.accepted {
             if accepted.rank() > meta.rank() {
@@ -230,7 +230,7 @@
         self.before.clear();
         for one in before.into_iter().rev().take(value.together as usize) {
             let bytes = one.encode();
-            if one.revision != revision || crate::talk::digest_of(&bytes) != wanted {
+            if one.revision != revision || crate::protocol::digest_of(&bytes) != wanted {
                 break;
             }
             self.keep(&one, wanted, bytes, &mut writes);
@@ -281,7 +281,7 @@
             };
             chain.push(at);
             bytes += one.bytes;
-            let is_full = chain.len() >= crate::talk::HISTORY || bytes >= CHAIN_BYTES_MOST;
+            let is_full = chain.len() >= crate::protocol::HISTORY || bytes >= CHAIN_BYTES_MOST;
             if at.0 == 0 || is_full {
                 return (chain, None);
             }
@@ -294,8 +294,8 @@
     pub(super) fn prune(&mut self, writes: &mut Vec<Write>) {
         let total: usize = self.kept.values().map(Vec::len).sum();
         let bytes: usize = self.kept.values().flatten().map(|one| one.bytes).sum();
-        let is_heavy = bytes > crate::talk::HISTORY_BYTES_MOST;
-        if total <= crate::talk::HISTORY + 64 && !is_heavy {
+        let is_heavy = bytes > crate::protocol::HISTORY_BYTES_MOST;
+        if total <= crate::protocol::HISTORY + 64 && !is_heavy {
             return;
         }
         let accepted = self.state.accepted.map(|meta| (meta.revision, meta.digest));
@@ -341,7 +341,7 @@
                 let mut writes = Vec::new();
                 for value in values {
                     let bytes = value.encode();
-                    if crate::talk::digest_of(&bytes) != wanted.1 {
+                    if crate::protocol::digest_of(&bytes) != wanted.1 {
                         break;
                     }
                     let digest = wanted.1;
--- a/store/src/register/change.rs
+++ b/store/src/consensus/change.rs
@@ -2,8 +2,8 @@
 //! copy goes on (design 6.2 to 6.6). Pure functions of a value.
 
 use super::{State, Vacancy};
-use crate::orders::Verdict;
-use crate::talk::{Ballot, Change, Digest, Holder, Meta, Outcome, Seats, Value, seat_of};
+use crate::protocol::{Ballot, Change, Digest, Holder, Meta, Outcome, Seats, Value, seat_of};
+use crate::retransmission::Verdict;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -86,7 +86,7 @@
             }
             false
         }
-        Change::Empty { zone } if value.orders(zone) >= crate::talk::ORDERS_MOST => {
+        Change::Empty { zone } if value.orders(zone) >= crate::protocol::ORDERS_MOST => {
             let why = "too many orders to empty this zone stand".to_string();
             return Err(Outcome::NothingDone { why });
         }
@@ -103,7 +103,7 @@
         let (revision, setup_revision) = (value.revision, value.setup_revision);
         return Err(Outcome::Accepted { revision, setup_revision, repeat: true });
     }
-    next.keys.push_back(crate::talk::Submission {
+    next.keys.push_back(crate::protocol::Submission {
         key: key.to_string(),
         matter: change.matter(),
         revision: next.revision,
@@ -146,7 +146,7 @@
     next.seats = vec![None; value.seats.len()];
     next.seats[seat] = Some(Holder { name: name.to_string(), incarnation, admitted: true });
     let ballot = Ballot { number: state.promised.number + 1_000_000, incarnation };
-    let digest = crate::talk::digest_of(&next.encode());
+    let digest = crate::protocol::digest_of(&next.encode());
     let accepted = Some(Meta { ballot, revision: next.revision, digest });
     (State { incarnation: state.incarnation, promised: ballot, accepted }, next)
 }
--- a/store/src/register/membership.rs
+++ b/store/src/consensus/membership.rs
@@ -4,7 +4,7 @@
 
 use super::{Aside, Claim, Copy, Effect, Job, Op, Phase, Register, Vacancy, genesis};
 use super::{BEHIND_AFTER, MEMBERSHIP_EVERY, PING_EVERY, PING_SELDOM, SILENT_AFTER};
-use crate::talk::{Ask, Ballot, GENESIS, Holder, Membership, holders, quorum, seat_of};
+use crate::protocol::{Ask, Ballot, GENESIS, Holder, Membership, holders, quorum, seat_of};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -236,7 +236,7 @@
                 match (is_seated, self.is_blank()) {
                     (true, true) => {
                         if best.value.as_ref().is_none_or(|value| {
-                            crate::talk::digest_of(&value.encode()) != best.accepted.digest
+                            crate::protocol::digest_of(&value.encode()) != best.accepted.digest
                         }) {
                             continue;
                         }
--- a/store/src/register/proposer.rs
+++ b/store/src/consensus/proposer.rs
@@ -4,10 +4,10 @@
 
 use super::{Aside, BATCH_BYTES_MOST, BATCH_MOST, QUEUE_MOST, TRIES_MOST, Watched, Write};
 use super::{Copy, Effect, Job, Op, Phase, Register, Vacancy, changed, owned, seated};
-use crate::orders::Verdict;
-use crate::talk::{
+use crate::protocol::{
     Ask, Ballot, Change, GENESIS, Meta, Outcome, Refusal, Tell, Value, holders, quorum, seat_of,
 };
+use crate::retransmission::Verdict;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -127,7 +127,8 @@
                 let has_it = self.state.accepted.is_some_and(|meta| meta.digest == accepted.digest);
                 let told = match value {
                     Some(value) => {
-                        let is_whole = crate::talk::digest_of(&value.encode()) == accepted.digest;
+                        let is_whole =
+                            crate::protocol::digest_of(&value.encode()) == accepted.digest;
                         let before = before.into_iter().map(Arc::new).collect();
                         is_whole.then(|| (Arc::new(value), before))
                     }
@@ -366,7 +367,7 @@
         {
             accepts.insert(from);
         }
-        let digest = crate::talk::digest_of(&value.encode());
+        let digest = crate::protocol::digest_of(&value.encode());
         let meta = Meta { ballot, revision: value.revision, digest };
         job.phase = if is_mend {
             Phase::Mending { ballot, value, meta, accepts }
@@ -525,7 +526,7 @@
                     let encoded = one.encode();
                     bytes += encoded.len();
                     meta.revision = one.revision;
-                    meta.digest = crate::talk::digest_of(&encoded);
+                    meta.digest = crate::protocol::digest_of(&encoded);
                     let (revision, setup_revision) = (one.revision, one.setup_revision);
                     // A setup that was overtaken is noted; the one in force stays.
                     let repeat =
--- a/store/src/register/reader.rs
+++ b/store/src/consensus/reader.rs
@@ -1,7 +1,7 @@
 //! Reads: rounds that ask what is chosen, and what is told of them (design 6.2).
 
 use super::{Copy, Effect, Job, Op, Phase, Register};
-use crate::talk::{Ask, Outcome, Tell, holders};
+use crate::protocol::{Ask, Outcome, Tell, holders};
 use std::collections::BTreeMap;
 
 impl Register {
--- a/store/src/disk.rs
+++ b/store/src/disk.rs
@@ -1,8 +1,8 @@
 //! The one data folder: a file for each version and one for the state, each written aside,
 //! synced, renamed, and the folder synced after it (design 6.1).
 
-use crate::register::{Found, Kept, State, Write};
-use crate::talk::{Digest, Value};
+use crate::consensus::{Found, Kept, State, Write};
+use crate::protocol::{Digest, Value};
 use std::io::Write as _;
 
 /// A file's frame: the digest of the body says whether the body is whole.
@@ -169,7 +169,7 @@
         let versions = found.before.iter().chain(&found.value);
         for value in versions {
             let bytes = value.encode();
-            let name = version_name(value.revision, &crate::talk::digest_of(&bytes));
+            let name = version_name(value.revision, &crate::protocol::digest_of(&bytes));
             self.put(&name, &bytes).map_err(fault)?;
         }
         self.sync_folder().map_err(fault)?;
@@ -206,7 +206,7 @@
     fn read_version(&self, path: &std::path::Path) -> Option<(Value, Digest)> {
         let body = unframe(&std::fs::read(path).ok()?)?;
         let value: Value = vanepath_cluster::wire::decode(&body)?;
-        Some((value, crate::talk::digest_of(&body)))
+        Some((value, crate::protocol::digest_of(&body)))
     }
 
     pub fn version(&self, revision: u64, digest: &Digest) -> Option<Value> {
--- a/store/src/hints.rs
+++ b/store/src/hints.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
-use vanepath_cluster::{daemon::View, wire};
+use vanepath_cluster::{node::View, wire};
 
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Hints {
--- a/store/src/hints/tests.rs
+++ b/store/src/hints/tests.rs
@@ -1,7 +1,7 @@
 use super::{Hints, Keeper};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_cluster::{daemon::View, wire};
+use vanepath_cluster::{node::View, wire};
 
 fn view(counter: u64, away: &str) -> View {
     let card = |port: u16| {
--- a/store/src/keys.rs
+++ b/store/src/idempotency.rs
@@ -1,7 +1,7 @@
 //! Submissions under their callers' keys, in short, for as long as a repeat of them has to be known as
 //! one (design 6.2): a record of twenty-four bytes each.
 
-use crate::talk::Submission;
+use crate::protocol::Submission;
 
 /// Together with the last writes (`talk::KEYS_MOST`) more than a day of the design size has (2,400).
 pub const OLDER_KEYS_MOST: usize = 2304;
--- a/store/src/talk.rs
+++ b/store/src/protocol.rs
@@ -73,8 +73,8 @@
     /// The submissions behind the last writes, so that a repeat is known as one.
     pub keys: std::collections::VecDeque<Submission>,
     /// Those before them whose keys are their callers', in short; left out where there are none, as above.
-    #[serde(default, skip_serializing_if = "crate::keys::OlderKeys::is_empty")]
-    pub older_keys: crate::keys::OlderKeys,
+    #[serde(default, skip_serializing_if = "crate::idempotency::OlderKeys::is_empty")]
+    pub older_keys: crate::idempotency::OlderKeys,
     /// What the highest versions that were acknowledged say, as `Change::matter` tells it; left out where there
     /// are none, as above.
     #[serde(default, skip_serializing_if = "std::collections::BTreeMap::is_empty")]
@@ -159,9 +159,9 @@
     }
 
     /// The write that was submitted under this key, if it is known still.
-    pub fn submission(&self, key: &str) -> Option<crate::keys::Known> {
+    pub fn submission(&self, key: &str) -> Option<crate::idempotency::Known> {
         let recent = self.keys.iter().find(|one| one.key == key);
-        recent.map(crate::keys::Known::of).or_else(|| self.older_keys.find(key))
+        recent.map(crate::idempotency::Known::of).or_else(|| self.older_keys.find(key))
     }
 
     pub fn word(&self) -> vanepath_cluster::wire::Word {
--- a/store/src/orders.rs
+++ b/store/src/retransmission.rs
@@ -2,7 +2,7 @@
 //! callers give no key (design 6.10). Soft: each copy notes by its own clock when it first saw a write,
 //! and whether its caller surely has the receipt; no promise and no acceptance rests on it.
 
-use crate::talk::{Change, Value};
+use crate::protocol::{Change, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -107,7 +107,7 @@
 
     pub fn answered(&mut self, value: &Value, matter: u64, revision: u64, now: Duration) {
         let is_it =
-            |one: &&crate::talk::Submission| (one.matter, one.revision) == (matter, revision);
+            |one: &&crate::protocol::Submission| (one.matter, one.revision) == (matter, revision);
         let known = value.keys.iter().find(is_it);
         if let Some(seen) = known.and_then(|known| self.seen.get_mut(&known.key)) {
             (seen.is_sure, seen.heard) = (true, now);
--- a/store/src/shell.rs
+++ b/store/src/shell.rs
@@ -1,10 +1,10 @@
 //! The shell round the register: an actor that carries out its effects in order (design 6.7).
 
-use crate::register::{Effect, Event, Register};
-use crate::talk::{Ask, Tell};
+use crate::consensus::{Effect, Event, Register};
+use crate::protocol::{Ask, Tell};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_cluster::{daemon, news, wire};
+use vanepath_cluster::{gossip, node, wire};
 
 vanepath_cluster::counters! {
     /// What a store counts.
@@ -22,15 +22,15 @@
     }
 }
 
-pub type Tally = vanepath_cluster::tally::Tally<Counter>;
+pub type Tally = vanepath_cluster::counters::Tally<Counter>;
 
 #[derive(xtra::Actor)]
 struct StoreActor {
     core: Register,
     disk: Arc<crate::disk::Disk>,
-    daemon: Arc<daemon::Daemon>,
+    daemon: Arc<node::Daemon>,
     tally: Arc<Tally>,
-    summary: Arc<arc_swap::ArcSwap<crate::register::Summary>>,
+    summary: Arc<arc_swap::ArcSwap<crate::consensus::Summary>>,
     waiting: std::collections::HashMap<u64, tokio::sync::oneshot::Sender<Tell>>,
     next_ticket: u64,
     claims: Arc<arc_swap::ArcSwap<Claims>>,
@@ -89,7 +89,7 @@
             }
             Effect::Reset => {
                 let disk = self.disk.clone();
-                let reset = tokio::task::spawn_blocking(move || disk.reset(daemon::random())).await;
+                let reset = tokio::task::spawn_blocking(move || disk.reset(node::random())).await;
                 match reset {
                     Ok(Ok(found)) => events.push_back(Event::Reset(found)),
                     Ok(Err(error)) => {
@@ -127,7 +127,7 @@
             Effect::AnswerFromFile { ticket, versions, as_outcome } => {
                 let disk = self.disk.clone();
                 let read = tokio::task::spawn_blocking(move || {
-                    crate::register::from_files(&versions, as_outcome, |(revision, digest)| {
+                    crate::consensus::from_files(&versions, as_outcome, |(revision, digest)| {
                         disk.version(*revision, digest)
                     })
                 });
@@ -141,7 +141,7 @@
             Effect::Chosen(value) => {
                 self.tally.one(Counter::StoreVersionsChosen);
                 let word = Arc::new(value.word());
-                let _ = self.daemon.news.send(daemon::Tell(news::Event::Word(word))).await;
+                let _ = self.daemon.news.send(node::Tell(gossip::Event::Word(word))).await;
             }
             Effect::Noted(text) => log::info!("store: {text}"),
         }
@@ -183,7 +183,7 @@
         let Some(own) = context.mailbox().address().try_upgrade() else { return };
         self.awaits_disk = false;
         let disk = self.disk.clone();
-        match tokio::task::spawn_blocking(move || disk.recover(daemon::random())).await {
+        match tokio::task::spawn_blocking(move || disk.recover(node::random())).await {
             Ok(Ok(found)) => {
                 self.tally.one(Counter::StoreDisksRecovered);
                 self.step(Event::DiskWorks(found), &own).await;
@@ -211,18 +211,18 @@
 pub async fn run(settings: vanepath_config::settings::Settings) -> Result<(), miette::Report> {
     let folder = settings.data_folder.clone().expect("checked with the settings");
     let founders = if settings.first_start { settings.stores } else { 0 };
-    let identity = crate::register::Identity { name: settings.name.clone(), founders };
+    let identity = crate::consensus::Identity { name: settings.name.clone(), founders };
     let disk = Arc::new(crate::disk::Disk::open(&folder)?);
-    let found = disk.load(daemon::random())?;
+    let found = disk.load(node::random())?;
     if settings.rescue {
         return rescue(&disk, &found, &settings.name);
     }
-    let listener = daemon::bind("listen", settings.listen).await?;
+    let listener = node::bind("listen", settings.listen).await?;
 
     // The handler is there before the actor is: the daemon's links start first.
     let slot: Arc<std::sync::OnceLock<xtra::Address<StoreActor>>> = Arc::default();
     let handler_slot = slot.clone();
-    let handler: daemon::StoreHandler = Arc::new(move |request: wire::Request| {
+    let handler: node::StoreHandler = Arc::new(move |request: wire::Request| {
         let slot = handler_slot.clone();
         Box::pin(async move {
             let ask = match request {
@@ -249,9 +249,9 @@
     let hints = disk.hints();
     let mut started = settings.clone();
     started.seeds.extend(&hints.siblings);
-    let daemon = daemon::Daemon::start(started, Some(handler)).await?;
+    let daemon = node::Daemon::start(started, Some(handler)).await?;
     let plan = Arc::new(hints.plan.clone());
-    let _ = daemon.news.send(daemon::Tell(news::Event::Plan(plan))).await;
+    let _ = daemon.news.send(node::Tell(gossip::Event::Plan(plan))).await;
     let tally: Arc<Tally> = Arc::default();
     let core = Register::new(identity, found, daemon.clock.now());
     let summary = Arc::new(arc_swap::ArcSwap::from_pointee(core.summary()));
@@ -321,7 +321,7 @@
         async move { receipt }
     };
     let stop = daemon.stop.clone();
-    daemon::serve_http(listener, stop, daemon::HttpSettings::default(), handler).await;
+    node::serve_http(listener, stop, node::HttpSettings::default(), handler).await;
     // A moment for the news that it leaves; what was accepted is on the disk already.
     tokio::time::sleep(Duration::from_millis(200)).await;
     log::info!("stopped");
@@ -331,19 +331,19 @@
 /// Live stores by what they claim, and where each disk is.
 #[derive(Clone, Debug, Default)]
 pub struct Claims {
-    pub live: Vec<crate::register::Claim>,
+    pub live: Vec<crate::consensus::Claim>,
     addresses: std::collections::BTreeMap<u64, std::net::SocketAddr>,
     /// Where those were that are not heard of any more.
     lost: std::collections::BTreeMap<u64, std::net::SocketAddr>,
 }
 
 impl Claims {
-    pub fn of(view: &daemon::View) -> Claims {
+    pub fn of(view: &node::View) -> Claims {
         let mut claims = Claims::default();
         for (card, report) in &view.live {
             let Some(disk) = report.disk else { continue };
             claims.addresses.insert(disk.incarnation, card.sibling_address);
-            claims.live.push(crate::register::Claim {
+            claims.live.push(crate::consensus::Claim {
                 name: card.name.clone(),
                 incarnation: disk.incarnation,
                 blank: report.blank,
@@ -363,19 +363,19 @@
 }
 
 fn answer_http(
-    daemon: &daemon::Daemon,
-    summary: &crate::register::Summary,
+    daemon: &node::Daemon,
+    summary: &crate::consensus::Summary,
     tally: &Tally,
     request: &hyper::Request<hyper::body::Incoming>,
-) -> hyper::Response<daemon::Body> {
+) -> hyper::Response<node::Body> {
     let path = request.uri().path();
     let ready = summary.votes && !daemon.is_stopping();
-    if let Some(receipt) = daemon::common(daemon, path, ready, |all| tally.show(all)) {
+    if let Some(receipt) = node::common(daemon, path, ready, |all| tally.show(all)) {
         return receipt;
     }
     if path != "/v1/status" {
         let error = jzon::object! { "error": "no such path" };
-        return daemon::json(hyper::StatusCode::NOT_FOUND, &error);
+        return node::json(hyper::StatusCode::NOT_FOUND, &error);
     }
     let seats: Vec<jzon::JsonValue> = summary
         .seats
@@ -403,12 +403,12 @@
         "versions": summary.versions,
         "seats": seats,
     };
-    daemon::json(hyper::StatusCode::OK, &status)
+    node::json(hyper::StatusCode::OK, &status)
 }
 
 fn rescue(
     disk: &crate::disk::Disk,
-    found: &crate::register::Found,
+    found: &crate::consensus::Found,
     name: &str,
 ) -> Result<(), miette::Report> {
     let Some(value) = found.value.as_ref().filter(|_| found.state.accepted.is_some()) else {
@@ -416,13 +416,13 @@
             "this disk does not hold the operator's word: there is nothing to go on from"
         );
     };
-    let (state, next) = crate::register::rescued(&found.state, value, name);
+    let (state, next) = crate::consensus::rescued(&found.state, value, name);
     let bytes = next.encode();
-    let digest = crate::talk::digest_of(&bytes);
+    let digest = crate::protocol::digest_of(&bytes);
     let revision = next.revision;
     let writes = [
-        crate::register::Write::Version { revision, digest, bytes },
-        crate::register::Write::State(state),
+        crate::consensus::Write::Version { revision, digest, bytes },
+        crate::consensus::Write::State(state),
     ];
     disk.save(&writes).map_err(|error| miette::miette!("cannot save: {error}"))?;
     println!(
--- a/store/tests/disk.rs
+++ b/store/tests/disk.rs
@@ -1,9 +1,9 @@
 //! The data folder step by step: what a loss of power leaves, and how often it is synced.
 
 use std::path::{Path, PathBuf};
+use vanepath_store::consensus::{Found, State, Write};
 use vanepath_store::disk::Disk;
-use vanepath_store::register::{Found, State, Write};
-use vanepath_store::talk::{Ballot, Meta, Value, digest_of};
+use vanepath_store::protocol::{Ballot, Meta, Value, digest_of};
 
 fn folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("vanepath-disk-{name}-{}", std::process::id()));
--- a/store/tests/frames.rs
+++ b/store/tests/frames.rs
@@ -4,8 +4,8 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 use vanepath_cluster::wire::{decode, encode};
-use vanepath_store::keys::OlderKeys;
-use vanepath_store::talk::{
+use vanepath_store::idempotency::OlderKeys;
+use vanepath_store::protocol::{
     Ask, Ballot, Change, Holder, Membership, Meta, Outcome, Refusal, Submission, Tell, Value,
 };
 
--- a/store/tests/growth.rs
+++ b/store/tests/growth.rs
@@ -3,9 +3,9 @@
 //! `--nocapture`; ten thousand changes with `VANEPATH_CHANGES=10000`.
 
 use std::time::{Duration, Instant};
+use vanepath_store::consensus::{Claim, Effect, Event, Identity, Register};
 use vanepath_store::disk::Disk;
-use vanepath_store::register::{Claim, Effect, Event, Identity, Register};
-use vanepath_store::talk::{Ask, Change, Outcome, Tell};
+use vanepath_store::protocol::{Ask, Change, Outcome, Tell};
 
 /// A store on a real folder.
 struct Store {
@@ -82,8 +82,8 @@
             Effect::Answer { ticket, tell } => self.answer(ticket, Some(tell)),
             Effect::AnswerFromFile { ticket, versions, as_outcome } => {
                 let disk = &self.stores[who].as_ref().unwrap().disk;
-                let load = |at: &vanepath_store::register::At| disk.version(at.0, &at.1);
-                let (tell, _) = vanepath_store::register::from_files(&versions, as_outcome, load);
+                let load = |at: &vanepath_store::consensus::At| disk.version(at.0, &at.1);
+                let (tell, _) = vanepath_store::consensus::from_files(&versions, as_outcome, load);
                 self.answer(ticket, Some(tell));
             }
             Effect::Reset => panic!("nobody loses a seat here"),
--- a/store/tests/model/history.rs
+++ b/store/tests/model/history.rs
@@ -2,7 +2,7 @@
 
 use crate::world::Call;
 use std::collections::BTreeMap;
-use vanepath_store::talk::{Change, Outcome, Value, digest_of};
+use vanepath_store::protocol::{Change, Outcome, Value, digest_of};
 
 /// A call with what had been acknowledged or read when it was begun.
 #[derive(Clone)]
--- a/store/tests/model/world.rs
+++ b/store/tests/model/world.rs
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 use vanepath_cluster::wire;
-use vanepath_store::register::{
+use vanepath_store::consensus::{
     At, Claim, Effect, Event, Found, Identity, Kept, Register, State, Write,
 };
-use vanepath_store::talk::{Ask, Change, GENESIS, Meta, Outcome, Tell, Value};
+use vanepath_store::protocol::{Ask, Change, GENESIS, Meta, Outcome, Tell, Value};
 
 /// Ways to break the shell round the cores, to show that the checks see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -274,7 +274,7 @@
         let disk = &self.stores[index].disk;
         let first = disk.versions.iter().find(|(at, _)| at.0 == 0);
         let (at, value) = first.expect("the beginning is kept");
-        let ballot = vanepath_store::talk::Ballot { number: 2, ..GENESIS };
+        let ballot = vanepath_store::protocol::Ballot { number: 2, ..GENESIS };
         let accepted = Some(Meta { ballot, revision: 0, digest: at.1 });
         let incarnation = self.stores[index].core.summary().incarnation;
         let state = State { incarnation, promised: ballot, accepted };
@@ -400,7 +400,7 @@
             Effect::AnswerFromFile { ticket, versions, as_outcome } => {
                 let disk = &self.stores[index].disk;
                 let load = |at: &At| disk.versions.get(at).map(|value| (**value).clone());
-                let (tell, _) = vanepath_store::register::from_files(&versions, as_outcome, load);
+                let (tell, _) = vanepath_store::consensus::from_files(&versions, as_outcome, load);
                 self.answer(ticket, Some(tell));
             }
             Effect::Chosen(value) => self.history.chosen(&value),
--- a/store/tests/register.rs
+++ b/store/tests/register.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 use vanepath_cluster::wire;
-use vanepath_store::register::{
+use vanepath_store::consensus::{
     Claim, Effect, Event, Found, Identity, Kept, Register, State, Write,
 };
-use vanepath_store::talk::{Ask, Ballot, Change, Digest, Outcome, Refusal, Tell, Value};
+use vanepath_store::protocol::{Ask, Ballot, Change, Digest, Outcome, Refusal, Tell, Value};
 
 #[derive(Default)]
 struct Disk {
@@ -244,7 +244,7 @@
             Effect::AnswerFromFile { ticket, versions, as_outcome } => {
                 let disk = &self.stores[index].disk;
                 let load = |at: &(u64, Digest)| disk.versions.get(at).cloned();
-                let (tell, _) = vanepath_store::register::from_files(&versions, as_outcome, load);
+                let (tell, _) = vanepath_store::consensus::from_files(&versions, as_outcome, load);
                 self.perform(index, Effect::Answer { ticket, tell });
             }
             Effect::Reset => {
@@ -454,7 +454,7 @@
     assert!(!matches!(fleet.put(1, "a"), Some(Outcome::Accepted { .. })));
     let other = Value { seats: fleet.value(1).seats[..3].to_vec(), ..fleet.value(1).clone() };
     let before = fleet.said.len();
-    let ballot = vanepath_store::talk::GENESIS;
+    let ballot = vanepath_store::protocol::GENESIS;
     fleet.ask(1, Ask::Accept { from: 100, ballot, value: other, before: Vec::new() });
     let refused = &fleet.said[before];
     assert!(matches!(refused, Tell::Refused { why: Refusal::NoVote, .. }), "{refused:?}");
@@ -848,7 +848,7 @@
 fn large_setups_do_not_fill_a_disk() {
     let mut fleet = Fleet::of(3);
     fleet.passes(Duration::from_secs(2));
-    let most = vanepath_store::talk::HISTORY_BYTES_MOST;
+    let most = vanepath_store::protocol::HISTORY_BYTES_MOST;
     let size = 700_000;
     for number in 0..120_u32 {
         let mut bytes = vec![b'x'; size];
@@ -891,8 +891,8 @@
         assert!(!matches!(fleet.put(0, "b"), Some(Outcome::Accepted { .. })));
         let value = fleet.value(0).clone();
         let state = fleet.stores[0].disk.state.clone().unwrap();
-        let (state, value) = vanepath_store::register::rescued(&state, &value, "s0");
-        let digest = vanepath_store::talk::digest_of(&value.encode());
+        let (state, value) = vanepath_store::consensus::rescued(&state, &value, "s0");
+        let digest = vanepath_store::protocol::digest_of(&value.encode());
         fleet.stores[0].disk.versions.insert((value.revision, digest), value);
         fleet.stores[0].disk.state = Some(state);
         fleet.restart(0);
@@ -1084,7 +1084,7 @@
 fn orders_for_one_zone_are_bounded() {
     let mut fleet = Fleet::of(3);
     fleet.passes(Duration::from_secs(2));
-    let most = vanepath_store::talk::ORDERS_MOST;
+    let most = vanepath_store::protocol::ORDERS_MOST;
     for number in 0..=most {
         let (key, change) = (format!("k{number}"), empty());
         fleet.ask(0, Ask::Change { key, change, unnamed_for: None });
--- a/store/tests/stored_data.rs
+++ b/store/tests/stored_data.rs
@@ -3,9 +3,9 @@
 
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
+use vanepath_store::consensus::{Found, Write};
 use vanepath_store::disk::Disk;
-use vanepath_store::register::{Found, Write};
-use vanepath_store::talk::{Ballot, Seats, Value, digest_of};
+use vanepath_store::protocol::{Ballot, Seats, Value, digest_of};
 
 /// What a folder's state gets as incarnation where its file counts as absent.
 const NEW_INCARNATION: u64 = 4242;
--- a/testbed/src/scale/cores.rs
+++ b/testbed/src/scale/cores.rs
@@ -3,8 +3,8 @@
 use super::{Judged, Row, each, weigh};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_cluster::daemon::View;
-use vanepath_cluster::news::{Event, News};
+use vanepath_cluster::gossip::{Event, News};
+use vanepath_cluster::node::View;
 use vanepath_cluster::wire;
 
 fn us(time: Duration) -> f64 {
@@ -77,8 +77,8 @@
             super::platform(servers, services, judged),
         );
         let table = weigh(count, || {
-            let table: vanepath_proxy::servers::Servers<()> = Default::default();
-            let rate = |_: &vanepath_config::platform::Server, _: &[usize]| Default::default();
+            let table: vanepath_proxy::endpoints::Servers<()> = Default::default();
+            let rate = |_: &vanepath_config::endpoint_list::Server, _: &[usize]| Default::default();
             table.adopt(Duration::ZERO, (1, 1), &setup_of, &list_of, rate);
             table
         });
@@ -141,10 +141,11 @@
     for servers in [34, 560, 1680, 4500, 9000] {
         let list = super::platform(servers, 270, judged);
         let text = super::platform_text(&list);
-        let parse = each(span, || vanepath_config::platform::parse(text.as_bytes()));
+        let parse = each(span, || vanepath_config::endpoint_list::parse(text.as_bytes()));
         let bytes = wire::encode(&list);
         let encode = each(span, || wire::encode(&list));
-        let decode = each(span, || wire::decode::<vanepath_config::platform::PlatformList>(&bytes));
+        let decode =
+            each(span, || wire::decode::<vanepath_config::endpoint_list::PlatformList>(&bytes));
         rows.push(Row {
             what: "platform list".to_string(),
             size: vec![("servers", servers)],
@@ -167,10 +168,10 @@
         let news = informed(daemons, servers, services, false, judged);
         let view = view(&news, routes, services, judged);
         let own = super::cards(daemons).pop().expect("a proxy");
-        let table: vanepath_proxy::servers::Servers<()> = Default::default();
+        let table: vanepath_proxy::endpoints::Servers<()> = Default::default();
         let list = super::platform(servers, services, judged);
-        let rate = |server: &vanepath_config::platform::Server, services: &[usize]| {
-            vanepath_proxy::servers::cold_rate(&view, &own.name, server, services)
+        let rate = |server: &vanepath_config::endpoint_list::Server, services: &[usize]| {
+            vanepath_proxy::endpoints::cold_rate(&view, &own.name, server, services)
         };
         let started = super::spent();
         table.adopt(Duration::ZERO, (5, 1), &view.setup, &list, rate);
@@ -185,7 +186,7 @@
         let mut turn = 0;
         let choice = each(span, || {
             turn += 1;
-            let want = vanepath_proxy::servers::Want {
+            let want = vanepath_proxy::endpoints::Want {
                 rule: turn % routes,
                 service: whole.setup.rules[turn % routes].service,
                 emptied: &emptied,
@@ -196,13 +197,13 @@
                 is_past_aim: false,
             };
             let random = vanepath_config::stable_hash(&[&turn.to_string()]);
-            if let vanepath_proxy::servers::Choice::Server(index, _) =
+            if let vanepath_proxy::endpoints::Choice::Server(index, _) =
                 table.choose(now, &whole, &want, random)
             {
                 table.release(whole.entries[index].slot);
             }
         });
-        let mut paces = vanepath_proxy::servers::Paces::default();
+        let mut paces = vanepath_proxy::endpoints::Paces::default();
         let reckon = each(span, || {
             paces.renew();
             paces.pulse(now, &view, &own, &whole);
@@ -217,7 +218,7 @@
         rows.push(Row {
             what: "proxy's servers".to_string(),
             size: vec![
-                ("proxies", vanepath_proxy::servers::live_proxies(&view)),
+                ("proxies", vanepath_proxy::endpoints::live_proxies(&view)),
                 ("servers", servers),
                 ("services", services),
             ],
@@ -236,7 +237,7 @@
     for servers in [17, 170, 1700, 4500] {
         let setup = Arc::new(super::setup(1, 1, judged));
         let list = super::platform(servers, 1, judged);
-        let table: vanepath_proxy::servers::Servers<()> = Default::default();
+        let table: vanepath_proxy::endpoints::Servers<()> = Default::default();
         table.adopt(Duration::ZERO, (5, 1), &setup, &list, |_, _| Default::default());
         for entry in &table.table.load().entries {
             table.good(Duration::from_secs(1), entry.slot);
@@ -246,7 +247,7 @@
         let mut turn = 0;
         let choice = each(span, || {
             turn += 1;
-            let want = vanepath_proxy::servers::Want {
+            let want = vanepath_proxy::endpoints::Want {
                 rule: 0,
                 service: whole.setup.rules[0].service,
                 emptied: &emptied,
@@ -257,7 +258,7 @@
                 is_past_aim: false,
             };
             let random = vanepath_config::stable_hash(&[&turn.to_string()]);
-            if let vanepath_proxy::servers::Choice::Server(index, _) =
+            if let vanepath_proxy::endpoints::Choice::Server(index, _) =
                 table.choose(Duration::from_secs(2), &whole, &want, random)
             {
                 table.release(whole.entries[index].slot);
@@ -284,12 +285,14 @@
             turn += 1;
             let query = format!("caller=c{turn}&zone=b2&region=b");
             let steered =
-                vanepath_registry::directory::steer(&view, true, ("a1", "a"), &query, turn);
+                vanepath_registry::steering::steer(&view, true, ("a1", "a"), &query, turn);
             bytes = steered.receipt.map_or(0, |receipt| receipt.dump().len());
         });
         let own = news.own().name.clone();
-        let duty = each(span, || vanepath_registry::duty::next(&view, &own, &news.sources, false));
-        let moving = each(span, || vanepath_registry::duty::next(&view, &own, &news.sources, true));
+        let duty =
+            each(span, || vanepath_registry::leader::next(&view, &own, &news.sources, false));
+        let moving =
+            each(span, || vanepath_registry::leader::next(&view, &own, &news.sources, true));
         let copied = each(span, || news.sources.clone());
         let now = Duration::from_secs(100);
         let viewed = each(span, || View::of(&news, &view, now));
@@ -321,7 +324,7 @@
             turn += 1;
             let query = format!("caller=c{turn}&zone=b2&region=b");
             let steered =
-                vanepath_registry::directory::steer(&view, true, ("a1", "a"), &query, turn);
+                vanepath_registry::steering::steer(&view, true, ("a1", "a"), &query, turn);
             bytes = steered.receipt.map_or(0, |receipt| receipt.dump().len());
         });
         rows.push(Row {
@@ -345,7 +348,7 @@
         let bytes = wire::encode(&word);
         let encode = each(span, || wire::encode(&word));
         let decode = each(span, || wire::decode::<wire::Word>(&bytes));
-        let digest = each(span, || vanepath_store::talk::digest_of(&bytes));
+        let digest = each(span, || vanepath_store::protocol::digest_of(&bytes));
         rows.push(Row {
             what: "store's value".to_string(),
             size: vec![("routes", routes), ("services", services)],
--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -5,7 +5,7 @@
 use std::cmp::Reverse;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use vanepath_cluster::news::{Effect, Event, News};
+use vanepath_cluster::gossip::{Effect, Event, News};
 use vanepath_cluster::wire;
 
 #[derive(Clone, Debug)]
@@ -81,7 +81,7 @@
     whats: std::collections::HashMap<u64, What>,
     next: u64,
     addresses: std::collections::HashMap<std::net::SocketAddr, usize>,
-    list: vanepath_config::platform::PlatformList,
+    list: vanepath_config::endpoint_list::PlatformList,
     oversized: u64,
     /// Its machine is gone without a word: nothing comes or goes.
     silenced: Option<usize>,
--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 use vanepath_cluster::wire;
-use vanepath_config::platform::{PlatformList, Server};
+use vanepath_config::endpoint_list::{PlatformList, Server};
 
 /// The design size.
 pub const DAEMONS: usize = 670;
@@ -144,7 +144,7 @@
                 server.address,
                 server.region,
                 server.zone,
-                vanepath_config::platform::labels_as_json(&server.labels).dump()
+                vanepath_config::endpoint_list::labels_as_json(&server.labels).dump()
             )
         })
         .collect();
--- a/testbed/src/sim/control.rs
+++ b/testbed/src/sim/control.rs
@@ -12,21 +12,21 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_cluster::daemon::View;
-use vanepath_cluster::{news, wire};
-use vanepath_registry::list_reader::{Effect as Reads, ListReader, READ_MOST};
-use vanepath_registry::store_call::{Step, StoreCall};
-use vanepath_store::register::{self, Register};
-use vanepath_store::talk::{Ask, Change, Digest, Outcome, Tell, Value};
+use vanepath_cluster::node::View;
+use vanepath_cluster::{gossip, wire};
+use vanepath_registry::list_sequencer::{Effect as Reads, ListReader, READ_MOST};
+use vanepath_registry::store_client::{Step, StoreCall};
+use vanepath_store::consensus::{self, Register};
+use vanepath_store::protocol::{Ask, Change, Digest, Outcome, Tell, Value};
 
 pub const PULSE: Duration = Duration::from_millis(50);
 
 pub struct Store {
-    pub identity: register::Identity,
+    pub identity: consensus::Identity,
     pub core: Register,
     pub disk: Disk,
-    inbox: VecDeque<register::Event>,
-    pending: VecDeque<register::Effect>,
+    inbox: VecDeque<consensus::Event>,
+    pending: VecDeque<consensus::Effect>,
     busy: bool,
     /// A save failed, and the disk was not read anew since.
     disk_failed: bool,
@@ -40,11 +40,11 @@
     next_store_call: usize,
     pub ready: bool,
     step_at: Duration,
-    tenure: vanepath_registry::duty::Tenure,
+    tenure: vanepath_registry::leader::Tenure,
     polled_at: Option<Duration>,
     /// Reads lists of a platform that does not number them; a new one with each life.
-    reader: Option<vanepath_registry::list_reader::ListReader>,
-    pub state: Option<vanepath_registry::platform::State>,
+    reader: Option<vanepath_registry::list_sequencer::ListReader>,
+    pub state: Option<vanepath_registry::list_poller::State>,
 }
 
 pub enum Duty {
@@ -56,7 +56,7 @@
 pub struct Daemon {
     pub host: HostId,
     pub card: wire::Card,
-    pub news: news::News,
+    pub news: gossip::News,
     pub view: Arc<View>,
     pub duty: Duty,
     pub leaving: bool,
@@ -132,7 +132,7 @@
     pub platform_host: HostId,
     /// The platform says what is no list, or an older one, now and then.
     pub platform_lies: bool,
-    pub platform: Arc<vanepath_config::platform::PlatformList>,
+    pub platform: Arc<vanepath_config::endpoint_list::PlatformList>,
     /// When each revision of the platform list came.
     pub platform_at: Vec<(Duration, u64)>,
     /// The platform does not tell the numbers of its lists.
@@ -246,7 +246,7 @@
             wire::Role::Store => {
                 let mut disk = Disk::default();
                 let found = disk.found(self.net.random.draw());
-                let identity = register::Identity { name: name.to_string(), founders };
+                let identity = consensus::Identity { name: name.to_string(), founders };
                 Duty::Store(Box::new(Store {
                     core: Register::new(identity.clone(), found, Duration::ZERO),
                     identity,
@@ -262,7 +262,7 @@
             wire::Role::Registry => Duty::Registry(Box::default()),
             wire::Role::Proxy => Duty::Proxy(Box::default()),
         };
-        let news = news::News::new(card.clone(), Vec::new(), 0, Duration::ZERO);
+        let news = gossip::News::new(card.clone(), Vec::new(), 0, Duration::ZERO);
         self.daemons.push(Daemon {
             host,
             card,
@@ -313,12 +313,12 @@
         }
         let mut seeds = daemon.seeds.clone();
         seeds.extend(&hints.siblings);
-        daemon.news = news::News::new(daemon.card.clone(), seeds, life, now);
-        daemon.news.step(now, news::Event::Plan(Arc::new(hints.plan)));
+        daemon.news = gossip::News::new(daemon.card.clone(), seeds, life, now);
+        daemon.news.step(now, gossip::Event::Plan(Arc::new(hints.plan)));
         daemon.view = Arc::default();
         if self.breaks == Some(Break::NoFloor) {
             let address = daemon.card.sibling_address;
-            daemon.news.step(now, news::Event::Floor { address, revision: Some(0) });
+            daemon.news.step(now, gossip::Event::Floor { address, revision: Some(0) });
         }
         if self.breaks == Some(Break::StartsStale)
             && let Some(first) = &self.first_word
@@ -458,13 +458,13 @@
                     // As if it had what it lacks.
                     pull.word = u64::MAX;
                 }
-                self.step_news(index, news::Event::Asked { ticket: call, pull });
+                self.step_news(index, gossip::Event::Asked { ticket: call, pull });
             }
             Body::Ask(Ask::Floor) if self.daemons[index].card.role != wire::Role::Store => {
                 self.net.reply(call, Body::Reset);
             }
             Body::Ask(ask) => {
-                let event = register::Event::Asked { ticket: call, ask };
+                let event = consensus::Event::Asked { ticket: call, ask };
                 self.store_event(index, event);
             }
             Body::Operate(operation) => self.start_store_call(index, operation, call),
@@ -490,21 +490,21 @@
                     Some(Body::News(news)) => Some(Box::new(news)),
                     _ => None,
                 };
-                self.step_news(index, news::Event::Told { address, news });
+                self.step_news(index, gossip::Event::Told { address, news });
             }
             (Purpose::Store { call }, Some(index)) => {
                 let tell = match body {
                     Some(Body::Tell(tell)) => Some(tell),
                     _ => None,
                 };
-                self.store_event(index, register::Event::Told { call, tell });
+                self.store_event(index, consensus::Event::Told { call, tell });
             }
             (Purpose::Floor { address }, Some(index)) => {
                 let revision = match body {
                     Some(Body::Tell(Tell::Floor(revision))) => revision,
                     _ => None,
                 };
-                self.step_news(index, news::Event::Floor { address, revision });
+                self.step_news(index, gossip::Event::Floor { address, revision });
             }
             (Purpose::StoreCall { store_call }, Some(index)) => {
                 let tell = match body {
@@ -540,14 +540,14 @@
 
     // ---- news ----------------------------------------------------------------------------------
 
-    pub fn step_news(&mut self, index: usize, event: news::Event) {
+    pub fn step_news(&mut self, index: usize, event: gossip::Event) {
         let host = self.daemons[index].host;
         let now = self.net.local(host);
         let effects = self.daemons[index].news.step(now, event);
         let mut changed = false;
         for effect in effects {
             match effect {
-                news::Effect::Pull { address, pull } => {
+                gossip::Effect::Pull { address, pull } => {
                     let target = Net::host_at(address);
                     let limit = Duration::from_millis(u64::from(pull.wait_ms) + 1000);
                     let bytes = wire::encode(&pull).len() as u64 + 4;
@@ -555,7 +555,7 @@
                     let purpose = Purpose::Pull { address };
                     self.net.ask(host, target, limit, Body::Pull(pull), purpose);
                 }
-                news::Effect::Answer { ticket, news } => {
+                gossip::Effect::Answer { ticket, news } => {
                     if let Some(call) = self.net.call(ticket) {
                         let asker = call.asker;
                         let bytes = wire::encode(&news).len() as u64 + 4;
@@ -563,14 +563,14 @@
                     }
                     self.net.reply(ticket, Body::News(news));
                 }
-                news::Effect::AskFloor { address } => {
-                    let limit = vanepath_cluster::floor::LIMIT;
+                gossip::Effect::AskFloor { address } => {
+                    let limit = vanepath_cluster::read_index::LIMIT;
                     let purpose = Purpose::Floor { address };
                     let body = Body::Ask(Ask::Floor);
                     self.net.ask(host, Net::host_at(address), limit, body, purpose);
                 }
-                news::Effect::Changed => changed = true,
-                news::Effect::Noted(what) => {
+                gossip::Effect::Changed => changed = true,
+                gossip::Effect::Noted(what) => {
                     let name = self.daemons[index].card.name.clone();
                     self.note(|| format!("{name}: {what}"));
                 }
@@ -640,7 +640,7 @@
                 daemon.revisions.push((self.net.now, self.net.hosts[host].life, revision));
             }
         }
-        self.step_news(index, news::Event::Pulse);
+        self.step_news(index, gossip::Event::Pulse);
         match self.daemons[index].card.role {
             wire::Role::Store => self.pulse_store(index),
             wire::Role::Registry => self.pulse_registry(index),
--- a/testbed/src/sim/control/disk.rs
+++ b/testbed/src/sim/control/disk.rs
@@ -5,33 +5,33 @@
 /// A store's disk: what was synced stays, what is under way may stay in part.
 #[derive(Default)]
 pub struct Disk {
-    pub state: Option<register::State>,
+    pub state: Option<consensus::State>,
     pub versions: BTreeMap<(u64, Digest), Arc<Value>>,
-    pub(super) under_way: Vec<register::Write>,
+    pub(super) under_way: Vec<consensus::Write>,
     /// Of a disk that lies about its syncs.
-    pub(super) unsynced: Vec<register::Write>,
+    pub(super) unsynced: Vec<consensus::Write>,
     pub is_full: bool,
     pub saves: u64,
     pub hints: vanepath_store::hints::Hints,
 }
 
 impl Disk {
-    pub(super) fn apply(&mut self, write: register::Write) {
+    pub(super) fn apply(&mut self, write: consensus::Write) {
         match write {
-            register::Write::Version { revision, digest, bytes } => {
+            consensus::Write::Version { revision, digest, bytes } => {
                 let value: Value = wire::decode(&bytes).expect("own bytes");
                 self.versions.insert((revision, digest), Arc::new(value));
             }
-            register::Write::State(state) => self.state = Some(state),
-            register::Write::Remove { revision, digest } => {
+            consensus::Write::State(state) => self.state = Some(state),
+            consensus::Write::Remove { revision, digest } => {
                 self.versions.remove(&(revision, digest));
             }
         }
     }
 
-    pub(super) fn found(&mut self, random: u64) -> register::Found {
+    pub(super) fn found(&mut self, random: u64) -> consensus::Found {
         let state = self.state.clone().unwrap_or_else(|| {
-            let state = register::State {
+            let state = consensus::State {
                 incarnation: random,
                 promised: Default::default(),
                 accepted: None,
@@ -47,7 +47,7 @@
             .map(|((revision, digest), value)| {
                 let (parent_revision, parent) = (value.parent_revision, value.parent);
                 let bytes = value.encode().len();
-                (*revision, register::Kept { digest: *digest, parent_revision, parent, bytes })
+                (*revision, consensus::Kept { digest: *digest, parent_revision, parent, bytes })
             })
             .collect();
         let mut before = Vec::new();
@@ -59,6 +59,6 @@
                 before.insert(0, one.clone());
             }
         }
-        register::Found { state, value, before, kept }
+        consensus::Found { state, value, before, kept }
     }
 }
--- a/testbed/src/sim/control/registries.rs
+++ b/testbed/src/sim/control/registries.rs
@@ -18,9 +18,9 @@
                 let reader = registry.reader.get_or_insert_with(|| ListReader::new(&name, draw));
                 reader.pulse(now, &view) == Some(Reads::Read)
             }
-            false => {
-                registry.polled_at.is_none_or(|at| now >= at + vanepath_registry::platform::EVERY)
-            }
+            false => registry
+                .polled_at
+                .is_none_or(|at| now >= at + vanepath_registry::list_poller::EVERY),
         };
         if reads {
             registry.polled_at = Some(now);
@@ -36,10 +36,10 @@
             leaving,
             revision,
             settled: may_hold,
-            whole: vanepath_registry::duty::is_whole(&view),
+            whole: vanepath_registry::leader::is_whole(&view),
             ..wire::Report::default()
         };
-        self.step_news(index, news::Event::Report(report));
+        self.step_news(index, gossip::Event::Report(report));
         let Duty::Registry(registry) = &mut self.daemons[index].duty else { return };
         if !may_hold || view.holder(wire::Role::Registry).is_none_or(|card| card.name != name) {
             return;
@@ -49,19 +49,19 @@
             registry.step_at = now + Duration::from_secs(4);
         }
         let sources = &self.daemons[index].news.sources;
-        let plan = vanepath_registry::duty::next(&view, &name, sources, may_move);
+        let plan = vanepath_registry::leader::next(&view, &name, sources, may_move);
         if let Some(plan) = plan {
             let text = format!("{name}: plan {}.{}", plan.epoch, plan.counter);
             let away: Vec<&String> = plan.away.iter().collect();
             self.note(|| format!("{text}, away {away:?}, cold {:?}", plan.cold));
-            self.step_news(index, news::Event::Plan(Arc::new(plan)));
+            self.step_news(index, gossip::Event::Plan(Arc::new(plan)));
         }
     }
 
     pub(super) fn platform_told(
         &mut self,
         index: usize,
-        list: Option<Arc<vanepath_config::platform::PlatformList>>,
+        list: Option<Arc<vanepath_config::endpoint_list::PlatformList>>,
     ) {
         if self.is_platform_plain {
             return self.plain_list_told(index, list);
@@ -69,10 +69,10 @@
         let last = self.daemons[index].view.platform.clone();
         let Duty::Registry(registry) = &mut self.daemons[index].duty else { return };
         let Some(list) = list else { return };
-        let verdict = vanepath_registry::platform::judge(&last, &list);
+        let verdict = vanepath_registry::list_poller::judge(&last, &list);
         registry.state = Some(verdict);
-        if verdict == vanepath_registry::platform::State::Good && list.revision > last.revision {
-            self.step_news(index, news::Event::Platform(list));
+        if verdict == vanepath_registry::list_poller::State::Good && list.revision > last.revision {
+            self.step_news(index, gossip::Event::Platform(list));
         }
     }
 
@@ -80,7 +80,7 @@
     pub(super) fn plain_list_told(
         &mut self,
         index: usize,
-        list: Option<Arc<vanepath_config::platform::PlatformList>>,
+        list: Option<Arc<vanepath_config::endpoint_list::PlatformList>>,
     ) {
         let now = self.net.local(self.daemons[index].host);
         let view = self.daemons[index].view.clone();
@@ -92,7 +92,7 @@
         if let (Some(Reads::Tell { list, began_at }), Some(shown)) = (told, shown) {
             let known = self.lists_read.entry(list.revision).or_default();
             *known = shown.max(*known);
-            self.step_news(index, news::Event::ListRead { list, began_at });
+            self.step_news(index, gossip::Event::ListRead { list, began_at });
         }
     }
 
@@ -135,12 +135,12 @@
 
     pub(super) fn platform_text(&mut self, index: usize, text: &str) {
         let last = self.daemons[index].view.platform.clone();
-        let (verdict, list) = vanepath_registry::platform::heard(&last, text.as_bytes());
+        let (verdict, list) = vanepath_registry::list_poller::heard(&last, text.as_bytes());
         if let Duty::Registry(registry) = &mut self.daemons[index].duty {
             registry.state = Some(verdict);
         }
         if let Some(list) = list {
-            self.step_news(index, news::Event::Platform(Arc::new(list)));
+            self.step_news(index, gossip::Event::Platform(Arc::new(list)));
         }
     }
 
@@ -195,7 +195,7 @@
     pub(super) fn step_store_call(&mut self, index: usize, number: usize) {
         let host = self.daemons[index].host;
         let now = self.net.local(host);
-        let stores = vanepath_registry::store_call::stores(&self.daemons[index].view);
+        let stores = vanepath_registry::store_client::stores(&self.daemons[index].view);
         let Duty::Registry(registry) = &mut self.daemons[index].duty else { return };
         let Some((store_call, call)) = registry.store_calls.get_mut(&number) else { return };
         match store_call.next(now, stores) {
@@ -216,7 +216,7 @@
                     *key = format!("{key}-{}", self.net.random.draw());
                 }
                 let body = Body::Ask(question);
-                let limit = vanepath_registry::store_call::TRY_LIMIT;
+                let limit = vanepath_registry::store_client::TRY_LIMIT;
                 self.net.ask(host, target, limit, body, Purpose::StoreCall { store_call: number });
                 self.passes(index, Point::AfterStoreAsk);
             }
@@ -244,9 +244,9 @@
                 }
                 self.net.reply(call, Body::Operated(outcome));
                 let Some(answered) = answered else { return };
-                for card in vanepath_registry::store_call::stores(&self.daemons[index].view) {
+                for card in vanepath_registry::store_client::stores(&self.daemons[index].view) {
                     let target = Net::host_at(card.sibling_address);
-                    let limit = vanepath_registry::store_call::TRY_LIMIT;
+                    let limit = vanepath_registry::store_client::TRY_LIMIT;
                     let body = Body::Ask(answered.clone());
                     self.net.ask(host, target, limit, body, Purpose::None);
                 }
@@ -262,7 +262,7 @@
         let own = (daemon.card.zone.as_str(), daemon.card.region.as_str());
         let query = query.split_once('?').map_or("", |(_, query)| query);
         let steered =
-            vanepath_registry::directory::steer(&daemon.view, registry.ready, own, query, random);
+            vanepath_registry::steering::steer(&daemon.view, registry.ready, own, query, random);
         if self.has(Break::DirectoriesStayDown) && self.net.now > crate::sim::day::BEGIN {
             return self.net.reply(call, Body::Receipt(String::new()));
         }
--- a/testbed/src/sim/control/stores.rs
+++ b/testbed/src/sim/control/stores.rs
@@ -19,9 +19,9 @@
         self.try_disk(index);
         let revision = view.word.revision;
         for event in [
-            register::Event::Live(live),
-            register::Event::Heard { revision },
-            register::Event::Pulse,
+            consensus::Event::Live(live),
+            consensus::Event::Heard { revision },
+            consensus::Event::Pulse,
         ] {
             self.store_event(index, event);
         }
@@ -36,10 +36,10 @@
             ..wire::Report::default()
         };
         self.daemons[index].is_well = summary.votes;
-        self.step_news(index, news::Event::Report(report));
+        self.step_news(index, gossip::Event::Report(report));
     }
 
-    pub(super) fn store_event(&mut self, index: usize, event: register::Event) {
+    pub(super) fn store_event(&mut self, index: usize, event: consensus::Event) {
         if let Duty::Store(store) = &mut self.daemons[index].duty {
             store.inbox.push_back(event);
         }
@@ -55,7 +55,7 @@
         store.disk_failed = false;
         let random = self.net.random.draw();
         let found = store.disk.found(random);
-        store.inbox.push_back(register::Event::DiskWorks(found));
+        store.inbox.push_back(consensus::Event::DiskWorks(found));
     }
 
     pub(super) fn disk_done(&mut self, index: usize) {
@@ -66,7 +66,7 @@
         if store.disk.is_full {
             store.pending.clear();
             store.disk_failed = true;
-            store.inbox.push_front(register::Event::DiskFailed);
+            store.inbox.push_front(consensus::Event::DiskFailed);
         } else {
             let lies = self.breaks == Some(Break::DisksLie);
             for write in under_way {
@@ -98,7 +98,7 @@
                 continue;
             };
             match effect {
-                register::Effect::Save(writes) => {
+                consensus::Effect::Save(writes) => {
                     if self.passes(index, Point::BeforeSave) {
                         return;
                     }
@@ -112,7 +112,7 @@
                     let life = self.net.hosts[host].life;
                     self.net.at(self.net.now + took, Event::DiskDone { host, life });
                 }
-                register::Effect::Call { call, incarnation, ask } => {
+                consensus::Effect::Call { call, incarnation, ask } => {
                     if self.passes(index, Point::BeforeCall) {
                         return;
                     }
@@ -131,18 +131,18 @@
                         }
                         None => {
                             // Nobody to ask: as good as no reply.
-                            store.inbox.push_back(register::Event::Told { call, tell: None });
+                            store.inbox.push_back(consensus::Event::Told { call, tell: None });
                         }
                     }
                 }
-                register::Effect::Reset => {
+                consensus::Effect::Reset => {
                     let random = self.net.random.draw();
                     store.disk.state = None;
                     store.disk.versions.clear();
                     let found = store.disk.found(random);
-                    store.inbox.push_front(register::Event::Reset(found));
+                    store.inbox.push_front(consensus::Event::Reset(found));
                 }
-                register::Effect::Answer { ticket, tell } => {
+                consensus::Effect::Answer { ticket, tell } => {
                     if self.passes(index, Point::BeforeAnswer) {
                         return;
                     }
@@ -152,24 +152,24 @@
                         return;
                     }
                 }
-                register::Effect::AnswerFromFile { ticket, versions, as_outcome } => {
+                consensus::Effect::AnswerFromFile { ticket, versions, as_outcome } => {
                     let load = |at: &(u64, Digest)| {
                         store.disk.versions.get(at).map(|value| (**value).clone())
                     };
-                    let (tell, damaged) = register::from_files(&versions, as_outcome, load);
+                    let (tell, damaged) = consensus::from_files(&versions, as_outcome, load);
                     if let Some((revision, digest)) = damaged {
-                        store.inbox.push_back(register::Event::Damaged { revision, digest });
+                        store.inbox.push_back(consensus::Event::Damaged { revision, digest });
                     }
                     self.net.reply(ticket, Body::Tell(tell));
                 }
-                register::Effect::Chosen(value) => {
+                consensus::Effect::Chosen(value) => {
                     if self.passes(index, Point::BeforeChosen) {
                         return;
                     }
                     let word = Arc::new(value.word());
-                    self.step_news(index, news::Event::Word(word));
+                    self.step_news(index, gossip::Event::Word(word));
                 }
-                register::Effect::Noted(text) => {
+                consensus::Effect::Noted(text) => {
                     if text.contains("never happen") {
                         self.faults.push(text.clone());
                     }
--- a/testbed/src/sim/data.rs
+++ b/testbed/src/sim/data.rs
@@ -12,13 +12,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 use vanepath_client::steering::{Steering, parse};
-use vanepath_cluster::{news, wire};
+use vanepath_cluster::{gossip, wire};
 use vanepath_config::Verdict;
 use vanepath_config::model::Kind;
-use vanepath_proxy::chart::{Chart, Miss, Next, Refusal, State};
-use vanepath_proxy::classes::{Classes, Entry as Entered, Slot};
-use vanepath_proxy::liveness::{Failure, Phase};
-use vanepath_proxy::servers::{Choice, Idle, Servers, Table, Want};
+use vanepath_proxy::admission::{Classes, Entry as Entered, Slot};
+use vanepath_proxy::endpoints::{Choice, Idle, Servers, Table, Want};
+use vanepath_proxy::health::{Failure, Phase};
+use vanepath_proxy::lifecycle::{Chart, Miss, Next, Refusal, State};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Manner {
@@ -148,7 +148,7 @@
     /// Polls of the directory: when, and whether a receipt came.
     pub polls: Vec<(Duration, bool)>,
     /// What the operator could read of each revision at the end of the day.
-    pub history: Vec<(u64, Option<vanepath_store::talk::Outcome>)>,
+    pub history: Vec<(u64, Option<vanepath_store::protocol::Outcome>)>,
 }
 
 /// One request inside a proxy.
@@ -173,19 +173,19 @@
 pub struct Proxy {
     pub servers: Servers<u64>,
     classes: Classes,
-    budget: vanepath_proxy::budget::Budget,
+    budget: vanepath_proxy::retry_budget::Budget,
     ways: HashMap<usize, Way>,
     waiting: HashMap<u64, usize>,
     next_way: usize,
     revision: Option<(u64, u64)>,
-    telling: vanepath_proxy::servers::Telling,
+    telling: vanepath_proxy::endpoints::Telling,
     pulsed_at: Duration,
     pub closed: bool,
     plan: Option<((u64, u64), (u64, u64))>,
     /// A server's phase changed: registries hear of it soon.
     moved: bool,
-    paces: vanepath_proxy::servers::Paces,
-    request_counts: vanepath_proxy::request_counts::RequestCounts,
+    paces: vanepath_proxy::endpoints::Paces,
+    request_counts: vanepath_proxy::request_rates::RequestCounts,
 }
 
 const CALL_LIMIT: Duration = Duration::from_secs(20);
--- a/testbed/src/sim/data/proxies.rs
+++ b/testbed/src/sim/data/proxies.rs
@@ -9,7 +9,7 @@
         let view = self.daemons[index].view.clone();
         let name = self.daemons[index].card.name.clone();
         let Duty::Proxy(proxy) = &mut self.daemons[index].duty else { return };
-        let revision = vanepath_proxy::servers::revision_of(&view);
+        let revision = vanepath_proxy::endpoints::revision_of(&view);
         if proxy.revision == Some(revision) {
             return;
         }
@@ -20,8 +20,8 @@
             proxy.request_counts.adopt(view.setup.services.iter().map(|one| one.name.as_str()));
         }
         proxy.revision = Some(revision);
-        let cold = |server: &vanepath_config::platform::Server, services: &[usize]| {
-            vanepath_proxy::servers::cold_rate(&view, &name, server, services)
+        let cold = |server: &vanepath_config::endpoint_list::Server, services: &[usize]| {
+            vanepath_proxy::endpoints::cold_rate(&view, &name, server, services)
         };
         let mut list = (*view.platform).clone();
         if self.breaks == Some(Break::IgnoresLeaving) {
@@ -42,7 +42,7 @@
         let leaving = self.daemons[index].leaving;
         let Duty::Proxy(proxy) = &mut self.daemons[index].duty else { return };
         proxy.pulsed_at = now;
-        let revision = vanepath_proxy::servers::revision_of(&view);
+        let revision = vanepath_proxy::endpoints::revision_of(&view);
         let table = proxy.servers.table.load_full();
         let blind_to: &[Phase] = match self.breaks {
             Some(Break::FloodsCold) => &[Phase::Cold, Phase::Ramping],
@@ -82,7 +82,7 @@
         for entry in pulsed.probes {
             let address = table.entries[entry].server.address;
             let purpose = Purpose::Probe { slot: table.entries[entry].slot, index: entry };
-            let limit = vanepath_proxy::pool::LIMIT;
+            let limit = vanepath_proxy::connector::LIMIT;
             self.net.ask(host, Net::host_at(address), limit, Body::Greet, purpose);
         }
         for note in pulsed.notes {
@@ -98,9 +98,9 @@
             revision: view.word.revision,
             ..wire::Report::default()
         };
-        self.step_news(index, news::Event::Report(report));
+        self.step_news(index, gossip::Event::Report(report));
         if let Some(detail) = detail {
-            self.step_news(index, news::Event::Detail(detail));
+            self.step_news(index, gossip::Event::Detail(detail));
         }
         let Duty::Proxy(proxy) = &self.daemons[index].duty else { return };
         if proxy.closed && proxy.ways.is_empty() {
@@ -150,7 +150,7 @@
                     connection,
                     greeted_at: now,
                     quiet_since: now,
-                    kept_for: vanepath_proxy::servers::IDLE_MOST,
+                    kept_for: vanepath_proxy::endpoints::IDLE_MOST,
                     is_used: false,
                 };
                 proxy.servers.put_idle(slot, idle);
@@ -172,8 +172,8 @@
         let Duty::Proxy(proxy) = &self.daemons[index].duty else { return false };
         let view = &self.daemons[index].view;
         let is_fresh = view.is_fresh || self.has(Break::StartsStale);
-        let revision = vanepath_proxy::servers::revision_of(view);
-        now.saturating_sub(proxy.pulsed_at) < news::FREEZE
+        let revision = vanepath_proxy::endpoints::revision_of(view);
+        now.saturating_sub(proxy.pulsed_at) < gossip::FREEZE
             && proxy.servers.is_fit(now, is_fresh, revision)
     }
 
@@ -199,7 +199,7 @@
                 rule: 0,
                 tried: Vec::new(),
                 received_at: now,
-                deadline: now + news::HOLD,
+                deadline: now + gossip::HOLD,
                 held: None,
                 waits: None,
                 in_hand: None,
@@ -240,7 +240,7 @@
             if self.daemons[index].view.is_stuck {
                 return self.end_way(index, way, Err(Refusal::BelowFloor));
             }
-            if now.saturating_sub(own.received_at) >= news::HOLD {
+            if now.saturating_sub(own.received_at) >= gossip::HOLD {
                 return self.end_way(index, way, Err(Refusal::NotReady));
             }
             return self.net.timer(host, Duration::from_millis(10), Timer::WayReady(way));
@@ -399,7 +399,7 @@
                 self.way_work(index, way);
             }
             _ => {
-                let limit = vanepath_proxy::pool::LIMIT.min(own.deadline - now);
+                let limit = vanepath_proxy::connector::LIMIT.min(own.deadline - now);
                 let purpose = Purpose::Greet { way };
                 self.net.ask(host, Net::host_at(address), limit, Body::Greet, purpose);
             }
@@ -473,7 +473,7 @@
         let now = self.net.local(host);
         let card = self.daemons[index].card.clone();
         let view = self.daemons[index].view.clone();
-        let live = vanepath_proxy::servers::live_proxies(&view);
+        let live = vanepath_proxy::endpoints::live_proxies(&view);
         let Duty::Proxy(proxy) = &mut self.daemons[index].duty else { return };
         let Some(own) = proxy.ways.get_mut(&way) else { return };
         if own.chart.goes != go || own.chart.state != State::Sent {
@@ -536,7 +536,7 @@
                 connection,
                 greeted_at,
                 quiet_since: now,
-                kept_for: vanepath_proxy::servers::IDLE_MOST,
+                kept_for: vanepath_proxy::endpoints::IDLE_MOST,
                 is_used: true,
             };
             proxy.servers.put_idle(slot, idle);
@@ -547,7 +547,7 @@
 
     pub(super) fn missed(&mut self, index: usize, way: usize, miss: Miss) {
         let now = self.net.local(self.daemons[index].host);
-        let live = vanepath_proxy::servers::live_proxies(&self.daemons[index].view);
+        let live = vanepath_proxy::endpoints::live_proxies(&self.daemons[index].view);
         let Duty::Proxy(proxy) = &mut self.daemons[index].duty else { return };
         let Some(own) = proxy.ways.get_mut(&way) else { return };
         if let Some(slot) = own.in_hand.take() {
@@ -597,7 +597,7 @@
         let view = &self.daemons[index].view;
         let named: Vec<std::net::SocketAddr> = if is_misplaced {
             let rule = &own.table.setup.rules[own.rule];
-            vanepath_proxy::servers::carriers(view, rule).map(|card| card.address).collect()
+            vanepath_proxy::endpoints::carriers(view, rule).map(|card| card.address).collect()
         } else {
             Vec::new()
         };
--- a/testbed/src/sim/day.rs
+++ b/testbed/src/sim/day.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use vanepath_cluster::wire::Role;
-use vanepath_store::talk::{Change, Outcome};
+use vanepath_store::protocol::{Change, Outcome};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Deployment {
@@ -304,11 +304,11 @@
 }
 
 /// Changes the platform's list.
-fn publish(sim: &mut Sim, change: impl FnOnce(&mut Vec<vanepath_config::platform::Server>)) {
+fn publish(sim: &mut Sim, change: impl FnOnce(&mut Vec<vanepath_config::endpoint_list::Server>)) {
     let mut list = (*sim.platform).clone();
     if list.revision == 0 {
         for server in &sim.world.servers {
-            list.servers.push(vanepath_config::platform::Server {
+            list.servers.push(vanepath_config::endpoint_list::Server {
                 id: server.id.clone(),
                 address: super::net::Net::address_of(server.host),
                 region: server.region.clone(),
--- a/testbed/src/sim/judge.rs
+++ b/testbed/src/sim/judge.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use vanepath_cluster::wire::Role;
 use vanepath_config::Verdict;
-use vanepath_store::talk::{Change, Outcome};
+use vanepath_store::protocol::{Change, Outcome};
 
 #[derive(Debug, Default)]
 pub struct Judgement {
@@ -267,7 +267,7 @@
         let Some(daemon) = run.sim.daemons.iter().find(|daemon| daemon.host == proxy) else {
             return false;
         };
-        let from = at.saturating_sub(2 * vanepath_proxy::pool::LIMIT);
+        let from = at.saturating_sub(2 * vanepath_proxy::connector::LIMIT);
         let before = daemon.revisions.iter().rev().find(|one| one.0 <= from);
         let since = daemon.revisions.iter().filter(|one| one.0 > from && one.0 <= at);
         let region = daemon.card.region.as_str();
--- a/testbed/src/sim/net.rs
+++ b/testbed/src/sim/net.rs
@@ -32,13 +32,13 @@
 pub enum Body {
     Pull(vanepath_cluster::wire::Pull),
     News(vanepath_cluster::wire::News),
-    Ask(vanepath_store::talk::Ask),
-    Tell(vanepath_store::talk::Tell),
+    Ask(vanepath_store::protocol::Ask),
+    Tell(vanepath_store::protocol::Tell),
     /// An operator's call, by its number in the history.
     Operate(usize),
-    Operated(vanepath_store::talk::Outcome),
+    Operated(vanepath_store::protocol::Outcome),
     ReadPlatform,
-    Platform(std::sync::Arc<vanepath_config::platform::PlatformList>),
+    Platform(std::sync::Arc<vanepath_config::endpoint_list::PlatformList>),
     /// What the platform says in place of its list, as it says it.
     PlatformText(String),
     Steer(String),
--- a/testbed/src/sim/reach.rs
+++ b/testbed/src/sim/reach.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use vanepath_cluster::wire::Role;
-use vanepath_store::talk::{Change, Outcome};
+use vanepath_store::protocol::{Change, Outcome};
 
 /// A new word or list, or a leaving mark, holds after so long.
 pub const SOON: Duration = Duration::from_secs(4);
--- a/testbed/src/sim/worst.rs
+++ b/testbed/src/sim/worst.rs
@@ -6,7 +6,7 @@
 use super::day::{Act, Fault, any_registry, at, of_role, tagged};
 use std::time::Duration;
 use vanepath_cluster::wire::Role;
-use vanepath_store::talk::{Change, Outcome};
+use vanepath_store::protocol::{Change, Outcome};
 
 fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
--- a/testbed/src/soak/clients.rs
+++ b/testbed/src/soak/clients.rs
@@ -195,7 +195,7 @@
         .expect("a good request");
     let Ok(answer) = sender.send_request(request).await else { return End::Cut };
     let (head, mut body) = answer.into_parts();
-    let verdict = head.headers.get(vanepath_config::fate::HEADER);
+    let verdict = head.headers.get(vanepath_config::execution_status::HEADER);
     let verdict = verdict.and_then(|value| value.to_str().ok()).unwrap_or("").to_string();
     let mut bytes = Vec::new();
     while let Some(frame) = body.frame().await {
@@ -334,7 +334,7 @@
     };
     let length: usize = get("content-length").parse().unwrap_or(0);
     let status = head.code.unwrap_or(0);
-    let verdict = get(vanepath_config::fate::HEADER);
+    let verdict = get(vanepath_config::execution_status::HEADER);
     let is_last = get("connection").eq_ignore_ascii_case("close");
     let body = kept.get(begin..begin + length)?.to_vec();
     kept.drain(..begin + length);
--- a/testbed/src/standin.rs
+++ b/testbed/src/standin.rs
@@ -509,7 +509,7 @@
                 "address": server.address.to_string(),
                 "region": server.region.as_str(),
                 "zone": server.zone.as_str(),
-                "labels": vanepath_config::platform::labels_as_json(labels),
+                "labels": vanepath_config::endpoint_list::labels_as_json(labels),
                 "state": if server.leaving { "leaving" } else { "ready" },
             }
         })
--- a/testbed/tests/days.rs
+++ b/testbed/tests/days.rs
@@ -588,8 +588,8 @@
         }
     }
     let readable = day.sim.world.history.iter().rev().take(1000);
-    let is_read = |outcome: &Option<vanepath_store::talk::Outcome>| {
-        matches!(outcome, Some(vanepath_store::talk::Outcome::Value { .. }))
+    let is_read = |outcome: &Option<vanepath_store::protocol::Outcome>| {
+        matches!(outcome, Some(vanepath_store::protocol::Outcome::Value { .. }))
     };
     assert!(readable.clone().count() == 1000 && readable.clone().all(|one| is_read(&one.1)));
 }
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -17,9 +17,9 @@
         assert!(text.len() + times * scale::TENANTS * 100 < room, "{} of {room}", text.len());
         let list = scale::platform(times * scale::SERVERS, times * scale::SERVICES, judged);
         let text = scale::platform_text(&list);
-        let read = vanepath_config::platform::parse(text.as_bytes()).unwrap();
+        let read = vanepath_config::endpoint_list::parse(text.as_bytes()).unwrap();
         assert!(read == list);
-        assert!(text.len() < vanepath_config::platform::BYTES_MOST / 2, "{}", text.len());
+        assert!(text.len() < vanepath_config::endpoint_list::BYTES_MOST / 2, "{}", text.len());
     }
 }
 
@@ -33,7 +33,7 @@
     setup.resize(vanepath_config::model::BYTES_MOST, b' ');
     let word = wire::Word { revision: 9, setup_revision: 9, setup, ..wire::Word::default() };
     let now = Duration::from_secs(101);
-    asked.step(now, vanepath_cluster::news::Event::Word(std::sync::Arc::new(word)));
+    asked.step(now, vanepath_cluster::gossip::Event::Word(std::sync::Arc::new(word)));
     assert_eq!(asked.sources.len(), daemons - 1);
     let card = scale::cards(daemons).swap_remove(1);
     let pull = wire::Pull {
@@ -55,9 +55,9 @@
         silent: 0,
         list_age_ms: None,
     };
-    let effects = asked.step(now, vanepath_cluster::news::Event::Asked { ticket: 1, pull });
+    let effects = asked.step(now, vanepath_cluster::gossip::Event::Asked { ticket: 1, pull });
     let answer = effects.into_iter().find_map(|effect| match effect {
-        vanepath_cluster::news::Effect::Answer { news, .. } => Some(news),
+        vanepath_cluster::gossip::Effect::Answer { news, .. } => Some(news),
         _ => None,
     });
     let reply = wire::Reply::News(answer.unwrap());
