--- a/client/src/client.rs
+++ b/client/src/client.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use vanepath_config::Verdict;
+use vanepath_config::ExecutionStatus;
 
 type Sender = hyper::client::conn::http1::SendRequest<http_body_util::Full<bytes::Bytes>>;
 
@@ -13,9 +13,9 @@
 #[derive(Debug)]
 pub enum Outcome {
     /// A whole receipt, with the verdict that came with it.
-    Receipt { status: u16, headers: hyper::HeaderMap, body: bytes::Bytes, verdict: Verdict },
+    Receipt { status: u16, headers: hyper::HeaderMap, body: bytes::Bytes, verdict: ExecutionStatus },
     /// No receipt, or a broken one.
-    Lost(Verdict),
+    Lost(ExecutionStatus),
     /// No directory has told yet where to go.
     NowhereToGo,
 }
@@ -49,13 +49,13 @@
 
 impl Outcome {
     pub fn is_served(&self) -> bool {
-        matches!(self, Outcome::Receipt { verdict: Verdict::Ran, .. })
+        matches!(self, Outcome::Receipt { verdict: ExecutionStatus::Ran, .. })
     }
 
-    pub fn verdict(&self) -> Verdict {
+    pub fn verdict(&self) -> ExecutionStatus {
         match self {
             Outcome::Receipt { verdict, .. } | Outcome::Lost(verdict) => *verdict,
-            Outcome::NowhereToGo => Verdict::NotRun,
+            Outcome::NowhereToGo => ExecutionStatus::NotRun,
         }
     }
 }
@@ -246,7 +246,7 @@
             last = self.go(go).await;
             owed.over(matches!(last, Outcome::Receipt { .. }));
             let verdict = last.verdict();
-            may_have_run |= verdict != Verdict::NotRun;
+            may_have_run |= verdict != ExecutionStatus::NotRun;
             let is_done = match &last {
                 Outcome::Receipt { status, .. } => {
                     drops += u32::from(*status == 503);
@@ -269,7 +269,7 @@
             }
         }
         match last {
-            Outcome::Lost(_) if may_have_run => Outcome::Lost(Verdict::MayHaveRun),
+            Outcome::Lost(_) if may_have_run => Outcome::Lost(ExecutionStatus::MayHaveRun),
             last => last,
         }
     }
@@ -277,7 +277,7 @@
     async fn go(&self, go: Go<'_>) -> Outcome {
         let Go { address, may_use_open, may_leave, method, path, headers, body } = go;
         let Some(mut sender) = self.open(address, may_use_open).await else {
-            return Outcome::Lost(Verdict::NotRun);
+            return Outcome::Lost(ExecutionStatus::NotRun);
         };
         let mut request = hyper::Request::builder()
             .method(method)
@@ -287,7 +287,7 @@
             request = request.header(*name, *value);
         }
         let Ok(request) = request.body(http_body_util::Full::new(body)) else {
-            return Outcome::Lost(Verdict::NotRun);
+            return Outcome::Lost(ExecutionStatus::NotRun);
         };
         let sent_at = self.now();
         let sending = sender.try_send_request(request);
@@ -319,22 +319,22 @@
             // Given back whole: no byte of it was written.
             Ok(Err(mut error)) => {
                 return Outcome::Lost(match error.take_message() {
-                    Some(_) => Verdict::NotRun,
-                    None => Verdict::MayHaveRun,
+                    Some(_) => ExecutionStatus::NotRun,
+                    None => ExecutionStatus::MayHaveRun,
                 });
             }
-            Err(()) => return Outcome::Lost(Verdict::MayHaveRun),
+            Err(()) => return Outcome::Lost(ExecutionStatus::MayHaveRun),
         };
         let (head, incoming) = receipt.into_parts();
         let collected = tokio::time::timeout(self.limit, incoming.collect()).await;
         let Ok(Ok(collected)) = collected else {
-            return Outcome::Lost(Verdict::MayHaveRun);
+            return Outcome::Lost(ExecutionStatus::MayHaveRun);
         };
         let verdict = head
             .headers
             .get(vanepath_config::execution_status::HEADER)
             .and_then(|value| value.to_str().ok()?.parse().ok())
-            .unwrap_or(Verdict::MayHaveRun);
+            .unwrap_or(ExecutionStatus::MayHaveRun);
         self.rest(address, sender);
         Outcome::Receipt {
             status: head.status.as_u16(),
--- a/client/src/steering.rs
+++ b/client/src/steering.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 use std::time::Duration;
-use vanepath_config::Verdict;
+use vanepath_config::ExecutionStatus;
 
 pub const TTL_MOST: Duration = Duration::from_secs(5);
 /// After a failed poll the next directory is asked so soon.
@@ -250,8 +250,8 @@
 
     /// Whether a request goes on to the next address after this answer. What no other place would answer
     /// otherwise is passed on as it is and takes no try; who is only sent elsewhere (421) takes none either.
-    pub fn goes_on(&mut self, now: Duration, status: u16, verdict: Verdict) -> bool {
-        let may_help = verdict != Verdict::Ran && [421, 502, 503, 504].contains(&status);
+    pub fn goes_on(&mut self, now: Duration, status: u16, verdict: ExecutionStatus) -> bool {
+        let may_help = verdict != ExecutionStatus::Ran && [421, 502, 503, 504].contains(&status);
         may_help && (status == 421 || self.take_try(now))
     }
 
--- a/client/src/steering/tests.rs
+++ b/client/src/steering/tests.rs
@@ -97,7 +97,7 @@
 /// while tries are left.
 #[test]
 fn only_what_goes_on_takes_a_further_try() {
-    use vanepath_config::Verdict::{MayHaveRun, NotRun, Ran};
+    use vanepath_config::ExecutionStatus::{MayHaveRun, NotRun, Ran};
     let mut steering = Steering::new(Vec::new(), String::new(), 0);
     let now = Duration::from_secs(1);
     for _ in 0..100 {
--- a/cluster/src/endpoint_cache.rs
+++ b/cluster/src/endpoint_cache.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_config::endpoint_list::{ListDelta, PlatformList};
+use vanepath_config::endpoint_list::{EndpointList, EndpointListDelta};
 
 /// So many earlier lists are kept for deltas.
 const EARLIER_KEPT: usize = 16;
@@ -16,9 +16,9 @@
 /// The list that is in force here and what is known of it.
 #[derive(Debug, Default)]
 pub struct Lists {
-    current: Arc<PlatformList>,
+    current: Arc<EndpointList>,
     /// Lists that were in force lately, for those who have them still.
-    earlier: VecDeque<Arc<PlatformList>>,
+    earlier: VecDeque<Arc<EndpointList>>,
     /// A delta did not lead where it should: the next pulls ask for the whole list.
     wants_whole: bool,
     read_at: Option<Duration>,
@@ -28,12 +28,12 @@
 /// A list on its way to one daemon: whole, or as a change of the one that it has.
 #[derive(Debug, Default)]
 pub struct Parcel {
-    pub whole: Option<PlatformList>,
-    pub delta: Option<ListDelta>,
+    pub whole: Option<EndpointList>,
+    pub delta: Option<EndpointListDelta>,
 }
 
 impl Lists {
-    pub fn current(&self) -> &Arc<PlatformList> {
+    pub fn current(&self) -> &Arc<EndpointList> {
         &self.current
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// Takes a list that is newer than the current one. Whether it was.
-    pub fn hear(&mut self, list: Arc<PlatformList>) -> bool {
+    pub fn hear(&mut self, list: Arc<EndpointList>) -> bool {
         self.note_revision(list.revision);
         if list.revision <= self.current.revision {
             return false;
@@ -69,7 +69,7 @@
     }
 
     /// The same for a list that was told whole, which may have been asked for.
-    pub fn hear_whole(&mut self, list: PlatformList) -> bool {
+    pub fn hear_whole(&mut self, list: EndpointList) -> bool {
         if self.wants_whole && list.revision == self.current.revision {
             // Of one revision two lists are in force: whoever has asked takes the teller's.
             self.current = Arc::default();
@@ -78,7 +78,7 @@
     }
 
     /// The same for a change of the current list.
-    pub fn hear_delta(&mut self, delta: &ListDelta) -> bool {
+    pub fn hear_delta(&mut self, delta: &EndpointListDelta) -> bool {
         match self.current.with(delta) {
             Some(list) => self.hear(Arc::new(list)),
             None => {
--- a/cluster/src/gossip.rs
+++ b/cluster/src/gossip.rs
@@ -171,10 +171,10 @@
     Report(wire::Report),
     Detail(wire::Detail),
     Word(Arc<wire::Word>),
-    Platform(Arc<vanepath_config::endpoint_list::PlatformList>),
+    Platform(Arc<vanepath_config::endpoint_list::EndpointList>),
     /// This daemon has read the platform list: what is in force by that, and when the read began.
     ListRead {
-        list: Arc<vanepath_config::endpoint_list::PlatformList>,
+        list: Arc<vanepath_config::endpoint_list::EndpointList>,
         began_at: Duration,
     },
     Plan(Arc<wire::Plan>),
--- a/cluster/src/node.rs
+++ b/cluster/src/node.rs
@@ -49,8 +49,8 @@
 pub struct View {
     pub word: Arc<wire::Word>,
     /// The parsed setup of the word in force.
-    pub setup: Arc<vanepath_config::model::Setup>,
-    pub platform: Arc<vanepath_config::endpoint_list::PlatformList>,
+    pub setup: Arc<vanepath_config::model::Config>,
+    pub platform: Arc<vanepath_config::endpoint_list::EndpointList>,
     /// When the newest read that found this list in force began.
     pub list_read_at: Option<Duration>,
     /// The highest revision of a list that anyone told of.
@@ -76,7 +76,7 @@
     /// A registry that has what all proxies tell of servers (design 5.3).
     pub knows_details: bool,
     /// How the operator's documents read here.
-    pub dialect: vanepath_config::wire_format::Spoken,
+    pub dialect: vanepath_config::wire_format::SelectedFormat,
 }
 
 impl View {
@@ -382,7 +382,7 @@
             region: settings.region.clone(),
             zone: settings.zone.clone(),
             address: settings.advertise,
-            sibling_address: settings.sibling_advertise,
+            sibling_address: settings.cluster_advertise,
         };
         let link_tally: Arc<transport::Tally> = Arc::default();
         let greeting = wire::Greeting {
@@ -391,7 +391,7 @@
             name: settings.name.clone(),
         };
         let links = Arc::new(transport::Caller::new(greeting.clone(), link_tally.clone()));
-        let listener = bind("siblingListen", settings.sibling_listen).await?;
+        let listener = bind("siblingListen", settings.cluster_listen).await?;
         // Rises with each start in ordinary running; where the wall clock went back, the news
         // core outlives the earlier life (design 5.3).
         let life = std::time::SystemTime::now()
@@ -399,7 +399,7 @@
             .map_or(0, |since| since.as_millis() as u64);
         let life = (life << 12) | (random() & 0xfff);
         let core = gossip::News::new(card.clone(), settings.seeds.clone(), life, clock.now());
-        let first = View { dialect: settings.dialect, ..View::default() };
+        let first = View { dialect: settings.wire_format, ..View::default() };
         let table = Arc::new(arc_swap::ArcSwap::from_pointee(first));
         let (sender, view) = tokio::sync::watch::channel(table.load_full());
         let actor = NewsActor {
@@ -453,7 +453,7 @@
             settings.name,
             settings.zone,
             settings.listen,
-            settings.sibling_listen
+            settings.cluster_listen
         );
         Ok(Arc::new(Daemon {
             settings,
@@ -490,7 +490,7 @@
     mut known: vanepath_config::settings::Settings,
     news: xtra::Address<NewsActor>,
 ) {
-    use vanepath_config::settings::{Start, start};
+    use vanepath_config::settings::{Invocation, start};
     let Some(file) = known.file.clone() else { return };
     let hangup = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::hangup());
     let Ok(mut hangup) = hangup else { return };
@@ -507,14 +507,14 @@
         }
         last = mark();
         match start(known.role, &known.arguments) {
-            Ok(Start::Run(settings)) => {
+            Ok(Invocation::Run(settings)) => {
                 if settings.seeds != known.seeds {
                     log::info!("other seeds: {:?}", settings.seeds);
                     known.seeds = settings.seeds.clone();
                     let _ = news.send(Tell(gossip::Event::Seeds(settings.seeds))).await;
                 }
             }
-            Ok(Start::Say(_)) => {}
+            Ok(Invocation::Print(_)) => {}
             Err(report) => log::warn!("changed settings are not taken: {report}"),
         }
     }
--- a/cluster/src/wire.rs
+++ b/cluster/src/wire.rs
@@ -256,9 +256,9 @@
 pub struct News {
     pub deltas: Vec<Delta>,
     pub word: Option<Word>,
-    pub platform: Option<vanepath_config::endpoint_list::PlatformList>,
+    pub platform: Option<vanepath_config::endpoint_list::EndpointList>,
     /// Instead of the whole list, where the asker has one that the teller knows.
-    pub platform_delta: Option<vanepath_config::endpoint_list::ListDelta>,
+    pub platform_delta: Option<vanepath_config::endpoint_list::EndpointListDelta>,
     /// The newest read of the platform list that the teller knows of.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub list_read: Option<ListRead>,
--- a/cluster/tests/details.rs
+++ b/cluster/tests/details.rs
@@ -155,19 +155,19 @@
 fn list(
     revision: u64,
     leaving: &[u64],
-) -> std::sync::Arc<vanepath_config::endpoint_list::PlatformList> {
+) -> std::sync::Arc<vanepath_config::endpoint_list::EndpointList> {
     let one = |number: u64| vanepath_config::endpoint_list::Server {
         id: format!("s{number}"),
         address: ([127, 0, 0, 1], 9000 + number as u16).into(),
         region: "a".to_string(),
         zone: "a1".to_string(),
         labels: Default::default(),
-        leaving: leaving.contains(&number),
-        cold: false,
-        slots: 2,
+        draining: leaving.contains(&number),
+        warming_up: false,
+        concurrency: 2,
     };
     let servers = (0..50).map(one).collect();
-    std::sync::Arc::new(vanepath_config::endpoint_list::PlatformList { revision, servers })
+    std::sync::Arc::new(vanepath_config::endpoint_list::EndpointList { revision, servers })
 }
 
 /// Who has a list that the teller knows is told what changed; who has another one under the same
--- a/cluster/tests/frames.rs
+++ b/cluster/tests/frames.rs
@@ -6,7 +6,7 @@
     Card, Delta, Detail, Disk, Greeting, ListRead, Mark, News, Plan, Pull, Reply, Report, Request,
     Role, SYSTEM, Sight, Word, decode, encode, short_name,
 };
-use vanepath_config::endpoint_list::{ListDelta, PlatformList, Server};
+use vanepath_config::endpoint_list::{EndpointList, EndpointListDelta, Server};
 
 #[derive(Default)]
 struct Frames {
@@ -122,18 +122,18 @@
         region: "north".to_string(),
         zone: "north-1".to_string(),
         labels: [("app".to_string(), "orders".to_string())].into(),
-        leaving: true,
-        cold: true,
-        slots: 6,
+        draining: true,
+        warming_up: true,
+        concurrency: 6,
     }
 }
 
-fn list() -> PlatformList {
-    PlatformList { revision: 91, servers: vec![server()] }
+fn list() -> EndpointList {
+    EndpointList { revision: 91, servers: vec![server()] }
 }
 
-fn list_delta() -> ListDelta {
-    ListDelta {
+fn list_delta() -> EndpointListDelta {
+    EndpointListDelta {
         base: 90,
         revision: 91,
         changed: vec![server()],
--- a/config-check/src/lib.rs
+++ b/config-check/src/lib.rs
@@ -3,8 +3,8 @@
 
 pub mod floors;
 
-use vanepath_config::model::Setup;
-use vanepath_config::selector::Viewpoint;
+use vanepath_config::model::Config;
+use vanepath_config::selector::ClientLocation;
 
 /// A server as a registry's status tells it.
 #[derive(Clone, Debug)]
@@ -46,7 +46,7 @@
 }
 
 /// Everything worth saying about a setup that is valid in itself.
-pub fn check(setup: &Setup, fleet: &FleetAsIs) -> Vec<Finding> {
+pub fn check(setup: &Config, fleet: &FleetAsIs) -> Vec<Finding> {
     let mut findings = Vec::new();
     let mut find = |weight: Weight, path: String, message: String| {
         findings.push(Finding { weight, path, message });
@@ -55,10 +55,10 @@
         let message = "goes by an older word than it did before: see its status, 'floor'";
         find(Weight::Warning, format!("daemon {name}"), message.to_string());
     }
-    let none = Viewpoint::default();
+    let none = ClientLocation::default();
     let serves = |service: usize, server: &Server| {
         setup.services[service].selector.matches(&server.server, none)
-            && !server.server.leaving
+            && !server.server.draining
             && !fleet.emptied.contains(&server.server.zone)
     };
     for (index, service) in setup.services.iter().enumerate() {
@@ -93,17 +93,19 @@
     for (index, rule) in setup.rules.iter().enumerate() {
         let path = format!("$.rules[{index}]");
         let services: Vec<usize> =
-            std::iter::once(rule.service).chain(rule.spill.iter().copied()).collect();
+            std::iter::once(rule.service).chain(rule.spillover.iter().copied()).collect();
         // What is left when some place is lost: live servers, and proxies to carry.
         let left = |is_lost: &dyn Fn(&str, &str) -> bool| {
             let servers = fleet.servers.iter().filter(|one| {
                 one.is_live
                     && services.iter().any(|service| serves(*service, one))
-                    && rule.allows(&one.server.region)
+                    && rule.allows_region(&one.server.region)
                     && !is_lost(&one.server.zone, &one.server.region)
             });
             let proxies = fleet.proxies.iter().filter(|(zone, region)| {
-                rule.allows(region) && !fleet.emptied.contains(zone) && !is_lost(zone, region)
+                rule.allows_region(region)
+                    && !fleet.emptied.contains(zone)
+                    && !is_lost(zone, region)
             });
             (servers.count(), proxies.count())
         };
@@ -165,7 +167,7 @@
 }
 
 /// What would change from one setup to the next, by name.
-pub fn changes(before: &Setup, after: &Setup) -> Vec<String> {
+pub fn changes(before: &Config, after: &Config) -> Vec<String> {
     let mut lines = Vec::new();
     fn compare<T: PartialEq>(
         what: &str,
@@ -191,17 +193,17 @@
         }
     }
     // References are indices: they are compared by the names that they stand for.
-    let class_name = |setup: &Setup, index: usize| setup.classes[index].name.clone();
-    let service_name = |setup: &Setup, index: usize| setup.services[index].name.clone();
+    let class_name = |setup: &Config, index: usize| setup.classes[index].name.clone();
+    let service_name = |setup: &Config, index: usize| setup.services[index].name.clone();
     compare(
         "class",
         &before.classes,
         &after.classes,
         |class| &class.name,
         |old, new| {
-            let loans = |setup: &Setup, class: &vanepath_config::model::Class| {
+            let loans = |setup: &Config, class: &vanepath_config::model::Class| {
                 let loans = class.borrows.iter();
-                loans.map(|one| (class_name(setup, one.class), one.most)).collect::<Vec<_>>()
+                loans.map(|one| (class_name(setup, one.class), one.max_slots)).collect::<Vec<_>>()
             };
             let bare = |class: &vanepath_config::model::Class| {
                 let mut bare = class.clone();
@@ -222,9 +224,9 @@
     );
     compare(
         "place",
-        &before.places,
-        &after.places,
-        |place| &place.zone,
+        &before.zones,
+        &after.zones,
+        |place| &place.name,
         |old, new| old == new,
         &mut lines,
     );
@@ -234,8 +236,8 @@
         &after.rules,
         |rule| &rule.name,
         |old, new| {
-            let names = |setup: &Setup, rule: &vanepath_config::model::Rule| {
-                let services = std::iter::once(&rule.service).chain(&rule.spill);
+            let names = |setup: &Config, rule: &vanepath_config::model::Rule| {
+                let services = std::iter::once(&rule.service).chain(&rule.spillover);
                 let services: Vec<String> =
                     services.map(|index| service_name(setup, *index)).collect();
                 (class_name(setup, rule.class), services)
@@ -244,14 +246,14 @@
                 let mut bare = rule.clone();
                 bare.class = 0;
                 bare.service = 0;
-                bare.spill.clear();
+                bare.spillover.clear();
                 bare
             };
             bare(old) == bare(new) && names(before, old) == names(after, new)
         },
         &mut lines,
     );
-    let order = |setup: &Setup| -> Vec<String> {
+    let order = |setup: &Config| -> Vec<String> {
         setup.rules.iter().map(|rule| rule.name.clone()).collect()
     };
     let (old, new) = (order(before), order(after));
@@ -292,9 +294,9 @@
                 region: text(&server["region"])?,
                 zone: text(&server["zone"])?,
                 labels,
-                leaving: server["leaving"].as_bool()?,
-                cold: false,
-                slots: 0,
+                draining: server["leaving"].as_bool()?,
+                warming_up: false,
+                concurrency: 0,
             },
             is_live: server["live"].as_bool()?,
         });
--- a/config-check/src/tests.rs
+++ b/config-check/src/tests.rs
@@ -19,9 +19,9 @@
                 region: zone[..1].to_string(),
                 zone: zone.to_string(),
                 labels: [("app".to_string(), app.to_string())].into(),
-                leaving: false,
-                cold: false,
-                slots: 0,
+                draining: false,
+                warming_up: false,
+                concurrency: 0,
             },
             is_live: *is_live,
         });
--- a/config/src/endpoint_list.rs
+++ b/config/src/endpoint_list.rs
@@ -7,11 +7,14 @@
     pub region: String,
     pub zone: String,
     pub labels: std::collections::BTreeMap<String, String>,
-    pub leaving: bool,
+    #[serde(rename = "leaving")]
+    pub draining: bool,
     /// Just started: it bears its modest rate only.
-    pub cold: bool,
+    #[serde(rename = "cold")]
+    pub warming_up: bool,
     /// Requests that it works on at one time; 0: not told.
-    pub slots: u32,
+    #[serde(rename = "slots")]
+    pub concurrency: u32,
 }
 
 impl crate::selector::Labelled for Server {
@@ -25,7 +28,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct PlatformList {
+pub struct EndpointList {
     pub revision: u64,
     pub servers: Vec<Server>,
 }
@@ -33,7 +36,7 @@
 /// Three times 4,500 servers (docs/CAPACITY.md), with room for labels.
 /// What changed from one revision of a list to a later one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct ListDelta {
+pub struct EndpointListDelta {
     pub base: u64,
     pub revision: u64,
     /// New or different.
@@ -44,11 +47,12 @@
     pub digest: u64,
 }
 
-impl PlatformList {
+impl EndpointList {
     /// Of its servers, whatever their order.
     pub fn digest(&self) -> u64 {
         let one = |server: &Server| {
-            let flags = [server.leaving, server.cold].map(|flag| if flag { "1" } else { "0" });
+            let flags =
+                [server.draining, server.warming_up].map(|flag| if flag { "1" } else { "0" });
             let address = server.address.to_string();
             crate::stable_hash(&[&server.id, &address, &server.zone, flags[0], flags[1]])
         };
@@ -56,14 +60,14 @@
     }
 
     /// From `base` to this list.
-    pub fn since(&self, base: &PlatformList) -> ListDelta {
+    pub fn since(&self, base: &EndpointList) -> EndpointListDelta {
         let before: std::collections::HashMap<&str, &Server> =
             base.servers.iter().map(|server| (server.id.as_str(), server)).collect();
         let now: std::collections::HashSet<&str> =
             self.servers.iter().map(|server| server.id.as_str()).collect();
         let is_same = |server: &&Server| before.get(server.id.as_str()) != Some(server);
         let gone = base.servers.iter().filter(|server| !now.contains(server.id.as_str()));
-        ListDelta {
+        EndpointListDelta {
             base: base.revision,
             revision: self.revision,
             changed: self.servers.iter().filter(is_same).cloned().collect(),
@@ -73,7 +77,7 @@
     }
 
     /// The list that a delta leads to; `None` where it does not lead there from this one.
-    pub fn with(&self, delta: &ListDelta) -> Option<PlatformList> {
+    pub fn with(&self, delta: &EndpointListDelta) -> Option<EndpointList> {
         if delta.base != self.revision {
             return None;
         }
@@ -89,22 +93,22 @@
         servers.extend(
             delta.changed.iter().filter(|one| changed.contains_key(one.id.as_str())).cloned(),
         );
-        let list = PlatformList { revision: delta.revision, servers };
+        let list = EndpointList { revision: delta.revision, servers };
         (list.digest() == delta.digest).then_some(list)
     }
 }
 
-pub const SERVERS_MOST: usize = 16_384;
-pub const BYTES_MOST: usize = 8 << 20;
+pub const MAX_SERVERS: usize = 16_384;
+pub const MAX_BYTES: usize = 8 << 20;
 
 /// Reads the platform's document; one fault anywhere refuses the whole of it.
-pub fn parse(bytes: &[u8]) -> Result<PlatformList, Vec<crate::Fault>> {
-    let mut reader = crate::json_reader::Reader::default();
-    if bytes.len() > BYTES_MOST {
+pub fn parse(bytes: &[u8]) -> Result<EndpointList, Vec<crate::ValidationError>> {
+    let mut reader = crate::json_reader::JsonReader::default();
+    if bytes.len() > MAX_BYTES {
         reader.fault("$", "too large");
         return Err(reader.faults);
     }
-    let mut list = PlatformList::default();
+    let mut list = EndpointList::default();
     if let Some(document) = reader.document(bytes)
         && let Some(object) = reader.object("$", &document, &["revision", "servers"])
     {
@@ -118,7 +122,7 @@
             reader.whole("$.revision", object.get("revision"), 0, 1 << 53).unwrap_or_default();
         let mut ids = std::collections::HashSet::new();
         let mut addresses = std::collections::HashSet::new();
-        let entries = reader.array("$.servers", object.get("servers"), SERVERS_MOST);
+        let entries = reader.array("$.servers", object.get("servers"), MAX_SERVERS);
         for (index, entry) in entries.iter().enumerate() {
             let path = format!("$.servers[{index}]");
             if let Some(server) = server(&mut reader, &path, entry) {
@@ -136,7 +140,7 @@
 }
 
 fn server(
-    reader: &mut crate::json_reader::Reader,
+    reader: &mut crate::json_reader::JsonReader,
     path: &str,
     entry: &jzon::JsonValue,
 ) -> Option<Server> {
@@ -177,9 +181,9 @@
         region: region?,
         zone: zone?,
         labels,
-        leaving: leaving?,
-        cold,
-        slots: slots.unwrap_or(0) as u32,
+        draining: leaving?,
+        warming_up: cold,
+        concurrency: slots.unwrap_or(0) as u32,
     })
 }
 
@@ -196,7 +200,7 @@
 
 /// Labels of servers and places; `zone` and `region` are always the place's own.
 pub fn labels(
-    reader: &mut crate::json_reader::Reader,
+    reader: &mut crate::json_reader::JsonReader,
     path: &str,
     value: Option<&jzon::JsonValue>,
 ) -> std::collections::BTreeMap<String, String> {
--- a/config/src/endpoint_list/tests.rs
+++ b/config/src/endpoint_list/tests.rs
@@ -1,4 +1,4 @@
-use super::{PlatformList, Server};
+use super::{EndpointList, Server};
 
 fn server(number: u64, flags: u64) -> Server {
     Server {
@@ -7,9 +7,9 @@
         region: "a".to_string(),
         zone: format!("a{}", number % 3),
         labels: Default::default(),
-        leaving: flags & 1 > 0,
-        cold: flags & 2 > 0,
-        slots: 2,
+        draining: flags & 1 > 0,
+        warming_up: flags & 2 > 0,
+        concurrency: 2,
     }
 }
 
@@ -23,7 +23,7 @@
         (seed >> 33) % bound
     };
     for revision in 1..300 {
-        let mut list = |revision: u64| PlatformList {
+        let mut list = |revision: u64| EndpointList {
             revision,
             servers: (0..20)
                 .filter(|_| draw(4) > 0)
@@ -35,7 +35,7 @@
         let (base, next, other) = (list(revision), list(revision + 1), list(revision));
         let delta = next.since(&base);
         let led = base.with(&delta).expect("it leads there");
-        let sorted = |list: &PlatformList| {
+        let sorted = |list: &EndpointList| {
             let mut servers = list.servers.clone();
             servers.sort_by(|left, right| left.id.cmp(&right.id));
             servers
--- a/config/src/execution_status.rs
+++ b/config/src/execution_status.rs
@@ -4,7 +4,7 @@
     Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumString, strum::IntoStaticStr,
 )]
 #[strum(serialize_all = "kebab-case")]
-pub enum Verdict {
+pub enum ExecutionStatus {
     /// No byte of the request reached a server, and none ever will.
     NotRun,
     /// Some of it may have reached a server; nobody can tell from here.
--- a/config/src/json_reader.rs
+++ b/config/src/json_reader.rs
@@ -1,12 +1,12 @@
 //! Reading of JSON by hand from `jzon` values; every fault is kept with its path (design 3.2).
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ValidationError {
     pub path: String,
     pub message: String,
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for ValidationError {
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(out, "{}: {}", self.path, self.message)
     }
@@ -14,13 +14,13 @@
 
 /// Collects faults while values are read.
 #[derive(Default)]
-pub struct Reader {
-    pub faults: Vec<Fault>,
+pub struct JsonReader {
+    pub faults: Vec<ValidationError>,
 }
 
-impl Reader {
+impl JsonReader {
     pub fn fault(&mut self, path: &str, message: impl Into<String>) {
-        self.faults.push(Fault { path: path.to_string(), message: message.into() });
+        self.faults.push(ValidationError { path: path.to_string(), message: message.into() });
     }
 
     /// Parses bytes to a value; duplicate keys, which `jzon` silently folds, are faults (3.2).
@@ -179,7 +179,7 @@
 }
 
 /// Walks a text that `jzon` has already accepted and names each key that an object repeats.
-fn duplicate_keys(text: &str, reader: &mut Reader) {
+fn duplicate_keys(text: &str, reader: &mut JsonReader) {
     enum Level {
         Object(std::collections::HashSet<String>, String, bool),
         Array(usize),
@@ -236,7 +236,7 @@
 }
 
 /// Faults as the JSON list that every interface shows.
-pub fn faults_as_json(faults: &[Fault]) -> jzon::JsonValue {
+pub fn faults_as_json(faults: &[ValidationError]) -> jzon::JsonValue {
     jzon::JsonValue::Array(
         faults
             .iter()
--- a/config/src/lib.rs
+++ b/config/src/lib.rs
@@ -10,8 +10,8 @@
 pub mod settings;
 pub mod wire_format;
 
-pub use execution_status::Verdict;
-pub use json_reader::Fault;
+pub use execution_status::ExecutionStatus;
+pub use json_reader::ValidationError;
 
 /// A stable 64-bit hash for rendezvous ranks and sticky buckets (design 5.2, 7.3). The same on
 /// every machine and in every version, which the standard library does not promise of its own.
--- a/config/src/model.rs
+++ b/config/src/model.rs
@@ -2,38 +2,40 @@
 
 /// Room for three times 1,100 routes, 270 services and 22,000 tenants of a hundred bytes each
 /// (docs/CAPACITY.md).
-pub const BYTES_MOST: usize = 8 << 20;
+pub const MAX_BYTES: usize = 8 << 20;
 const SERVICES_MOST: usize = 1024;
 const RULES_MOST: usize = 4096;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Kind {
+pub enum Idempotency {
     /// May go again elsewhere: lookups and downloads.
-    Repeatable,
+    #[strum(serialize = "repeatable")]
+    Idempotent,
     /// Must run at most once: filings.
-    Once,
+    #[strum(serialize = "once")]
+    NonIdempotent,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Borrow {
     pub class: usize,
-    pub most: u64,
+    pub max_slots: u64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     pub name: String,
     /// 0 is the most urgent.
-    pub urgency: u64,
-    pub kind: Kind,
+    pub priority: u64,
+    pub idempotency: Idempotency,
     /// Requests in hand at one time on one proxy.
-    pub room: u64,
+    pub max_in_flight: u64,
     pub borrows: Vec<Borrow>,
     /// Requests that may wait on one proxy.
-    pub queue: u64,
+    pub max_queued: u64,
     /// The largest body of a request.
-    pub body_most: u64,
+    pub max_body_bytes: u64,
     pub deadline: std::time::Duration,
     /// Its answers are large: they are better served near by, a little later, than far away.
     pub bulk: bool,
@@ -43,32 +45,32 @@
 pub struct Service {
     pub name: String,
     pub selector: crate::selector::Selector,
-    pub liveness_path: String,
+    pub health_check_path: String,
     /// The reply header in which a server names itself; empty: servers of this service don't.
     pub identity_header: String,
     /// Requests a second, fleet-wide, that one cold server gets at first.
-    pub cold_rate: f64,
+    pub slow_start_rate: f64,
     /// How long a cold server ramps.
-    pub cold_period: std::time::Duration,
+    pub slow_start_period: std::time::Duration,
     /// Requests in one server's hands from one proxy.
-    pub server_room: u64,
+    pub max_in_flight_per_server: u64,
     /// Connections that one server takes from all proxies together; 0: no bound.
-    pub connections_most: u64,
+    pub max_connections: u64,
     /// Servers are judged by the traffic that they get; only one in doubt is probed.
-    pub probes_in_doubt_only: bool,
+    pub probes_suspects_only: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Place {
-    pub zone: String,
+pub struct Zone {
+    pub name: String,
     pub region: String,
     pub labels: std::collections::BTreeMap<String, String>,
 }
 
-impl crate::selector::Labelled for Place {
+impl crate::selector::Labelled for Zone {
     fn label(&self, key: &str) -> Option<&str> {
         match key {
-            "zone" => Some(&self.zone),
+            "zone" => Some(&self.name),
             "region" => Some(&self.region),
             key => self.labels.get(key).map(String::as_str),
         }
@@ -90,50 +92,50 @@
     pub class: usize,
     pub service: usize,
     /// Other services that take what the own one has no room for.
-    pub spill: Vec<usize>,
+    pub spillover: Vec<usize>,
     /// Tiers, the most preferred first; the shares of a tier add up to 100.
     pub prefer: Vec<Vec<Preference>>,
     /// The only regions that may carry or serve this; empty: all.
     pub regions: Vec<String>,
     /// The proxy that a client itself reached may carry it wherever it stands: `regions` binds
     /// servers only.
-    pub carried_anywhere: bool,
+    pub forwarded_anywhere: bool,
     /// The prefix stands for itself alone: `/stock/` does not take `/stock`.
     pub literal_prefix: bool,
     /// Services by weight, `service` among them; empty: `service` alone.
-    pub split: Vec<(usize, f64)>,
+    pub weighted_services: Vec<(usize, f64)>,
     /// Servers that one request may be sent to.
-    pub attempts_most: u32,
+    pub max_attempts: u32,
     /// Instead of the class's.
     pub deadline: Option<std::time::Duration>,
     /// Answers that come later are worth less: a request is refused at once, for the client to come back,
     /// rather than put into a queue in which it would be late (design 8.7).
-    pub aim: Option<std::time::Duration>,
+    pub latency_target: Option<std::time::Duration>,
 }
 
 /// Unless a rule says otherwise.
-pub const ATTEMPTS_MOST: u32 = 4;
+pub const DEFAULT_MAX_ATTEMPTS: u32 = 4;
 
 impl Rule {
     /// Whether a proxy in this region may take it from a client.
-    pub fn may_carry(&self, region: &str) -> bool {
-        self.carried_anywhere || self.allows(region)
+    pub fn may_forward_from(&self, region: &str) -> bool {
+        self.forwarded_anywhere || self.allows_region(region)
     }
 
     /// The service for one request, drawn by weight.
-    pub fn drawn(&self, random: u64) -> usize {
-        let sum: f64 = self.split.iter().map(|one| one.1).sum();
+    pub fn pick_service(&self, random: u64) -> usize {
+        let sum: f64 = self.weighted_services.iter().map(|one| one.1).sum();
         let mut at = (random >> 11) as f64 / (1_u64 << 53) as f64 * sum;
-        for (service, weight) in self.split.iter().filter(|one| one.1 > 0.0) {
+        for (service, weight) in self.weighted_services.iter().filter(|one| one.1 > 0.0) {
             at -= weight;
             if at < 0.0 {
                 return *service;
             }
         }
-        self.split.iter().rfind(|one| one.1 > 0.0).map_or(self.service, |one| one.0)
+        self.weighted_services.iter().rfind(|one| one.1 > 0.0).map_or(self.service, |one| one.0)
     }
 
-    pub fn allows(&self, region: &str) -> bool {
+    pub fn allows_region(&self, region: &str) -> bool {
         self.regions.is_empty() || self.regions.iter().any(|allowed| allowed == region)
     }
 
@@ -166,21 +168,21 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Setup {
+pub struct Config {
     /// Named by its author: one that is not above the held one changes nothing (design 6.9).
     pub version: Option<u64>,
     pub classes: Vec<Class>,
     pub services: Vec<Service>,
-    pub places: Vec<Place>,
+    pub zones: Vec<Zone>,
     pub rules: Vec<Rule>,
     /// Made of the rules once all are read.
-    routes: crate::rule_index::Routes,
+    routes: crate::rule_index::RuleIndex,
 }
 
-impl Setup {
+impl Config {
     /// To be called once all rules are there: requests find them by an index.
-    pub fn index_rules(&mut self) {
-        self.routes = crate::rule_index::Routes::of(&self.rules);
+    pub fn build_rule_index(&mut self) {
+        self.routes = crate::rule_index::RuleIndex::of(&self.rules);
     }
 
     /// The first rule in the document's order that matches.
@@ -199,13 +201,13 @@
 }
 
 /// The one check of a setup: the interface, `--check-setup` and the checker all come here (3.2).
-pub fn parse(bytes: &[u8]) -> Result<Setup, Vec<crate::Fault>> {
-    let mut reader = crate::json_reader::Reader::default();
-    if bytes.len() > BYTES_MOST {
-        reader.fault("$", format!("larger than {BYTES_MOST} bytes"));
+pub fn parse(bytes: &[u8]) -> Result<Config, Vec<crate::ValidationError>> {
+    let mut reader = crate::json_reader::JsonReader::default();
+    if bytes.len() > MAX_BYTES {
+        reader.fault("$", format!("larger than {MAX_BYTES} bytes"));
         return Err(reader.faults);
     }
-    let mut setup = Setup::default();
+    let mut setup = Config::default();
     if let Some(document) = reader.document(bytes)
         && let Some(object) =
             reader.object("$", &document, &["version", "classes", "services", "places", "rules"])
@@ -231,7 +233,7 @@
             let path = format!("$.rules[{index}]");
             rule(&mut reader, &path, entry, &class_names, &service_names, &mut setup);
         }
-        setup.index_rules();
+        setup.build_rule_index();
         for index in 0..setup.rules.len() {
             if let Some(above) = setup.covered_by(index) {
                 reader.fault(
@@ -253,7 +255,7 @@
 
 /// The names of a list's entries; a repeated one is a fault, and stands for the first.
 fn names(
-    reader: &mut crate::json_reader::Reader,
+    reader: &mut crate::json_reader::JsonReader,
     path: &str,
     value: Option<&jzon::JsonValue>,
     most: usize,
@@ -271,7 +273,7 @@
 }
 
 fn reference(
-    reader: &mut crate::json_reader::Reader,
+    reader: &mut crate::json_reader::JsonReader,
     path: &str,
     value: Option<&jzon::JsonValue>,
     names: &Names,
@@ -285,9 +287,9 @@
 }
 
 fn places(
-    reader: &mut crate::json_reader::Reader,
+    reader: &mut crate::json_reader::JsonReader,
     value: Option<&jzon::JsonValue>,
-    setup: &mut Setup,
+    setup: &mut Config,
 ) {
     for (index, entry) in reader.array("$.places", value, 256).iter().enumerate() {
         let path = format!("$.places[{index}]");
@@ -299,20 +301,20 @@
         let labels =
             crate::endpoint_list::labels(reader, &format!("{path}.labels"), object.get("labels"));
         if let (Some(zone), Some(region)) = (zone, region) {
-            if setup.places.iter().any(|place| place.zone == zone) {
+            if setup.zones.iter().any(|place| place.name == zone) {
                 reader.fault(&format!("{path}.zone"), format!("'{zone}' is named twice"));
             }
-            setup.places.push(Place { zone, region, labels });
+            setup.zones.push(Zone { name: zone, region, labels });
         }
     }
 }
 
 fn class(
-    reader: &mut crate::json_reader::Reader,
+    reader: &mut crate::json_reader::JsonReader,
     path: &str,
     entry: &jzon::JsonValue,
     class_names: &Names,
-    setup: &mut Setup,
+    setup: &mut Config,
 ) {
     let known = [
         "name",
@@ -334,9 +336,9 @@
         Some(Ok(kind)) => kind,
         Some(Err(_)) => {
             reader.fault(&at("kind"), "must be repeatable or once");
-            Kind::Once
+            Idempotency::NonIdempotent
         }
-        None => Kind::Once,
+        None => Idempotency::NonIdempotent,
     };
     if object.get("urgency").is_none() {
         reader.fault(&at("urgency"), "missing");
@@ -362,17 +364,27 @@
                 if borrows.iter().any(|borrow: &Borrow| borrow.class == class) {
                     reader.fault(&format!("{path}.from"), "named twice");
                 }
-                borrows.push(Borrow { class, most });
+                borrows.push(Borrow { class, max_slots: most });
             }
         }
     }
     let deadline = std::time::Duration::from_millis(deadline_ms.unwrap_or(10_000));
     let bulk = reader.boolean(&at("bulk"), object.get("bulk")).unwrap_or(false);
-    let class = Class { name, urgency, kind, room, borrows, queue, body_most, deadline, bulk };
+    let class = Class {
+        name,
+        priority: urgency,
+        idempotency: kind,
+        max_in_flight: room,
+        borrows,
+        max_queued: queue,
+        max_body_bytes: body_most,
+        deadline,
+        bulk,
+    };
     setup.classes.push(class);
 }
 
-fn borrow_cycles(reader: &mut crate::json_reader::Reader, setup: &Setup) {
+fn borrow_cycles(reader: &mut crate::json_reader::JsonReader, setup: &Config) {
     for (index, class) in setup.classes.iter().enumerate() {
         let mut seen = vec![false; setup.classes.len()];
         let mut open: Vec<usize> = class.borrows.iter().map(|borrow| borrow.class).collect();
@@ -390,10 +402,10 @@
 }
 
 fn service(
-    reader: &mut crate::json_reader::Reader,
+    reader: &mut crate::json_reader::JsonReader,
     path: &str,
     entry: &jzon::JsonValue,
-    setup: &mut Setup,
+    setup: &mut Config,
 ) {
     let known = [
         "name",
@@ -457,13 +469,13 @@
     setup.services.push(Service {
         name,
         selector,
-        liveness_path,
+        health_check_path: liveness_path,
         identity_header,
-        cold_rate,
-        cold_period: std::time::Duration::from_millis(cold_period_ms),
-        server_room,
-        connections_most,
-        probes_in_doubt_only,
+        slow_start_rate: cold_rate,
+        slow_start_period: std::time::Duration::from_millis(cold_period_ms),
+        max_in_flight_per_server: server_room,
+        max_connections: connections_most,
+        probes_suspects_only: probes_in_doubt_only,
     });
 }
 
@@ -473,7 +485,7 @@
 }
 
 fn selector(
-    reader: &mut crate::json_reader::Reader,
+    reader: &mut crate::json_reader::JsonReader,
     path: &str,
     value: Option<&jzon::JsonValue>,
     relative: bool,
@@ -496,12 +508,12 @@
 }
 
 fn rule(
-    reader: &mut crate::json_reader::Reader,
+    reader: &mut crate::json_reader::JsonReader,
     path: &str,
     entry: &jzon::JsonValue,
     class_names: &Names,
     service_names: &Names,
-    setup: &mut Setup,
+    setup: &mut Config,
 ) {
     let known = [
         "name",
@@ -597,8 +609,8 @@
     for (index, value) in listed.iter().enumerate() {
         let path = at(&format!("regions[{index}]"));
         if let Some(region) = reader.name(&path, Some(value)) {
-            let known = setup.places.iter().any(|place| place.region == region);
-            if !setup.places.is_empty() && !known {
+            let known = setup.zones.iter().any(|place| place.region == region);
+            if !setup.zones.is_empty() && !known {
                 reader.fault(&path, format!("no place lies in region '{region}'"));
             }
             regions.push(region);
@@ -624,9 +636,9 @@
                 reader.fault(&places_path, "missing");
             }
             let places = selector(reader, &places_path, object.get("places"), true);
-            if !places.is_relative() && !setup.places.is_empty() {
-                let view = crate::selector::Viewpoint::default();
-                if !setup.places.iter().any(|place| places.matches(place, view)) {
+            if !places.is_relative() && !setup.zones.is_empty() {
+                let view = crate::selector::ClientLocation::default();
+                if !setup.zones.iter().any(|place| places.matches(place, view)) {
                     reader.fault(&places_path, "matches no place");
                 }
             }
@@ -651,20 +663,20 @@
         path_prefix,
         class: class.unwrap_or_default(),
         service: service.unwrap_or_default(),
-        spill,
+        spillover: spill,
         prefer,
         regions,
-        carried_anywhere,
+        forwarded_anywhere: carried_anywhere,
         literal_prefix,
-        split,
-        attempts_most: attempts.map_or(ATTEMPTS_MOST, |attempts| attempts as u32),
+        weighted_services: split,
+        max_attempts: attempts.map_or(DEFAULT_MAX_ATTEMPTS, |attempts| attempts as u32),
         deadline: deadline_ms.map(std::time::Duration::from_millis),
-        aim: aim_ms.map(std::time::Duration::from_millis),
+        latency_target: aim_ms.map(std::time::Duration::from_millis),
     });
 }
 
 fn split(
-    reader: &mut crate::json_reader::Reader,
+    reader: &mut crate::json_reader::JsonReader,
     path: &str,
     value: Option<&jzon::JsonValue>,
     service_names: &std::collections::HashMap<String, usize>,
--- a/config/src/model/tests.rs
+++ b/config/src/model/tests.rs
@@ -83,7 +83,7 @@
     for text in ["", "[]", "{}", "{\"classes\": {}}", "{\"a\":1}}"] {
         shown += &format!("{text}\n    {}\n", faults(text).replace('\n', "\n    "));
     }
-    shown += &faults(&" ".repeat(super::BYTES_MOST + 1));
+    shown += &faults(&" ".repeat(super::MAX_BYTES + 1));
     assert!(super::parse("[".repeat(100_000).as_bytes()).is_err());
     expect_test::expect![[r#"
         "urgency": 1, "colour": 2
@@ -163,7 +163,7 @@
         "rules": [{"name": "r", "class": "c", "service": "s"}]}"#;
     let mut rule = super::parse(text.as_bytes()).unwrap().rules.remove(0);
     rule.service = 7;
-    rule.split = weights.iter().copied().enumerate().collect();
+    rule.weighted_services = weights.iter().copied().enumerate().collect();
     rule
 }
 
@@ -177,7 +177,7 @@
         let mut random = 1_u64;
         for _ in 0..10_000 {
             random = random.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-            counts[rule.drawn(random)] += 1;
+            counts[rule.pick_service(random)] += 1;
         }
         shown += &format!("{weights:?}: {counts:?}\n");
     }
@@ -193,12 +193,15 @@
 /// At the ends of the draw too.
 #[test]
 fn no_draw_falls_outside() {
-    assert_eq!(split(&[]).drawn(5), 7, "without a split the rule's own service");
+    assert_eq!(split(&[]).pick_service(5), 7, "without a split the rule's own service");
     for weights in [&[0.0, 2.0, 0.0][..], &[0.0, 1e-300, 0.0], &[0.0, 0.1, 0.0]] {
         for random in [0, 1, u64::MAX / 2, u64::MAX] {
-            assert_eq!(split(weights).drawn(random), 1, "{weights:?} at {random}");
+            assert_eq!(split(weights).pick_service(random), 1, "{weights:?} at {random}");
         }
     }
-    assert_eq!(split(&[0.0, 0.0]).drawn(9), 7, "nobody has any weight");
-    assert_eq!([split(&[1.0, 1.0]).drawn(0), split(&[1.0, 1.0]).drawn(u64::MAX)], [0, 1]);
+    assert_eq!(split(&[0.0, 0.0]).pick_service(9), 7, "nobody has any weight");
+    assert_eq!(
+        [split(&[1.0, 1.0]).pick_service(0), split(&[1.0, 1.0]).pick_service(u64::MAX)],
+        [0, 1]
+    );
 }
--- a/config/src/rule_index.rs
+++ b/config/src/rule_index.rs
@@ -14,15 +14,15 @@
 
 /// Of the rules alone: the rules themselves stay with the setup.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Routes {
+pub struct RuleIndex {
     any_host: Node,
     /// By the host's name in lower case.
     hosts: HashMap<String, Node>,
 }
 
-impl Routes {
-    pub fn of(rules: &[Rule]) -> Routes {
-        let mut routes = Routes::default();
+impl RuleIndex {
+    pub fn of(rules: &[Rule]) -> RuleIndex {
+        let mut routes = RuleIndex::default();
         for (index, rule) in rules.iter().enumerate() {
             let mut node = match &rule.host {
                 None => &mut routes.any_host,
--- a/config/src/selector.rs
+++ b/config/src/selector.rs
@@ -32,7 +32,7 @@
 
 /// Where the asking caller is.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Viewpoint<'v> {
+pub struct ClientLocation<'v> {
     pub zone: &'v str,
     pub region: &'v str,
 }
@@ -64,11 +64,11 @@
         Ok(Selector { nodes: parser.nodes, text: text.to_string() })
     }
 
-    pub fn matches(&self, labelled: &dyn Labelled, view: Viewpoint<'_>) -> bool {
+    pub fn matches(&self, labelled: &dyn Labelled, view: ClientLocation<'_>) -> bool {
         self.node(self.nodes.len() - 1, labelled, view)
     }
 
-    fn node(&self, index: usize, labelled: &dyn Labelled, view: Viewpoint<'_>) -> bool {
+    fn node(&self, index: usize, labelled: &dyn Labelled, view: ClientLocation<'_>) -> bool {
         let same = |label: &str, value: &str| match value {
             "@zone" => label == view.zone,
             "@region" => label == view.region,
--- a/config/src/selector/tests.rs
+++ b/config/src/selector/tests.rs
@@ -4,7 +4,7 @@
         [("app", "orders"), ("zone", "a1"), ("region", "a")]
             .map(|(key, value)| (key.to_string(), value.to_string()))
             .into();
-    let view = super::Viewpoint { zone: "a1", region: "b" };
+    let view = super::ClientLocation { zone: "a1", region: "b" };
     let mut shown = String::new();
     for text in [
         "app = orders",
--- a/config/src/settings.rs
+++ b/config/src/settings.rs
@@ -19,28 +19,28 @@
     pub listen: std::net::SocketAddr,
     pub advertise: std::net::SocketAddr,
     /// Between the system's own daemons.
-    pub sibling_listen: std::net::SocketAddr,
-    pub sibling_advertise: std::net::SocketAddr,
+    pub cluster_listen: std::net::SocketAddr,
+    pub cluster_advertise: std::net::SocketAddr,
     pub seeds: Vec<std::net::SocketAddr>,
     pub data_folder: Option<std::path::PathBuf>,
     /// So many stores hold the word from the first start on.
-    pub stores: usize,
+    pub bootstrap_size: usize,
     /// This disk, if empty, takes part in the beginning of a word.
-    pub first_start: bool,
+    pub may_bootstrap: bool,
     /// Where the platform list is read: `http://IP:PORT/PATH`.
-    pub platform: Option<String>,
-    pub grace: std::time::Duration,
+    pub endpoint_list_url: Option<String>,
+    pub shutdown_grace: std::time::Duration,
     /// Where its own pages (status, readiness, counters) are, if not beside the rest.
-    pub pages_listen: Option<std::net::SocketAddr>,
+    pub admin_listen: Option<std::net::SocketAddr>,
     /// Registry only: a second address at which clients reach the directory.
-    pub directory_listen: Option<std::net::SocketAddr>,
+    pub steering_listen: Option<std::net::SocketAddr>,
     /// The region of each zone, where the platform list does not tell it.
-    pub zones: std::collections::BTreeMap<String, String>,
-    pub retries: Retries,
+    pub zone_regions: std::collections::BTreeMap<String, String>,
+    pub retry_budget: RetryBudgetSettings,
     /// Millions of bits a second that its machine's link carries, if it is narrow enough to matter.
-    pub link_mbps: Option<f64>,
+    pub link_megabits: Option<f64>,
     /// How the outside is spoken to; set by the program, not by its settings.
-    pub dialect: crate::wire_format::Spoken,
+    pub wire_format: crate::wire_format::SelectedFormat,
     /// What it was started with, so that changed settings can be read again (design 2.2).
     pub arguments: Vec<String>,
     pub file: Option<std::path::PathBuf>,
@@ -51,22 +51,22 @@
 /// What further attempts the whole fleet may make, for each service: in any window so many beyond
 /// the first of each request as this part of the requests, and so many more (design 8.5).
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Retries {
+pub struct RetryBudgetSettings {
     pub ratio: f64,
     pub window: std::time::Duration,
     pub extra: f64,
 }
 
-impl Default for Retries {
-    fn default() -> Retries {
-        Retries { ratio: 0.2, window: std::time::Duration::from_secs(10), extra: 32.0 }
+impl Default for RetryBudgetSettings {
+    fn default() -> RetryBudgetSettings {
+        RetryBudgetSettings { ratio: 0.2, window: std::time::Duration::from_secs(10), extra: 32.0 }
     }
 }
 
-pub enum Start {
+pub enum Invocation {
     Run(Box<Settings>),
     /// Print this and end well.
-    Say(String),
+    Print(String),
 }
 
 /// Key, flag and meaning; one table for the file, the flags and `--help`.
@@ -116,7 +116,7 @@
 }
 
 /// Reads flags and file. `Err` holds the message for the operator.
-pub fn start(role: Role, arguments: &[String]) -> Result<Start, miette::Report> {
+pub fn start(role: Role, arguments: &[String]) -> Result<Invocation, miette::Report> {
     let mut options = getopts::Options::new();
     options.optflag("h", "help", "show this and end");
     options.optflag("V", "version", "show the version and end");
@@ -141,10 +141,10 @@
         options.parse(arguments).map_err(|error| miette::miette!("{error}; see --help"))?;
     if matches.opt_present("help") {
         let brief = format!("Usage: vanepath-{role} [options]\nvanepath's {role} daemon.");
-        return Ok(Start::Say(options.usage(&brief)));
+        return Ok(Invocation::Print(options.usage(&brief)));
     }
     if matches.opt_present("version") {
-        return Ok(Start::Say(format!("vanepath-{role} {}", env!("CARGO_PKG_VERSION"))));
+        return Ok(Invocation::Print(format!("vanepath-{role} {}", env!("CARGO_PKG_VERSION"))));
     }
     if !matches.free.is_empty() {
         miette::bail!("unexpected argument '{}'; see --help", matches.free[0]);
@@ -155,7 +155,7 @@
         let bytes =
             std::fs::read(&file).map_err(|error| miette::miette!("cannot read {file}: {error}"))?;
         return match crate::model::parse(&bytes) {
-            Ok(setup) => Ok(Start::Say(format!(
+            Ok(setup) => Ok(Invocation::Print(format!(
                 "good: {} classes, {} services, {} rules",
                 setup.classes.len(),
                 setup.services.len(),
@@ -165,7 +165,7 @@
         };
     }
 
-    let mut reader = crate::json_reader::Reader::default();
+    let mut reader = crate::json_reader::JsonReader::default();
     let mut values = jzon::object::Object::new();
     if let Some(file) = matches.opt_str("settings") {
         let bytes = std::fs::read(&file)
@@ -202,9 +202,9 @@
             settings.file = matches.opt_str("settings").map(std::path::PathBuf::from);
             settings.rescue = role == Role::Store && matches.opt_present("rescue");
             if matches.opt_present("check") {
-                Ok(Start::Say("settings are good".to_string()))
+                Ok(Invocation::Print("settings are good".to_string()))
             } else {
-                Ok(Start::Run(Box::new(settings)))
+                Ok(Invocation::Run(Box::new(settings)))
             }
         }
         _ => Err(report("the settings cannot be used", &reader.faults)),
@@ -212,7 +212,7 @@
 }
 
 /// A list of faults as one message for the operator.
-pub fn report(title: &str, faults: &[crate::Fault]) -> miette::Report {
+pub fn report(title: &str, faults: &[crate::ValidationError]) -> miette::Report {
     let lines: Vec<String> = faults.iter().map(|fault| format!("  {fault}")).collect();
     miette::miette!("{title}\n{}", lines.join("\n"))
 }
@@ -220,7 +220,7 @@
 fn check(
     role: Role,
     values: &jzon::object::Object,
-    reader: &mut crate::json_reader::Reader,
+    reader: &mut crate::json_reader::JsonReader,
 ) -> Option<Settings> {
     let fleet = match values.get("fleet") {
         Some(value) => reader.name("$.fleet", Some(value)),
@@ -305,20 +305,20 @@
         zone: zone?,
         listen: listen?,
         advertise: advertise?,
-        sibling_listen: sibling_listen?,
-        sibling_advertise: sibling_advertise?,
+        cluster_listen: sibling_listen?,
+        cluster_advertise: sibling_advertise?,
         seeds,
         data_folder,
-        stores: stores as usize,
-        first_start,
-        platform,
-        grace: std::time::Duration::from_millis(grace_ms),
-        pages_listen,
-        directory_listen,
-        zones,
-        retries,
-        link_mbps,
-        dialect: Default::default(),
+        bootstrap_size: stores as usize,
+        may_bootstrap: first_start,
+        endpoint_list_url: platform,
+        shutdown_grace: std::time::Duration::from_millis(grace_ms),
+        admin_listen: pages_listen,
+        steering_listen: directory_listen,
+        zone_regions: zones,
+        retry_budget: retries,
+        link_megabits: link_mbps,
+        wire_format: Default::default(),
         arguments: Vec::new(),
         file: None,
         rescue: false,
@@ -326,7 +326,7 @@
 }
 
 fn zones(
-    reader: &mut crate::json_reader::Reader,
+    reader: &mut crate::json_reader::JsonReader,
     value: Option<&jzon::JsonValue>,
 ) -> std::collections::BTreeMap<String, String> {
     let mut zones = std::collections::BTreeMap::new();
@@ -347,8 +347,11 @@
     zones
 }
 
-fn retries(reader: &mut crate::json_reader::Reader, value: Option<&jzon::JsonValue>) -> Retries {
-    let mut retries = Retries::default();
+fn retries(
+    reader: &mut crate::json_reader::JsonReader,
+    value: Option<&jzon::JsonValue>,
+) -> RetryBudgetSettings {
+    let mut retries = RetryBudgetSettings::default();
     if let Some(value) = value
         && let Some(object) = reader.object("$.retries", value, &["ratio", "windowMs", "extra"])
     {
@@ -363,7 +366,7 @@
 }
 
 fn address(
-    reader: &mut crate::json_reader::Reader,
+    reader: &mut crate::json_reader::JsonReader,
     path: &str,
     value: Option<&jzon::JsonValue>,
     reachable: bool,
--- a/config/src/settings/tests.rs
+++ b/config/src/settings/tests.rs
@@ -1,8 +1,8 @@
 fn shown(role: super::Role, arguments: &[&str]) -> String {
     let arguments: Vec<String> = arguments.iter().map(|one| one.to_string()).collect();
     match super::start(role, &arguments) {
-        Ok(super::Start::Run(_)) => "runs".to_string(),
-        Ok(super::Start::Say(text)) => text,
+        Ok(super::Invocation::Run(_)) => "runs".to_string(),
+        Ok(super::Invocation::Print(text)) => text,
         Err(report) => report.to_string(),
     }
 }
--- a/config/tests/settings_names.rs
+++ b/config/tests/settings_names.rs
@@ -1,7 +1,7 @@
 //! The keys of the settings files, as the operators' files have them (design 2.2): each is taken by the
 //! roles that have it and by no other.
 
-use vanepath_config::settings::{Role, Start, start};
+use vanepath_config::settings::{Invocation, Role, start};
 
 /// Each key with a value, and the roles that take it beside what every file needs.
 const KEYS: [(&str, &str, &[Role]); 15] = [
@@ -48,8 +48,8 @@
     let outcome = start(role, &arguments);
     std::fs::remove_file(&file).unwrap();
     match outcome {
-        Ok(Start::Say(_)) => Ok(()),
-        Ok(Start::Run(_)) => panic!("it was to be checked only"),
+        Ok(Invocation::Print(_)) => Ok(()),
+        Ok(Invocation::Run(_)) => panic!("it was to be checked only"),
         Err(report) => Err(report.to_string()),
     }
 }
--- a/proxy/src/admission.rs
+++ b/proxy/src/admission.rs
@@ -71,7 +71,7 @@
     /// Goes over to a new setup. A class keeps its place among the rooms for as long as anything of
     /// it is in hand or waiting, whatever the order of the setup's classes: slots that are out name
     /// places. A class that is gone keeps its room until it is empty.
-    pub fn adopt(&mut self, setup: &vanepath_config::model::Setup) {
+    pub fn adopt(&mut self, setup: &vanepath_config::model::Config) {
         for room in &mut self.rooms {
             room.close();
         }
@@ -87,11 +87,11 @@
             self.in_order.push(place);
         }
         for (class, place) in setup.classes.iter().zip(&self.in_order) {
-            let borrows = class.borrows.iter().map(|one| (self.in_order[one.class], one.most));
+            let borrows = class.borrows.iter().map(|one| (self.in_order[one.class], one.max_slots));
             let room = &mut self.rooms[*place];
-            room.room = class.room;
-            room.queue = class.queue;
-            room.urgency = class.urgency;
+            room.room = class.max_in_flight;
+            room.queue = class.max_queued;
+            room.urgency = class.priority;
             room.borrows = borrows.collect();
         }
     }
--- a/proxy/src/admission/tests.rs
+++ b/proxy/src/admission/tests.rs
@@ -57,7 +57,7 @@
     assert_eq!(last.iter().map(|one| one.0).collect::<Vec<_>>(), [bulk_waits]);
 }
 
-fn of_order(names: &[&str]) -> vanepath_config::model::Setup {
+fn of_order(names: &[&str]) -> vanepath_config::model::Config {
     let class = |name: &&str| {
         format!(
             r#"{{"name": "{name}", "urgency": 1, "kind": "repeatable", "room": 2, "queue": 9}}"#
--- a/proxy/src/connector.rs
+++ b/proxy/src/connector.rs
@@ -6,7 +6,7 @@
 use http_body_util::BodyExt;
 use std::time::Duration;
 use vanepath_cluster::node;
-use vanepath_config::wire_format::Spoken;
+use vanepath_config::wire_format::SelectedFormat;
 
 pub type Sender = hyper::client::conn::http1::SendRequest<node::Body>;
 pub type Resting = Idle<Sender>;
@@ -26,7 +26,7 @@
 
 /// A new connection, greeted. `untidy` is called if it ever brings bytes that nobody asked for.
 pub async fn connect(
-    dialect: Spoken,
+    dialect: SelectedFormat,
     entry: &Entry,
     service: &vanepath_config::model::Service,
     untidy: impl FnOnce() + Send + 'static,
@@ -101,7 +101,7 @@
 
 /// The liveness check on a connection that is open.
 pub async fn greet(
-    dialect: Spoken,
+    dialect: SelectedFormat,
     sender: &mut Sender,
     entry: &Entry,
     service: &vanepath_config::model::Service,
@@ -113,7 +113,7 @@
 }
 
 async fn greet_unbounded(
-    dialect: Spoken,
+    dialect: SelectedFormat,
     sender: &mut Sender,
     entry: &Entry,
     service: &vanepath_config::model::Service,
@@ -121,7 +121,7 @@
     sender.ready().await.map_err(|_| Failure::Broken)?;
     let request = hyper::Request::builder()
         .method("GET")
-        .uri(service.liveness_path.as_str())
+        .uri(service.health_check_path.as_str())
         .header(hyper::header::HOST, entry.server.address.to_string())
         .header("vanepath-liveness", entry.server.id.as_str())
         .body(node::body(bytes::Bytes::new()))
@@ -145,7 +145,7 @@
     }
     sender.ready().await.map_err(|_| Failure::Broken)?;
     let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
-    let cold_left = dialect.headers().cold_left.and_then(text);
+    let cold_left = dialect.headers().warm_up_left.and_then(text);
     let is_cold = cold_left.is_some_and(|left| left.trim().parse::<f64>().is_ok_and(|ms| ms > 0.0));
     Ok(Greeted {
         says_cold: is_cold || text("server-state") == Some("cold"),
--- a/proxy/src/endpoints.rs
+++ b/proxy/src/endpoints.rs
@@ -25,7 +25,7 @@
 pub struct Table {
     /// The revisions of the setup and of the platform list that it was made from.
     pub revision: (u64, u64),
-    pub setup: Arc<vanepath_config::model::Setup>,
+    pub setup: Arc<vanepath_config::model::Config>,
     pub entries: Vec<Entry>,
     pub by_service: Vec<Vec<usize>>,
     /// Each of its servers was looked at once. That stays so, and is asked with every request.
@@ -209,7 +209,7 @@
         card.role == wire::Role::Proxy
             && report.ready
             && !report.leaving
-            && rule.allows(&card.region)
+            && rule.allows_region(&card.region)
             && !view.word.emptied.contains(&card.zone)
     });
     all.map(|(card, _)| card)
@@ -250,9 +250,9 @@
     let service = services
         .iter()
         .filter_map(|index| view.setup.services.get(*index))
-        .min_by(|left, right| left.cold_rate.total_cmp(&right.cold_rate));
-    let per_second = service.map_or(1.0, |service| service.cold_rate);
-    let period = service.map_or(Duration::from_secs(10), |service| service.cold_period);
+        .min_by(|left, right| left.slow_start_rate.total_cmp(&right.slow_start_rate));
+    let per_second = service.map_or(1.0, |service| service.slow_start_rate);
+    let period = service.map_or(Duration::from_secs(10), |service| service.slow_start_period);
     ColdRate::of(per_second, period, rank, proxies)
 }
 
@@ -371,8 +371,8 @@
         &self,
         now: Duration,
         revision: (u64, u64),
-        setup: &Arc<vanepath_config::model::Setup>,
-        list: &vanepath_config::endpoint_list::PlatformList,
+        setup: &Arc<vanepath_config::model::Config>,
+        list: &vanepath_config::endpoint_list::EndpointList,
         rate: impl Fn(&vanepath_config::endpoint_list::Server, &[usize]) -> ColdRate,
     ) -> Vec<String> {
         let mut notes = Vec::new();
@@ -384,7 +384,7 @@
             before.entries.iter().map(|entry| (entry.server.id.as_str(), entry)).collect();
         let mut slots = std::collections::HashSet::new();
         for server in &list.servers {
-            let view = vanepath_config::selector::Viewpoint::default();
+            let view = vanepath_config::selector::ClientLocation::default();
             let services: Vec<usize> = (0..setup.services.len())
                 .filter(|service| setup.services[*service].selector.matches(server, view))
                 .collect();
@@ -407,7 +407,7 @@
                         in_hand: 0,
                         demand_milli: 0,
                         demand_at: Duration::ZERO,
-                        slots: server.slots,
+                        slots: server.concurrency,
                         others: 0.0,
                         pace: Pace::default(),
                         owes_since: now,
@@ -430,20 +430,20 @@
             };
             // Servers that are not probed are what the platform says of them.
             let by_list = !services.is_empty()
-                && services.iter().all(|one| setup.services[*one].probes_in_doubt_only);
+                && services.iter().all(|one| setup.services[*one].probes_suspects_only);
             if by_list {
-                let was_cold = known.is_some_and(|entry| entry.server.cold);
+                let was_cold = known.is_some_and(|entry| entry.server.warming_up);
                 self.moved(slot, |liveness| {
                     liveness.by_traffic = true;
-                    if server.cold && (!was_cold || liveness.phase == Phase::Unknown) {
+                    if server.warming_up && (!was_cold || liveness.phase == Phase::Unknown) {
                         liveness.chill(now, Duration::ZERO);
-                    } else if !server.cold && (was_cold || liveness.phase == Phase::Unknown) {
+                    } else if !server.warming_up && (was_cold || liveness.phase == Phase::Unknown) {
                         liveness.trust(now);
                     }
                 });
             }
-            if known.is_some_and(|entry| entry.server.leaving != server.leaving) {
-                let what = if server.leaving { "is leaving" } else { "stays after all" };
+            if known.is_some_and(|entry| entry.server.draining != server.draining) {
+                let what = if server.draining { "is leaving" } else { "stays after all" };
                 notes.push(format!("server {} {what}", server.id));
             }
             slots.insert(slot);
@@ -486,7 +486,7 @@
             })
         };
         let mut used = table.entries.iter().filter(|entry| !entry.services.is_empty());
-        let has = !used.any(|entry| !entry.server.leaving && is_awaited(entry.slot) == Some(true));
+        let has = !used.any(|entry| !entry.server.draining && is_awaited(entry.slot) == Some(true));
         table.has_looked.store(has, relaxed);
         has
     }
@@ -523,7 +523,7 @@
         let rank = proxies.iter().position(|one| one.1 == own.name).unwrap_or_default();
         let all = live_proxies(view);
         for (service, of_service) in table.by_service.iter().enumerate() {
-            let connections = table.setup.services[service].connections_most;
+            let connections = table.setup.services[service].max_connections;
             for index in of_service {
                 let entry = &table.entries[*index];
                 self.with(entry.slot, |quick| {
@@ -534,7 +534,7 @@
                 });
             }
             let near = of_service.iter().map(|index| &table.entries[*index]);
-            let near = near.filter(|entry| entry.server.zone == own.zone && !entry.server.leaving);
+            let near = near.filter(|entry| entry.server.zone == own.zone && !entry.server.draining);
             let mut near: Vec<(u64, &Entry)> =
                 near.map(|entry| (hash("server", &entry.server.id), entry)).collect();
             near.sort_unstable_by_key(|one| one.0);
@@ -556,9 +556,9 @@
             }
             let cold = paces.colds.get(index).copied().unwrap_or_default();
             let every = paces.pauses.get(index).copied().unwrap_or(PROBE_FAR);
-            let is_leaving = entry.server.leaving;
+            let is_leaving = entry.server.draining;
             let in_doubt_only =
-                entry.services.iter().all(|one| table.setup.services[*one].probes_in_doubt_only);
+                entry.services.iter().all(|one| table.setup.services[*one].probes_suspects_only);
             let moved = self.with(entry.slot, |quick| {
                 let before = quick.liveness.phase;
                 if in_doubt_only && !quick.is_own {
@@ -632,8 +632,8 @@
         let setup = &table.setup;
         let rule = &setup.rules[want.rule];
         let own = &table.by_service[want.service];
-        let tells_slots = |index: &usize| table.entries[*index].server.slots > 0;
-        if rule.spill.is_empty() && !own.is_empty() && own.iter().all(tells_slots) {
+        let tells_slots = |index: &usize| table.entries[*index].server.concurrency > 0;
+        if rule.spillover.is_empty() && !own.is_empty() && own.iter().all(tells_slots) {
             return self.choose_by_slots(now, table, want, random);
         }
         let zone = |server: &vanepath_config::endpoint_list::Server| server.zone == want.zone;
@@ -646,11 +646,12 @@
         let all: [Where<'_>; 1] = [&far];
         let mut steps: Vec<(usize, Where<'_>)> = Vec::new();
         for places in [&near[..], &all[..]] {
-            for service in std::iter::once(&want.service).chain(&rule.spill) {
+            for service in std::iter::once(&want.service).chain(&rule.spillover) {
                 steps.extend(places.iter().map(|place| (*service, *place)));
             }
         }
-        let is_lookup = setup.classes[rule.class].kind == vanepath_config::model::Kind::Repeatable;
+        let is_lookup = setup.classes[rule.class].idempotency
+            == vanepath_config::model::Idempotency::Idempotent;
         let mut cold_at: Option<Duration> = None;
         for pass in [Pass::Known, Pass::Later, Pass::Resort] {
             let is_resort = pass == Pass::Resort;
@@ -662,15 +663,15 @@
                 let mut able: Vec<(usize, u64, u64)> = Vec::new();
                 for index in &table.by_service[*service] {
                     let entry = &table.entries[*index];
-                    let may_serve = !entry.server.leaving
-                        && rule.allows(&entry.server.region)
+                    let may_serve = !entry.server.draining
+                        && rule.allows_region(&entry.server.region)
                         && !want.emptied.contains(&entry.server.zone)
                         && is_there(&entry.server)
                         && !want.tried.contains(&entry.slot);
                     if !may_serve {
                         continue;
                     }
-                    let most = setup.services[*service].server_room;
+                    let most = setup.services[*service].max_in_flight_per_server;
                     let score = self.with(entry.slot, |quick| {
                         if let Some(next_at) = quick.liveness.next_at()
                             && now < next_at
@@ -767,7 +768,7 @@
     ) -> Choice {
         let rule = &table.setup.rules[want.rule];
         let class = &table.setup.classes[rule.class];
-        let is_lookup = class.kind == vanepath_config::model::Kind::Repeatable;
+        let is_lookup = class.idempotency == vanepath_config::model::Idempotency::Idempotent;
         let mut cold_at: Option<Duration> = None;
         // Well; not trusted with much; dead as far as is known.
         let mut tiers: [Vec<Candidate>; 3] = Default::default();
@@ -779,8 +780,8 @@
         for index in &table.by_service[want.service] {
             let entry = &table.entries[*index];
             let server = &entry.server;
-            let may_serve = !server.leaving
-                && rule.allows(&server.region)
+            let may_serve = !server.draining
+                && rule.allows_region(&server.region)
                 && !want.emptied.contains(&server.zone)
                 && !want.tried.contains(&entry.slot);
             if !may_serve {
@@ -811,7 +812,7 @@
                 };
                 let is_own = distance == Distance::Zone && quick.is_own;
                 let distance = if is_own { Distance::Own } else { distance };
-                let slots = f64::from(server.slots);
+                let slots = f64::from(server.concurrency);
                 let pool = pools.at(quick.pool);
                 let load = quick.load(now, distance, pool.fill(now, usual) * slots);
                 let way_ms = pool.way_ms(distance);
@@ -831,7 +832,7 @@
             Some(need) => need == Need::Lost,
             None => !want.tried.is_empty(),
         };
-        let limit_ms = rule.aim.filter(|_| !may_be_late);
+        let limit_ms = rule.latency_target.filter(|_| !may_be_late);
         let limit_ms = limit_ms.map(|aim| {
             let patience_ms = |calm| crate::load_balancing::patience_ms(aim, !is_lookup, calm);
             let mut usual = self.usual.lock().expect("no panic under this lock");
@@ -883,7 +884,7 @@
         service: usize,
         is_resort: bool,
     ) -> bool {
-        let most = table.setup.services[service].server_room;
+        let most = table.setup.services[service].max_in_flight_per_server;
         let taken = self.with(table.entries[index].slot, |quick| {
             let may = quick.in_hand < most && (quick.liveness.may_take(now) || is_resort);
             if may {
@@ -959,7 +960,7 @@
             return false;
         }
         let now = newest.entries.iter().find(|one| one.slot == entry.slot);
-        now.is_none_or(|one| one.server.leaving)
+        now.is_none_or(|one| one.server.draining)
     }
 
     pub fn release(&self, slot: usize) {
@@ -1081,7 +1082,12 @@
     }
 
     /// The pool of servers of these services in this zone; a new one if it is the first.
-    fn pool(&self, setup: &vanepath_config::model::Setup, services: &[usize], zone: &str) -> usize {
+    fn pool(
+        &self,
+        setup: &vanepath_config::model::Config,
+        services: &[usize],
+        zone: &str,
+    ) -> usize {
         let service = services.first().map_or("", |index| setup.services[*index].name.as_str());
         let mut pools = self.pools.lock().expect("no panic under this lock");
         pools.index(service, zone)
--- a/proxy/src/endpoints/tests.rs
+++ b/proxy/src/endpoints/tests.rs
@@ -12,11 +12,11 @@
              "regions": ["b"]},
             {"name": "r", "class": "c", "service": "s", "spill": ["t"]}]}"#;
 
-fn setup() -> std::sync::Arc<vanepath_config::model::Setup> {
+fn setup() -> std::sync::Arc<vanepath_config::model::Config> {
     std::sync::Arc::new(vanepath_config::model::parse(SETUP.as_bytes()).unwrap())
 }
 
-fn list() -> vanepath_config::endpoint_list::PlatformList {
+fn list() -> vanepath_config::endpoint_list::EndpointList {
     let mut servers = Vec::new();
     for (index, (zone, app)) in
         [("a1", "s"), ("a2", "s"), ("b1", "s"), ("a1", "t"), ("b1", "t")].iter().enumerate()
@@ -27,17 +27,17 @@
             region: zone[..1].to_string(),
             zone: zone.to_string(),
             labels: [("app".to_string(), app.to_string())].into(),
-            leaving: false,
-            cold: false,
-            slots: 0,
+            draining: false,
+            warming_up: false,
+            concurrency: 0,
         });
     }
-    vanepath_config::endpoint_list::PlatformList { revision: 1, servers }
+    vanepath_config::endpoint_list::EndpointList { revision: 1, servers }
 }
 
 struct Case {
     servers: Servers<()>,
-    setup: std::sync::Arc<vanepath_config::model::Setup>,
+    setup: std::sync::Arc<vanepath_config::model::Config>,
     emptied: std::collections::BTreeSet<String>,
 }
 
@@ -128,7 +128,7 @@
     assert_eq!(case.pick(1, 0), "s-a1", "a lookup tries one rather than drop");
     let mut leaving = list();
     for server in &mut leaving.servers {
-        server.leaving = true;
+        server.draining = true;
     }
     let now = Duration::ZERO;
     case.servers.adopt(now, (1, 2), &case.setup, &leaving, |_, _| ColdRate::default());
@@ -277,15 +277,15 @@
     assert!(!is_withdrawn(&case.emptied));
     assert!(is_withdrawn(&["a2".to_string()].into()), "its zone is emptied");
     let adopt =
-        |revision: u64, change: &dyn Fn(&mut vanepath_config::endpoint_list::PlatformList)| {
+        |revision: u64, change: &dyn Fn(&mut vanepath_config::endpoint_list::EndpointList)| {
             let mut list = list();
             change(&mut list);
             let now = Duration::from_secs(1);
             case.servers.adopt(now, (1, revision), &case.setup, &list, |_, _| ColdRate::default());
         };
-    adopt(2, &|list| list.servers[0].leaving = true);
+    adopt(2, &|list| list.servers[0].draining = true);
     assert!(!is_withdrawn(&case.emptied), "it is another one that leaves");
-    adopt(3, &|list| list.servers[1].leaving = true);
+    adopt(3, &|list| list.servers[1].draining = true);
     assert!(is_withdrawn(&case.emptied), "it leaves");
     adopt(4, &|list| {
         list.servers.remove(1);
--- a/proxy/src/forward.rs
+++ b/proxy/src/forward.rs
@@ -12,8 +12,8 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
 use vanepath_cluster::node::{self, Body, BodyError, Daemon, View};
-use vanepath_config::Verdict;
-use vanepath_config::model::Kind;
+use vanepath_config::ExecutionStatus;
+use vanepath_config::model::Idempotency;
 
 vanepath_cluster::counters! {
     /// What a proxy counts.
@@ -97,11 +97,11 @@
 
 impl Proxy {
     pub fn new(daemon: Arc<Daemon>) -> Proxy {
-        let proves_answers = daemon.settings.dialect.headers().request_id.is_some();
+        let proves_answers = daemon.settings.wire_format.headers().request_id.is_some();
         let mut servers = Servers::default();
         servers.proves_answers = proves_answers;
-        let retries = daemon.settings.retries;
-        let narrow = daemon.settings.link_mbps.filter(|mbps| *mbps < WIDE_MBPS);
+        let retries = daemon.settings.retry_budget;
+        let narrow = daemon.settings.link_megabits.filter(|mbps| *mbps < WIDE_MBPS);
         let gate =
             || narrow.map(|mbps| std::sync::Mutex::new(crate::bandwidth_limiter::Gate::new(mbps)));
         Proxy {
@@ -278,7 +278,12 @@
     left: Duration,
 }
 
-fn refuse(proxy: &Proxy, refusal: Refusal, verdict: Verdict, more: &More) -> hyper::Response<Body> {
+fn refuse(
+    proxy: &Proxy,
+    refusal: Refusal,
+    verdict: ExecutionStatus,
+    more: &More,
+) -> hyper::Response<Body> {
     proxy.tally.one(match refusal {
         Refusal::Malformed => Counter::RefusedMalformed,
         Refusal::Unmatched => Counter::RefusedUnmatched,
@@ -295,7 +300,7 @@
         Refusal::Lost => Counter::RefusedLost,
     });
     proxy.tally.one(match verdict {
-        Verdict::MayHaveRun => Counter::VerdictMayHaveRun,
+        ExecutionStatus::MayHaveRun => Counter::VerdictMayHaveRun,
         _ => Counter::VerdictNotRun,
     });
     let reason: &'static str = refusal.into();
@@ -309,12 +314,13 @@
     }
     let mut receipt = node::json(refusal.status(verdict), &value);
     let headers = receipt.headers_mut();
-    if let Some(verdict) = proxy.daemon.settings.dialect.headers().verdict {
+    if let Some(verdict) = proxy.daemon.settings.wire_format.headers().execution_status {
         headers.insert(verdict, HeaderValue::from_static(told));
     }
-    if verdict == Verdict::NotRun
+    if verdict == ExecutionStatus::NotRun
         && let Some(after) = refusal.retry_after(more.left, proxy.random())
-        && let Ok(after) = HeaderValue::from_str(&proxy.daemon.settings.dialect.retry_after(after))
+        && let Ok(after) =
+            HeaderValue::from_str(&proxy.daemon.settings.wire_format.retry_after(after))
     {
         headers.insert(header::RETRY_AFTER, after);
     }
@@ -356,17 +362,17 @@
     let mut rule = matched(proxy, &table, method.as_str(), &host, &path, more)?;
     let class = table.setup.classes[table.setup.rules[rule].class].clone();
     chart.state = State::Matched;
-    chart.kind = class.kind;
+    chart.kind = class.idempotency;
     proxy
         .request_counts
         .lock()
         .expect("no panic under this lock")
         .took(table.setup.rules[rule].service);
     let limit = table.setup.rules[rule].deadline.unwrap_or(class.deadline);
-    chart.sends_most = table.setup.rules[rule].attempts_most;
+    chart.sends_most = table.setup.rules[rule].max_attempts;
     let own_limit = head
         .headers
-        .get(proxy.daemon.settings.dialect.headers().deadline)
+        .get(proxy.daemon.settings.wire_format.headers().deadline)
         .and_then(|value| value.to_str().ok()?.parse().ok())
         .map_or(limit, Duration::from_millis);
     let deadline = received_at + limit.min(own_limit);
@@ -374,22 +380,22 @@
     let is_past_aim = {
         let facts = &table.setup.rules[rule];
         let mut longest = proxy.longest.lock().expect("no panic under this lock");
-        longest.is_past_aim(received_at, &facts.name, own_limit, facts.aim)
+        longest.is_past_aim(received_at, &facts.name, own_limit, facts.latency_target)
     };
     let length = hyper::body::Body::size_hint(&incoming).exact();
-    if length.is_some_and(|length| length > class.body_most) {
+    if length.is_some_and(|length| length > class.max_body_bytes) {
         more.closes = true;
         return Err(Refusal::TooLarge);
     }
 
     chart.state = State::Queued;
     let held = enter(proxy, &class.name, deadline).await?;
-    let drawn = table.setup.rules[rule].drawn(proxy.random());
+    let drawn = table.setup.rules[rule].pick_service(proxy.random());
     let drawn = table.setup.services[drawn].name.clone();
     proxy.budget.lock().expect("no panic under this lock").took(proxy.now(), &drawn);
 
     let until_late = || tokio::time::Instant::now() + deadline.saturating_sub(proxy.now());
-    let read_body = read_body(incoming, class.body_most);
+    let read_body = read_body(incoming, class.max_body_bytes);
     let body = tokio::time::timeout_at(until_late(), read_body)
         .await
         .map_err(|_| Refusal::Late)?
@@ -450,7 +456,7 @@
         proxy.note_worked(entry.slot, &entry.server.id, worked);
         let miss = match outcome {
             Ok(reply) => {
-                let may_repeat = chart.kind == Kind::Repeatable
+                let may_repeat = chart.kind == Idempotency::Idempotent
                     && chart.is_replayable
                     && reply.head.status.is_server_error()
                     && chart.may_go_on();
@@ -486,7 +492,7 @@
 /// The drawn service in the setup in force, or what the rule has by now.
 fn service_of(table: &crate::endpoints::Table, rule: usize, drawn: &str) -> usize {
     let facts = &table.setup.rules[rule];
-    let split = facts.split.iter().map(|one| one.0);
+    let split = facts.weighted_services.iter().map(|one| one.0);
     let mut allowed = split.filter(|index| table.setup.services[*index].name == drawn);
     allowed.next().unwrap_or(facts.service)
 }
@@ -506,7 +512,7 @@
     let table = proxy.servers.table.load();
     let rule = table.setup.rule_for(&head.method, host, &head.target)?;
     let class = &table.setup.classes[table.setup.rules[rule].class];
-    if class.kind != Kind::Repeatable {
+    if class.idempotency != Idempotency::Idempotent {
         return None;
     }
     let request = head.request()?;
@@ -681,7 +687,7 @@
 fn tell(proxy: &Proxy, head: hyper::http::request::Parts, body: TellBody) -> Told {
     let mut headers = head.headers;
     strip_hops(&mut headers);
-    headers.remove(proxy.daemon.settings.dialect.headers().deadline);
+    headers.remove(proxy.daemon.settings.wire_format.headers().deadline);
     if let TellBody::Whole(bytes) = &body {
         // The length is told anew from what was read.
         let had_length = headers.remove(header::CONTENT_LENGTH).is_some();
@@ -703,7 +709,7 @@
 ) -> Result<usize, Refusal> {
     let rule = table.setup.rule_for(method, host, path).ok_or(Refusal::Unmatched)?;
     let facts = &table.setup.rules[rule];
-    if !facts.may_carry(&proxy.daemon.settings.region) {
+    if !facts.may_forward_from(&proxy.daemon.settings.region) {
         more.places = places_for(&proxy.daemon.table.load(), facts);
         return Err(Refusal::Misplaced);
     }
@@ -891,7 +897,7 @@
         self.hear_demand(&head.headers);
         self.prove(&head, &told.headers)?;
         let is_bodiless = told.method == hyper::Method::HEAD;
-        let may_close = self.proxy.daemon.settings.dialect.headers().close_ends_answer;
+        let may_close = self.proxy.daemon.settings.wire_format.headers().close_ends_response;
         if !is_bodiless && !may_close && !crate::connector::is_framed(&head) {
             self.proxy.tally.one(Counter::ReceiptsTruncated);
             return Err(Miss::Truncated);
@@ -931,13 +937,13 @@
 
     /// Names the server that this is for, and what is left of the time.
     fn address(&self, headers: &mut HeaderMap) {
-        let names = self.proxy.daemon.settings.dialect.headers();
+        let names = self.proxy.daemon.settings.wire_format.headers();
         if let Some(target) = names.target
             && let Ok(id) = HeaderValue::from_str(&self.entry.server.id)
         {
             headers.insert(target, id);
         }
-        if names.tells_deadline {
+        if names.forwards_deadline {
             let left = self.deadline.saturating_sub(self.proxy.now()).as_millis() as u64;
             headers.insert(names.deadline, HeaderValue::from(left));
         }
@@ -945,7 +951,7 @@
 
     /// Whether this is an answer to this request, and what it says of having run (design 8.2).
     fn prove(&self, head: &hyper::http::response::Parts, asked: &HeaderMap) -> Result<(), Miss> {
-        let names = self.proxy.daemon.settings.dialect.headers();
+        let names = self.proxy.daemon.settings.wire_format.headers();
         let id = |headers: &HeaderMap| names.request_id.and_then(|name| headers.get(name).cloned());
         let (own, theirs) = (id(asked), id(&head.headers));
         if own.is_some() && theirs.is_some() && own != theirs {
@@ -962,7 +968,7 @@
             return Err(Miss::TurnedAway);
         }
         // Without its id it may be another request's, and without its seal it is no success.
-        let has_seal = names.seal.is_none_or(|seal| head.headers.contains_key(seal));
+        let has_seal = names.response_seal.is_none_or(|seal| head.headers.contains_key(seal));
         if (own.is_some() && theirs.is_none()) || (head.status.is_success() && !has_seal) {
             return Err(Miss::Misanswered);
         }
@@ -990,7 +996,7 @@
     }
 
     fn hear_demand(&self, headers: &HeaderMap) {
-        let dialect = self.proxy.daemon.settings.dialect;
+        let dialect = self.proxy.daemon.settings.wire_format;
         let Some(value) = headers.get(dialect.headers().load) else {
             return;
         };
@@ -1003,24 +1009,28 @@
     }
 
     /// A connection that was greeted by this very server; for a filing, moments ago.
-    async fn connection(&self, kind: Kind) -> Result<(crate::connector::Sender, Duration), Miss> {
+    async fn connection(
+        &self,
+        kind: Idempotency,
+    ) -> Result<(crate::connector::Sender, Duration), Miss> {
         let now = self.proxy.now();
         let slot = self.entry.slot;
         let fit = |idle: &Idle<crate::connector::Sender>| idle.connection.is_ready();
-        let dialect = self.proxy.daemon.settings.dialect;
+        let dialect = self.proxy.daemon.settings.wire_format;
         let is_greeted = dialect.headers().target.is_none();
         // What runs once takes no connection on which a late answer may be lying.
-        let is_doubtful = kind == Kind::Once && !is_greeted && self.proxy.servers.is_untidy(slot);
+        let is_doubtful =
+            kind == Idempotency::NonIdempotent && !is_greeted && self.proxy.servers.is_untidy(slot);
         while let Some(mut idle) = self.proxy.servers.take_idle(now, slot, fit) {
             if is_doubtful {
                 self.proxy.servers.put_idle(slot, idle);
                 break;
             }
-            if kind == Kind::Once && !is_greeted && !idle.is_kept_for_once(now) {
+            if kind == Idempotency::NonIdempotent && !is_greeted && !idle.is_kept_for_once(now) {
                 continue;
             }
             if is_greeted
-                && kind == Kind::Once
+                && kind == Idempotency::NonIdempotent
                 && now.saturating_sub(idle.greeted_at) > GREETED_LATELY
             {
                 match crate::connector::greet(
@@ -1183,8 +1193,8 @@
 ) -> hyper::Response<Body> {
     let mut head = reply.head;
     strip_hops(&mut head.headers);
-    if let Some(verdict) = proxy.daemon.settings.dialect.headers().verdict {
-        head.headers.insert(verdict, HeaderValue::from_static(Verdict::Ran.into()));
+    if let Some(verdict) = proxy.daemon.settings.wire_format.headers().execution_status {
+        head.headers.insert(verdict, HeaderValue::from_static(ExecutionStatus::Ran.into()));
     }
     let length = head
         .headers
--- a/proxy/src/lifecycle.rs
+++ b/proxy/src/lifecycle.rs
@@ -1,8 +1,8 @@
 //! The way of a request through the proxy: a chart of named states, and what follows from each
 //! outcome of a go (design 8.1, 8.2). Pure; the shell in `carry` moves along it.
 
-use vanepath_config::Verdict;
-use vanepath_config::model::Kind;
+use vanepath_config::ExecutionStatus;
+use vanepath_config::model::Idempotency;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
@@ -80,7 +80,7 @@
 #[derive(Debug)]
 pub struct Chart {
     pub state: State,
-    pub kind: Kind,
+    pub kind: Idempotency,
     /// Whether the request can be told a second time word for word.
     pub is_replayable: bool,
     pub goes: u32,
@@ -102,11 +102,11 @@
     pub fn new() -> Chart {
         Chart {
             state: State::Received,
-            kind: Kind::Once,
+            kind: Idempotency::NonIdempotent,
             is_replayable: false,
             goes: 0,
             sends: 0,
-            sends_most: vanepath_config::model::ATTEMPTS_MOST,
+            sends_most: vanepath_config::model::DEFAULT_MAX_ATTEMPTS,
             sent_at: std::time::Duration::ZERO,
             may_sent: false,
         }
@@ -117,18 +117,18 @@
         self.sends < self.sends_most && self.goes < self.sends_most + GOES_IN_VAIN_MOST
     }
 
-    pub fn verdict(&self) -> Verdict {
+    pub fn verdict(&self) -> ExecutionStatus {
         match self.state {
-            State::Answering | State::Done => Verdict::Ran,
-            _ if self.may_sent => Verdict::MayHaveRun,
-            _ => Verdict::NotRun,
+            State::Answering | State::Done => ExecutionStatus::Ran,
+            _ if self.may_sent => ExecutionStatus::MayHaveRun,
+            _ => ExecutionStatus::NotRun,
         }
     }
 
     /// After how long without a reply a request that is with a server looks for another one, again
     /// and again: `left` is what remains of its time. Never for one that must not go twice.
     pub fn leave_after(&self, left: std::time::Duration) -> Option<std::time::Duration> {
-        let may = self.kind == Kind::Repeatable && self.is_replayable && self.may_go_on();
+        let may = self.kind == Idempotency::Idempotent && self.is_replayable && self.may_go_on();
         let pause = (left / 3).max(LEAVE_AFTER);
         (may && pause < left).then_some(pause)
     }
@@ -147,9 +147,9 @@
             _ => Refusal::Lost,
         };
         let may_repeat = match self.kind {
-            Kind::Repeatable => self.is_replayable || untouched,
+            Idempotency::Idempotent => self.is_replayable || untouched,
             // A filing goes on only while provably no byte of it was sent.
-            Kind::Once => untouched && !self.may_sent,
+            Idempotency::NonIdempotent => untouched && !self.may_sent,
         };
         if is_late || !may_repeat || !self.may_go_on() {
             return Next::End(refusal);
@@ -169,14 +169,14 @@
 
 impl Refusal {
     /// The status for it, given whether the request may have run (design 8.3).
-    pub fn status(self, verdict: Verdict) -> hyper::StatusCode {
+    pub fn status(self, verdict: ExecutionStatus) -> hyper::StatusCode {
         match self {
             Refusal::Malformed => hyper::StatusCode::BAD_REQUEST,
             Refusal::Unmatched => hyper::StatusCode::NOT_FOUND,
             Refusal::HeadTooLarge => hyper::StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             Refusal::TooLarge => hyper::StatusCode::PAYLOAD_TOO_LARGE,
             Refusal::Misplaced | Refusal::BelowFloor => hyper::StatusCode::MISDIRECTED_REQUEST,
-            _ if verdict == Verdict::NotRun => hyper::StatusCode::SERVICE_UNAVAILABLE,
+            _ if verdict == ExecutionStatus::NotRun => hyper::StatusCode::SERVICE_UNAVAILABLE,
             Refusal::Late => hyper::StatusCode::GATEWAY_TIMEOUT,
             _ => hyper::StatusCode::BAD_GATEWAY,
         }
--- a/proxy/src/lifecycle/tests.rs
+++ b/proxy/src/lifecycle/tests.rs
@@ -1,6 +1,6 @@
 use super::{Chart, Miss, Next, Refusal};
 use strum::IntoEnumIterator;
-use vanepath_config::model::Kind;
+use vanepath_config::model::Idempotency;
 
 /// Those whom a crowd sent away come back apart from each other, and with most of their time left.
 #[test]
@@ -17,14 +17,15 @@
 #[test]
 fn a_lookup_looks_for_another_server_again_and_again() {
     let ms = std::time::Duration::from_millis;
-    let mut chart = Chart { kind: Kind::Repeatable, is_replayable: true, goes: 1, ..Chart::new() };
+    let mut chart =
+        Chart { kind: Idempotency::Idempotent, is_replayable: true, goes: 1, ..Chart::new() };
     assert_eq!(chart.leave_after(ms(6000)), Some(ms(2000)));
     assert_eq!(chart.leave_after(ms(4000)), Some(ms(4000) / 3));
     assert_eq!(chart.leave_after(ms(600)), Some(ms(300)));
     assert_eq!(chart.leave_after(ms(300)), None);
     chart.sends = chart.sends_most;
     assert_eq!(chart.leave_after(ms(6000)), None);
-    let filing = Chart { kind: Kind::Once, goes: 1, ..Chart::new() };
+    let filing = Chart { kind: Idempotency::NonIdempotent, goes: 1, ..Chart::new() };
     assert_eq!(filing.leave_after(ms(6000)), None);
 }
 
@@ -32,7 +33,7 @@
 #[test]
 fn what_follows_from_each_miss() {
     let mut shown = String::new();
-    for kind in [Kind::Repeatable, Kind::Once] {
+    for kind in [Idempotency::Idempotent, Idempotency::NonIdempotent] {
         for first in Miss::iter() {
             for budget in [true, false] {
                 let mut chart = Chart { kind, is_replayable: true, goes: 1, ..Chart::new() };
@@ -51,7 +52,7 @@
         }
     }
     // A filing that was once sent is never sent again, whatever comes after.
-    let mut chart = Chart { kind: Kind::Once, goes: 1, ..Chart::new() };
+    let mut chart = Chart { kind: Idempotency::NonIdempotent, goes: 1, ..Chart::new() };
     chart.missed(Miss::Silent, false, || true);
     assert_ne!(chart.missed(Miss::NotConnected, false, || true), Next::Again);
     expect_test::expect![[r#"
@@ -102,7 +103,7 @@
     for number in 0..count {
         for options in 0..16 {
             let is = |bit: u32| options & (1 << bit) != 0;
-            let kind = if is(0) { Kind::Once } else { Kind::Repeatable };
+            let kind = if is(0) { Idempotency::NonIdempotent } else { Idempotency::Idempotent };
             let mut chart = Chart { kind, is_replayable: is(1), goes: 0, ..Chart::new() };
             let mut has_touched = false;
             let mut rest = number;
@@ -119,7 +120,10 @@
                 let status = |refusal: Refusal| refusal.status(chart.verdict()).as_u16();
                 match next {
                     Next::Again => {
-                        assert!(kind == Kind::Repeatable || !has_touched, "{miss} sent again");
+                        assert!(
+                            kind == Idempotency::Idempotent || !has_touched,
+                            "{miss} sent again"
+                        );
                         assert!(chart.is_replayable || is_untouched, "{miss} told twice");
                         assert!(!is_late);
                     }
--- a/proxy/src/retry_budget.rs
+++ b/proxy/src/retry_budget.rs
@@ -21,12 +21,12 @@
 
 /// A budget for each service, by name: names outlive a change of the setup.
 pub struct Budgets {
-    retries: vanepath_config::settings::Retries,
+    retries: vanepath_config::settings::RetryBudgetSettings,
     services: std::collections::HashMap<String, Budget>,
 }
 
 impl Budgets {
-    pub fn new(retries: vanepath_config::settings::Retries) -> Budgets {
+    pub fn new(retries: vanepath_config::settings::RetryBudgetSettings) -> Budgets {
         Budgets { retries, services: Default::default() }
     }
 
@@ -71,7 +71,7 @@
 }
 
 impl Budget {
-    pub fn new(retries: vanepath_config::settings::Retries) -> Budget {
+    pub fn new(retries: vanepath_config::settings::RetryBudgetSettings) -> Budget {
         let window_s = (retries.window.as_millis() as u64).div_ceil(1000).max(1);
         Budget {
             part: retries.ratio * MARGIN,
--- a/proxy/src/retry_budget/tests.rs
+++ b/proxy/src/retry_budget/tests.rs
@@ -35,8 +35,12 @@
     assert!(total > 20, "the budget is there to be used");
 }
 
-const SETTINGS: vanepath_config::settings::Retries =
-    vanepath_config::settings::Retries { ratio: 0.4, window: Duration::from_secs(4), extra: 40.0 };
+const SETTINGS: vanepath_config::settings::RetryBudgetSettings =
+    vanepath_config::settings::RetryBudgetSettings {
+        ratio: 0.4,
+        window: Duration::from_secs(4),
+        extra: 40.0,
+    };
 
 /// Another window and another part, as settings have them: no span of that length holds more, and not
 /// much less either.
--- a/proxy/src/shell.rs
+++ b/proxy/src/shell.rs
@@ -11,7 +11,7 @@
 /// Runs a proxy until it is told to stop.
 pub async fn run(settings: vanepath_config::settings::Settings) -> Result<(), miette::Report> {
     let listener = node::bind("listen", settings.listen).await?;
-    let grace = settings.grace;
+    let grace = settings.shutdown_grace;
     let daemon = node::Daemon::start(settings, None).await?;
     let proxy = Arc::new(Proxy::new(daemon.clone()));
     let keeper = xtra::spawn_tokio(
@@ -60,8 +60,8 @@
         preserve_header_case: true,
         buffer_most: 64 << 10,
     };
-    let has_pages = proxy.daemon.settings.pages_listen.is_some();
-    if let Some(address) = proxy.daemon.settings.pages_listen {
+    let has_pages = proxy.daemon.settings.admin_listen.is_some();
+    if let Some(address) = proxy.daemon.settings.admin_listen {
         let listener = node::bind("pagesListen", address).await?;
         let proxy = proxy.clone();
         let pages = move |request: hyper::Request<hyper::body::Incoming>| {
@@ -297,7 +297,7 @@
         proxy.is_news.store(false, Ordering::Relaxed);
         let sights = proxy.servers.sights(now);
         let services = &proxy.servers.table.load().setup.services;
-        if services.iter().all(|service| service.probes_in_doubt_only) {
+        if services.iter().all(|service| service.probes_suspects_only) {
             // Nobody plans by told demand where servers are judged by traffic.
             let detail = wire::Detail { sights, ..wire::Detail::default() };
             let _ = proxy.daemon.news.send(node::Tell(gossip::Event::Detail(detail))).await;
@@ -321,7 +321,7 @@
     service: vanepath_config::model::Service,
 ) {
     proxy.tally.one(Counter::Probes);
-    let dialect = proxy.daemon.settings.dialect;
+    let dialect = proxy.daemon.settings.wire_format;
     let mut kept_for = crate::endpoints::IDLE_MOST;
     let now = proxy.daemon.clock.now();
     let fit = |idle: &crate::endpoints::Idle<crate::connector::Sender>| idle.connection.is_ready();
@@ -396,7 +396,7 @@
         .filter_map(|entry| {
             proxy.servers.with(entry.slot, |quick| {
                 let phase: &'static str = quick.liveness.phase.into();
-                let why = if entry.server.leaving {
+                let why = if entry.server.draining {
                     "no work: the platform says that it is leaving"
                 } else if view.word.emptied.contains(&entry.server.zone) {
                     "no work: its zone is emptied"
--- a/proxy/tests/cold_rate.rs
+++ b/proxy/tests/cold_rate.rs
@@ -39,9 +39,9 @@
                 region: zone[..1].to_string(),
                 zone: zone.to_string(),
                 labels: Default::default(),
-                leaving: false,
-                cold: false,
-                slots: 0,
+                draining: false,
+                warming_up: false,
+                concurrency: 0,
             };
             let mut sorted: Vec<(bool, bool, u64, &str)> = view
                 .live
--- a/proxy/tests/crowding.rs
+++ b/proxy/tests/crowding.rs
@@ -131,13 +131,13 @@
                 region: zone[..1].to_string(),
                 zone: zone.to_string(),
                 labels: Default::default(),
-                leaving: false,
-                cold: false,
-                slots: SLOTS as u32,
+                draining: false,
+                warming_up: false,
+                concurrency: SLOTS as u32,
             }
         });
         let servers = servers.collect();
-        let list = Arc::new(vanepath_config::endpoint_list::PlatformList { revision: 1, servers });
+        let list = Arc::new(vanepath_config::endpoint_list::EndpointList { revision: 1, servers });
         let card = |number: usize| {
             let zone = ZONES[number / PROXIES_A_ZONE];
             wire::Card {
--- a/registry/src/api.rs
+++ b/registry/src/api.rs
@@ -291,13 +291,13 @@
         },
         Some(Err(_)) => return fault(StatusCode::BAD_REQUEST, "if-match: not readable"),
     };
-    let most = vanepath_config::model::BYTES_MOST;
+    let most = vanepath_config::model::MAX_BYTES;
     let body = http_body_util::Limited::new(request.into_body(), most);
     let bytes = match body.collect().await {
         Ok(collected) => collected.to_bytes(),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => {
             registry.tally.one(Counter::SetupsRefusedInvalid);
-            let path = vanepath_config::Fault {
+            let path = vanepath_config::ValidationError {
                 path: "$".to_string(),
                 message: format!("larger than {most} bytes"),
             };
@@ -305,7 +305,7 @@
         }
         Err(_) => return fault(StatusCode::BAD_REQUEST, "the body broke off"),
     };
-    let version = match registry.daemon.settings.dialect.setup(&bytes) {
+    let version = match registry.daemon.settings.wire_format.setup(&bytes) {
         Ok(setup) => setup.version,
         Err(faults) => {
             registry.tally.one(Counter::SetupsRefusedInvalid);
@@ -321,7 +321,7 @@
     told(registry, &key.text, outcome)
 }
 
-fn refused(status: StatusCode, faults: &[vanepath_config::Fault]) -> Receipt {
+fn refused(status: StatusCode, faults: &[vanepath_config::ValidationError]) -> Receipt {
     let value = jzon::object! {
         "outcome": "nothing-done",
         "faults": vanepath_config::json_reader::faults_as_json(faults),
@@ -334,9 +334,9 @@
     let view = registry.daemon.table.load_full();
     view.live.iter().any(|(card, _)| card.zone == zone)
         || view.platform.servers.iter().any(|server| server.zone == zone)
-        || view.setup.places.iter().any(|place| place.zone == zone)
+        || view.setup.zones.iter().any(|place| place.name == zone)
         || view.word.emptied.contains(zone)
-        || registry.daemon.settings.zones.contains_key(zone)
+        || registry.daemon.settings.zone_regions.contains_key(zone)
 }
 
 /// It has heard long enough, or is so much alone that waiting longer helps nobody.
@@ -585,7 +585,7 @@
     sources: &[vanepath_cluster::gossip::Source],
     server: &vanepath_config::endpoint_list::Server,
 ) -> jzon::JsonValue {
-    let viewpoint = vanepath_config::selector::Viewpoint::default();
+    let viewpoint = vanepath_config::selector::ClientLocation::default();
     let services: Vec<&str> = view
         .setup
         .services
@@ -607,7 +607,7 @@
             demand_milli = demand_milli.max(sight.demand_milli);
         }
     }
-    let why = if server.leaving {
+    let why = if server.draining {
         "no work: the platform says that it is leaving".to_string()
     } else if view.word.emptied.contains(&server.zone) {
         "no work: its zone is emptied".to_string()
@@ -628,7 +628,7 @@
         "region": server.region.as_str(),
         "zone": server.zone.as_str(),
         "labels": vanepath_config::endpoint_list::labels_as_json(&server.labels),
-        "leaving": server.leaving,
+        "leaving": server.draining,
         "live": is_live,
         "services": services,
         "demand": f64::from(demand_milli) / 1000.0,
--- a/registry/src/leader.rs
+++ b/registry/src/leader.rs
@@ -175,11 +175,11 @@
         zone.taken += f64::from(own.copied().unwrap_or(0));
         taken += f64::from(own.copied().unwrap_or(0));
     }
-    let none = vanepath_config::selector::Viewpoint::default();
+    let none = vanepath_config::selector::ClientLocation::default();
     let mut work = Vec::new();
     let mut silent = 0.0;
     for server in &view.platform.servers {
-        let is_there = !server.leaving
+        let is_there = !server.draining
             && !view.plan.away.contains(&server.id)
             && !view.word.emptied.contains(&server.zone)
             && view.setup.services[service].selector.matches(server, none);
--- a/registry/src/list_poller.rs
+++ b/registry/src/list_poller.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use vanepath_cluster::{gossip, node};
-use vanepath_config::endpoint_list::{PlatformList, Server};
+use vanepath_config::endpoint_list::{EndpointList, Server};
 
 /// A platform that numbers its lists is asked so often, by every registry.
 pub const EVERY: Duration = Duration::from_millis(500);
@@ -29,7 +29,7 @@
 }
 
 /// Whether a list that was read may take the place of the last good one.
-pub fn judge(last: &PlatformList, read: &PlatformList) -> State {
+pub fn judge(last: &EndpointList, read: &EndpointList) -> State {
     if read.revision < last.revision {
         State::Older
     } else if read.servers.is_empty() {
@@ -40,7 +40,7 @@
 }
 
 /// What a reply of the platform amounts to, and the list where it is good.
-pub fn heard(last: &PlatformList, bytes: &[u8]) -> (State, Option<PlatformList>) {
+pub fn heard(last: &EndpointList, bytes: &[u8]) -> (State, Option<EndpointList>) {
     match vanepath_config::endpoint_list::parse(bytes) {
         Err(_) => (State::Malformed, None),
         Ok(list) => {
@@ -55,10 +55,10 @@
     tally: Arc<crate::shell::Tally>,
     state: Arc<std::sync::Mutex<State>>,
 ) {
-    let url = daemon.settings.platform.clone().expect("checked with the settings");
+    let url = daemon.settings.endpoint_list_url.clone().expect("checked with the settings");
     let (address, path) = vanepath_config::settings::split_url(&url).expect("checked likewise");
     let path = path.to_string();
-    let dialect = daemon.settings.dialect;
+    let dialect = daemon.settings.wire_format;
     let mut sender = None;
     let mut etag: Option<hyper::header::HeaderValue> = None;
     let mut reader = ListReader::new(&daemon.card.name, node::random());
@@ -79,7 +79,7 @@
         }
         tried_at = Some(began_at);
         tally.one(Counter::PlatformReads);
-        let source = Source { address, path: &path, dialect, zones: &daemon.settings.zones };
+        let source = Source { address, path: &path, dialect, zones: &daemon.settings.zone_regions };
         let read = tokio::time::timeout(READ_MOST, source.read(&mut sender, etag.as_ref()));
         let outcome = read.await.unwrap_or(Err(State::Unreachable));
         let view = daemon.table.load_full();
@@ -132,8 +132,8 @@
 }
 
 /// Says which list this registry tells from now on.
-fn note(list: &PlatformList, took: Duration) {
-    let leaving = list.servers.iter().filter(|server| server.leaving).count();
+fn note(list: &EndpointList, took: Duration) {
+    let leaving = list.servers.iter().filter(|server| server.draining).count();
     log::info!(
         "platform list {}: {} servers, {leaving} of them leaving; read in {} ms",
         list.revision,
@@ -150,7 +150,7 @@
     /// Nothing changed since the tagged list.
     Same,
     /// A list with the platform's own number.
-    Numbered { list: PlatformList, tag: Tag },
+    Numbered { list: EndpointList, tag: Tag },
     /// The servers of a list that has no number.
     Plain(Vec<Server>),
 }
@@ -158,7 +158,7 @@
 struct Source<'s> {
     address: std::net::SocketAddr,
     path: &'s str,
-    dialect: vanepath_config::wire_format::Spoken,
+    dialect: vanepath_config::wire_format::SelectedFormat,
     zones: &'s std::collections::BTreeMap<String, String>,
 }
 
@@ -193,7 +193,7 @@
             }
         }
         Ok(match revision {
-            Some(revision) => Read::Numbered { list: PlatformList { revision, servers }, tag },
+            Some(revision) => Read::Numbered { list: EndpointList { revision, servers }, tag },
             None => Read::Plain(servers),
         })
     }
@@ -226,7 +226,7 @@
     let request = request.body(node::body(bytes::Bytes::new())).map_err(|_| ())?;
     let receipt = sender.send_request(request).await.map_err(|_| ())?;
     let (head, body) = receipt.into_parts();
-    let body = http_body_util::Limited::new(body, vanepath_config::endpoint_list::BYTES_MOST);
+    let body = http_body_util::Limited::new(body, vanepath_config::endpoint_list::MAX_BYTES);
     let bytes = body.collect().await.map_err(|_| ())?.to_bytes();
     match head.status {
         hyper::StatusCode::NOT_MODIFIED => Ok(None),
--- a/registry/src/list_sequencer.rs
+++ b/registry/src/list_sequencer.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use vanepath_cluster::node::View;
 use vanepath_cluster::wire::Role;
-use vanepath_config::endpoint_list::{PlatformList, Server};
+use vanepath_config::endpoint_list::{EndpointList, Server};
 
 /// The first live registry reads again so long after its last read began.
 const FIRST_EVERY: Duration = Duration::from_millis(600);
@@ -32,7 +32,7 @@
     /// Read the whole list and tell the outcome with `ListReader::read`.
     Read,
     /// This is the list in force, by a read that began then.
-    Tell { list: Arc<PlatformList>, began_at: Duration },
+    Tell { list: Arc<EndpointList>, began_at: Duration },
     /// What was read may be older than a list that others know by now; the first registry reads again at once.
     Overtaken,
 }
@@ -96,7 +96,7 @@
         let is_known = servers == view.platform.servers && view.platform.revision == seen;
         let list = match is_known {
             true => view.platform.clone(),
-            false => Arc::new(PlatformList { revision: self.number_after(seen), servers }),
+            false => Arc::new(EndpointList { revision: self.number_after(seen), servers }),
         };
         Some(Effect::Tell { list, began_at })
     }
--- a/registry/src/list_sequencer/tests.rs
+++ b/registry/src/list_sequencer/tests.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use vanepath_cluster::node::View;
 use vanepath_cluster::wire;
-use vanepath_config::endpoint_list::{PlatformList, Server};
+use vanepath_config::endpoint_list::{EndpointList, Server};
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -16,9 +16,9 @@
         region: "a".to_string(),
         zone: "a1".to_string(),
         labels: Default::default(),
-        leaving: false,
-        cold: false,
-        slots: 2,
+        draining: false,
+        warming_up: false,
+        concurrency: 2,
     }
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-fn ids(list: &PlatformList) -> Vec<&str> {
+fn ids(list: &EndpointList) -> Vec<&str> {
     list.servers.iter().map(|one| one.id.as_str()).collect()
 }
 
@@ -63,7 +63,7 @@
     let mut view = view(&[("r1", false)]);
     let mut reader = ListReader::new("r1", 7 << 48);
     let mut now = ms(0);
-    let mut read = |view: &mut View, found: Vec<Server>| -> Arc<PlatformList> {
+    let mut read = |view: &mut View, found: Vec<Server>| -> Arc<EndpointList> {
         now += ms(600);
         assert_eq!(reader.pulse(now, view), Some(Effect::Read));
         let told = reader.read(now + ms(20), view, Some(found));
@@ -76,7 +76,7 @@
     let fewer = read(&mut view, servers(&["b"]));
     assert_eq!((fewer.revision, ids(&fewer)), (2 << 16 | 7, vec!["b"]));
     let mut changed = servers(&["a", "b"]);
-    changed[1].leaving = true;
+    changed[1].draining = true;
     let changed = read(&mut view, changed);
     assert_eq!(changed.revision >> 16, 3);
     let back = read(&mut view, servers(&["a", "b"]));
@@ -91,12 +91,12 @@
     let mut reader = ListReader::new("r1", 0);
     reader.pulse(ms(0), &view);
     let mut found = servers(&["a", "b", "b", "c"]);
-    found[2].leaving = true;
+    found[2].draining = true;
     let Some(Effect::Tell { list, .. }) = reader.read(ms(5), &view, Some(found)) else {
         panic!("it is told");
     };
     assert_eq!(ids(&list), ["a", "b", "c"]);
-    assert!(list.servers[1].leaving);
+    assert!(list.servers[1].draining);
 }
 
 /// What somebody else read and told meanwhile is newer than a read that began before, and a read that took
--- a/registry/src/shell.rs
+++ b/registry/src/shell.rs
@@ -48,7 +48,7 @@
 /// Runs a registry until it is told to stop.
 pub async fn run(settings: vanepath_config::settings::Settings) -> Result<(), miette::Report> {
     let listener = node::bind("listen", settings.listen).await?;
-    let grace = settings.grace;
+    let grace = settings.shutdown_grace;
     let daemon = node::Daemon::start(settings, None).await?;
     let tally: Arc<Tally> = Arc::default();
     let platform = Arc::new(std::sync::Mutex::new(crate::list_poller::State::NotYetRead));
@@ -80,7 +80,7 @@
         crate::api::answer(registry.clone(), request)
     };
     let http = node::HttpSettings::default();
-    if let Some(address) = daemon.settings.directory_listen {
+    if let Some(address) = daemon.settings.steering_listen {
         let listener = node::bind("directoryListen", address).await?;
         let stop = daemon.stop.clone();
         tokio::spawn(node::serve_http(listener, stop, http, handler.clone()));
--- a/registry/src/steering.rs
+++ b/registry/src/steering.rs
@@ -3,7 +3,7 @@
 
 use vanepath_cluster::node::View;
 use vanepath_cluster::wire::Role;
-use vanepath_config::selector::{Selector, Viewpoint};
+use vanepath_config::selector::{ClientLocation, Selector};
 
 /// The TTL of a receipt before jitter, and the most that any receipt holds.
 pub const TTL: std::time::Duration = std::time::Duration::from_millis(2000);
@@ -101,7 +101,7 @@
             // Others of that zone are live.
             Some(_) => {}
             None => {
-                let told = view.setup.places.iter().find(|place| place.zone == card.zone);
+                let told = view.setup.zones.iter().find(|place| place.name == card.zone);
                 places.push(Place {
                     zone: card.zone.clone(),
                     region: card.region.clone(),
@@ -131,7 +131,7 @@
 /// the same caller always draws the same, and a change of shares moves no more than it must.
 pub fn order(view: &View, places: &[Place], rule: usize, caller: &Caller) -> Vec<Step> {
     let facts = &view.setup.rules[rule];
-    let viewpoint = Viewpoint { zone: &caller.zone, region: &caller.region };
+    let viewpoint = ClientLocation { zone: &caller.zone, region: &caller.region };
     let near = |text: &str| Selector::parse(text).expect("a fixed selector");
     let mut tiers: Vec<(String, Vec<(Selector, f64)>)> = facts
         .prefer
@@ -157,7 +157,7 @@
             let able: Vec<usize> = (0..places.len())
                 .filter(|index| {
                     !listed[*index]
-                        && facts.allows(&places[*index].region)
+                        && facts.allows_region(&places[*index].region)
                         && selector.matches(&places[*index], viewpoint)
                 })
                 .collect();
@@ -238,12 +238,12 @@
     let mut general: Option<Vec<Step>> = None;
     for (index, rule) in view.setup.rules.iter().enumerate() {
         let steps = order(view, &places, index, caller);
-        let kind = view.setup.classes[rule.class].kind;
+        let kind = view.setup.classes[rule.class].idempotency;
         let mut entry = jzon::object! {
             "NAME": rule.name.as_str(),
             "METHODS": rule.methods.iter().map(|one| one.as_str().into()).collect::<Vec<jzon::JsonValue>>(),
             "PATH-PREFIX": rule.path_prefix.as_str(),
-            "ONCE": kind == vanepath_config::model::Kind::Once,
+            "ONCE": kind == vanepath_config::model::Idempotency::NonIdempotent,
             "PATHWAY-PRIORITY": zones(&steps),
         };
         if let Some(host) = &rule.host {
--- a/registry/tests/world/mod.rs
+++ b/registry/tests/world/mod.rs
@@ -7,7 +7,7 @@
 use vanepath_cluster::gossip::{Effect, Event, News};
 use vanepath_cluster::node::View;
 use vanepath_cluster::wire;
-use vanepath_config::endpoint_list::{PlatformList, Server};
+use vanepath_config::endpoint_list::{EndpointList, Server};
 use vanepath_registry::list_sequencer::{Effect as Reads, ListReader, READ_MOST};
 
 /// What happens on a day.
@@ -64,7 +64,7 @@
     /// Servers that it has known as leaving.
     known_leaving: BTreeMap<String, Duration>,
     /// The list that was judged last.
-    judged: Arc<PlatformList>,
+    judged: Arc<EndpointList>,
 }
 
 enum Message {
@@ -111,9 +111,9 @@
         region: "a".into(),
         zone: "a1".into(),
         labels: Default::default(),
-        leaving: false,
-        cold: false,
-        slots: 2,
+        draining: false,
+        warming_up: false,
+        concurrency: 2,
     }
 }
 
@@ -209,13 +209,15 @@
         self.changed_at = self.now;
         let index = (self.part() * self.shown.len() as f64) as usize;
         match (self.part() * 3.0) as u32 {
-            0 if self.shown.iter().any(|one| one.leaving) => self.shown.retain(|one| !one.leaving),
+            0 if self.shown.iter().any(|one| one.draining) => {
+                self.shown.retain(|one| !one.draining)
+            }
             1 => {
-                self.shown.push(Server { cold: true, ..server(*number) });
+                self.shown.push(Server { warming_up: true, ..server(*number) });
                 *number += 1;
             }
             _ => {
-                self.shown[index].leaving = true;
+                self.shown[index].draining = true;
                 self.leaving_since.entry(self.shown[index].id.clone()).or_insert(self.now);
             }
         }
@@ -385,7 +387,7 @@
             node.judged = list.clone();
             let name = &node.news.own().name;
             for server in &list.servers {
-                if server.leaving {
+                if server.draining {
                     node.known_leaving.entry(server.id.clone()).or_insert(now);
                 } else if let Some(at) = node.known_leaving.remove(&server.id) {
                     self.faults.push(format!(
@@ -401,7 +403,7 @@
             self.leaving_since.remove(&id);
             for node in &self.nodes {
                 let servers = &node.news.lists.current().servers;
-                if servers.iter().any(|one| one.id == id && !one.leaving) {
+                if servers.iter().any(|one| one.id == id && !one.draining) {
                     let name = &node.news.own().name;
                     self.faults.push(format!("{now:?}: {name} does not know that {id} leaves"));
                 }
--- a/store/src/shell.rs
+++ b/store/src/shell.rs
@@ -210,7 +210,7 @@
 /// Runs a store until it is told to stop.
 pub async fn run(settings: vanepath_config::settings::Settings) -> Result<(), miette::Report> {
     let folder = settings.data_folder.clone().expect("checked with the settings");
-    let founders = if settings.first_start { settings.stores } else { 0 };
+    let founders = if settings.may_bootstrap { settings.bootstrap_size } else { 0 };
     let identity = crate::consensus::Identity { name: settings.name.clone(), founders };
     let disk = Arc::new(crate::disk::Disk::open(&folder)?);
     let found = disk.load(node::random())?;
--- a/testbed/src/scale/cores.rs
+++ b/testbed/src/scale/cores.rs
@@ -145,7 +145,7 @@
         let bytes = wire::encode(&list);
         let encode = each(span, || wire::encode(&list));
         let decode =
-            each(span, || wire::decode::<vanepath_config::endpoint_list::PlatformList>(&bytes));
+            each(span, || wire::decode::<vanepath_config::endpoint_list::EndpointList>(&bytes));
         rows.push(Row {
             what: "platform list".to_string(),
             size: vec![("servers", servers)],
--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -81,7 +81,7 @@
     whats: std::collections::HashMap<u64, What>,
     next: u64,
     addresses: std::collections::HashMap<std::net::SocketAddr, usize>,
-    list: vanepath_config::endpoint_list::PlatformList,
+    list: vanepath_config::endpoint_list::EndpointList,
     oversized: u64,
     /// Its machine is gone without a word: nothing comes or goes.
     silenced: Option<usize>,
--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 use vanepath_cluster::wire;
-use vanepath_config::endpoint_list::{PlatformList, Server};
+use vanepath_config::endpoint_list::{EndpointList, Server};
 
 /// The design size.
 pub const DAEMONS: usize = 670;
@@ -102,13 +102,13 @@
     text + r#"{"name": "rest", "class": "lookup", "service": "service-0"}]}"#
 }
 
-pub fn setup(routes: usize, services: usize, judged: Judged) -> vanepath_config::model::Setup {
+pub fn setup(routes: usize, services: usize, judged: Judged) -> vanepath_config::model::Config {
     vanepath_config::model::parse(setup_text(routes, services, judged).as_bytes())
         .expect("a setup without faults")
 }
 
 /// So many servers, spread over all zones and services.
-pub fn platform(servers: usize, services: usize, judged: Judged) -> PlatformList {
+pub fn platform(servers: usize, services: usize, judged: Judged) -> EndpointList {
     let one = |index: usize| {
         let (zone, region) = ZONES[index % ZONES.len()];
         let address = [10, 1 + (index >> 16) as u8, (index >> 8) as u8, index as u8];
@@ -119,22 +119,22 @@
             zone: zone.to_string(),
             labels: [("app".to_string(), format!("service-{}", index / ZONES.len() % services))]
                 .into(),
-            leaving: false,
-            cold: false,
-            slots: if judged == Judged::ByTraffic { SLOTS } else { 0 },
+            draining: false,
+            warming_up: false,
+            concurrency: if judged == Judged::ByTraffic { SLOTS } else { 0 },
         }
     };
-    PlatformList { revision: 1, servers: (0..servers).map(one).collect() }
+    EndpointList { revision: 1, servers: (0..servers).map(one).collect() }
 }
 
 /// The platform's own document of a list.
-pub fn platform_text(list: &PlatformList) -> String {
+pub fn platform_text(list: &EndpointList) -> String {
     let servers: Vec<String> = list
         .servers
         .iter()
         .map(|server| {
-            let state = if server.leaving { "leaving" } else { "ready" };
-            let slots = match server.slots {
+            let state = if server.draining { "leaving" } else { "ready" };
+            let slots = match server.concurrency {
                 0 => String::new(),
                 slots => format!(r#", "slots": {slots}"#),
             };
@@ -184,7 +184,7 @@
 pub fn detail(
     proxy: usize,
     proxies: usize,
-    list: &PlatformList,
+    list: &EndpointList,
     services: usize,
     turn: u64,
     judged: Judged,
--- a/testbed/src/sim/control.rs
+++ b/testbed/src/sim/control.rs
@@ -132,7 +132,7 @@
     pub platform_host: HostId,
     /// The platform says what is no list, or an older one, now and then.
     pub platform_lies: bool,
-    pub platform: Arc<vanepath_config::endpoint_list::PlatformList>,
+    pub platform: Arc<vanepath_config::endpoint_list::EndpointList>,
     /// When each revision of the platform list came.
     pub platform_at: Vec<(Duration, u64)>,
     /// The platform does not tell the numbers of its lists.
--- a/testbed/src/sim/control/registries.rs
+++ b/testbed/src/sim/control/registries.rs
@@ -61,7 +61,7 @@
     pub(super) fn platform_told(
         &mut self,
         index: usize,
-        list: Option<Arc<vanepath_config::endpoint_list::PlatformList>>,
+        list: Option<Arc<vanepath_config::endpoint_list::EndpointList>>,
     ) {
         if self.is_platform_plain {
             return self.plain_list_told(index, list);
@@ -80,7 +80,7 @@
     pub(super) fn plain_list_told(
         &mut self,
         index: usize,
-        list: Option<Arc<vanepath_config::endpoint_list::PlatformList>>,
+        list: Option<Arc<vanepath_config::endpoint_list::EndpointList>>,
     ) {
         let now = self.net.local(self.daemons[index].host);
         let view = self.daemons[index].view.clone();
@@ -125,7 +125,7 @@
             4 => {
                 // As it was before: nobody leaves.
                 list.revision = revision.saturating_sub(1);
-                list.servers.iter_mut().for_each(|server| server.leaving = false);
+                list.servers.iter_mut().for_each(|server| server.draining = false);
                 Some(Body::Platform(Arc::new(list)))
             }
             5 => None,
--- a/testbed/src/sim/data.rs
+++ b/testbed/src/sim/data.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 use vanepath_client::steering::{Steering, parse};
 use vanepath_cluster::{gossip, wire};
-use vanepath_config::Verdict;
-use vanepath_config::model::Kind;
+use vanepath_config::ExecutionStatus;
+use vanepath_config::model::Idempotency;
 use vanepath_proxy::admission::{Classes, Entry as Entered, Slot};
 use vanepath_proxy::endpoints::{Choice, Idle, Servers, Table, Want};
 use vanepath_proxy::health::{Failure, Phase};
@@ -91,7 +91,7 @@
     pub caller: usize,
     pub started_at: Duration,
     pub ended_at: Option<Duration>,
-    pub verdict: Verdict,
+    pub verdict: ExecutionStatus,
     pub status: u16,
     pub tries: u32,
     drops: u32,
--- a/testbed/src/sim/data/callers.rs
+++ b/testbed/src/sim/data/callers.rs
@@ -51,7 +51,7 @@
             caller,
             started_at: now,
             ended_at: None,
-            verdict: Verdict::NotRun,
+            verdict: ExecutionStatus::NotRun,
             status: 0,
             tries: 0,
             drops: 0,
@@ -128,8 +128,8 @@
         let now = self.net.now;
         let request = &mut self.world.requests[number];
         request.ended_at = Some(now);
-        if request.may_have_run && request.verdict == Verdict::NotRun {
-            request.verdict = Verdict::MayHaveRun;
+        if request.may_have_run && request.verdict == ExecutionStatus::NotRun {
+            request.verdict = ExecutionStatus::MayHaveRun;
         }
     }
 
@@ -151,7 +151,7 @@
                 caller.open.insert((target, life));
                 request.verdict = verdict;
                 request.status = status;
-                request.may_have_run |= verdict != Verdict::NotRun;
+                request.may_have_run |= verdict != ExecutionStatus::NotRun;
                 request.drops += u32::from(status == 503);
                 let may_go_on = !(request.is_once && request.may_have_run)
                     && request.drops < vanepath_client::client::DROPS_MOST
@@ -172,7 +172,11 @@
                 caller.open.remove(&(target, life));
                 // A caller cannot see into the proxy: once a byte went out it must assume that.
                 let was_connected = !is_unsent || request.carriers.contains(&target);
-                request.verdict = if was_connected { Verdict::MayHaveRun } else { Verdict::NotRun };
+                request.verdict = if was_connected {
+                    ExecutionStatus::MayHaveRun
+                } else {
+                    ExecutionStatus::NotRun
+                };
                 request.may_have_run |= was_connected;
                 request.status = 0;
                 caller.steering.penalise(now, address);
--- a/testbed/src/sim/data/proxies.rs
+++ b/testbed/src/sim/data/proxies.rs
@@ -25,7 +25,7 @@
         };
         let mut list = (*view.platform).clone();
         if self.breaks == Some(Break::IgnoresLeaving) {
-            list.servers.iter_mut().for_each(|server| server.leaving = false);
+            list.servers.iter_mut().for_each(|server| server.draining = false);
         }
         proxy.servers.adopt(now, revision, &view.setup, &list, cold);
         proxy.paces.renew();
@@ -264,13 +264,14 @@
         let facts = &setup.rules[rule];
         let class = &setup.classes[facts.class];
         own.chart.state = State::Matched;
-        own.chart.kind = class.kind;
+        own.chart.kind = class.idempotency;
         own.chart.is_replayable = true;
         own.deadline = own.received_at + class.deadline;
-        if !facts.allows(&region) {
+        if !facts.allows_region(&region) {
             return self.end_way(index, way, Err(Refusal::Misplaced));
         }
-        let is_spoilt = class.kind == Kind::Once && own.request.is_multiple_of(50);
+        let is_spoilt =
+            class.idempotency == Idempotency::NonIdempotent && own.request.is_multiple_of(50);
         if self.breaks == Some(Break::RefusesFilings) && is_spoilt {
             return self.end_way(index, way, Err(Refusal::NoServer));
         }
@@ -331,7 +332,7 @@
             let (verb, path) = (method(request.what), self.world.paths[request.what as usize]);
             match latest.setup.rule_for(verb, "h", path) {
                 Some(rule) => {
-                    let is_within = latest.setup.rules[rule].allows(&region);
+                    let is_within = latest.setup.rules[rule].allows_region(&region);
                     own.rule = rule;
                     own.table = latest.clone();
                     if !is_within {
@@ -390,7 +391,7 @@
         let Duty::Proxy(proxy) = &mut self.daemons[index].duty else { return };
         let Some(own) = proxy.ways.get_mut(&way) else { return };
         let is_lately = |idle: &Idle<u64>| {
-            own.chart.kind == Kind::Repeatable
+            own.chart.kind == Idempotency::Idempotent
                 || now.saturating_sub(idle.greeted_at) <= Duration::from_secs(1)
         };
         match idle {
@@ -559,7 +560,7 @@
         let need = proxy.servers.need_after(miss, slot, own.chart.sent_at);
         let budget = &mut proxy.budget;
         match self.breaks {
-            Some(Break::FilingsGoAgain) => own.chart.kind = Kind::Repeatable,
+            Some(Break::FilingsGoAgain) => own.chart.kind = Idempotency::Idempotent,
             Some(Break::LookupsGiveUp) => own.chart.sends = own.chart.sends_most,
             _ => {}
         }
@@ -587,10 +588,11 @@
             proxy.waiting.remove(&number);
         }
         let woken = own.held.map(|slot| proxy.classes.release(slot)).unwrap_or_default();
-        let is_spoilt = own.chart.kind == Kind::Once && own.request.is_multiple_of(50);
+        let is_spoilt =
+            own.chart.kind == Idempotency::NonIdempotent && own.request.is_multiple_of(50);
         let verdict = match self.breaks {
-            Some(Break::LiesNotRun) if end.is_err() => Verdict::NotRun,
-            Some(Break::DoubtsFilings) if is_spoilt => Verdict::MayHaveRun,
+            Some(Break::LiesNotRun) if end.is_err() => ExecutionStatus::NotRun,
+            Some(Break::DoubtsFilings) if is_spoilt => ExecutionStatus::MayHaveRun,
             _ => own.chart.verdict(),
         };
         let is_misplaced = end == Err(Refusal::Misplaced);
--- a/testbed/src/sim/day.rs
+++ b/testbed/src/sim/day.rs
@@ -314,9 +314,9 @@
                 region: server.region.clone(),
                 zone: server.zone.clone(),
                 labels: [("app".to_string(), server.app.clone())].into(),
-                leaving: false,
-                cold: false,
-                slots: 0,
+                draining: false,
+                warming_up: false,
+                concurrency: 0,
             });
         }
     }
--- a/testbed/src/sim/day/act.rs
+++ b/testbed/src/sim/day/act.rs
@@ -153,7 +153,7 @@
             sim.world.leaves.push((sim.net.now, server, sim.platform.revision + 1));
             publish(sim, |list| {
                 for one in list.iter_mut().filter(|one| one.id == id) {
-                    one.leaving = true;
+                    one.draining = true;
                 }
             });
         }
--- a/testbed/src/sim/judge.rs
+++ b/testbed/src/sim/judge.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use vanepath_cluster::wire::Role;
-use vanepath_config::Verdict;
+use vanepath_config::ExecutionStatus;
 use vanepath_store::protocol::{Change, Outcome};
 
 #[derive(Debug, Default)]
@@ -102,14 +102,14 @@
             continue;
         }
         match request.verdict {
-            Verdict::NotRun => judgement.filings_not_run += 1,
-            Verdict::MayHaveRun => judgement.filings_may_have_run += 1,
-            Verdict::Ran => {}
+            ExecutionStatus::NotRun => judgement.filings_not_run += 1,
+            ExecutionStatus::MayHaveRun => judgement.filings_may_have_run += 1,
+            ExecutionStatus::Ran => {}
         }
         let is_true = match request.verdict {
-            Verdict::Ran => count == 1,
-            Verdict::NotRun => count == 0,
-            Verdict::MayHaveRun => count <= 1,
+            ExecutionStatus::Ran => count == 1,
+            ExecutionStatus::NotRun => count == 0,
+            ExecutionStatus::MayHaveRun => count <= 1,
         };
         if !is_true {
             judgement.faults.push(format!(
@@ -207,14 +207,14 @@
         let is_filing = matches!(request.what, What::Filing | What::BoundFiling);
         judgement.lookups += usize::from(!is_filing);
         let end = request.ended_at.unwrap_or(run.end);
-        if request.ended_at.is_some() && request.verdict == Verdict::Ran {
+        if request.ended_at.is_some() && request.verdict == ExecutionStatus::Ran {
             continue;
         }
         judgement.lookups_lost += usize::from(!is_filing);
         if outages.iter().any(|(from, to)| request.started_at <= *to && end >= *from) {
             continue;
         }
-        let may_have_run = is_filing && request.verdict == Verdict::MayHaveRun;
+        let may_have_run = is_filing && request.verdict == ExecutionStatus::MayHaveRun;
         let is_fault = if may_have_run {
             // Greeted a second ago it may have died since.
             let before = request.started_at.saturating_sub(Duration::from_secs(1));
@@ -609,7 +609,10 @@
     let requests = |wanted: &'static [What]| {
         let of_kind = world.requests.iter().filter(move |request| wanted.contains(&request.what));
         let told = of_kind.map(|request| {
-            (request.started_at, request.ended_at.is_some() && request.verdict == Verdict::Ran)
+            (
+                request.started_at,
+                request.ended_at.is_some() && request.verdict == ExecutionStatus::Ran,
+            )
         });
         told.collect::<Vec<(Duration, bool)>>()
     };
--- a/testbed/src/sim/net.rs
+++ b/testbed/src/sim/net.rs
@@ -38,7 +38,7 @@
     Operate(usize),
     Operated(vanepath_store::protocol::Outcome),
     ReadPlatform,
-    Platform(std::sync::Arc<vanepath_config::endpoint_list::PlatformList>),
+    Platform(std::sync::Arc<vanepath_config::endpoint_list::EndpointList>),
     /// What the platform says in place of its list, as it says it.
     PlatformText(String),
     Steer(String),
@@ -46,7 +46,7 @@
     /// A caller's request, by its number.
     Carry(usize),
     Carried {
-        verdict: vanepath_config::Verdict,
+        verdict: vanepath_config::ExecutionStatus,
         status: u16,
         /// With 421: who may carry it.
         named: Vec<std::net::SocketAddr>,
--- a/testbed/src/traffic.rs
+++ b/testbed/src/traffic.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use vanepath_client::{Caller, Outcome};
-use vanepath_config::Verdict;
+use vanepath_config::ExecutionStatus;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Kind {
@@ -20,7 +20,7 @@
 pub struct Told {
     pub number: String,
     pub kind: Kind,
-    pub verdict: Verdict,
+    pub verdict: ExecutionStatus,
     pub status: u16,
     pub started_at: Duration,
     pub took_ms: u64,
@@ -144,7 +144,7 @@
     let outcome = caller.request(method, &path, &headers, body.into()).await;
     let verdict = outcome.verdict();
     let mut status = 0;
-    if let Outcome::Receipt { status: seen, body, verdict: Verdict::Ran, .. } = &outcome {
+    if let Outcome::Receipt { status: seen, body, verdict: ExecutionStatus::Ran, .. } = &outcome {
         status = *seen;
         let is_right = match kind {
             Kind::Bulk => **body == *crate::standin::pattern(number, SIZE),
@@ -178,9 +178,9 @@
     for one in told {
         let sum = sums.entry(one.kind).or_default();
         match one.verdict {
-            Verdict::Ran => sum.ran += 1,
-            Verdict::NotRun => sum.not_run += 1,
-            Verdict::MayHaveRun => sum.may_have_run += 1,
+            ExecutionStatus::Ran => sum.ran += 1,
+            ExecutionStatus::NotRun => sum.not_run += 1,
+            ExecutionStatus::MayHaveRun => sum.may_have_run += 1,
         }
     }
     sums
@@ -192,9 +192,9 @@
     for one in told.iter().filter(|one| one.kind == Kind::Filing) {
         let count = runs.get(&one.number).copied().unwrap_or_default();
         let is_true = match one.verdict {
-            Verdict::Ran => count == 1,
-            Verdict::NotRun => count == 0,
-            Verdict::MayHaveRun => count <= 1,
+            ExecutionStatus::Ran => count == 1,
+            ExecutionStatus::NotRun => count == 0,
+            ExecutionStatus::MayHaveRun => count <= 1,
         };
         if !is_true {
             faults.push(format!(
--- a/testbed/tests/control.rs
+++ b/testbed/tests/control.rs
@@ -85,7 +85,7 @@
     let refused = put(&fleet, 0, &[], bad.as_bytes()).await;
     assert_eq!(refused.status, 422);
     assert_eq!(refused.json()["faults"].as_array().unwrap().len(), 2);
-    let large = vec![b' '; vanepath_config::model::BYTES_MOST + 1];
+    let large = vec![b' '; vanepath_config::model::MAX_BYTES + 1];
     assert_eq!(put(&fleet, 0, &[], &large).await.status, 413);
     for (method, path, status) in [
         ("GET", "/v1/setup/99", 404),
@@ -427,7 +427,8 @@
     let (told, wrong) = traffic.finish().await;
     assert_eq!(wrong, Vec::<String>::new());
     assert_eq!(judge_filings(&told, &fleet.runs()), Vec::<String>::new());
-    let lost = told.iter().filter(|one| one.verdict != vanepath_config::Verdict::Ran).count();
+    let lost =
+        told.iter().filter(|one| one.verdict != vanepath_config::ExecutionStatus::Ran).count();
     assert_eq!(lost, 0, "{:?}", sums(&told));
 }
 
@@ -469,7 +470,9 @@
     assert_eq!(judge_filings(&told, &fleet.runs()), Vec::<String>::new());
     let lost: Vec<_> = told
         .iter()
-        .filter(|one| one.kind != Kind::Filing && one.verdict != vanepath_config::Verdict::Ran)
+        .filter(|one| {
+            one.kind != Kind::Filing && one.verdict != vanepath_config::ExecutionStatus::Ran
+        })
         .collect();
     assert!(lost.is_empty(), "{lost:?}");
 }
--- a/testbed/tests/fleets.rs
+++ b/testbed/tests/fleets.rs
@@ -80,7 +80,7 @@
     let sums = sums(&told);
     println!("{}: {sums:?}", fleet.shape.name);
     let lost: Vec<_> =
-        told.iter().filter(|one| one.verdict != vanepath_config::Verdict::Ran).collect();
+        told.iter().filter(|one| one.verdict != vanepath_config::ExecutionStatus::Ran).collect();
     assert!(lost.is_empty(), "lost in planned work: {lost:?}");
     assert!(sums[&Kind::Filing].ran > 50);
 }
--- a/testbed/tests/losses.rs
+++ b/testbed/tests/losses.rs
@@ -34,7 +34,7 @@
 /// Lookups and downloads that no server ran, or nobody knows.
 fn lost(told: &[Told]) -> Vec<&Told> {
     let lookups = told.iter().filter(|one| one.kind != Kind::Filing);
-    lookups.filter(|one| one.verdict != vanepath_config::Verdict::Ran).collect()
+    lookups.filter(|one| one.verdict != vanepath_config::ExecutionStatus::Ran).collect()
 }
 
 /// A zone goes with its proxies and servers, then a region with a core machine as well; each comes
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -13,13 +13,13 @@
         assert_eq!(setup.rules.len(), times * scale::ROUTES);
         assert_eq!(setup.services.len(), times * scale::SERVICES);
         // Tenants are of later setups: a hundred bytes for each.
-        let room = vanepath_config::model::BYTES_MOST;
+        let room = vanepath_config::model::MAX_BYTES;
         assert!(text.len() + times * scale::TENANTS * 100 < room, "{} of {room}", text.len());
         let list = scale::platform(times * scale::SERVERS, times * scale::SERVICES, judged);
         let text = scale::platform_text(&list);
         let read = vanepath_config::endpoint_list::parse(text.as_bytes()).unwrap();
         assert!(read == list);
-        assert!(text.len() < vanepath_config::endpoint_list::BYTES_MOST / 2, "{}", text.len());
+        assert!(text.len() < vanepath_config::endpoint_list::MAX_BYTES / 2, "{}", text.len());
     }
 }
 
@@ -30,7 +30,7 @@
     let mut asked = scale::cores::informed(daemons, servers, 2 * scale::SERVICES, true, ByProbes);
     let mut setup =
         scale::setup_text(2 * scale::ROUTES, 2 * scale::SERVICES, ByProbes).into_bytes();
-    setup.resize(vanepath_config::model::BYTES_MOST, b' ');
+    setup.resize(vanepath_config::model::MAX_BYTES, b' ');
     let word = wire::Word { revision: 9, setup_revision: 9, setup, ..wire::Word::default() };
     let now = Duration::from_secs(101);
     asked.step(now, vanepath_cluster::gossip::Event::Word(std::sync::Arc::new(word)));
