--- a/cluster/src/counters.rs
+++ b/cluster/src/counters.rs
@@ -1,21 +1,21 @@
 //! Counters first: one array of them for each daemon, by the daemon's own list (design 9.3).
 
-pub struct Tally<C> {
+pub struct Counters<C> {
     counts: Vec<std::sync::atomic::AtomicU64>,
     list: std::marker::PhantomData<fn(C)>,
 }
 
-impl<C> Default for Tally<C>
+impl<C> Default for Counters<C>
 where
     C: strum::IntoEnumIterator + Into<&'static str> + Into<usize>,
 {
-    fn default() -> Tally<C> {
+    fn default() -> Counters<C> {
         let counts = C::iter().map(|_| Default::default()).collect();
-        Tally { counts, list: std::marker::PhantomData }
+        Counters { counts, list: std::marker::PhantomData }
     }
 }
 
-impl<C> Tally<C>
+impl<C> Counters<C>
 where
     C: strum::IntoEnumIterator + Into<&'static str> + Into<usize>,
 {
@@ -24,7 +24,7 @@
         self.counts[index].fetch_add(amount, std::sync::atomic::Ordering::Relaxed);
     }
 
-    pub fn one(&self, counter: C) {
+    pub fn increment(&self, counter: C) {
         self.add(counter, 1);
     }
 
@@ -33,7 +33,7 @@
         self.counts[index].load(std::sync::atomic::Ordering::Relaxed)
     }
 
-    pub fn show(&self, into: &mut jzon::JsonValue) {
+    pub fn write_json(&self, into: &mut jzon::JsonValue) {
         for (counter, count) in C::iter().zip(&self.counts) {
             let name: &'static str = counter.into();
             into[name] = count.load(std::sync::atomic::Ordering::Relaxed).into();
--- a/cluster/src/endpoint_cache.rs
+++ b/cluster/src/endpoint_cache.rs
@@ -4,7 +4,7 @@
 //! Invariants: the revision of the current list never falls; `highest` is never below it; `read_at` is the
 //! begin of a read that found the current list, and not an earlier one, in force.
 
-use crate::wire::ListRead;
+use crate::wire::EndpointListRead;
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 
 /// The list that is in force here and what is known of it.
 #[derive(Debug, Default)]
-pub struct Lists {
+pub struct EndpointCache {
     current: Arc<EndpointList>,
     /// Lists that were in force lately, for those who have them still.
     earlier: VecDeque<Arc<EndpointList>>,
@@ -27,12 +27,12 @@
 
 /// A list on its way to one daemon: whole, or as a change of the one that it has.
 #[derive(Debug, Default)]
-pub struct Parcel {
+pub struct EndpointUpdate {
     pub whole: Option<EndpointList>,
     pub delta: Option<EndpointListDelta>,
 }
 
-impl Lists {
+impl EndpointCache {
     pub fn current(&self) -> &Arc<EndpointList> {
         &self.current
     }
@@ -104,21 +104,21 @@
     }
 
     /// What others are told of the newest read.
-    pub fn read(&self, now: Duration) -> Option<ListRead> {
+    pub fn read(&self, now: Duration) -> Option<EndpointListRead> {
         let read_at = self.read_at?;
         let age_ms = now.saturating_sub(read_at).as_millis() as u32;
-        Some(ListRead { revision: self.current.revision, age_ms })
+        Some(EndpointListRead { revision: self.current.revision, age_ms })
     }
 
     /// What a daemon that has the list of this revision is to be told.
-    pub fn parcel_for(&self, held: u64) -> Parcel {
+    pub fn parcel_for(&self, held: u64) -> EndpointUpdate {
         if self.current.revision <= held {
-            return Parcel::default();
+            return EndpointUpdate::default();
         }
         let base = self.earlier.iter().find(|list| list.revision == held && held > 0);
         match base {
-            Some(base) => Parcel { delta: Some(self.current.since(base)), whole: None },
-            None => Parcel { whole: Some((*self.current).clone()), delta: None },
+            Some(base) => EndpointUpdate { delta: Some(self.current.since(base)), whole: None },
+            None => EndpointUpdate { whole: Some((*self.current).clone()), delta: None },
         }
     }
 }
--- a/cluster/src/gossip.rs
+++ b/cluster/src/gossip.rs
@@ -50,10 +50,10 @@
 /// One source as this daemon knows it.
 #[derive(Clone, Debug)]
 pub struct Source {
-    pub card: wire::Card,
-    pub mark: wire::Mark,
-    pub report: wire::Report,
-    pub detail: wire::Detail,
+    pub card: wire::NodeInfo,
+    pub mark: wire::NodeVersion,
+    pub report: wire::NodeStatus,
+    pub detail: wire::ProxyObservations,
     /// It told its detail itself, and not by way of a third.
     is_direct: bool,
     /// Of its name, for vectors.
@@ -114,7 +114,7 @@
 
 struct Parked {
     ticket: u64,
-    vector: std::collections::HashMap<u32, wire::Mark>,
+    vector: std::collections::HashMap<u32, wire::NodeVersion>,
     word: u64,
     platform: u64,
     plan: (u64, u64),
@@ -140,10 +140,16 @@
     /// Whether a detail goes with the answer. Registries pull from all others of their kind, so each hears
     /// details from the one to which the source told them; by way of a third only what it missed for a
     /// whole round of telling, since the direct way may be cut.
-    fn has_new_detail(&self, mark: &wire::Mark, seen: &wire::Mark, is_direct: bool) -> bool {
+    fn has_new_detail(
+        &self,
+        mark: &wire::NodeVersion,
+        seen: &wire::NodeVersion,
+        is_direct: bool,
+    ) -> bool {
         let behind = mark.detail.saturating_sub(seen.detail);
         let is_for_all = is_direct || self.is_first;
-        self.wants_detail && (mark.life != seen.life || behind > 1 || (behind == 1 && is_for_all))
+        self.wants_detail
+            && (mark.incarnation != seen.incarnation || behind > 1 || (behind == 1 && is_for_all))
     }
 }
 
@@ -152,7 +158,7 @@
     /// A sibling asks; answer under the ticket.
     Asked {
         ticket: u64,
-        pull: wire::Pull,
+        pull: wire::PullRequest,
     },
     /// The asker of a parked ticket is gone.
     Left {
@@ -165,19 +171,19 @@
     /// A pull of ours came back.
     Told {
         address: std::net::SocketAddr,
-        news: Option<Box<wire::News>>,
+        news: Option<Box<wire::PullResponse>>,
     },
     /// This daemon's own state changed: loud, passed on at once.
-    Report(wire::Report),
-    Detail(wire::Detail),
-    Word(Arc<wire::Word>),
+    Report(wire::NodeStatus),
+    Detail(wire::ProxyObservations),
+    Word(Arc<wire::CommittedConfig>),
     Platform(Arc<vanepath_config::endpoint_list::EndpointList>),
     /// This daemon has read the platform list: what is in force by that, and when the read began.
     ListRead {
         list: Arc<vanepath_config::endpoint_list::EndpointList>,
         began_at: Duration,
     },
-    Plan(Arc<wire::Plan>),
+    Plan(Arc<wire::TrafficShiftPlan>),
     /// Somebody asks this registry for what proxies see.
     WantDetails,
     /// The settings name other seeds from now on.
@@ -193,11 +199,11 @@
 pub enum Effect {
     Pull {
         address: std::net::SocketAddr,
-        pull: wire::Pull,
+        pull: wire::PullRequest,
     },
     Answer {
         ticket: u64,
-        news: wire::News,
+        news: wire::PullResponse,
     },
     /// Asks a store for the floor.
     AskFloor {
@@ -210,10 +216,10 @@
 }
 
 pub struct News {
-    own: wire::Card,
-    mark: wire::Mark,
-    report: wire::Report,
-    detail: wire::Detail,
+    own: wire::NodeInfo,
+    mark: wire::NodeVersion,
+    report: wire::NodeStatus,
+    detail: wire::ProxyObservations,
     short: u32,
     seeds: Vec<std::net::SocketAddr>,
     pub sources: Vec<Source>,
@@ -221,13 +227,13 @@
     by_name: std::collections::HashMap<String, usize>,
     /// Loud changes so far: what was not loud for somebody is not until there is another one.
     loud: u64,
-    pub word: Arc<wire::Word>,
-    pub lists: crate::endpoint_cache::Lists,
-    pub plan: Arc<wire::Plan>,
+    pub word: Arc<wire::CommittedConfig>,
+    pub lists: crate::endpoint_cache::EndpointCache,
+    pub plan: Arc<wire::TrafficShiftPlan>,
     lines: std::collections::BTreeMap<std::net::SocketAddr, Line>,
     parked: Vec<Parked>,
     /// What each light asker has, by name.
-    askers: std::collections::HashMap<String, std::collections::HashMap<u32, wire::Mark>>,
+    askers: std::collections::HashMap<String, std::collections::HashMap<u32, wire::NodeVersion>>,
     /// Who is not live, by short names in order; and all names.
     silent: Vec<u32>,
     names: std::collections::HashSet<u32>,
@@ -262,27 +268,27 @@
 
 impl News {
     pub fn new(
-        own: wire::Card,
+        own: wire::NodeInfo,
         seeds: Vec<std::net::SocketAddr>,
         life: u64,
         now: Duration,
     ) -> News {
-        let seeds = seeds.into_iter().filter(|seed| *seed != own.sibling_address).collect();
+        let seeds = seeds.into_iter().filter(|seed| *seed != own.cluster_address).collect();
         // Each begins its turn of the lost elsewhere: between them all are tried soon.
         let turn = vanepath_config::stable_hash(&["turn", &own.name]) as usize;
-        let short = wire::short_name(&own.name);
+        let short = wire::name_hash(&own.name);
         News {
             own,
-            mark: wire::Mark { life, counter: 1, edition: 1, detail: 0 },
-            report: wire::Report::default(),
-            detail: wire::Detail::default(),
+            mark: wire::NodeVersion { incarnation: life, counter: 1, status_version: 1, detail: 0 },
+            report: wire::NodeStatus::default(),
+            detail: wire::ProxyObservations::default(),
             short,
             seeds,
             sources: Vec::new(),
             by_name: std::collections::HashMap::new(),
             loud: 1,
             word: Arc::default(),
-            lists: crate::endpoint_cache::Lists::default(),
+            lists: crate::endpoint_cache::EndpointCache::default(),
             plan: Arc::default(),
             lines: std::collections::BTreeMap::new(),
             parked: Vec::new(),
@@ -309,15 +315,15 @@
         }
     }
 
-    pub fn own(&self) -> &wire::Card {
+    pub fn own(&self) -> &wire::NodeInfo {
         &self.own
     }
 
-    pub fn own_report(&self) -> &wire::Report {
+    pub fn own_report(&self) -> &wire::NodeStatus {
         &self.report
     }
 
-    pub fn own_mark(&self) -> wire::Mark {
+    pub fn own_mark(&self) -> wire::NodeVersion {
         self.mark
     }
 
@@ -337,7 +343,7 @@
 
     /// It has waited for its floor in vain, and others take work: what comes does better there.
     pub fn is_stuck(&self, now: Duration) -> bool {
-        let is_other = |card: &wire::Card| card.name != self.own.name;
+        let is_other = |card: &wire::NodeInfo| card.name != self.own.name;
         self.floor.is_stuck(now)
             && self.live(now).any(|(card, report)| {
                 card.role == wire::Role::Proxy && report.ready && is_other(card)
@@ -362,8 +368,8 @@
 
     /// Details are for the plan, and so for the first registries in the order of names.
     fn note_details(&mut self, now: Duration) {
-        let is_before = |one: &(&wire::Card, &wire::Report)| {
-            one.0.role == wire::Role::Registry && !one.1.leaving && one.0.name < self.own.name
+        let is_before = |one: &(&wire::NodeInfo, &wire::NodeStatus)| {
+            one.0.role == wire::Role::Registry && !one.1.draining && one.0.name < self.own.name
         };
         let wants = self.own.role == wire::Role::Registry
             && (now < self.details_until
@@ -398,7 +404,10 @@
     }
 
     /// All that is live, this daemon included.
-    pub fn live(&self, now: Duration) -> impl Iterator<Item = (&wire::Card, &wire::Report)> {
+    pub fn live(
+        &self,
+        now: Duration,
+    ) -> impl Iterator<Item = (&wire::NodeInfo, &wire::NodeStatus)> {
         std::iter::once((&self.own, &self.report)).chain(
             self.sources
                 .iter()
@@ -408,7 +417,10 @@
     }
 
     /// What is not live any more and not yet forgotten, as it was when last heard of.
-    pub fn lost(&self, now: Duration) -> impl Iterator<Item = (&wire::Card, &wire::Report)> {
+    pub fn lost(
+        &self,
+        now: Duration,
+    ) -> impl Iterator<Item = (&wire::NodeInfo, &wire::NodeStatus)> {
         self.sources
             .iter()
             .filter(move |source| !source.is_live(now, self.own.role, self.judged_at))
@@ -416,9 +428,9 @@
     }
 
     /// The first live and settled daemon of a role, in the order of names, has the duty (design 5.6).
-    pub fn holder(&self, role: wire::Role, now: Duration) -> Option<&wire::Card> {
+    pub fn holder(&self, role: wire::Role, now: Duration) -> Option<&wire::NodeInfo> {
         self.live(now)
-            .filter(|(card, report)| card.role == role && !report.leaving && report.settled)
+            .filter(|(card, report)| card.role == role && !report.draining && report.synced)
             .map(|(card, _)| card)
             .min_by(|left, right| left.name.cmp(&right.name))
     }
@@ -438,7 +450,7 @@
                 report.revision = report.revision.min(self.in_force());
                 if report != self.report {
                     self.report = report;
-                    self.mark.edition += 1;
+                    self.mark.status_version += 1;
                     self.mark.counter += 1;
                     self.loud += 1;
                     effects.push(Effect::Changed);
@@ -473,7 +485,7 @@
                 self.note_details(now);
             }
             Event::Seeds(mut seeds) => {
-                seeds.retain(|seed| *seed != self.own.sibling_address);
+                seeds.retain(|seed| *seed != self.own.cluster_address);
                 self.seeds = seeds;
             }
             Event::Floor { address, revision } => {
@@ -495,7 +507,7 @@
 
     /// The name of the daemon at an address, or else the address.
     fn name_at(&self, address: std::net::SocketAddr) -> String {
-        let source = self.sources.iter().find(|one| one.card.sibling_address == address);
+        let source = self.sources.iter().find(|one| one.card.cluster_address == address);
         source.map_or_else(|| address.to_string(), |source| source.card.name.clone())
     }
 
@@ -518,7 +530,7 @@
         if live > self.lost(now).count() {
             return true;
         }
-        let is_near = |card: &wire::Card| card.region == self.own.region;
+        let is_near = |card: &wire::NodeInfo| card.region == self.own.region;
         let near = self.live(now).filter(|(card, _)| is_near(card)).count();
         near > 1 && near > self.lost(now).filter(|(card, _)| is_near(card)).count()
     }
@@ -531,21 +543,21 @@
         if finds_itself {
             return;
         }
-        let mut stores: Vec<(Option<u8>, &wire::Card)> = self
+        let mut stores: Vec<(Option<u8>, &wire::NodeInfo)> = self
             .live(now)
             .filter(|(card, report)| {
                 let is_other = card.name != self.own.name;
-                is_other && card.role == wire::Role::Store && report.ready && !report.leaving
+                is_other && card.role == wire::Role::Store && report.ready && !report.draining
             })
-            .map(|(card, report)| (report.disk.and_then(|one| one.seat), card))
+            .map(|(card, report)| (report.disk.and_then(|one| one.slot), card))
             .collect();
-        stores.sort_unstable_by_key(|(seat, card)| (*seat, card.sibling_address));
+        stores.sort_unstable_by_key(|(seat, card)| (*seat, card.cluster_address));
         let others: Vec<crate::peer_selection::Known<'_>> =
             stores.iter().map(|one| known(one.1)).collect();
         let nearest = crate::peer_selection::nearest_store(&known(&self.own), &others);
-        let nearest = nearest.map(|index| stores[index].1.sibling_address);
+        let nearest = nearest.map(|index| stores[index].1.cluster_address);
         let stores: Vec<std::net::SocketAddr> =
-            stores.iter().map(|one| one.1.sibling_address).collect();
+            stores.iter().map(|one| one.1.cluster_address).collect();
         let due = self.floor.due(now, &stores, nearest);
         effects.extend(due.into_iter().map(|address| Effect::AskFloor { address }));
     }
@@ -555,7 +567,7 @@
         if let Some(parked) = self.parked.iter().find(|parked| parked.ticket == ticket) {
             let asker = &parked.asker;
             let source = self.sources.iter().find(|source| source.card.name == *asker);
-            self.doubted.extend(source.map(|source| source.card.sibling_address));
+            self.doubted.extend(source.map(|source| source.card.cluster_address));
         }
         self.parked.retain(|parked| parked.ticket != ticket);
     }
@@ -563,7 +575,7 @@
     fn refused(&mut self, now: Duration, address: std::net::SocketAddr, effects: &mut Vec<Effect>) {
         let judged_at = self.judged_at;
         for source in &mut self.sources {
-            if source.card.sibling_address == address
+            if source.card.cluster_address == address
                 && source.is_live(now, self.own.role, judged_at)
             {
                 source.refused_at = Some(now);
@@ -573,7 +585,7 @@
         }
     }
 
-    fn hear_word(&mut self, word: Arc<wire::Word>, effects: &mut Vec<Effect>) {
+    fn hear_word(&mut self, word: Arc<wire::CommittedConfig>, effects: &mut Vec<Effect>) {
         // Never backwards (design 5.4).
         if word.revision > self.word.revision {
             self.word = word;
@@ -598,7 +610,7 @@
         }
     }
 
-    fn hear_plan(&mut self, plan: Arc<wire::Plan>, effects: &mut Vec<Effect>) {
+    fn hear_plan(&mut self, plan: Arc<wire::TrafficShiftPlan>, effects: &mut Vec<Effect>) {
         // Under a lower epoch nothing is taken (design 5.6).
         if (plan.epoch, plan.counter) > (self.plan.epoch, self.plan.counter) {
             self.plan = plan;
@@ -647,7 +659,7 @@
             if std::mem::replace(&mut source.was_live, is_live) != is_live {
                 effects.push(Effect::Changed);
                 if !is_live {
-                    just_lost.push(source.card.sibling_address);
+                    just_lost.push(source.card.cluster_address);
                 }
             }
         }
@@ -688,7 +700,7 @@
         live: &[&Source],
         others: &[crate::peer_selection::Known<'_>],
     ) -> Option<Vec<std::net::SocketAddr>> {
-        let is_whole = |index: usize| live[index].report.whole;
+        let is_whole = |index: usize| live[index].report.hears_majority;
         let ranked = crate::peer_selection::registries(&known(&self.own), others, is_whole);
         if ranked.is_empty() {
             return None;
@@ -696,21 +708,21 @@
         // Those that do not hear from most others may be cut off with what nobody else knows.
         let apart = ranked.iter().filter(|index| !is_whole(**index));
         let mut wanted: Vec<std::net::SocketAddr> =
-            apart.map(|index| live[*index].card.sibling_address).collect();
+            apart.map(|index| live[*index].card.cluster_address).collect();
         if self.own.role == wire::Role::Registry {
-            wanted.extend(ranked.iter().map(|index| live[*index].card.sibling_address));
+            wanted.extend(ranked.iter().map(|index| live[*index].card.cluster_address));
             let store = crate::peer_selection::nearest_store(&known(&self.own), others);
-            wanted.extend(store.map(|index| live[index].card.sibling_address));
+            wanted.extend(store.map(|index| live[index].card.cluster_address));
             return Some(wanted);
         }
         if self.own.role == wire::Role::Store {
             // What one of them knows as chosen the others know at once, whichever registry is gone.
             let stores = live.iter().filter(|one| one.card.role == wire::Role::Store);
-            wanted.extend(stores.map(|one| one.card.sibling_address));
+            wanted.extend(stores.map(|one| one.card.cluster_address));
         }
         let mut good = 0;
         for index in ranked {
-            let address = live[index].card.sibling_address;
+            let address = live[index].card.cluster_address;
             wanted.push(address);
             let is_bad = self.lines.get(&address).is_some_and(|line| {
                 line.failed || (line.busy && now.saturating_sub(line.sent_at) > SLOW_AFTER)
@@ -738,7 +750,7 @@
             Some(addresses) => addresses.into_iter().collect(),
             None => crate::peer_selection::siblings(&known(&self.own), &others)
                 .into_iter()
-                .map(|index| live[index].card.sibling_address)
+                .map(|index| live[index].card.cluster_address)
                 .collect(),
         };
         let alone = wanted.is_empty();
@@ -755,18 +767,18 @@
             let later = live.iter().filter(|one| {
                 one.card.role == wire::Role::Store && one.report.revision > self.word.revision
             });
-            wanted.extend(later.map(|source| source.card.sibling_address));
+            wanted.extend(later.map(|source| source.card.cluster_address));
         }
         let is_below = self.floor.wanted().is_some_and(|floor| floor > self.word.revision);
         if self.floor.met().is_none() && is_below {
             // Whoever has the word that the floor is of: the registries may all be behind.
             let core = live.iter().filter(|one| one.card.role != wire::Role::Proxy);
-            wanted.extend(core.map(|source| source.card.sibling_address));
+            wanted.extend(core.map(|source| source.card.cluster_address));
         }
         if self.fresh_since.is_none() {
             // Just awake: its few siblings may all be gone by now, so everyone is asked once.
             let asked = live.iter().filter(|one| !is_served || one.card.role != wire::Role::Proxy);
-            wanted.extend(asked.map(|source| source.card.sibling_address));
+            wanted.extend(asked.map(|source| source.card.cluster_address));
         }
         // Who is not heard of any more is asked itself, once: it may be there and cut off from all but
         // this daemon, which it does not know of.
@@ -777,10 +789,10 @@
                 .sources
                 .iter()
                 .filter(|source| !source.is_live(now, self.own.role, self.judged_at))
-                .map(|source| source.card.sibling_address)
+                .map(|source| source.card.cluster_address)
                 .chain(self.seeds.iter().copied())
                 .filter(|address| {
-                    !live.iter().any(|source| source.card.sibling_address == *address)
+                    !live.iter().any(|source| source.card.cluster_address == *address)
                 })
                 .collect();
             if !lost.is_empty() {
@@ -788,7 +800,7 @@
                 wanted.insert(lost[self.turn % lost.len()]);
             }
         }
-        wanted.remove(&self.own.sibling_address);
+        wanted.remove(&self.own.cluster_address);
         for (address, line) in &mut self.lines {
             line.wanted = wanted.contains(address);
         }
@@ -815,7 +827,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let is_registry = self.sources.iter().any(|source| {
-            source.card.sibling_address == address && source.card.role == wire::Role::Registry
+            source.card.cluster_address == address && source.card.role == wire::Role::Registry
         });
         let Some(line) = self.lines.get_mut(&address) else {
             return;
@@ -833,28 +845,28 @@
         }
         // The first pull of a life does not wait: it is how the daemon learns of the rest.
         let wait_ms = if self.fresh_since.is_none() { 0 } else { WAIT.as_millis() as u32 };
-        let pull = wire::Pull {
-            vector: (!has_vector)
+        let pull = wire::PullRequest {
+            known_versions: (!has_vector)
                 .then(|| self.sources.iter().map(|one| (one.short, one.mark)).collect()),
             word: self.word.revision,
             platform: self.lists.held(),
             plan: (self.plan.epoch, self.plan.counter),
-            own: self.own_delta(tells_card, tells_detail),
+            sender: self.own_delta(tells_card, tells_detail),
             wait_ms,
-            wants_detail: self.details_since.is_some(),
-            light,
-            silent,
-            list_age_ms: (self.own.role == wire::Role::Registry)
+            wants_observations: self.details_since.is_some(),
+            is_leaf: light,
+            unreachable_digest: silent,
+            list_read_age_ms: (self.own.role == wire::Role::Registry)
                 .then(|| self.lists.read(now).map(|read| read.age_ms))
                 .flatten(),
         };
         effects.push(Effect::Pull { address, pull });
     }
 
-    fn own_delta(&self, tells_card: bool, tells_detail: bool) -> wire::Delta {
-        wire::Delta {
+    fn own_delta(&self, tells_card: bool, tells_detail: bool) -> wire::NodeDelta {
+        wire::NodeDelta {
             name: self.own.name.clone(),
-            mark: self.mark,
+            version: self.mark,
             age_ms: 0,
             card: tells_card.then(|| self.own.clone()),
             report: Some(self.report.clone()),
@@ -866,10 +878,10 @@
         &mut self,
         now: Duration,
         address: std::net::SocketAddr,
-        news: Option<Box<wire::News>>,
+        news: Option<Box<wire::PullResponse>>,
         effects: &mut Vec<Effect>,
     ) {
-        let resend = news.as_ref().is_some_and(|news| news.resend);
+        let resend = news.as_ref().is_some_and(|news| news.resend_versions);
         let good = news.is_some();
         if good {
             self.good_at = now;
@@ -878,7 +890,7 @@
         let is_of_now =
             self.lines.get(&address).is_some_and(|line| line.sent_at >= self.awake_since);
         if let Some(news) = news {
-            for delta in news.deltas {
+            for delta in news.nodes {
                 self.hear(now, delta, false, effects);
             }
             if let Some(silent) = news.silent {
@@ -889,18 +901,18 @@
             }
             if !resend {
                 // One that says nothing of it is of an earlier version, and told what it has.
-                let floor = news.floor.unwrap_or(self.word.revision);
+                let floor = news.read_index.unwrap_or(self.word.revision);
                 if self.floor.met().is_none() {
                     let teller = self.name_at(address);
                     self.floor.hear(&teller, floor);
                 }
-                self.highest = self.highest.max(news.floor.unwrap_or(0));
+                self.highest = self.highest.max(news.read_index.unwrap_or(0));
             }
             if let Some(list) = news.platform {
                 let is_new = self.lists.hear_whole(list);
                 self.note_list(is_new, effects);
             }
-            if let Some(delta) = news.platform_delta {
+            if let Some(delta) = news.endpoint_list_delta {
                 let is_new = self.lists.hear_delta(&delta);
                 self.note_list(is_new, effects);
             }
@@ -918,10 +930,10 @@
             }
             // A store that has asked a majority since it runs knows the word as well as a registry.
             let vouches = self.sources.iter().any(|source| {
-                source.card.sibling_address == address
+                source.card.cluster_address == address
                     && source.report.ready
                     && (source.card.role == wire::Role::Registry
-                        || (source.card.role == wire::Role::Store && source.report.settled))
+                        || (source.card.role == wire::Role::Store && source.report.synced))
             });
             if is_of_now && vouches && !self.fresh_registry {
                 self.fresh_registry = true;
@@ -930,7 +942,7 @@
         }
         if good {
             let mut teller = self.sources.iter_mut();
-            if let Some(teller) = teller.find(|source| source.card.sibling_address == address) {
+            if let Some(teller) = teller.find(|source| source.card.cluster_address == address) {
                 teller.replied_at = Some(now);
             }
         }
@@ -967,7 +979,7 @@
             source.is_silent = !spoken.is_empty() && spoken.iter().all(says_dead);
             let is_refuted =
                 source.refused_at.is_some_and(|at| now.saturating_sub(at) < DEAD_AFTER);
-            let is_teller = source.card.sibling_address == address;
+            let is_teller = source.card.cluster_address == address;
             if is_teller || (!source.is_silent && !is_refuted) {
                 source.heard_at = now;
                 source.is_silent &= !is_teller;
@@ -979,14 +991,14 @@
     fn hear(
         &mut self,
         now: Duration,
-        delta: wire::Delta,
+        delta: wire::NodeDelta,
         is_direct: bool,
         effects: &mut Vec<Effect>,
     ) {
         if delta.name == self.own.name {
             // Told of a life of ours that is not this one: outlive it (design 5.3).
-            if delta.mark.life > self.mark.life {
-                self.mark.life = delta.mark.life + 1;
+            if delta.version.incarnation > self.mark.incarnation {
+                self.mark.incarnation = delta.version.incarnation + 1;
                 self.mark.counter += 1;
                 self.loud += 1;
                 effects.push(Effect::Noted("outlived an earlier life of this name"));
@@ -1018,12 +1030,12 @@
                 return;
             }
             // What was not told is not known.
-            let mut mark = delta.mark;
+            let mut mark = delta.version;
             if delta.detail.is_none() {
                 mark.detail = 0;
             }
             let detail = delta.detail.unwrap_or_default();
-            let short = wire::short_name(&delta.name);
+            let short = wire::name_hash(&delta.name);
             self.by_name.insert(delta.name, self.sources.len());
             self.loud += 1;
             self.names.insert(short);
@@ -1045,28 +1057,29 @@
             return;
         };
         let source = &mut self.sources[index];
-        let rank = |mark: &wire::Mark| (mark.life, mark.counter);
+        let rank = |mark: &wire::NodeVersion| (mark.incarnation, mark.counter);
         // A detail may come by a slower way than the beats: it has a number of its own.
-        let is_same_life = delta.mark.life == source.mark.life;
+        let is_same_life = delta.version.incarnation == source.mark.incarnation;
         if is_same_life
-            && delta.mark.detail > source.mark.detail
+            && delta.version.detail > source.mark.detail
             && let Some(detail) = &delta.detail
         {
             source.detail = detail.clone();
-            source.mark.detail = delta.mark.detail;
+            source.mark.detail = delta.version.detail;
             source.is_direct = is_direct;
         }
-        if rank(&delta.mark) < rank(&source.mark) {
+        if rank(&delta.version) < rank(&source.mark) {
             return;
         }
-        let new_life = delta.mark.life != source.mark.life;
+        let new_life = delta.version.incarnation != source.mark.incarnation;
         if new_life && delta.card.is_none() {
             return;
         }
-        if rank(&delta.mark) > rank(&source.mark) {
+        if rank(&delta.version) > rank(&source.mark) {
             source.heard_at = source.heard_at.max(heard_at);
         }
-        self.loud += u64::from(new_life || delta.mark.edition > source.mark.edition);
+        self.loud +=
+            u64::from(new_life || delta.version.status_version > source.mark.status_version);
         let old_detail = source.mark.detail;
         if let Some(card) = delta.card
             && card != source.card
@@ -1080,17 +1093,19 @@
             source.report = report;
             effects.push(Effect::Changed);
         }
-        if (source.mark.life, source.mark.edition) != (delta.mark.life, delta.mark.edition) {
+        if (source.mark.incarnation, source.mark.status_version)
+            != (delta.version.incarnation, delta.version.status_version)
+        {
             self.loud += 1;
         }
-        source.mark = delta.mark;
+        source.mark = delta.version;
         match delta.detail {
             Some(detail) if new_life => {
                 source.detail = detail;
                 source.is_direct = is_direct;
             }
             None if new_life => {
-                source.detail = wire::Detail::default();
+                source.detail = wire::ProxyObservations::default();
                 source.mark.detail = 0;
                 source.is_direct = false;
             }
@@ -1098,18 +1113,24 @@
         }
     }
 
-    fn asked(&mut self, now: Duration, ticket: u64, pull: wire::Pull, effects: &mut Vec<Effect>) {
-        let asker = pull.own.name.clone();
-        let life = pull.own.mark.life;
-        let seeks_floor = pull.own.report.as_ref().is_some_and(|report| report.revision == 0);
-        self.hear(now, pull.own, true, effects);
+    fn asked(
+        &mut self,
+        now: Duration,
+        ticket: u64,
+        pull: wire::PullRequest,
+        effects: &mut Vec<Effect>,
+    ) {
+        let asker = pull.sender.name.clone();
+        let life = pull.sender.version.incarnation;
+        let seeks_floor = pull.sender.report.as_ref().is_some_and(|report| report.revision == 0);
+        self.hear(now, pull.sender, true, effects);
         let wait = Duration::from_millis(u64::from(pull.wait_ms)).min(WAIT * 4);
         self.lists.note_revision(pull.platform);
-        let list_age = pull.list_age_ms.map(|age_ms| Duration::from_millis(u64::from(age_ms)));
+        let list_age = pull.list_read_age_ms.map(|age_ms| Duration::from_millis(u64::from(age_ms)));
         self.parked.retain(|parked| parked.asker != asker || parked.ticket == ticket);
         let known = self.askers.remove(&asker);
-        let resend = pull.vector.is_none() && known.is_none();
-        let vector = match pull.vector {
+        let resend = pull.known_versions.is_none() && known.is_none();
+        let vector = match pull.known_versions {
             Some(vector) => vector.into_iter().collect(),
             None => known.unwrap_or_default(),
         };
@@ -1119,12 +1140,12 @@
             word: pull.word,
             platform: pull.platform,
             plan: pull.plan,
-            wants_detail: pull.wants_detail,
+            wants_detail: pull.wants_observations,
             until: now + wait,
             asker,
             life,
-            light: pull.light,
-            silent: pull.silent,
+            light: pull.is_leaf,
+            silent: pull.unreachable_digest,
             resend,
             is_first: pull.wait_ms == 0,
             seeks_floor,
@@ -1141,8 +1162,8 @@
     fn answer(&mut self, now: Duration, mut parked: Parked, effects: &mut Vec<Effect>) {
         let news = self.news_for(now, &parked);
         if parked.light && !parked.resend {
-            for delta in &news.deltas {
-                parked.vector.insert(wire::short_name(&delta.name), delta.mark);
+            for delta in &news.nodes {
+                parked.vector.insert(wire::name_hash(&delta.name), delta.version);
             }
             self.askers.insert(parked.asker, parked.vector);
         }
@@ -1165,12 +1186,15 @@
     }
 
     fn is_loud(&self, parked: &Parked) -> bool {
-        let louder = |name: &str, short: u32, mark: &wire::Mark| match parked.vector.get(&short) {
-            None => name != parked.asker,
-            Some(seen) => {
-                mark.life > seen.life || (mark.life == seen.life && mark.edition > seen.edition)
-            }
-        };
+        let louder =
+            |name: &str, short: u32, mark: &wire::NodeVersion| match parked.vector.get(&short) {
+                None => name != parked.asker,
+                Some(seen) => {
+                    mark.incarnation > seen.incarnation
+                        || (mark.incarnation == seen.incarnation
+                            && mark.status_version > seen.status_version)
+                }
+            };
         let judges = self.own.role == wire::Role::Registry;
         let is_silent_new =
             parked.light && judges && parked.silent != digest_of(&self.silent_for(parked));
@@ -1202,16 +1226,16 @@
         for (index, source) in self.sources.iter().enumerate() {
             let seen = parked.vector.get(&source.short).copied().unwrap_or_default();
             if parked.has_new_detail(&source.mark, &seen, source.is_direct) {
-                weights.push((index, source.detail.weight()));
+                weights.push((index, source.detail.estimated_bytes()));
             }
         }
         let sum: usize = weights.iter().map(|one| one.1).sum();
-        if sum <= wire::DETAIL_BYTES_MOST {
+        if sum <= wire::MAX_OBSERVATION_BYTES {
             return None;
         }
         let start = parked.ticket as usize % weights.len();
         weights.rotate_left(start);
-        let mut room = wire::DETAIL_BYTES_MOST;
+        let mut room = wire::MAX_OBSERVATION_BYTES;
         let fits = weights.iter().take_while(|one| {
             let fits = one.1 <= room;
             room = room.saturating_sub(one.1);
@@ -1224,7 +1248,7 @@
     /// it has heard of enough.
     fn silent_for(&self, parked: &Parked) -> Vec<u32> {
         let mut silent = self.silent.clone();
-        if self.report.settled {
+        if self.report.synced {
             let known = parked.vector.keys().copied();
             silent.extend(known.filter(|name| !self.names.contains(name)));
             silent.sort_unstable();
@@ -1232,9 +1256,9 @@
         silent
     }
 
-    fn news_for(&self, now: Duration, parked: &Parked) -> wire::News {
+    fn news_for(&self, now: Duration, parked: &Parked) -> wire::PullResponse {
         if parked.resend {
-            return wire::News { resend: true, ..wire::News::default() };
+            return wire::PullResponse { resend_versions: true, ..wire::PullResponse::default() };
         }
         let mut deltas = Vec::new();
         let own = (&self.own, self.short, &self.mark, &self.report, (&self.detail, true), now);
@@ -1250,43 +1274,44 @@
         for (index, (card, short, mark, report, (detail, is_direct), heard_at)) in all {
             let age = now.saturating_sub(heard_at);
             let seen = parked.vector.get(&short).copied().unwrap_or_default();
-            let new_life = mark.life != seen.life;
-            let rank = |mark: &wire::Mark| (mark.life, mark.counter);
+            let new_life = mark.incarnation != seen.incarnation;
+            let rank = |mark: &wire::NodeVersion| (mark.incarnation, mark.counter);
             let new_detail = parked.has_new_detail(mark, &seen, is_direct) && is_told(index);
             if (rank(mark) <= rank(&seen) && !new_detail) || age >= FORGOTTEN_AFTER {
                 continue;
             }
-            if mark.life < seen.life {
+            if mark.incarnation < seen.incarnation {
                 continue;
             }
             let is_own = card.name == parked.asker;
-            let is_beat = !new_life && mark.edition <= seen.edition;
-            if parked.light && (is_beat || (is_own && mark.life <= parked.life)) {
+            let is_beat = !new_life && mark.status_version <= seen.status_version;
+            if parked.light && (is_beat || (is_own && mark.incarnation <= parked.life)) {
                 continue;
             }
-            deltas.push(wire::Delta {
+            deltas.push(wire::NodeDelta {
                 name: card.name.clone(),
-                mark: *mark,
+                version: *mark,
                 age_ms: age.as_millis() as u32,
                 card: new_life.then(|| card.clone()),
-                report: (new_life || mark.edition > seen.edition).then(|| report.clone()),
+                report: (new_life || mark.status_version > seen.status_version)
+                    .then(|| report.clone()),
                 detail: new_detail.then(|| detail.clone()),
             });
         }
         let parcel = self.lists.parcel_for(parked.platform);
         let tells_read = !parked.light || parcel.whole.is_some() || parcel.delta.is_some();
-        wire::News {
-            deltas,
+        wire::PullResponse {
+            nodes: deltas,
             word: (self.in_force() > parked.word).then(|| (*self.word).clone()),
             platform: parcel.whole,
-            platform_delta: parcel.delta,
+            endpoint_list_delta: parcel.delta,
             list_read: self.lists.read(now).filter(|_| tells_read),
             plan: ((self.plan.epoch, self.plan.counter) > parked.plan)
                 .then(|| (*self.plan).clone()),
             silent: (parked.light && self.own.role == wire::Role::Registry)
                 .then(|| self.silent_for(parked)),
-            resend: false,
-            floor: parked.seeks_floor.then(|| self.highest.max(self.in_force())),
+            resend_versions: false,
+            read_index: parked.seeks_floor.then(|| self.highest.max(self.in_force())),
         }
     }
 }
@@ -1297,7 +1322,7 @@
     if parts.is_empty() { 0 } else { vanepath_config::stable_hash(&parts) }
 }
 
-fn known(card: &wire::Card) -> crate::peer_selection::Known<'_> {
+fn known(card: &wire::NodeInfo) -> crate::peer_selection::Known<'_> {
     crate::peer_selection::Known {
         name: &card.name,
         role: card.role,
--- a/cluster/src/gossip/tests.rs
+++ b/cluster/src/gossip/tests.rs
@@ -2,32 +2,35 @@
 use crate::wire;
 use std::time::Duration;
 
-fn card(name: &str, role: wire::Role, port: u16) -> wire::Card {
+fn card(name: &str, role: wire::Role, port: u16) -> wire::NodeInfo {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], port));
-    wire::Card {
+    wire::NodeInfo {
         name: name.to_string(),
         role,
         region: "a".to_string(),
         zone: "a1".to_string(),
         address,
-        sibling_address: address,
+        cluster_address: address,
     }
 }
 
-fn delta(counter: u64, detail: u64, in_hand: Option<u32>) -> wire::Delta {
-    wire::Delta {
+fn delta(counter: u64, detail: u64, in_hand: Option<u32>) -> wire::NodeDelta {
+    wire::NodeDelta {
         name: "p".to_string(),
-        mark: wire::Mark { life: 7, counter, edition: 1, detail },
+        version: wire::NodeVersion { incarnation: 7, counter, status_version: 1, detail },
         age_ms: 0,
         card: Some(card("p", wire::Role::Proxy, 2)),
-        report: Some(wire::Report::default()),
-        detail: in_hand.map(|one| wire::Detail { in_hand: vec![one], ..wire::Detail::default() }),
+        report: Some(wire::NodeStatus::default()),
+        detail: in_hand.map(|one| wire::ProxyObservations {
+            in_flight: vec![one],
+            ..wire::ProxyObservations::default()
+        }),
     }
 }
 
-fn tell(news: &mut News, now: Duration, delta: wire::Delta) {
+fn tell(news: &mut News, now: Duration, delta: wire::NodeDelta) {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 3));
-    let told = wire::News { deltas: vec![delta], ..wire::News::default() };
+    let told = wire::PullResponse { nodes: vec![delta], ..wire::PullResponse::default() };
     news.step(now, Event::Told { address, news: Some(Box::new(told)) });
 }
 
@@ -56,38 +59,41 @@
 fn a_late_detail_is_taken_and_an_older_one_is_not() {
     let now = Duration::from_secs(100);
     let mut news = News::new(card("r", wire::Role::Registry, 1), Vec::new(), 1, now);
-    let seen = |news: &News| (news.sources[0].mark, news.sources[0].detail.in_hand.clone());
+    let seen = |news: &News| (news.sources[0].mark, news.sources[0].detail.in_flight.clone());
     tell(&mut news, now, delta(9, 1, Some(1)));
     tell(&mut news, now, delta(20, 3, None));
     assert_eq!(seen(&news).0.detail, 1, "what was not told is not known");
     tell(&mut news, now, delta(15, 3, Some(3)));
-    assert_eq!(seen(&news), (wire::Mark { life: 7, counter: 20, edition: 1, detail: 3 }, vec![3]));
+    assert_eq!(
+        seen(&news),
+        (wire::NodeVersion { incarnation: 7, counter: 20, status_version: 1, detail: 3 }, vec![3])
+    );
     tell(&mut news, now, delta(21, 2, Some(2)));
     assert_eq!(seen(&news).1, [3]);
     // The same from the other side: an asker that has later beats still gets the detail.
-    let mut pull = wire::Pull {
-        vector: Some(vec![(
-            wire::short_name("p"),
-            wire::Mark { life: 7, counter: 99, edition: 1, detail: 2 },
+    let mut pull = wire::PullRequest {
+        known_versions: Some(vec![(
+            wire::name_hash("p"),
+            wire::NodeVersion { incarnation: 7, counter: 99, status_version: 1, detail: 2 },
         )]),
         word: 0,
         platform: 0,
         plan: (0, 0),
-        own: delta(1, 0, None),
+        sender: delta(1, 0, None),
         wait_ms: 0,
-        wants_detail: true,
-        light: false,
-        silent: 0,
-        list_age_ms: None,
+        wants_observations: true,
+        is_leaf: false,
+        unreachable_digest: 0,
+        list_read_age_ms: None,
     };
-    pull.own.name = "s".to_string();
+    pull.sender.name = "s".to_string();
     let effects = news.step(now, Event::Asked { ticket: 1, pull });
     let answer = effects.into_iter().find_map(|effect| match effect {
         Effect::Answer { news, .. } => Some(news),
         _ => None,
     });
-    let told = answer.unwrap().deltas.into_iter().find(|delta| delta.name == "p").unwrap();
-    assert_eq!(told.detail.unwrap().in_hand, [3]);
+    let told = answer.unwrap().nodes.into_iter().find(|delta| delta.name == "p").unwrap();
+    assert_eq!(told.detail.unwrap().in_flight, [3]);
 }
 
 /// What a registry told before a freeze, and what comes in first after it, makes nothing fresh:
@@ -96,20 +102,20 @@
 fn a_reply_from_before_a_freeze_makes_nothing_fresh() {
     let second = Duration::from_secs_f64;
     let registry = card("r", wire::Role::Registry, 2);
-    let address = registry.sibling_address;
+    let address = registry.cluster_address;
     let seeds = vec![address];
     let mut news = News::new(card("p", wire::Role::Proxy, 1), seeds, 1, second(100.0));
     let told = || {
-        let report = wire::Report { ready: true, ..wire::Report::default() };
-        let delta = wire::Delta {
+        let report = wire::NodeStatus { ready: true, ..wire::NodeStatus::default() };
+        let delta = wire::NodeDelta {
             name: "r".to_string(),
-            mark: wire::Mark { life: 5, counter: 1, edition: 1, detail: 0 },
+            version: wire::NodeVersion { incarnation: 5, counter: 1, status_version: 1, detail: 0 },
             age_ms: 0,
             card: Some(card("r", wire::Role::Registry, 2)),
             report: Some(report),
             detail: None,
         };
-        let news = wire::News { deltas: vec![delta], ..wire::News::default() };
+        let news = wire::PullResponse { nodes: vec![delta], ..wire::PullResponse::default() };
         Event::Told { address, news: Some(Box::new(news)) }
     };
     news.step(second(100.0), Event::Pulse);
@@ -134,39 +140,42 @@
     let is_live = |news: &News, now| news.live(now).any(|(card, _)| card.name == "p");
     assert!(is_live(&news, ms(10_000)));
     // Its pull waits here; then its connection ends.
-    let pull = wire::Pull {
-        vector: Some(Vec::new()),
+    let pull = wire::PullRequest {
+        known_versions: Some(Vec::new()),
         word: 0,
         platform: 0,
         plan: (0, 0),
-        own: delta(10, 0, None),
+        sender: delta(10, 0, None),
         wait_ms: 700,
-        wants_detail: false,
-        light: false,
-        silent: 0,
-        list_age_ms: None,
+        wants_observations: false,
+        is_leaf: false,
+        unreachable_digest: 0,
+        list_read_age_ms: None,
     };
     news.step(ms(10_100), Event::Asked { ticket: 7, pull: pull.clone() });
-    let address = card("p", wire::Role::Proxy, 2).sibling_address;
+    let address = card("p", wire::Role::Proxy, 2).cluster_address;
     for effect in news.step(ms(10_101), Event::Pulse) {
         if let Effect::Pull { address, .. } = effect {
             news.step(ms(10_102), Event::Told { address, news: Some(Box::default()) });
         }
     }
     let mut pull = pull;
-    pull.own = delta(11, 0, None);
-    pull.vector = Some(vec![(wire::short_name("r"), wire::Mark { life: 1, ..news.own_mark() })]);
+    pull.sender = delta(11, 0, None);
+    pull.known_versions =
+        Some(vec![(wire::name_hash("r"), wire::NodeVersion { incarnation: 1, ..news.own_mark() })]);
     news.step(ms(10_200), Event::Asked { ticket: 8, pull });
     news.step(ms(10_300), Event::Left { ticket: 8 });
     news.step(ms(10_350), Event::Pulse);
     news.step(ms(10_351), Event::Refused { address });
     assert!(!is_live(&news, ms(10_352)), "nobody listens there");
     // A third tells of it as it was before that.
-    let older = wire::Delta { age_ms: 200, ..delta(12, 0, None) };
+    let older = wire::NodeDelta { age_ms: 200, ..delta(12, 0, None) };
     tell(&mut news, ms(10_400), older);
     assert!(!is_live(&news, ms(10_400)), "that is from before");
-    let anew =
-        wire::Delta { mark: wire::Mark { life: 8, ..delta(1, 0, None).mark }, ..delta(1, 0, None) };
+    let anew = wire::NodeDelta {
+        version: wire::NodeVersion { incarnation: 8, ..delta(1, 0, None).version },
+        ..delta(1, 0, None)
+    };
     tell(&mut news, ms(11_500), anew);
     assert!(is_live(&news, ms(11_500)));
 }
@@ -178,7 +187,7 @@
     let second = Duration::from_secs_f64;
     let mut news = News::new(card("p", wire::Role::Proxy, 1), Vec::new(), 1, second(100.0));
     for index in 0..9_u16 {
-        let told = wire::Delta {
+        let told = wire::NodeDelta {
             name: format!("q{index}"),
             card: Some(card(&format!("q{index}"), wire::Role::Proxy, 10 + index)),
             ..delta(9, 0, None)
@@ -188,7 +197,7 @@
     news.step(second(100.0), Event::Pulse);
     for _ in 0..2 {
         for index in 0..9_u16 {
-            let address = card("", wire::Role::Proxy, 10 + index).sibling_address;
+            let address = card("", wire::Role::Proxy, 10 + index).cluster_address;
             news.step(second(100.1), Event::Told { address, news: Some(Box::default()) });
         }
         // From here on it pulls from its few siblings only.
@@ -207,7 +216,7 @@
     // Work that came as it woke is not dropped for that: alone, it goes by what it has.
     assert!(news.is_fresh(second(130.0) + super::HOLD - second(0.2)));
     for index in 0..9_u16 {
-        let address = card("", wire::Role::Proxy, 10 + index).sibling_address;
+        let address = card("", wire::Role::Proxy, 10 + index).cluster_address;
         news.step(second(132.4), Event::Told { address, news: Some(Box::default()) });
     }
     assert!(news.is_fresh(second(132.4)) && !news.is_alone(second(132.4)));
@@ -219,7 +228,7 @@
     let ms = Duration::from_millis;
     let mut news = News::new(card("p", wire::Role::Proxy, 1), Vec::new(), 1, ms(0));
     for index in 0..9_u16 {
-        let told = wire::Delta {
+        let told = wire::NodeDelta {
             name: format!("q{index}"),
             card: Some(card(&format!("q{index}"), wire::Role::Proxy, 10 + index)),
             ..delta(9, 0, None)
@@ -232,8 +241,9 @@
         if beat % 10 == 0 {
             // All but the first are heard of again and again.
             for index in 1..9_u16 {
-                let told = wire::Delta { name: format!("q{index}"), ..delta(10 + beat, 0, None) };
-                tell(&mut news, now, wire::Delta { card: None, report: None, ..told });
+                let told =
+                    wire::NodeDelta { name: format!("q{index}"), ..delta(10 + beat, 0, None) };
+                tell(&mut news, now, wire::NodeDelta { card: None, report: None, ..told });
             }
         }
         for effect in news.step(now, Event::Pulse) {
@@ -255,9 +265,9 @@
     let now = Duration::from_secs(100);
     let mut news = News::new(card("p", wire::Role::Proxy, 1), Vec::new(), 3, now);
     tell(&mut news, now, delta(9, 0, None));
-    assert_eq!(news.own_mark().life, 8);
+    assert_eq!(news.own_mark().incarnation, 8);
     tell(&mut news, now, delta(9, 0, None));
-    assert_eq!(news.own_mark().life, 8);
+    assert_eq!(news.own_mark().incarnation, 8);
 }
 
 /// Incident 0015: what asks from here, and a store beside it that replies, say nothing of a cut in one
@@ -268,7 +278,7 @@
     let mut news = News::new(card("r0", wire::Role::Registry, 1), Vec::new(), 1, ms(0));
     let others = [("r1", wire::Role::Registry, 11), ("r2", wire::Role::Registry, 12)];
     let beside = ("s0", wire::Role::Store, 13);
-    let told = |(name, role, port): (&str, wire::Role, u16), counter: u64| wire::Delta {
+    let told = |(name, role, port): (&str, wire::Role, u16), counter: u64| wire::NodeDelta {
         name: name.to_string(),
         card: Some(card(name, role, port)),
         ..delta(counter, 0, None)
@@ -318,7 +328,7 @@
             tell(
                 &mut news,
                 now,
-                wire::Delta { name: name.to_string(), card, ..delta(beat, 0, None) },
+                wire::NodeDelta { name: name.to_string(), card, ..delta(beat, 0, None) },
             );
         }
         beat_with(&mut news, &mut asked, now, is_there);
--- a/cluster/src/node.rs
+++ b/cluster/src/node.rs
@@ -47,7 +47,7 @@
 /// What the daemon goes by, read-copy-update: each reader loads one whole and consistent view.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    pub word: Arc<wire::Word>,
+    pub word: Arc<wire::CommittedConfig>,
     /// The parsed setup of the word in force.
     pub setup: Arc<vanepath_config::model::Config>,
     pub platform: Arc<vanepath_config::endpoint_list::EndpointList>,
@@ -55,11 +55,11 @@
     pub list_read_at: Option<Duration>,
     /// The highest revision of a list that anyone told of.
     pub highest_list: u64,
-    pub plan: Arc<wire::Plan>,
+    pub plan: Arc<wire::TrafficShiftPlan>,
     /// All live daemons, this one first.
-    pub live: Vec<(wire::Card, wire::Report)>,
+    pub live: Vec<(wire::NodeInfo, wire::NodeStatus)>,
     /// Not live any more, as last heard of: dead, or cut off from here.
-    pub lost: Vec<(wire::Card, wire::Report)>,
+    pub lost: Vec<(wire::NodeInfo, wire::NodeStatus)>,
     pub is_fresh: bool,
     /// How this life came to go by a word (design 5.8); `None`: it goes by none yet.
     pub floor: Option<crate::read_index::Met>,
@@ -121,24 +121,25 @@
         let mut notes = Vec::new();
         let word = core.word.clone();
         let mut setup = before.setup.clone();
-        if word.setup_revision != before.word.setup_revision {
-            match before.dialect.setup(&word.setup) {
+        if word.config_revision != before.word.config_revision {
+            match before.dialect.setup(&word.document) {
                 Ok(parsed) => {
                     setup = Arc::new(parsed);
-                    notes.push(format!("setup of revision {} is in force", word.setup_revision));
+                    notes.push(format!("setup of revision {} is in force", word.config_revision));
                 }
                 // An older program and a newer setup: it goes on with what it can read.
                 Err(faults) => notes.push(format!(
                     "setup of revision {} cannot be read by this version: {}",
-                    word.setup_revision, faults[0]
+                    word.config_revision, faults[0]
                 )),
             }
         }
-        let live: Vec<(wire::Card, wire::Report)> =
+        let live: Vec<(wire::NodeInfo, wire::NodeStatus)> =
             core.live(now).map(|(card, report)| (card.clone(), report.clone())).collect();
-        let names = |list: &'_ [(wire::Card, wire::Report)]| -> std::collections::HashSet<String> {
-            list.iter().map(|(card, _)| card.name.clone()).collect()
-        };
+        let names =
+            |list: &'_ [(wire::NodeInfo, wire::NodeStatus)]| -> std::collections::HashSet<String> {
+                list.iter().map(|(card, _)| card.name.clone()).collect()
+            };
         let (were, are) = (names(&before.live), names(&live));
         for (card, _) in live.iter().filter(|(card, _)| !were.contains(&card.name)) {
             notes.push(format!("{} {} in zone {} is live", card.role, card.name, card.zone));
@@ -190,10 +191,10 @@
     }
 
     /// The first live and settled daemon of a role has the duty (design 5.6).
-    pub fn holder(&self, role: wire::Role) -> Option<&wire::Card> {
+    pub fn holder(&self, role: wire::Role) -> Option<&wire::NodeInfo> {
         self.live
             .iter()
-            .filter(|(card, report)| card.role == role && !report.leaving && report.settled)
+            .filter(|(card, report)| card.role == role && !report.draining && report.synced)
             .map(|(card, _)| card)
             .min_by(|left, right| left.name.cmp(&right.name))
     }
@@ -208,18 +209,18 @@
 pub struct NewsActor {
     core: gossip::News,
     clock: Clock,
-    links: Arc<transport::Caller>,
-    tally: Arc<transport::Tally>,
+    links: Arc<transport::Client>,
+    tally: Arc<transport::Counters>,
     view: tokio::sync::watch::Sender<Arc<View>>,
     table: Arc<arc_swap::ArcSwap<View>>,
-    waiting: std::collections::HashMap<u64, tokio::sync::oneshot::Sender<wire::News>>,
+    waiting: std::collections::HashMap<u64, tokio::sync::oneshot::Sender<wire::PullResponse>>,
     pulsed_at_ms: Arc<std::sync::atomic::AtomicU64>,
 }
 
 /// An event for the core.
 pub struct Tell(pub gossip::Event);
 /// A sibling's pull; the reply comes through the channel.
-struct Asked(u64, wire::Pull, tokio::sync::oneshot::Sender<wire::News>);
+struct Asked(u64, wire::PullRequest, tokio::sync::oneshot::Sender<wire::PullResponse>);
 /// All sources with their details.
 pub struct Sources;
 
@@ -232,7 +233,7 @@
                     let links = self.links.clone();
                     let own = own.clone();
                     let other_zone = self.core.sources.iter().any(|source| {
-                        source.card.sibling_address == address
+                        source.card.cluster_address == address
                             && source.card.zone != self.core.own().zone
                     });
                     tokio::spawn(async move {
@@ -240,7 +241,7 @@
                         let request = wire::Request::Pull(pull);
                         let told = match links.call(address, &request, limit, other_zone).await {
                             Ok(wire::Reply::News(news)) => Some(Box::new(news)),
-                            Err(transport::Broken::Refused) => {
+                            Err(transport::TransportError::Refused) => {
                                 let refused = gossip::Event::Refused { address };
                                 let _ = own.send(Tell(refused)).await;
                                 None
@@ -256,7 +257,7 @@
                     }
                 }
                 gossip::Effect::AskFloor { address } => {
-                    self.tally.one(transport::Counter::FloorAsks);
+                    self.tally.increment(transport::Counter::FloorAsks);
                     let links = self.links.clone();
                     let own = own.clone();
                     tokio::spawn(async move {
@@ -273,7 +274,7 @@
                 gossip::Effect::Changed => changed = true,
                 gossip::Effect::Noted(what) => {
                     if what.contains("freeze") {
-                        self.tally.one(transport::Counter::Freezes);
+                        self.tally.increment(transport::Counter::Freezes);
                     }
                     log::info!("news: {what}");
                 }
@@ -287,7 +288,7 @@
     fn publish(&mut self) {
         let before = self.table.load_full();
         if let (None, Some(met)) = (&before.floor, self.core.floor().met()) {
-            self.tally.one(match met.by {
+            self.tally.increment(match met.by {
                 crate::read_index::By::Majority => transport::Counter::FloorsByMajority,
                 crate::read_index::By::Witnesses => transport::Counter::FloorsByWitnesses,
             });
@@ -352,14 +353,14 @@
 pub struct Daemon {
     pub settings: vanepath_config::settings::Settings,
     pub clock: Clock,
-    pub links: Arc<transport::Caller>,
-    pub link_tally: Arc<transport::Tally>,
+    pub links: Arc<transport::Client>,
+    pub link_tally: Arc<transport::Counters>,
     pub news: xtra::Address<NewsActor>,
     pub table: Arc<arc_swap::ArcSwap<View>>,
     pub view: tokio::sync::watch::Receiver<Arc<View>>,
     /// Turns true when the daemon was told to stop.
     pub stop: tokio::sync::watch::Receiver<bool>,
-    pub card: wire::Card,
+    pub card: wire::NodeInfo,
     pulsed_at_ms: Arc<std::sync::atomic::AtomicU64>,
 }
 
@@ -376,21 +377,21 @@
         store_handler: Option<StoreHandler>,
     ) -> Result<Arc<Daemon>, miette::Report> {
         let clock = Clock::start();
-        let card = wire::Card {
+        let card = wire::NodeInfo {
             name: settings.name.clone(),
             role: settings.role.into(),
             region: settings.region.clone(),
             zone: settings.zone.clone(),
             address: settings.advertise,
-            sibling_address: settings.cluster_advertise,
+            cluster_address: settings.cluster_advertise,
         };
-        let link_tally: Arc<transport::Tally> = Arc::default();
-        let greeting = wire::Greeting {
+        let link_tally: Arc<transport::Counters> = Arc::default();
+        let greeting = wire::Handshake {
             system: wire::SYSTEM.to_string(),
             fleet: settings.fleet.clone(),
             name: settings.name.clone(),
         };
-        let links = Arc::new(transport::Caller::new(greeting.clone(), link_tally.clone()));
+        let links = Arc::new(transport::Client::new(greeting.clone(), link_tally.clone()));
         let listener = bind("siblingListen", settings.cluster_listen).await?;
         // Rises with each start in ordinary running; where the wall clock went back, the news
         // core outlives the earlier life (design 5.3).
@@ -469,7 +470,7 @@
         }))
     }
 
-    pub async fn report(&self, report: wire::Report) {
+    pub async fn report(&self, report: wire::NodeStatus) {
         let _ = self.news.send(Tell(gossip::Event::Report(report))).await;
     }
 
@@ -542,8 +543,8 @@
 
 async fn serve_siblings(
     listener: tokio::net::TcpListener,
-    greeting: wire::Greeting,
-    tally: Arc<transport::Tally>,
+    greeting: wire::Handshake,
+    tally: Arc<transport::Counters>,
     news: xtra::Address<NewsActor>,
     store_handler: Option<StoreHandler>,
 ) {
@@ -721,7 +722,7 @@
         }
         "/v1/metrics" => {
             let mut all = jzon::JsonValue::new_object();
-            daemon.link_tally.show(&mut all);
+            daemon.link_tally.write_json(&mut all);
             metrics(&mut all);
             Some(json(hyper::StatusCode::OK, &all))
         }
--- a/cluster/src/transport.rs
+++ b/cluster/src/transport.rs
@@ -25,42 +25,42 @@
     }
 }
 
-pub type Tally = crate::counters::Tally<Counter>;
+pub type Counters = crate::counters::Counters<Counter>;
 
 #[derive(Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Broken {
+pub enum TransportError {
     Closed,
     /// Nobody listens at the address.
     Refused,
     Oversized,
     Malformed,
-    TurnedAway,
+    Rejected,
 }
 
 async fn read_frame<T: serde::de::DeserializeOwned>(
     stream: &mut tokio::net::TcpStream,
-    tally: &Tally,
-) -> Result<(T, usize), Broken> {
+    tally: &Counters,
+) -> Result<(T, usize), TransportError> {
     let mut length = [0; 4];
-    stream.read_exact(&mut length).await.map_err(|_| Broken::Closed)?;
+    stream.read_exact(&mut length).await.map_err(|_| TransportError::Closed)?;
     let length = u32::from_be_bytes(length) as usize;
-    if length > wire::FRAME_MOST {
-        tally.one(Counter::SiblingFramesOversized);
-        return Err(Broken::Oversized);
+    if length > wire::MAX_FRAME_BYTES {
+        tally.increment(Counter::SiblingFramesOversized);
+        return Err(TransportError::Oversized);
     }
     // Grows with what really comes, not with what the length claims.
     let mut bytes = Vec::with_capacity(length.min(64 << 10));
     let read = stream.take(length as u64).read_to_end(&mut bytes).await;
-    if read.map_err(|_| Broken::Closed)? < length {
-        return Err(Broken::Closed);
+    if read.map_err(|_| TransportError::Closed)? < length {
+        return Err(TransportError::Closed);
     }
     tally.add(Counter::SiblingBytesIn, length as u64 + 4);
     match wire::decode(&bytes) {
         Some(value) => Ok((value, length + 4)),
         None => {
-            tally.one(Counter::SiblingFramesMalformed);
-            Err(Broken::Malformed)
+            tally.increment(Counter::SiblingFramesMalformed);
+            Err(TransportError::Malformed)
         }
     }
 }
@@ -68,25 +68,25 @@
 async fn write_frame<T: serde::Serialize>(
     stream: &mut tokio::net::TcpStream,
     value: &T,
-    tally: &Tally,
-) -> Result<usize, Broken> {
+    tally: &Counters,
+) -> Result<usize, TransportError> {
     let body = wire::encode(value);
-    if body.len() > wire::FRAME_MOST {
-        tally.one(Counter::SiblingFramesOversized);
-        return Err(Broken::Oversized);
+    if body.len() > wire::MAX_FRAME_BYTES {
+        tally.increment(Counter::SiblingFramesOversized);
+        return Err(TransportError::Oversized);
     }
     let mut bytes = Vec::with_capacity(body.len() + 4);
     bytes.extend_from_slice(&(body.len() as u32).to_be_bytes());
     bytes.extend_from_slice(&body);
-    stream.write_all(&bytes).await.map_err(|_| Broken::Closed)?;
+    stream.write_all(&bytes).await.map_err(|_| TransportError::Closed)?;
     tally.add(Counter::SiblingBytesOut, bytes.len() as u64);
     Ok(bytes.len())
 }
 
 /// Calls to siblings, over a small stock of open connections for each address.
-pub struct Caller {
-    greeting: wire::Greeting,
-    tally: Arc<Tally>,
+pub struct Client {
+    greeting: wire::Handshake,
+    tally: Arc<Counters>,
     idle: std::sync::Mutex<
         std::collections::HashMap<std::net::SocketAddr, Vec<tokio::net::TcpStream>>,
     >,
@@ -94,9 +94,9 @@
 
 const IDLE_MOST: usize = 4;
 
-impl Caller {
-    pub fn new(greeting: wire::Greeting, tally: Arc<Tally>) -> Caller {
-        Caller { greeting, tally, idle: std::sync::Mutex::default() }
+impl Client {
+    pub fn new(greeting: wire::Handshake, tally: Arc<Counters>) -> Client {
+        Client { greeting, tally, idle: std::sync::Mutex::default() }
     }
 
     /// `Err` means that nobody can tell whether the request was carried out, unless the caller
@@ -107,15 +107,15 @@
         request: &wire::Request,
         limit: Duration,
         other_zone: bool,
-    ) -> Result<wire::Reply, Broken> {
-        self.tally.one(Counter::SiblingCalls);
+    ) -> Result<wire::Reply, TransportError> {
+        self.tally.increment(Counter::SiblingCalls);
         let outcome = tokio::time::timeout(limit, self.call_once(address, request)).await;
-        let outcome = outcome.unwrap_or(Err(Broken::Closed));
+        let outcome = outcome.unwrap_or(Err(TransportError::Closed));
         if other_zone && let Ok((_, bytes)) = &outcome {
             self.tally.add(Counter::SiblingBytesOtherZone, *bytes as u64);
         }
         if outcome.is_err() {
-            self.tally.one(Counter::SiblingCallsFailed);
+            self.tally.increment(Counter::SiblingCallsFailed);
             // What else stands open to that address is as doubtful.
             self.idle.lock().expect("no panic under this lock").remove(&address);
         }
@@ -126,7 +126,7 @@
         &self,
         address: std::net::SocketAddr,
         request: &wire::Request,
-    ) -> Result<(wire::Reply, usize), Broken> {
+    ) -> Result<(wire::Reply, usize), TransportError> {
         let kept = self
             .idle
             .lock()
@@ -138,15 +138,15 @@
             None => {
                 let connected = tokio::net::TcpStream::connect(address).await;
                 let mut stream = connected.map_err(|error| match error.kind() {
-                    std::io::ErrorKind::ConnectionRefused => Broken::Refused,
-                    _ => Broken::Closed,
+                    std::io::ErrorKind::ConnectionRefused => TransportError::Refused,
+                    _ => TransportError::Closed,
                 })?;
                 let _ = stream.set_nodelay(true);
                 write_frame(&mut stream, &self.greeting, &self.tally).await?;
-                let (theirs, _) = read_frame::<wire::Greeting>(&mut stream, &self.tally).await?;
+                let (theirs, _) = read_frame::<wire::Handshake>(&mut stream, &self.tally).await?;
                 if theirs.system != self.greeting.system || theirs.fleet != self.greeting.fleet {
-                    self.tally.one(Counter::SiblingsTurnedAway);
-                    return Err(Broken::TurnedAway);
+                    self.tally.increment(Counter::SiblingsTurnedAway);
+                    return Err(TransportError::Rejected);
                 }
                 stream
             }
@@ -165,8 +165,8 @@
 /// Answers siblings. The handler gets each request; dropping its future means the asker left.
 pub async fn serve<H, F>(
     listener: tokio::net::TcpListener,
-    greeting: wire::Greeting,
-    tally: Arc<Tally>,
+    greeting: wire::Handshake,
+    tally: Arc<Counters>,
     handler: H,
 ) where
     H: Fn(wire::Request) -> F + Clone + Send + Sync + 'static,
@@ -177,7 +177,7 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        tally.one(Counter::SiblingConnectionsTaken);
+        tally.increment(Counter::SiblingConnectionsTaken);
         let _ = stream.set_nodelay(true);
         let greeting = greeting.clone();
         let tally = tally.clone();
@@ -193,25 +193,25 @@
 
 async fn converse<H, F>(
     mut stream: tokio::net::TcpStream,
-    greeting: wire::Greeting,
-    tally: &Tally,
+    greeting: wire::Handshake,
+    tally: &Counters,
     handler: H,
-) -> Result<(), Broken>
+) -> Result<(), TransportError>
 where
     H: Fn(wire::Request) -> F,
     F: Future<Output = wire::Reply>,
 {
     let limit = Duration::from_secs(5);
     let first = tokio::time::timeout(limit, read_frame(&mut stream, tally)).await;
-    let (theirs, _): (wire::Greeting, _) = first.unwrap_or(Err(Broken::Closed))?;
+    let (theirs, _): (wire::Handshake, _) = first.unwrap_or(Err(TransportError::Closed))?;
     write_frame(&mut stream, &greeting, tally).await?;
     if theirs.system != greeting.system || theirs.fleet != greeting.fleet {
-        tally.one(Counter::SiblingsTurnedAway);
-        return Err(Broken::TurnedAway);
+        tally.increment(Counter::SiblingsTurnedAway);
+        return Err(TransportError::Rejected);
     }
     loop {
         let next = tokio::time::timeout(SILENT_MOST, read_frame(&mut stream, tally)).await;
-        let (request, _) = next.unwrap_or(Err(Broken::Closed))?;
+        let (request, _) = next.unwrap_or(Err(TransportError::Closed))?;
         let reply = {
             let mut byte = [0];
             let asked = handler(request);
@@ -219,7 +219,7 @@
             tokio::select! {
                 reply = &mut asked => reply,
                 // Nothing may come before the reply: the asker left, or breaks the rules.
-                _ = stream.peek(&mut byte) => return Err(Broken::Closed),
+                _ = stream.peek(&mut byte) => return Err(TransportError::Closed),
             }
         };
         write_frame(&mut stream, &reply, tally).await?;
--- a/cluster/src/wire.rs
+++ b/cluster/src/wire.rs
@@ -2,9 +2,9 @@
 
 /// No frame is larger; one that claims to be closes the connection. Room for a setup and a platform list
 /// as large as they may be, and for what a reply holds besides (docs/CAPACITY.md).
-pub const FRAME_MOST: usize = 32 << 20;
+pub const MAX_FRAME_BYTES: usize = 32 << 20;
 /// Of details, which may come with a later reply as well, one reply holds about so many bytes.
-pub const DETAIL_BYTES_MOST: usize = 4 << 20;
+pub const MAX_OBSERVATION_BYTES: usize = 4 << 20;
 
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize, strum::Display,
@@ -44,16 +44,17 @@
 
 /// Who a daemon is; fixed for one life of it.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Card {
+pub struct NodeInfo {
     pub name: String,
     pub role: Role,
     pub region: String,
     pub zone: String,
     pub address: std::net::SocketAddr,
-    pub sibling_address: std::net::SocketAddr,
+    #[serde(rename = "sibling_address")]
+    pub cluster_address: std::net::SocketAddr,
 }
 
-impl vanepath_config::selector::Labelled for Card {
+impl vanepath_config::selector::Labelled for NodeInfo {
     fn label(&self, key: &str) -> Option<&str> {
         match key {
             "zone" => Some(&self.zone),
@@ -66,216 +67,242 @@
 /// What a daemon tells all others; small, and told again whenever it changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(
-    from = "(bool, bool, u64, bool, bool, Option<Disk>, bool)",
-    into = "(bool, bool, u64, bool, bool, Option<Disk>, bool)"
+    from = "(bool, bool, u64, bool, bool, Option<DiskStatus>, bool)",
+    into = "(bool, bool, u64, bool, bool, Option<DiskStatus>, bool)"
 )]
-pub struct Report {
+pub struct NodeStatus {
     pub ready: bool,
-    pub leaving: bool,
+    pub draining: bool,
     /// The revision of the word in force there.
     pub revision: u64,
     /// Store only: its disk holds nothing yet.
-    pub blank: bool,
+    pub empty_disk: bool,
     /// Registry only: it has heard enough to have the duty of shares.
-    pub settled: bool,
-    pub disk: Option<Disk>,
+    pub synced: bool,
+    pub disk: Option<DiskStatus>,
     /// Registry only: it hears from more than half of all registries.
-    pub whole: bool,
+    pub hears_majority: bool,
 }
 
-bare!(Report {
+bare!(NodeStatus {
     ready: bool,
-    leaving: bool,
+    draining: bool,
     revision: u64,
-    blank: bool,
-    settled: bool,
-    disk: Option<Disk>,
-    whole: bool,
+    empty_disk: bool,
+    synced: bool,
+    disk: Option<DiskStatus>,
+    hears_majority: bool,
 });
 
 /// What a store tells of its disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Disk {
+pub struct DiskStatus {
     pub incarnation: u64,
     /// Empty, it may take part in the beginning of a word.
-    pub founds: bool,
+    #[serde(rename = "founds")]
+    pub may_bootstrap: bool,
     /// Its seat by the table that it holds.
-    pub seat: Option<u8>,
+    #[serde(rename = "seat")]
+    pub slot: Option<u8>,
 }
 
 /// What one proxy sees of one server; without field names on the wire, for there are many.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(from = "(String, u8, u32, u32, u32, bool)", into = "(String, u8, u32, u32, u32, bool)")]
-pub struct Sight {
+pub struct ServerObservation {
     pub server: String,
     pub phase: u8,
     /// How long it has been in that phase.
     pub age_ms: u32,
     /// For how long the proxy has been in touch with it without a gap; 0: it is not.
-    pub steady_ms: u32,
+    pub in_contact_ms: u32,
     /// Thousandths of the server's own capacity in use, as its receipts say.
-    pub demand_milli: u32,
+    pub load_milli: u32,
     /// The server's machine refused connections while it was away.
-    pub refused: bool,
+    pub connection_refused: bool,
 }
 
-bare!(Sight {
+bare!(ServerObservation {
     server: String,
     phase: u8,
     age_ms: u32,
-    steady_ms: u32,
-    demand_milli: u32,
-    refused: bool,
+    in_contact_ms: u32,
+    load_milli: u32,
+    connection_refused: bool,
 });
 
 /// What a proxy tells registries alone: the ground for orders and shares (design 7.2).
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct Detail {
-    pub sights: Vec<Sight>,
+pub struct ProxyObservations {
+    #[serde(rename = "sights")]
+    pub servers: Vec<ServerObservation>,
     /// Requests in hand and waiting, by class in the order of the setup.
-    pub in_hand: Vec<u32>,
-    pub waiting: Vec<u32>,
+    #[serde(rename = "in_hand")]
+    pub in_flight: Vec<u32>,
+    #[serde(rename = "waiting")]
+    pub queued: Vec<u32>,
     /// Requests taken in a thousand seconds at the pace of the last few, by service.
-    pub taken: std::collections::BTreeMap<String, u32>,
+    #[serde(rename = "taken")]
+    pub request_rates: std::collections::BTreeMap<String, u32>,
 }
 
-impl Detail {
+impl ProxyObservations {
     /// About as many bytes as it takes between siblings, rather more.
-    pub fn weight(&self) -> usize {
-        let sights = self.sights.iter().map(|sight| sight.server.len() + 24).sum::<usize>();
-        let taken = self.taken.keys().map(|name| name.len() + 8).sum::<usize>();
-        sights + taken + 5 * (self.in_hand.len() + self.waiting.len()) + 64
+    pub fn estimated_bytes(&self) -> usize {
+        let sights = self.servers.iter().map(|sight| sight.server.len() + 24).sum::<usize>();
+        let taken = self.request_rates.keys().map(|name| name.len() + 8).sum::<usize>();
+        sights + taken + 5 * (self.in_flight.len() + self.queued.len()) + 64
     }
 }
 
 /// The operator's word: the setup and the emptied zones, as the store accepted them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Word {
+pub struct CommittedConfig {
     pub revision: u64,
     /// The revision at which the setup's bytes were last changed; 0: there is none yet.
-    pub setup_revision: u64,
+    #[serde(rename = "setup_revision")]
+    pub config_revision: u64,
     /// The highest version that a setup was taken under; 0: none.
-    pub setup_version: u64,
+    #[serde(rename = "setup_version")]
+    pub config_version: u64,
     #[serde(with = "serde_bytes")]
-    pub setup: Vec<u8>,
-    pub emptied: std::collections::BTreeSet<String>,
+    #[serde(rename = "setup")]
+    pub document: Vec<u8>,
+    #[serde(rename = "emptied")]
+    pub drained_zones: std::collections::BTreeSet<String>,
     /// Orders to empty a zone that stand beside its first one (design 6.10).
     #[serde(default, skip_serializing_if = "std::collections::BTreeMap::is_empty")]
-    pub further_orders: std::collections::BTreeMap<String, u32>,
+    #[serde(rename = "further_orders")]
+    pub extra_drain_orders: std::collections::BTreeMap<String, u32>,
 }
 
 /// From where to where, in thousandths.
-pub type Shares = std::collections::BTreeMap<String, std::collections::BTreeMap<String, u32>>;
+pub type ZoneShares = std::collections::BTreeMap<String, std::collections::BTreeMap<String, u32>>;
 
 /// Shares as the one duty holder set them (design 7.4).
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct Plan {
+pub struct TrafficShiftPlan {
     pub epoch: u64,
     pub counter: u64,
-    pub holder: String,
+    #[serde(rename = "holder")]
+    pub leader: String,
     /// The word's revision that it was made for.
     pub revision: u64,
     /// For each service, for each zone: where else its callers are asked to go at first, in
     /// thousandths of them. By names, so that it holds through changes of the setup.
-    pub moved: std::collections::BTreeMap<String, Shares>,
+    #[serde(rename = "moved")]
+    pub shifted: std::collections::BTreeMap<String, ZoneShares>,
     /// Servers that came back lately: for how long (ms) they have been back, and whether their
     /// machines refused connections before. For proxies that were not there to see it.
-    pub cold: std::collections::BTreeMap<String, (u32, bool)>,
+    #[serde(rename = "cold")]
+    pub warming_up: std::collections::BTreeMap<String, (u32, bool)>,
     /// Servers that nobody can reach: whoever sees one come back knows that it was away.
-    pub away: std::collections::BTreeSet<String>,
+    #[serde(rename = "away")]
+    pub unreachable: std::collections::BTreeSet<String>,
 }
 
 /// What is known of one source: (life, counter) rise, `edition` and `detail` likewise within.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(from = "(u64, u64, u64, u64)", into = "(u64, u64, u64, u64)")]
-pub struct Mark {
+pub struct NodeVersion {
     /// The start's wall clock and a random part: no two lives of a name have the same.
-    pub life: u64,
+    pub incarnation: u64,
     pub counter: u64,
-    pub edition: u64,
+    pub status_version: u64,
     pub detail: u64,
 }
 
-bare!(Mark { life: u64, counter: u64, edition: u64, detail: u64 });
+bare!(NodeVersion { incarnation: u64, counter: u64, status_version: u64, detail: u64 });
 
-type DeltaBare = (String, Mark, u32, Option<Card>, Option<Report>, Option<Detail>);
+type DeltaBare =
+    (String, NodeVersion, u32, Option<NodeInfo>, Option<NodeStatus>, Option<ProxyObservations>);
 
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(from = "DeltaBare", into = "DeltaBare")]
-pub struct Delta {
+pub struct NodeDelta {
     pub name: String,
-    pub mark: Mark,
+    pub version: NodeVersion,
     pub age_ms: u32,
     /// Absent where the asker's mark shows that it has them.
-    pub card: Option<Card>,
-    pub report: Option<Report>,
-    pub detail: Option<Detail>,
+    pub card: Option<NodeInfo>,
+    pub report: Option<NodeStatus>,
+    pub detail: Option<ProxyObservations>,
 }
 
-bare!(Delta {
+bare!(NodeDelta {
     name: String,
-    mark: Mark,
+    version: NodeVersion,
     age_ms: u32,
-    card: Option<Card>,
-    report: Option<Report>,
-    detail: Option<Detail>,
+    card: Option<NodeInfo>,
+    report: Option<NodeStatus>,
+    detail: Option<ProxyObservations>,
 });
 
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
-pub struct Pull {
+pub struct PullRequest {
     /// Sources by the short hash of their names; `None`: as after the last reply to this asker.
-    pub vector: Option<Vec<(u32, Mark)>>,
+    #[serde(rename = "vector")]
+    pub known_versions: Option<Vec<(u32, NodeVersion)>>,
     pub word: u64,
     pub platform: u64,
     pub plan: (u64, u64),
-    pub own: Delta,
+    #[serde(rename = "own")]
+    pub sender: NodeDelta,
     pub wait_ms: u32,
-    pub wants_detail: bool,
+    #[serde(rename = "wants_detail")]
+    pub wants_observations: bool,
     /// The asker goes by what registries say of who is live, and wants no beats (design 5.3).
-    pub light: bool,
+    #[serde(rename = "light")]
+    pub is_leaf: bool,
     /// The digest of the silent ones that it was told of last.
-    pub silent: u64,
+    #[serde(rename = "silent")]
+    pub unreachable_digest: u64,
     /// Between registries: how long ago the newest read began that the asker knows of and that found its
     /// list in force.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub list_age_ms: Option<u32>,
+    #[serde(rename = "list_age_ms")]
+    pub list_read_age_ms: Option<u32>,
 }
 
 /// A read of the platform list that found the list of this revision in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(from = "(u64, u32)", into = "(u64, u32)")]
-pub struct ListRead {
+pub struct EndpointListRead {
     pub revision: u64,
     /// How long ago it began.
     pub age_ms: u32,
 }
 
-bare!(ListRead { revision: u64, age_ms: u32 });
+bare!(EndpointListRead { revision: u64, age_ms: u32 });
 
 #[derive(Clone, Debug, Default, serde::Serialize, serde::Deserialize)]
-pub struct News {
-    pub deltas: Vec<Delta>,
-    pub word: Option<Word>,
+pub struct PullResponse {
+    #[serde(rename = "deltas")]
+    pub nodes: Vec<NodeDelta>,
+    pub word: Option<CommittedConfig>,
     pub platform: Option<vanepath_config::endpoint_list::EndpointList>,
     /// Instead of the whole list, where the asker has one that the teller knows.
-    pub platform_delta: Option<vanepath_config::endpoint_list::EndpointListDelta>,
+    #[serde(rename = "platform_delta")]
+    pub endpoint_list_delta: Option<vanepath_config::endpoint_list::EndpointListDelta>,
     /// The newest read of the platform list that the teller knows of.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub list_read: Option<ListRead>,
-    pub plan: Option<Plan>,
+    pub list_read: Option<EndpointListRead>,
+    pub plan: Option<TrafficShiftPlan>,
     /// For a light asker: who is not live as the teller sees it, by short names.
     pub silent: Option<Vec<u32>>,
     /// The teller does not know what this asker has: it is to send its vector.
-    pub resend: bool,
+    #[serde(rename = "resend")]
+    pub resend_versions: bool,
     /// For an asker that goes by no word yet: the highest revision that the teller knows as in force
     /// with anyone (design 5.8).
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub floor: Option<u64>,
+    #[serde(rename = "floor")]
+    pub read_index: Option<u64>,
 }
 
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub enum Request {
-    Pull(Pull),
+    Pull(PullRequest),
     /// For the store's own slice, which reads it.
     Store(serde_bytes::ByteBuf),
     /// The highest revision that a majority of stores holds, asked of them from now on (design 5.8).
@@ -284,7 +311,7 @@
 
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub enum Reply {
-    News(News),
+    News(PullResponse),
     Store(serde_bytes::ByteBuf),
     /// This daemon has no such duty.
     NoDuty,
@@ -294,7 +321,7 @@
 
 /// The first frame each way: a sibling of another fleet, or of another name, is turned away.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Greeting {
+pub struct Handshake {
     pub system: String,
     pub fleet: String,
     pub name: String,
@@ -304,7 +331,7 @@
 
 /// The name of a source in a pull's vector. Two names with one hash would hide one source from
 /// some daemons: with a hundred daemons one fleet in a million has such a pair.
-pub fn short_name(name: &str) -> u32 {
+pub fn name_hash(name: &str) -> u32 {
     vanepath_config::stable_hash(&["name", name]) as u32
 }
 
--- a/cluster/tests/common/mod.rs
+++ b/cluster/tests/common/mod.rs
@@ -3,14 +3,14 @@
 use vanepath_cluster::wire;
 
 /// Of a daemon in zone a1 of region a.
-pub fn card(name: &str, role: wire::Role, port: u16) -> wire::Card {
+pub fn card(name: &str, role: wire::Role, port: u16) -> wire::NodeInfo {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], port));
-    wire::Card {
+    wire::NodeInfo {
         name: name.to_string(),
         role,
         region: "a".to_string(),
         zone: "a1".to_string(),
         address,
-        sibling_address: address,
+        cluster_address: address,
     }
 }
--- a/cluster/tests/details.rs
+++ b/cluster/tests/details.rs
@@ -9,62 +9,70 @@
 
 const NOW: Duration = Duration::from_secs(100);
 
-fn detail(sights: usize, demand_milli: u32) -> wire::Detail {
-    let sight = |index: usize| wire::Sight {
+fn detail(sights: usize, demand_milli: u32) -> wire::ProxyObservations {
+    let sight = |index: usize| wire::ServerObservation {
         server: format!("server-{index}"),
         phase: 3,
         age_ms: 1_000_000,
-        steady_ms: 1_000_000,
-        demand_milli,
-        refused: false,
+        in_contact_ms: 1_000_000,
+        load_milli: demand_milli,
+        connection_refused: false,
     };
-    wire::Detail { sights: (0..sights).map(sight).collect(), ..wire::Detail::default() }
+    wire::ProxyObservations {
+        servers: (0..sights).map(sight).collect(),
+        ..wire::ProxyObservations::default()
+    }
 }
 
-fn delta(index: usize, number: u64, sights: usize) -> wire::Delta {
+fn delta(index: usize, number: u64, sights: usize) -> wire::NodeDelta {
     let name = format!("proxy-{index}");
-    wire::Delta {
-        mark: wire::Mark { life: 7, counter: number, edition: 1, detail: number },
+    wire::NodeDelta {
+        version: wire::NodeVersion {
+            incarnation: 7,
+            counter: number,
+            status_version: 1,
+            detail: number,
+        },
         age_ms: 0,
         card: Some(card(&name, wire::Role::Proxy, 1000 + index as u16)),
-        report: Some(wire::Report::default()),
+        report: Some(wire::NodeStatus::default()),
         detail: Some(detail(sights, number as u32)),
         name,
     }
 }
 
-fn tell(news: &mut News, deltas: Vec<wire::Delta>) {
+fn tell(news: &mut News, deltas: Vec<wire::NodeDelta>) {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 3));
-    let told = wire::News { deltas, ..wire::News::default() };
+    let told = wire::PullResponse { nodes: deltas, ..wire::PullResponse::default() };
     news.step(NOW, Event::Told { address, news: Some(Box::new(told)) });
 }
 
 /// The registry `asked` answers `asker`'s pull when its time is up; the answer is told to the asker.
-fn pull(asker: &mut News, asked: &mut News, ticket: u64) -> wire::News {
+fn pull(asker: &mut News, asked: &mut News, ticket: u64) -> wire::PullResponse {
     pull_after(asker, asked, ticket, 700)
 }
 
-fn pull_after(asker: &mut News, asked: &mut News, ticket: u64, wait_ms: u32) -> wire::News {
-    let pull = wire::Pull {
-        vector: Some(
-            asker.sources.iter().map(|one| (wire::short_name(&one.card.name), one.mark)).collect(),
+fn pull_after(asker: &mut News, asked: &mut News, ticket: u64, wait_ms: u32) -> wire::PullResponse {
+    let pull = wire::PullRequest {
+        known_versions: Some(
+            asker.sources.iter().map(|one| (wire::name_hash(&one.card.name), one.mark)).collect(),
         ),
         word: 0,
         platform: asker.lists.held(),
         plan: (0, 0),
-        own: wire::Delta {
+        sender: wire::NodeDelta {
             name: asker.own().name.clone(),
-            mark: asker.own_mark(),
+            version: asker.own_mark(),
             age_ms: 0,
             card: Some(asker.own().clone()),
             report: Some(asker.own_report().clone()),
             detail: None,
         },
         wait_ms,
-        wants_detail: true,
-        light: false,
-        silent: 0,
-        list_age_ms: None,
+        wants_observations: true,
+        is_leaf: false,
+        unreachable_digest: 0,
+        list_read_age_ms: None,
     };
     let mut effects = asked.step(NOW, Event::Asked { ticket, pull });
     let until = NOW + Duration::from_millis(u64::from(wait_ms));
@@ -74,7 +82,7 @@
         _ => None,
     });
     let news = answer.expect("its time is up");
-    tell(asker, news.deltas.clone());
+    tell(asker, news.nodes.clone());
     news
 }
 
@@ -87,22 +95,22 @@
 fn details_that_one_reply_cannot_hold_come_with_the_next() {
     let (mut asked, mut asker) = (registry("r0", 1), registry("r1", 2));
     tell(&mut asked, (0..656).map(|index| delta(index, 3, 900)).collect());
-    let weight = detail(900, 1).weight();
-    assert!(656 * weight > 4 * wire::DETAIL_BYTES_MOST, "{weight}");
+    let weight = detail(900, 1).estimated_bytes();
+    assert!(656 * weight > 4 * wire::MAX_OBSERVATION_BYTES, "{weight}");
     let known =
-        |asker: &News| asker.sources.iter().filter(|one| one.detail.sights.len() == 900).count();
+        |asker: &News| asker.sources.iter().filter(|one| one.detail.servers.len() == 900).count();
     let mut rounds = 0;
     while known(&asker) < 656 {
         let before = known(&asker);
         let bytes = wire::encode(&pull(&mut asker, &mut asked, rounds)).len();
-        assert!(bytes < wire::DETAIL_BYTES_MOST + (1 << 20), "{bytes}");
+        assert!(bytes < wire::MAX_OBSERVATION_BYTES + (1 << 20), "{bytes}");
         assert!(known(&asker) > before, "{before} after {rounds}");
         assert_eq!(asker.sources.len(), 657, "all were heard of with the first reply");
         rounds += 1;
     }
     assert!(rounds < 16, "{rounds}");
     let rest = pull(&mut asker, &mut asked, 99);
-    let mut proxies = rest.deltas.iter().filter(|one| one.name.starts_with("proxy-"));
+    let mut proxies = rest.nodes.iter().filter(|one| one.name.starts_with("proxy-"));
     assert!(proxies.all(|one| one.detail.is_none()), "nothing twice");
 }
 
@@ -112,23 +120,23 @@
     let (mut first, mut third) = (registry("r0", 1), registry("r1", 2));
     let mut asker = registry("r2", 4);
     let own = |first: &mut News, number: u64| {
-        let pull = wire::Pull {
-            vector: Some(Vec::new()),
+        let pull = wire::PullRequest {
+            known_versions: Some(Vec::new()),
             word: 0,
             platform: 0,
             plan: (0, 0),
-            own: delta(0, number, 3),
+            sender: delta(0, number, 3),
             wait_ms: 700,
-            wants_detail: false,
-            light: false,
-            silent: 0,
-            list_age_ms: None,
+            wants_observations: false,
+            is_leaf: false,
+            unreachable_digest: 0,
+            list_read_age_ms: None,
         };
         first.step(NOW, Event::Asked { ticket: number, pull });
     };
     let seen = |news: &News| {
         let one = news.sources.iter().find(|one| one.card.name == "proxy-0").unwrap();
-        (one.mark.detail, one.detail.sights[0].demand_milli)
+        (one.mark.detail, one.detail.servers[0].load_milli)
     };
     own(&mut first, 1);
     pull(&mut third, &mut first, 11);
@@ -186,11 +194,11 @@
     let pulled = |asker: &mut News, teller: &mut News, ticket: u64| {
         let told = pull(asker, teller, ticket);
         let news = Some(Box::new(told.clone()));
-        asker.step(NOW, Event::Told { address: teller.own().sibling_address, news });
+        asker.step(NOW, Event::Told { address: teller.own().cluster_address, news });
         told
     };
     let told = pulled(&mut asker, &mut teller, 1);
-    assert!(told.platform.is_none() && told.platform_delta.unwrap().changed.len() == 1);
+    assert!(told.platform.is_none() && told.endpoint_list_delta.unwrap().changed.len() == 1);
     assert_eq!(asker.lists.current(), teller.lists.current());
     pulled(&mut astray, &mut teller, 2);
     assert_eq!(astray.lists.current().revision, 1, "it does not lead there");
@@ -203,7 +211,7 @@
 fn asks_for_details(news: &mut News, now: Duration) -> bool {
     let effects = news.step(now, Event::Pulse);
     let pulls = effects.iter().filter_map(|effect| match effect {
-        Effect::Pull { pull, .. } => Some(pull.wants_detail),
+        Effect::Pull { pull, .. } => Some(pull.wants_observations),
         _ => None,
     });
     let asked: Vec<bool> = pulls.collect();
@@ -211,13 +219,13 @@
     asked[0]
 }
 
-fn others(names: &[&str], leaving: bool) -> Vec<wire::Delta> {
-    let other = |name: &&str| wire::Delta {
+fn others(names: &[&str], leaving: bool) -> Vec<wire::NodeDelta> {
+    let other = |name: &&str| wire::NodeDelta {
         name: name.to_string(),
-        mark: wire::Mark { life: 7, counter: 1, edition: 1, detail: 0 },
+        version: wire::NodeVersion { incarnation: 7, counter: 1, status_version: 1, detail: 0 },
         age_ms: 0,
         card: Some(card(name, wire::Role::Registry, 100 + u16::from(name.as_bytes()[1]))),
-        report: Some(wire::Report { leaving, ..wire::Report::default() }),
+        report: Some(wire::NodeStatus { draining: leaving, ..wire::NodeStatus::default() }),
         detail: None,
     };
     names.iter().map(other).collect()
--- a/cluster/tests/floor.rs
+++ b/cluster/tests/floor.rs
@@ -20,10 +20,15 @@
     std::net::SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn delta(name: &str, role: Role, port: u16, report: wire::Report) -> wire::Delta {
-    wire::Delta {
+fn delta(name: &str, role: Role, port: u16, report: wire::NodeStatus) -> wire::NodeDelta {
+    wire::NodeDelta {
         name: name.to_string(),
-        mark: wire::Mark { life: 5, counter: report.revision + 1, edition: 1, detail: 0 },
+        version: wire::NodeVersion {
+            incarnation: 5,
+            counter: report.revision + 1,
+            status_version: 1,
+            detail: 0,
+        },
         age_ms: 0,
         card: Some(card(name, role, port)),
         report: Some(report),
@@ -31,12 +36,12 @@
     }
 }
 
-fn word(revision: u64) -> wire::Word {
-    wire::Word { revision, ..wire::Word::default() }
+fn word(revision: u64) -> wire::CommittedConfig {
+    wire::CommittedConfig { revision, ..wire::CommittedConfig::default() }
 }
 
-fn ready(revision: u64) -> wire::Report {
-    wire::Report { ready: true, revision, ..wire::Report::default() }
+fn ready(revision: u64) -> wire::NodeStatus {
+    wire::NodeStatus { ready: true, revision, ..wire::NodeStatus::default() }
 }
 
 fn proxy(seeds: Vec<std::net::SocketAddr>) -> News {
@@ -50,28 +55,28 @@
 /// A registry at port 2 replies with a word and with the highest revision that it knows as in force.
 fn reply(news: &mut News, now: Duration, revision: u64, floor: u64) -> Vec<Effect> {
     news.step(now, Event::Pulse);
-    let told = wire::News {
-        deltas: vec![delta("r", Role::Registry, 2, ready(revision))],
+    let told = wire::PullResponse {
+        nodes: vec![delta("r", Role::Registry, 2, ready(revision))],
         word: Some(word(revision)),
-        floor: Some(floor),
-        ..wire::News::default()
+        read_index: Some(floor),
+        ..wire::PullResponse::default()
     };
     news.step(now, Event::Told { address: address(2), news: Some(Box::new(told)) })
 }
 
 /// The report that it tells others, by the answer to a sibling's pull.
-fn told_by(news: &mut News, now: Duration, asker_revision: u64) -> wire::News {
-    let pull = wire::Pull {
-        vector: Some(Vec::new()),
+fn told_by(news: &mut News, now: Duration, asker_revision: u64) -> wire::PullResponse {
+    let pull = wire::PullRequest {
+        known_versions: Some(Vec::new()),
         word: 0,
         platform: 0,
         plan: (0, 0),
-        own: delta("q", Role::Proxy, 9, ready(asker_revision)),
+        sender: delta("q", Role::Proxy, 9, ready(asker_revision)),
         wait_ms: 0,
-        wants_detail: false,
-        light: false,
-        silent: 0,
-        list_age_ms: None,
+        wants_observations: false,
+        is_leaf: false,
+        unreachable_digest: 0,
+        list_read_age_ms: None,
     };
     let effects = news.step(now, Event::Asked { ticket: 1, pull });
     let answer = effects.into_iter().find_map(|effect| match effect {
@@ -107,15 +112,15 @@
     news.step(ms(10), Event::Report(ready(3)));
     let told = told_by(&mut news, ms(20), 0);
     assert!(told.word.is_none());
-    let own = |told: &wire::News| {
-        let own = told.deltas.iter().find(|delta| delta.name == "p").unwrap();
+    let own = |told: &wire::PullResponse| {
+        let own = told.nodes.iter().find(|delta| delta.name == "p").unwrap();
         own.report.as_ref().unwrap().revision
     };
     assert_eq!(own(&told), 0);
     news.step(ms(30), Event::Floor { address: address(3), revision: Some(3) });
     news.step(ms(30), Event::Report(ready(3)));
     let told = told_by(&mut news, ms(40), 0);
-    assert_eq!((told.word.unwrap().revision, told.floor), (3, Some(3)));
+    assert_eq!((told.word.unwrap().revision, told.read_index), (3, Some(3)));
 }
 
 /// Whoever heard what a name went by, or what anyone did, tells it to those who go by nothing yet.
@@ -124,10 +129,10 @@
     let mut witness = News::new(card("r", Role::Registry, 2), Vec::new(), 1, START);
     told_by(&mut witness, ms(10), 7);
     let told = told_by(&mut witness, ms(20), 7);
-    assert_eq!(told.floor, None, "it goes by a word already");
+    assert_eq!(told.read_index, None, "it goes by a word already");
     // The next life of that name.
     let told = told_by(&mut witness, ms(30), 0);
-    assert_eq!(told.floor, Some(7), "a lower report does not take it back");
+    assert_eq!(told.read_index, Some(7), "a lower report does not take it back");
     assert_eq!(witness.floors().get("q"), Some(&7));
 }
 
@@ -153,14 +158,19 @@
 fn a_cut_off_part_is_no_witness() {
     let mut news = proxy(vec![address(2)]);
     news.step(START, Event::Pulse);
-    let mut deltas: Vec<wire::Delta> = (0..3_u16)
+    let mut deltas: Vec<wire::NodeDelta> = (0..3_u16)
         .map(|index| {
             let lost = delta(&format!("q{index}"), Role::Proxy, 20 + index, ready(3));
-            wire::Delta { age_ms: 60_000, ..lost }
+            wire::NodeDelta { age_ms: 60_000, ..lost }
         })
         .collect();
     deltas.push(delta("r", Role::Registry, 2, ready(3)));
-    let told = wire::News { deltas, word: Some(word(3)), floor: Some(3), ..Default::default() };
+    let told = wire::PullResponse {
+        nodes: deltas,
+        word: Some(word(3)),
+        read_index: Some(3),
+        ..Default::default()
+    };
     news.step(ms(10), Event::Told { address: address(2), news: Some(Box::new(told)) });
     for at in (50..2950).step_by(50) {
         news.step(ms(at), Event::Pulse);
@@ -193,18 +203,18 @@
     let mut news = proxy(vec![address(2)]);
     assert_eq!(asked(&news.step(START, Event::Pulse)), [0_u16; 0], "none is known of");
     let store = |name: &str, port: u16, seat: u8, votes: bool, zone: &str| {
-        let disk = Some(wire::Disk { seat: Some(seat), ..wire::Disk::default() });
-        let report = wire::Report { disk, ..wire::Report { ready: votes, ..ready(0) } };
+        let disk = Some(wire::DiskStatus { slot: Some(seat), ..wire::DiskStatus::default() });
+        let report = wire::NodeStatus { disk, ..wire::NodeStatus { ready: votes, ..ready(0) } };
         let told = delta(name, Role::Store, port, report);
-        let card = wire::Card { zone: zone.to_string(), ..told.card.clone().unwrap() };
-        wire::Delta { card: Some(card), ..told }
+        let card = wire::NodeInfo { zone: zone.to_string(), ..told.card.clone().unwrap() };
+        wire::NodeDelta { card: Some(card), ..told }
     };
     let deltas = vec![
         store("s1", 11, 1, true, "a1"),
         store("s0", 10, 0, true, "b1"),
         store("s2", 12, 2, false, "a1"),
     ];
-    let told = wire::News { deltas, ..wire::News::default() };
+    let told = wire::PullResponse { nodes: deltas, ..wire::PullResponse::default() };
     let told = Event::Told { address: address(2), news: Some(Box::new(told)) };
     assert_eq!(asked(&news.step(ms(10), told)), [10, 11], "with the reply that tells of them");
     let mut ports = Vec::new();
@@ -229,20 +239,25 @@
 fn more_than_half_of_its_own_region_are_witnesses() {
     let far = |index: u16| {
         let lost = delta(&format!("q{index}"), Role::Proxy, 20 + index, ready(3));
-        let card = wire::Card { region: "b".to_string(), ..lost.card.clone().unwrap() };
-        wire::Delta { age_ms: 60_000, card: Some(card), ..lost }
+        let card = wire::NodeInfo { region: "b".to_string(), ..lost.card.clone().unwrap() };
+        wire::NodeDelta { age_ms: 60_000, card: Some(card), ..lost }
     };
     let near_lost = |index: u16| {
         let lost = delta(&format!("n{index}"), Role::Proxy, 40 + index, ready(3));
-        wire::Delta { age_ms: 60_000, ..lost }
+        wire::NodeDelta { age_ms: 60_000, ..lost }
     };
     for (lost_near, waits_on) in [(1, false), (2, true)] {
         let mut news = proxy(vec![address(2)]);
         news.step(START, Event::Pulse);
-        let mut deltas: Vec<wire::Delta> = (0..6).map(far).collect();
+        let mut deltas: Vec<wire::NodeDelta> = (0..6).map(far).collect();
         deltas.extend((0..lost_near).map(near_lost));
         deltas.push(delta("r", Role::Registry, 2, ready(3)));
-        let told = wire::News { deltas, word: Some(word(3)), floor: Some(3), ..Default::default() };
+        let told = wire::PullResponse {
+            nodes: deltas,
+            word: Some(word(3)),
+            read_index: Some(3),
+            ..Default::default()
+        };
         news.step(ms(10), Event::Told { address: address(2), news: Some(Box::new(told)) });
         for at in (50..2150).step_by(50) {
             assert!(at > 2000 || view(&news, ms(at)).floor.is_none(), "two seconds first");
--- a/cluster/tests/frames.rs
+++ b/cluster/tests/frames.rs
@@ -3,8 +3,9 @@
 
 use std::fmt::Write as _;
 use vanepath_cluster::wire::{
-    Card, Delta, Detail, Disk, Greeting, ListRead, Mark, News, Plan, Pull, Reply, Report, Request,
-    Role, SYSTEM, Sight, Word, decode, encode, short_name,
+    CommittedConfig, DiskStatus, EndpointListRead, Handshake, NodeDelta, NodeInfo, NodeStatus,
+    NodeVersion, ProxyObservations, PullRequest, PullResponse, Reply, Request, Role, SYSTEM,
+    ServerObservation, TrafficShiftPlan, decode, encode, name_hash,
 };
 use vanepath_config::endpoint_list::{EndpointList, EndpointListDelta, Server};
 
@@ -27,60 +28,60 @@
     }
 }
 
-fn mark() -> Mark {
-    Mark { life: 11, counter: 12, edition: 13, detail: 14 }
+fn mark() -> NodeVersion {
+    NodeVersion { incarnation: 11, counter: 12, status_version: 13, detail: 14 }
 }
 
-fn card(role: Role) -> Card {
-    Card {
+fn card(role: Role) -> NodeInfo {
+    NodeInfo {
         name: "one".to_string(),
         role,
         region: "north".to_string(),
         zone: "north-1".to_string(),
         address: "127.0.0.1:7000".parse().unwrap(),
-        sibling_address: "127.0.0.1:7001".parse().unwrap(),
+        cluster_address: "127.0.0.1:7001".parse().unwrap(),
     }
 }
 
-fn report() -> Report {
-    Report {
+fn report() -> NodeStatus {
+    NodeStatus {
         ready: true,
-        leaving: false,
+        draining: false,
         revision: 21,
-        blank: false,
-        settled: true,
-        disk: Some(Disk { incarnation: 31, founds: true, seat: Some(2) }),
-        whole: true,
+        empty_disk: false,
+        synced: true,
+        disk: Some(DiskStatus { incarnation: 31, may_bootstrap: true, slot: Some(2) }),
+        hears_majority: true,
     }
 }
 
-fn sight() -> Sight {
-    Sight {
+fn sight() -> ServerObservation {
+    ServerObservation {
         server: "server-1".to_string(),
         phase: 3,
         age_ms: 41,
-        steady_ms: 42,
-        demand_milli: 43,
-        refused: true,
+        in_contact_ms: 42,
+        load_milli: 43,
+        connection_refused: true,
     }
 }
 
-fn detail() -> Detail {
-    Detail {
-        sights: vec![sight()],
-        in_hand: vec![1, 2],
-        waiting: vec![3, 4],
-        taken: [("orders".to_string(), 51)].into(),
+fn detail() -> ProxyObservations {
+    ProxyObservations {
+        servers: vec![sight()],
+        in_flight: vec![1, 2],
+        queued: vec![3, 4],
+        request_rates: [("orders".to_string(), 51)].into(),
     }
 }
 
-fn bare_delta() -> Delta {
+fn bare_delta() -> NodeDelta {
     let name = "one".to_string();
-    Delta { name, mark: mark(), age_ms: 61, card: None, report: None, detail: None }
+    NodeDelta { name, version: mark(), age_ms: 61, card: None, report: None, detail: None }
 }
 
-fn full_delta() -> Delta {
-    Delta {
+fn full_delta() -> NodeDelta {
+    NodeDelta {
         card: Some(card(Role::Proxy)),
         report: Some(report()),
         detail: Some(detail()),
@@ -88,30 +89,31 @@
     }
 }
 
-fn word() -> Word {
-    Word {
+fn word() -> CommittedConfig {
+    CommittedConfig {
         revision: 71,
-        setup_revision: 72,
-        setup_version: 73,
-        setup: b"setup".to_vec(),
-        emptied: ["north-1".to_string()].into(),
-        further_orders: [("north-1".to_string(), 2)].into(),
+        config_revision: 72,
+        config_version: 73,
+        document: b"setup".to_vec(),
+        drained_zones: ["north-1".to_string()].into(),
+        extra_drain_orders: [("north-1".to_string(), 2)].into(),
     }
 }
 
-fn plan() -> Plan {
-    Plan {
+fn plan() -> TrafficShiftPlan {
+    TrafficShiftPlan {
         epoch: 81,
         counter: 82,
-        holder: "registry-0".to_string(),
+        leader: "registry-0".to_string(),
         revision: 83,
-        moved: [(
+        shifted: [(
             "orders".to_string(),
             [("north-1".to_string(), [("north-2".to_string(), 250)].into())].into(),
         )]
         .into(),
-        cold: [("server-1".to_string(), (84, true)), ("server-2".to_string(), (85, false))].into(),
-        away: ["server-3".to_string()].into(),
+        warming_up: [("server-1".to_string(), (84, true)), ("server-2".to_string(), (85, false))]
+            .into(),
+        unreachable: ["server-3".to_string()].into(),
     }
 }
 
@@ -142,29 +144,32 @@
     }
 }
 
-fn bare_pull() -> Pull {
-    Pull {
-        vector: None,
+fn bare_pull() -> PullRequest {
+    PullRequest {
+        known_versions: None,
         word: 101,
         platform: 102,
         plan: (103, 104),
-        own: bare_delta(),
+        sender: bare_delta(),
         wait_ms: 700,
-        wants_detail: false,
-        light: true,
-        silent: 0,
-        list_age_ms: None,
+        wants_observations: false,
+        is_leaf: true,
+        unreachable_digest: 0,
+        list_read_age_ms: None,
     }
 }
 
-fn full_pull() -> Pull {
-    Pull {
-        vector: Some(vec![(short_name("one"), mark()), (short_name("two"), Mark::default())]),
-        own: full_delta(),
-        wants_detail: true,
-        light: false,
-        silent: 105,
-        list_age_ms: Some(106),
+fn full_pull() -> PullRequest {
+    PullRequest {
+        known_versions: Some(vec![
+            (name_hash("one"), mark()),
+            (name_hash("two"), NodeVersion::default()),
+        ]),
+        sender: full_delta(),
+        wants_observations: true,
+        is_leaf: false,
+        unreachable_digest: 105,
+        list_read_age_ms: Some(106),
         ..bare_pull()
     }
 }
@@ -173,7 +178,7 @@
 fn requests_keep_their_bytes() {
     let mut frames = Frames::default();
     let (system, fleet, name) = (SYSTEM.to_string(), "fleet".to_string(), "one".to_string());
-    frames.add("greeting", &Greeting { system, fleet, name });
+    frames.add("greeting", &Handshake { system, fleet, name });
     frames.add("pull-bare", &Request::Pull(bare_pull()));
     frames.add("pull-full", &Request::Pull(full_pull()));
     frames.add("store", &Request::Store(vec![1, 2, 3].into()));
@@ -184,17 +189,17 @@
 #[test]
 fn replies_keep_their_bytes() {
     let mut frames = Frames::default();
-    frames.add("news-bare", &Reply::News(News::default()));
-    let full = News {
-        deltas: vec![bare_delta(), full_delta()],
+    frames.add("news-bare", &Reply::News(PullResponse::default()));
+    let full = PullResponse {
+        nodes: vec![bare_delta(), full_delta()],
         word: Some(word()),
         platform: Some(list()),
-        platform_delta: Some(list_delta()),
-        list_read: Some(ListRead { revision: 91, age_ms: 5 }),
+        endpoint_list_delta: Some(list_delta()),
+        list_read: Some(EndpointListRead { revision: 91, age_ms: 5 }),
         plan: Some(plan()),
-        silent: Some(vec![short_name("two")]),
-        resend: true,
-        floor: Some(70),
+        silent: Some(vec![name_hash("two")]),
+        resend_versions: true,
+        read_index: Some(70),
     };
     frames.add("news-full", &Reply::News(full));
     frames.add("store", &Reply::Store(vec![1, 2, 3].into()));
@@ -211,23 +216,23 @@
     for role in [Role::Proxy, Role::Registry, Role::Store] {
         frames.add(&format!("card-{role}"), &card(role));
     }
-    frames.add("report-bare", &Report::default());
+    frames.add("report-bare", &NodeStatus::default());
     frames.add("report-full", &report());
-    frames.add("disk-without-seat", &Disk::default());
+    frames.add("disk-without-seat", &DiskStatus::default());
     for phase in 0..=4 {
-        frames.add(&format!("sight-{phase}"), &Sight { phase, ..sight() });
+        frames.add(&format!("sight-{phase}"), &ServerObservation { phase, ..sight() });
     }
-    frames.add("detail-bare", &Detail::default());
+    frames.add("detail-bare", &ProxyObservations::default());
     frames.add("detail-full", &detail());
-    frames.add("word-bare", &Word::default());
+    frames.add("word-bare", &CommittedConfig::default());
     frames.add("word-full", &word());
-    frames.add("plan-bare", &Plan::default());
+    frames.add("plan-bare", &TrafficShiftPlan::default());
     frames.add("plan-full", &plan());
     frames.add("mark", &mark());
     frames.add("delta-bare", &bare_delta());
     frames.add("delta-full", &full_delta());
     frames.add("list", &list());
     frames.add("list-delta", &list_delta());
-    frames.add("list-read", &ListRead { revision: 91, age_ms: 5 });
+    frames.add("list-read", &EndpointListRead { revision: 91, age_ms: 5 });
     expect_test::expect_file!["fixtures/parts.txt"].assert_eq(&frames.text);
 }
--- a/cluster/tests/light.rs
+++ b/cluster/tests/light.rs
@@ -12,10 +12,10 @@
     Duration::from_millis(millis)
 }
 
-fn delta(name: &str, role: wire::Role, port: u16, report: wire::Report) -> wire::Delta {
-    wire::Delta {
+fn delta(name: &str, role: wire::Role, port: u16, report: wire::NodeStatus) -> wire::NodeDelta {
+    wire::NodeDelta {
         name: name.to_string(),
-        mark: wire::Mark { life: 5, counter: 1, edition: 1, detail: 0 },
+        version: wire::NodeVersion { incarnation: 5, counter: 1, status_version: 1, detail: 0 },
         age_ms: 0,
         card: Some(card(name, role, port)),
         report: Some(report),
@@ -27,15 +27,19 @@
     news: &mut News,
     now: Duration,
     port: u16,
-    deltas: Vec<wire::Delta>,
+    deltas: Vec<wire::NodeDelta>,
     silent: Option<&[&str]>,
 ) {
     let names = |names: &[&str]| {
-        let mut names: Vec<u32> = names.iter().map(|name| wire::short_name(name)).collect();
+        let mut names: Vec<u32> = names.iter().map(|name| wire::name_hash(name)).collect();
         names.sort_unstable();
         names
     };
-    let told = wire::News { deltas, silent: silent.map(names), ..wire::News::default() };
+    let told = wire::PullResponse {
+        nodes: deltas,
+        silent: silent.map(names),
+        ..wire::PullResponse::default()
+    };
     let address = SocketAddr::from(([127, 0, 0, 1], port));
     news.step(now, Event::Told { address, news: Some(Box::new(told)) });
 }
@@ -60,7 +64,8 @@
         let seeds = vec![SocketAddr::from(([127, 0, 0, 1], 7))];
         let mut news = News::new(card("p", wire::Role::Proxy, 1), seeds, 9, ms(0));
         news.step(ms(10), Event::Pulse);
-        let report = wire::Report { ready: true, settled, ..wire::Report::default() };
+        let report =
+            wire::NodeStatus { ready: true, synced: settled, ..wire::NodeStatus::default() };
         told(&mut news, ms(50), 7, vec![delta("s", wire::Role::Store, 7, report)], None);
         assert_eq!(news.is_fresh(ms(60)), settled);
     }
@@ -71,12 +76,13 @@
 #[test]
 fn a_light_daemon_goes_by_what_registries_say() {
     let mut news = News::new(card("p0", wire::Role::Proxy, 1), Vec::new(), 9, ms(0));
-    let whole = wire::Report { ready: true, whole: true, ..wire::Report::default() };
+    let whole =
+        wire::NodeStatus { ready: true, hears_majority: true, ..wire::NodeStatus::default() };
     let deltas = vec![
         delta("r1", wire::Role::Registry, 11, whole.clone()),
         delta("r2", wire::Role::Registry, 12, whole),
-        delta("p1", wire::Role::Proxy, 2, wire::Report::default()),
-        delta("p2", wire::Role::Proxy, 3, wire::Report::default()),
+        delta("p1", wire::Role::Proxy, 2, wire::NodeStatus::default()),
+        delta("p2", wire::Role::Proxy, 3, wire::NodeStatus::default()),
     ];
     told(&mut news, ms(100), 11, deltas, Some(&[]));
     news.step(ms(150), Event::Pulse);
@@ -115,8 +121,12 @@
         let seeds = vec![SocketAddr::from(([127, 0, 0, 1], 11))];
         let mut news = News::new(card("x", role, 1), seeds, 9, ms(0));
         news.step(ms(10), Event::Pulse);
-        let report = |whole| wire::Report { ready: true, whole, ..wire::Report::default() };
-        let mut deltas: Vec<wire::Delta> = (0..4)
+        let report = |whole| wire::NodeStatus {
+            ready: true,
+            hears_majority: whole,
+            ..wire::NodeStatus::default()
+        };
+        let mut deltas: Vec<wire::NodeDelta> = (0..4)
             .map(|index| delta(&format!("p{index}"), wire::Role::Proxy, 30 + index, report(false)))
             .collect();
         for (port, whole) in [(11, true), (12, true), (13, !is_apart)] {
--- a/proxy/src/endpoints.rs
+++ b/proxy/src/endpoints.rs
@@ -104,8 +104,9 @@
 /// Whether this proxy is one of the few that watch a server for the whole fleet: by rendezvous
 /// hashing one of the server's own region and two of outside, who are there when the region isn't.
 fn is_watcher(view: &View, own: &str, server: &vanepath_config::endpoint_list::Server) -> bool {
-    let is_near = |card: &wire::Card| card.region == server.region;
-    let rank = |card: &wire::Card| vanepath_config::stable_hash(&["watch", &card.name, &server.id]);
+    let is_near = |card: &wire::NodeInfo| card.region == server.region;
+    let rank =
+        |card: &wire::NodeInfo| vanepath_config::stable_hash(&["watch", &card.name, &server.id]);
     let all = || view.live.iter().map(|one| &one.0).filter(|card| card.role == wire::Role::Proxy);
     let Some(me) = all().find(|card| card.name == own) else { return false };
     let mine = (rank(me), own);
@@ -122,7 +123,7 @@
     colds: Vec<ColdRate>,
     at: Duration,
     /// Those that it was reckoned from.
-    proxies: Option<Vec<wire::Card>>,
+    proxies: Option<Vec<wire::NodeInfo>>,
 }
 
 const PACES_EVERY: Duration = Duration::from_millis(1000);
@@ -134,7 +135,7 @@
         self.proxies = None;
     }
 
-    pub fn pulse(&mut self, now: Duration, view: &View, own: &wire::Card, table: &Table) {
+    pub fn pulse(&mut self, now: Duration, view: &View, own: &wire::NodeInfo, table: &Table) {
         if now >= self.at {
             self.at = now + PACES_EVERY;
             let proxies = || {
@@ -152,7 +153,7 @@
 }
 
 /// How often this proxy probes each server of its table.
-fn probe_pauses(view: &View, own: &wire::Card, table: &Table) -> Vec<Duration> {
+fn probe_pauses(view: &View, own: &wire::NodeInfo, table: &Table) -> Vec<Duration> {
     let pause = |entry: &Entry| {
         let server = &entry.server;
         let is_near = server.region == own.region;
@@ -204,20 +205,20 @@
 pub fn carriers<'v>(
     view: &'v View,
     rule: &'v vanepath_config::model::Rule,
-) -> impl Iterator<Item = &'v wire::Card> {
+) -> impl Iterator<Item = &'v wire::NodeInfo> {
     let all = view.live.iter().filter(|(card, report)| {
         card.role == wire::Role::Proxy
             && report.ready
-            && !report.leaving
+            && !report.draining
             && rule.allows_region(&card.region)
-            && !view.word.emptied.contains(&card.zone)
+            && !view.word.drained_zones.contains(&card.zone)
     });
     all.map(|(card, _)| card)
 }
 
 /// What a table made from this view stems from.
 pub fn revision_of(view: &View) -> (u64, u64) {
-    (view.word.setup_revision, view.platform.revision)
+    (view.word.config_revision, view.platform.revision)
 }
 
 pub fn live_proxies(view: &View) -> usize {
@@ -233,14 +234,15 @@
     server: &vanepath_config::endpoint_list::Server,
     services: &[usize],
 ) -> ColdRate {
-    let place = |card: &wire::Card| (card.region != server.region, card.zone != server.zone);
-    let draw = |card: &wire::Card| vanepath_config::stable_hash(&["cold", &card.name, &server.id]);
+    let place = |card: &wire::NodeInfo| (card.region != server.region, card.zone != server.zone);
+    let draw =
+        |card: &wire::NodeInfo| vanepath_config::stable_hash(&["cold", &card.name, &server.id]);
     let all = || view.live.iter().map(|one| &one.0).filter(|card| card.role == wire::Role::Proxy);
     let proxies = all().count();
     let rank = all().find(|card| card.name == own).map_or(proxies, |me| {
         let mine = (place(me), draw(me), own);
         // Nobody's draw is asked whose place decides.
-        let is_before = |card: &&wire::Card| match place(card).cmp(&mine.0) {
+        let is_before = |card: &&wire::NodeInfo| match place(card).cmp(&mine.0) {
             std::cmp::Ordering::Equal => (draw(card), card.name.as_str()) < (mine.1, own),
             order => order.is_lt(),
         };
@@ -492,13 +494,13 @@
     }
 
     /// What the whole fleet knows of servers that are away or came back lately.
-    pub fn hear_plan(&self, now: Duration, plan: &wire::Plan) {
-        if plan.away.is_empty() && plan.cold.is_empty() {
+    pub fn hear_plan(&self, now: Duration, plan: &wire::TrafficShiftPlan) {
+        if plan.unreachable.is_empty() && plan.warming_up.is_empty() {
             return;
         }
         for entry in &self.table.load().entries {
-            let is_away = plan.away.contains(&entry.server.id);
-            let back_for = plan.cold.get(&entry.server.id);
+            let is_away = plan.unreachable.contains(&entry.server.id);
+            let back_for = plan.warming_up.get(&entry.server.id);
             let back_for = back_for
                 .map(|(age_ms, refused)| (Duration::from_millis(u64::from(*age_ms)), *refused));
             if is_away || back_for.is_some() {
@@ -508,14 +510,14 @@
     }
 
     /// Which servers of its zone are this proxy's part (design 8.7), by who is live there.
-    pub fn part(&self, view: &View, own: &wire::Card) {
+    pub fn part(&self, view: &View, own: &wire::NodeInfo) {
         let table = self.table.load();
         let hash = |kind: &str, name: &str| vanepath_config::stable_hash(&["part", kind, name]);
         let mut proxies: Vec<(u64, &str)> = view
             .live
             .iter()
             .filter(|(card, report)| {
-                card.role == wire::Role::Proxy && card.zone == own.zone && !report.leaving
+                card.role == wire::Role::Proxy && card.zone == own.zone && !report.draining
             })
             .map(|(card, _)| (hash("proxy", &card.name), card.name.as_str()))
             .collect();
@@ -603,7 +605,7 @@
 
     /// What this proxy sees of the servers that it is in touch with, or that are not simply live,
     /// for registries. Of the others it has nothing to say.
-    pub fn sights(&self, now: Duration) -> Vec<wire::Sight> {
+    pub fn sights(&self, now: Duration) -> Vec<wire::ServerObservation> {
         let table = self.table.load();
         let sights = table.entries.iter().filter_map(|entry| {
             let is_telling = self.with(entry.slot, |quick| {
@@ -613,13 +615,13 @@
                     || (is_steady && !quick.liveness.by_traffic)
             });
             is_telling.filter(|is_telling| *is_telling)?;
-            self.with(entry.slot, |quick| wire::Sight {
+            self.with(entry.slot, |quick| wire::ServerObservation {
                 server: entry.server.id.clone(),
                 phase: quick.liveness.phase as u8,
                 age_ms: now.saturating_sub(quick.liveness.since).as_millis() as u32,
-                steady_ms: quick.liveness.steady(now).as_millis() as u32,
-                demand_milli: quick.demand(now),
-                refused: quick.liveness.was_refused(),
+                in_contact_ms: quick.liveness.steady(now).as_millis() as u32,
+                load_milli: quick.demand(now),
+                connection_refused: quick.liveness.was_refused(),
             })
         });
         sights.collect()
--- a/proxy/src/forward.rs
+++ b/proxy/src/forward.rs
@@ -56,7 +56,7 @@
     }
 }
 
-pub type Tally = vanepath_cluster::counters::Tally<Counter>;
+pub type Counters = vanepath_cluster::counters::Counters<Counter>;
 
 /// Receipts of lookups up to this size are held until they are whole, so that one that breaks
 /// off can still be fetched elsewhere.
@@ -80,7 +80,7 @@
     waiting:
         std::sync::Mutex<std::collections::HashMap<u64, tokio::sync::oneshot::Sender<(Slot, ())>>>,
     pub budget: std::sync::Mutex<crate::retry_budget::Budgets>,
-    pub tally: Arc<Tally>,
+    pub tally: Arc<Counters>,
     pub is_ready: AtomicBool,
     pub is_leaving: AtomicBool,
     /// A server's phase changed: registries hear of it soon.
@@ -169,7 +169,7 @@
     pub fn untidy(self: &Arc<Self>, slot: usize, id: &str) -> impl FnOnce() + Send + 'static {
         let (proxy, id) = (self.clone(), id.to_string());
         move || {
-            proxy.tally.one(Counter::SurplusBytes);
+            proxy.tally.increment(Counter::SurplusBytes);
             if proxy.servers.untidy(slot) {
                 log::info!(
                     "server {id} sent surplus bytes: one request to a connection from now on"
@@ -241,14 +241,14 @@
 impl Drop for Leave<'_> {
     fn drop(&mut self) {
         if !self.is_answered {
-            self.proxy.tally.one(Counter::CallersLeft);
+            self.proxy.tally.increment(Counter::CallersLeft);
         }
     }
 }
 
 pub async fn carry(proxy: Arc<Proxy>, request: hyper::Request<Body>) -> hyper::Response<Body> {
     let tally = proxy.tally.clone();
-    tally.one(Counter::Requests);
+    tally.increment(Counter::Requests);
     let guard = proxy.clone();
     let mut leave = Leave { proxy: &guard, is_answered: false };
     let mut chart = Chart::new();
@@ -284,7 +284,7 @@
     verdict: ExecutionStatus,
     more: &More,
 ) -> hyper::Response<Body> {
-    proxy.tally.one(match refusal {
+    proxy.tally.increment(match refusal {
         Refusal::Malformed => Counter::RefusedMalformed,
         Refusal::Unmatched => Counter::RefusedUnmatched,
         Refusal::HeadTooLarge => Counter::RefusedHeadTooLarge,
@@ -299,7 +299,7 @@
         Refusal::Late => Counter::RefusedLate,
         Refusal::Lost => Counter::RefusedLost,
     });
-    proxy.tally.one(match verdict {
+    proxy.tally.increment(match verdict {
         ExecutionStatus::MayHaveRun => Counter::VerdictMayHaveRun,
         _ => Counter::VerdictNotRun,
     });
@@ -429,16 +429,16 @@
         tried.push(entry.slot);
         chart.goes += 1;
         let in_hand = InHand { proxy: proxy.clone(), slot: entry.slot };
-        proxy.tally.one(Counter::Goes);
+        proxy.tally.increment(Counter::Goes);
         if chart.goes > 1 {
-            proxy.tally.one(Counter::FurtherGoes);
+            proxy.tally.increment(Counter::FurtherGoes);
         }
         let is_other_zone = entry.server.zone != proxy.daemon.settings.zone;
         if is_other_zone {
-            proxy.tally.one(Counter::GoesOtherZone);
+            proxy.tally.increment(Counter::GoesOtherZone);
         }
         if entry.server.region != proxy.daemon.settings.region {
-            proxy.tally.one(Counter::GoesOtherRegion);
+            proxy.tally.increment(Counter::GoesOtherRegion);
         }
         let go = Go {
             proxy,
@@ -466,7 +466,7 @@
                     continue;
                 }
                 chart.state = State::Answering;
-                proxy.tally.one(Counter::Done);
+                proxy.tally.increment(Counter::Done);
                 let gated = class.bulk && proxy.gate.is_some();
                 return Ok(pass(proxy, reply, in_hand, held.take(), gated));
             }
@@ -583,7 +583,7 @@
 }
 
 fn places_for(view: &View, rule: &vanepath_config::model::Rule) -> Vec<jzon::JsonValue> {
-    let place = |card: &vanepath_cluster::wire::Card| {
+    let place = |card: &vanepath_cluster::wire::NodeInfo| {
         jzon::object! {
             "zone": card.zone.as_str(),
             "region": card.region.as_str(),
@@ -603,7 +603,7 @@
         match classes.enter(index, deadline) {
             Entered::Taken(slot) => {
                 if slot.class != slot.lender {
-                    proxy.tally.one(Counter::Borrowed);
+                    proxy.tally.increment(Counter::Borrowed);
                 }
                 return Ok(Held { proxy: proxy.clone(), slot });
             }
@@ -616,7 +616,7 @@
             }
         }
     };
-    proxy.tally.one(Counter::Queued);
+    proxy.tally.increment(Counter::Queued);
     let waiting = Waiting { proxy: proxy.clone(), number };
     let limit = deadline.saturating_sub(proxy.now());
     let mut receiver = receiver;
@@ -737,7 +737,7 @@
         let want = Want {
             rule,
             service,
-            emptied: &latest.word.emptied,
+            emptied: &latest.word.drained_zones,
             zone: &proxy.daemon.settings.zone,
             region: &proxy.daemon.settings.region,
             tried,
@@ -793,7 +793,7 @@
         let want = Want {
             rule: self.rule,
             service: service_of(self.table, self.rule, self.drawn),
-            emptied: &latest.word.emptied,
+            emptied: &latest.word.drained_zones,
             zone: &proxy.daemon.settings.zone,
             region: &proxy.daemon.settings.region,
             tried: self.tried,
@@ -830,7 +830,7 @@
         if !self.proxy.daemon.is_awake() || !latest.is_fresh {
             return true;
         }
-        self.proxy.servers.is_withdrawn(self.table, self.entry, &latest.word.emptied)
+        self.proxy.servers.is_withdrawn(self.table, self.entry, &latest.word.drained_zones)
     }
 
     fn bad(&self, failure: Failure) {
@@ -845,7 +845,7 @@
         let (mut sender, greeted_at) = connected.unwrap_or(Err(Miss::NotConnected))?;
         chart.state = State::Greeted;
         if self.is_withdrawn() {
-            self.proxy.tally.one(Counter::GoesWithdrawn);
+            self.proxy.tally.increment(Counter::GoesWithdrawn);
             return Err(Miss::Withdrawn);
         }
 
@@ -899,7 +899,7 @@
         let is_bodiless = told.method == hyper::Method::HEAD;
         let may_close = self.proxy.daemon.settings.wire_format.headers().close_ends_response;
         if !is_bodiless && !may_close && !crate::connector::is_framed(&head) {
-            self.proxy.tally.one(Counter::ReceiptsTruncated);
+            self.proxy.tally.increment(Counter::ReceiptsTruncated);
             return Err(Miss::Truncated);
         }
         if head.status == hyper::StatusCode::SWITCHING_PROTOCOLS {
@@ -925,7 +925,7 @@
         match hold.await {
             Ok(Ok(())) => {}
             Ok(Err(())) => {
-                self.proxy.tally.one(Counter::ReceiptsTruncated);
+                self.proxy.tally.increment(Counter::ReceiptsTruncated);
                 return Err(Miss::Truncated);
             }
             // Slow, but under way: a filing's is passed on as it comes, a lookup is given the
@@ -1004,7 +1004,7 @@
             Some(demand_milli) => {
                 self.proxy.servers.told(self.proxy.now(), self.entry.slot, demand_milli);
             }
-            None => self.proxy.tally.one(Counter::DemandReportsBad),
+            None => self.proxy.tally.increment(Counter::DemandReportsBad),
         }
     }
 
@@ -1050,10 +1050,10 @@
                     }
                 }
             }
-            self.proxy.tally.one(Counter::ConnectionsReused);
+            self.proxy.tally.increment(Counter::ConnectionsReused);
             return Ok((idle.connection, idle.greeted_at));
         }
-        self.proxy.tally.one(Counter::ConnectionsOpened);
+        self.proxy.tally.increment(Counter::ConnectionsOpened);
         let untidy = self.proxy.untidy(slot, &self.entry.server.id);
         let is_far = self.entry.server.region != self.proxy.daemon.settings.region;
         let opened_at = self.proxy.now();
@@ -1085,7 +1085,7 @@
                 Ok((sender, self.proxy.now()))
             }
             Err(failure) => {
-                self.proxy.tally.one(Counter::ConnectionsFailed);
+                self.proxy.tally.increment(Counter::ConnectionsFailed);
                 self.bad(failure);
                 Err(Miss::NotConnected)
             }
@@ -1282,7 +1282,7 @@
                             // Broken off: the caller must see that, so its connection breaks too.
                             self.rest = None;
                             self.sender = None;
-                            self.proxy.tally.one(Counter::ReceiptsAborted);
+                            self.proxy.tally.increment(Counter::ReceiptsAborted);
                             Some(Err(BodyError::from(error)))
                         }
                         None => {
--- a/proxy/src/shell.rs
+++ b/proxy/src/shell.rs
@@ -289,7 +289,8 @@
             log::info!("{}", if ready { "ready" } else { "not ready" });
         }
         let (leaving, revision) = (is_leaving, view.word.revision);
-        let report = wire::Report { ready, leaving, revision, ..wire::Report::default() };
+        let report =
+            wire::NodeStatus { ready, draining: leaving, revision, ..wire::NodeStatus::default() };
         proxy.daemon.report(report).await;
         if !self.telling.is_due(now, proxy.is_news.load(Ordering::Relaxed)) {
             return;
@@ -299,16 +300,17 @@
         let services = &proxy.servers.table.load().setup.services;
         if services.iter().all(|service| service.probes_suspects_only) {
             // Nobody plans by told demand where servers are judged by traffic.
-            let detail = wire::Detail { sights, ..wire::Detail::default() };
+            let detail =
+                wire::ProxyObservations { servers: sights, ..wire::ProxyObservations::default() };
             let _ = proxy.daemon.news.send(node::Tell(gossip::Event::Detail(detail))).await;
             return;
         }
         let counts = proxy.classes.lock().expect("no panic under this lock").counts();
-        let detail = wire::Detail {
-            sights,
-            in_hand: counts.iter().map(|one| one.2 as u32).collect(),
-            waiting: counts.iter().map(|one| one.3 as u32).collect(),
-            taken: proxy.request_counts.lock().expect("no panic under this lock").tell(now),
+        let detail = wire::ProxyObservations {
+            servers: sights,
+            in_flight: counts.iter().map(|one| one.2 as u32).collect(),
+            queued: counts.iter().map(|one| one.3 as u32).collect(),
+            request_rates: proxy.request_counts.lock().expect("no panic under this lock").tell(now),
         };
         let _ = proxy.daemon.news.send(node::Tell(gossip::Event::Detail(detail))).await;
     }
@@ -320,7 +322,7 @@
     entry: crate::endpoints::Entry,
     service: vanepath_config::model::Service,
 ) {
-    proxy.tally.one(Counter::Probes);
+    proxy.tally.increment(Counter::Probes);
     let dialect = proxy.daemon.settings.wire_format;
     let mut kept_for = crate::endpoints::IDLE_MOST;
     let now = proxy.daemon.clock.now();
@@ -371,7 +373,7 @@
             proxy.servers.put_idle(entry.slot, idle);
         }
         Err(failure) => {
-            proxy.tally.one(Counter::ProbesFailed);
+            proxy.tally.increment(Counter::ProbesFailed);
             proxy.note_bad(entry.slot, &entry.server.id, failure);
         }
     }
@@ -380,7 +382,9 @@
 
 fn answer_own(proxy: &Proxy, path: &str) -> hyper::Response<node::Body> {
     let ready = proxy.is_ready.load(Ordering::Relaxed);
-    if let Some(receipt) = node::common(&proxy.daemon, path, ready, |all| proxy.tally.show(all)) {
+    if let Some(receipt) =
+        node::common(&proxy.daemon, path, ready, |all| proxy.tally.write_json(all))
+    {
         return receipt;
     }
     if path != "/v1/status" {
@@ -398,7 +402,7 @@
                 let phase: &'static str = quick.liveness.phase.into();
                 let why = if entry.server.draining {
                     "no work: the platform says that it is leaving"
-                } else if view.word.emptied.contains(&entry.server.zone) {
+                } else if view.word.drained_zones.contains(&entry.server.zone) {
                     "no work: its zone is emptied"
                 } else if entry.services.is_empty() {
                     "no work: no service selects it"
@@ -442,11 +446,11 @@
         "floor": view.show_floor(),
         "leaving": proxy.is_leaving.load(Ordering::Relaxed),
         "revision": view.word.revision,
-        "setupRevision": view.word.setup_revision,
+        "setupRevision": view.word.config_revision,
         "platformRevision": view.platform.revision,
-        "emptied": view.word.emptied.iter().map(|one| one.as_str().into()).collect::<Vec<jzon::JsonValue>>(),
+        "emptied": view.word.drained_zones.iter().map(|one| one.as_str().into()).collect::<Vec<jzon::JsonValue>>(),
         "epoch": view.plan.epoch,
-        "holder": view.plan.holder.as_str(),
+        "holder": view.plan.leader.as_str(),
         "classes": classes,
         "servers": servers,
     };
--- a/proxy/tests/cold_rate.rs
+++ b/proxy/tests/cold_rate.rs
@@ -7,16 +7,16 @@
 
 const ZONES: [&str; 5] = ["a1", "a2", "b1", "b2", "c1"];
 
-fn card(index: usize) -> wire::Card {
+fn card(index: usize) -> wire::NodeInfo {
     let zone = ZONES[index * 7 % 5];
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 1000 + index as u16));
-    wire::Card {
+    wire::NodeInfo {
         name: format!("p{index}"),
         role: if index % 6 == 5 { wire::Role::Registry } else { wire::Role::Proxy },
         region: zone[..1].to_string(),
         zone: zone.to_string(),
         address,
-        sibling_address: address,
+        cluster_address: address,
     }
 }
 
@@ -29,7 +29,7 @@
     let setup = std::sync::Arc::new(vanepath_config::model::parse(setup).unwrap());
     let mut parts = 0;
     for daemons in [1, 2, 6, 30, 90] {
-        let live = (0..daemons).map(|index| (card(index), wire::Report::default())).collect();
+        let live = (0..daemons).map(|index| (card(index), wire::NodeStatus::default())).collect();
         let view = View { setup: setup.clone(), live, ..View::default() };
         for number in 0..40 {
             let zone = ZONES[number % 5];
--- a/proxy/tests/crowding.rs
+++ b/proxy/tests/crowding.rs
@@ -140,17 +140,17 @@
         let list = Arc::new(vanepath_config::endpoint_list::EndpointList { revision: 1, servers });
         let card = |number: usize| {
             let zone = ZONES[number / PROXIES_A_ZONE];
-            wire::Card {
+            wire::NodeInfo {
                 name: format!("p{number}"),
                 role: wire::Role::Proxy,
                 region: zone[..1].to_string(),
                 zone: zone.to_string(),
                 address: address(1000 + number),
-                sibling_address: address(1500 + number),
+                cluster_address: address(1500 + number),
             }
         };
         let count = ZONES.len() * PROXIES_A_ZONE;
-        let live: Vec<_> = (0..count).map(|one| (card(one), wire::Report::default())).collect();
+        let live: Vec<_> = (0..count).map(|one| (card(one), wire::NodeStatus::default())).collect();
         let proxies = (0..count).map(|number| {
             let own: Servers<()> = Servers::default();
             own.adopt(Duration::ZERO, (1, 1), &setup, &list, |_, _| ColdRate::default());
--- a/registry/src/api.rs
+++ b/registry/src/api.rs
@@ -24,7 +24,8 @@
     let path = path.strip_prefix("/vanepath").unwrap_or(&path).to_string();
     let ready = registry.is_ready.load(std::sync::atomic::Ordering::Relaxed);
     let tally = &registry.tally;
-    if let Some(receipt) = node::common(&registry.daemon, &path, ready, |all| tally.show(all)) {
+    if let Some(receipt) = node::common(&registry.daemon, &path, ready, |all| tally.write_json(all))
+    {
         return receipt;
     }
     let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
@@ -69,7 +70,7 @@
 // ---- the directory ---------------------------------------------------------------------------
 
 fn steer(registry: &Registry, query: &str) -> Receipt {
-    registry.tally.one(Counter::SteerPolls);
+    registry.tally.increment(Counter::SteerPolls);
     let view = registry.daemon.table.load();
     let is_ready =
         registry.is_ready.load(std::sync::atomic::Ordering::Relaxed) && registry.daemon.is_awake();
@@ -77,10 +78,10 @@
     let own = (settings.zone.as_str(), settings.region.as_str());
     let steered = crate::steering::steer(&view, is_ready, own, query, node::random());
     if steered.is_first {
-        registry.tally.one(Counter::SteerPollsFirst);
+        registry.tally.increment(Counter::SteerPollsFirst);
     }
     if steered.is_forged {
-        registry.tally.one(Counter::SteerEchoesBad);
+        registry.tally.increment(Counter::SteerEchoesBad);
     }
     match steered.receipt {
         Ok(receipt) => node::json(StatusCode::OK, &receipt),
@@ -90,7 +91,7 @@
 
 /// Why there is no order from here; another directory may have one.
 fn steers_nobody(registry: &Registry, why: crate::steering::NoReceipt) -> Receipt {
-    registry.tally.one(match why {
+    registry.tally.increment(match why {
         crate::steering::NoReceipt::Behind => Counter::SteerRefusedBehind,
         crate::steering::NoReceipt::CutOff => Counter::SteerRefusedCutOff,
         crate::steering::NoReceipt::NotReady => Counter::SteerRefusedNotReady,
@@ -101,7 +102,7 @@
 
 /// The order of places as plain addresses, for clients that choose among them by themselves.
 fn addresses(registry: &Registry, query: &str) -> Receipt {
-    registry.tally.one(Counter::SteerPolls);
+    registry.tally.increment(Counter::SteerPolls);
     let view = registry.daemon.table.load();
     let settings = &registry.daemon.settings;
     let own = (settings.zone.as_str(), settings.region.as_str());
@@ -124,13 +125,13 @@
             Step::Pause(pause) => tokio::time::sleep(pause).await,
             Step::End(outcome) => return outcome,
             Step::Ask(card) => {
-                registry.tally.one(Counter::StoreTries);
+                registry.tally.increment(Counter::StoreTries);
                 let question = store_call.question(now());
                 let request = wire::Request::Store(wire::encode(&question).into());
                 let other_zone = card.zone != registry.daemon.settings.zone;
                 let links = &registry.daemon.links;
                 let limit = crate::store_client::TRY_LIMIT;
-                let tell = match links.call(card.sibling_address, &request, limit, other_zone).await
+                let tell = match links.call(card.cluster_address, &request, limit, other_zone).await
                 {
                     Ok(wire::Reply::Store(bytes)) => wire::decode(&bytes),
                     _ => None,
@@ -154,13 +155,13 @@
         let other_zone = card.zone != registry.daemon.settings.zone;
         tokio::spawn(async move {
             let limit = crate::store_client::TRY_LIMIT;
-            let _ = links.call(card.sibling_address, &request, limit, other_zone).await;
+            let _ = links.call(card.cluster_address, &request, limit, other_zone).await;
         });
     }
 }
 
 async fn read(registry: &Registry, question: Ask) -> Result<Outcome, Receipt> {
-    registry.tally.one(Counter::Reads);
+    registry.tally.increment(Counter::Reads);
     match run(registry, question).await {
         Outcome::NothingDone { why } => {
             let value = jzon::object! { "error": why };
@@ -220,7 +221,7 @@
             },
         ),
         Outcome::Conflict { revision, setup_revision } => {
-            registry.tally.one(Counter::SetupsConflicting);
+            registry.tally.increment(Counter::SetupsConflicting);
             (
                 StatusCode::PRECONDITION_FAILED,
                 jzon::object! {
@@ -240,7 +241,7 @@
             },
         ),
         Outcome::VersionTaken { version, held } => {
-            registry.tally.one(Counter::SetupsConflicting);
+            registry.tally.increment(Counter::SetupsConflicting);
             (
                 StatusCode::CONFLICT,
                 jzon::object! {
@@ -252,14 +253,14 @@
             )
         }
         Outcome::Unknown => {
-            registry.tally.one(Counter::WritesUnknown);
+            registry.tally.increment(Counter::WritesUnknown);
             (
                 StatusCode::GATEWAY_TIMEOUT,
                 jzon::object! { "outcome": "unknown", "lookUp": look_up.as_str() },
             )
         }
         Outcome::NothingDone { why } => {
-            registry.tally.one(Counter::WritesNothingDone);
+            registry.tally.increment(Counter::WritesNothingDone);
             let value = jzon::object! { "outcome": "nothing-done", "why": why };
             return come_back(StatusCode::SERVICE_UNAVAILABLE, &value, 2);
         }
@@ -296,7 +297,7 @@
     let bytes = match body.collect().await {
         Ok(collected) => collected.to_bytes(),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => {
-            registry.tally.one(Counter::SetupsRefusedInvalid);
+            registry.tally.increment(Counter::SetupsRefusedInvalid);
             let path = vanepath_config::ValidationError {
                 path: "$".to_string(),
                 message: format!("larger than {most} bytes"),
@@ -308,14 +309,14 @@
     let version = match registry.daemon.settings.wire_format.setup(&bytes) {
         Ok(setup) => setup.version,
         Err(faults) => {
-            registry.tally.one(Counter::SetupsRefusedInvalid);
+            registry.tally.increment(Counter::SetupsRefusedInvalid);
             return refused(StatusCode::UNPROCESSABLE_ENTITY, &faults);
         }
     };
     let change = Change::Setup { bytes: bytes.to_vec(), if_revision, version };
     let outcome = write(registry, &key, change, came).await;
     if let Outcome::Accepted { revision, repeat: false, .. } = outcome {
-        registry.tally.one(Counter::SetupsAccepted);
+        registry.tally.increment(Counter::SetupsAccepted);
         log::info!("setup accepted as revision {revision}");
     }
     told(registry, &key.text, outcome)
@@ -335,14 +336,14 @@
     view.live.iter().any(|(card, _)| card.zone == zone)
         || view.platform.servers.iter().any(|server| server.zone == zone)
         || view.setup.zones.iter().any(|place| place.name == zone)
-        || view.word.emptied.contains(zone)
+        || view.word.drained_zones.contains(zone)
         || registry.daemon.settings.zone_regions.contains_key(zone)
 }
 
 /// It has heard long enough, or is so much alone that waiting longer helps nobody.
 fn is_settled(registry: &Registry) -> bool {
     let view = registry.daemon.table.load();
-    let own = view.live.first().is_some_and(|(_, report)| report.settled);
+    let own = view.live.first().is_some_and(|(_, report)| report.synced);
     own || view.is_alone || registry.daemon.clock.now() > SETTLES_WITHIN
 }
 
@@ -367,7 +368,7 @@
         }
         tokio::time::sleep(std::time::Duration::from_millis(50)).await;
     }
-    registry.tally.one(Counter::ZoneChanges);
+    registry.tally.increment(Counter::ZoneChanges);
     let outcome = write(registry, &key, change, came).await;
     told(registry, &key.text, outcome)
 }
@@ -507,9 +508,9 @@
                 "zone": card.zone.as_str(),
                 "address": card.address.to_string(),
                 "ready": report.ready,
-                "leaving": report.leaving,
+                "leaving": report.draining,
                 "revision": report.revision,
-                "seat": report.disk.and_then(|disk| disk.seat),
+                "seat": report.disk.and_then(|disk| disk.slot),
             }
         })
         .collect();
@@ -542,7 +543,7 @@
     let servers: Vec<jzon::JsonValue> =
         view.platform.servers.iter().map(|server| server_status(&view, &sources, server)).collect();
     let emptied: Vec<jzon::JsonValue> =
-        view.word.emptied.iter().map(|zone| zone.as_str().into()).collect();
+        view.word.drained_zones.iter().map(|zone| zone.as_str().into()).collect();
     let in_force = view
         .live
         .iter()
@@ -551,7 +552,7 @@
         })
         .count();
     let is_behind =
-        |card: &wire::Card, now: u64| view.floors.get(&card.name).is_some_and(|one| now < *one);
+        |card: &wire::NodeInfo, now: u64| view.floors.get(&card.name).is_some_and(|one| now < *one);
     let behind: Vec<jzon::JsonValue> = view
         .live
         .iter()
@@ -562,14 +563,14 @@
     let value = jzon::object! {
         "name": daemon.settings.name.as_str(),
         "revision": view.word.revision,
-        "setupRevision": view.word.setup_revision,
+        "setupRevision": view.word.config_revision,
         "inForceEverywhere": in_force == view.live.len(),
         "behindFloor": behind,
         "floor": view.show_floor(),
         "emptied": emptied,
-        "orders": orders_as_json(&view.word.emptied, &view.word.further_orders),
+        "orders": orders_as_json(&view.word.drained_zones, &view.word.extra_drain_orders),
         "epoch": view.plan.epoch,
-        "holder": view.plan.holder.as_str(),
+        "holder": view.plan.leader.as_str(),
         "platform": jzon::object! { "revision": view.platform.revision, "state": platform },
         "daemons": daemons,
         "lost": lost,
@@ -599,17 +600,17 @@
         view.live.iter().any(|(card, _)| card.name == source.card.name)
     };
     for source in sources.iter().filter(is_live) {
-        for sight in source.detail.sights.iter().filter(|sight| sight.server == server.id) {
+        for sight in source.detail.servers.iter().filter(|sight| sight.server == server.id) {
             // The order of the proxy's phases (design 8.6).
             let names = ["unknown", "cold", "ramping", "live", "suspect"];
             let name = names.get(usize::from(sight.phase)).copied().unwrap_or("unknown");
             *phases.entry(name).or_default() += 1;
-            demand_milli = demand_milli.max(sight.demand_milli);
+            demand_milli = demand_milli.max(sight.load_milli);
         }
     }
     let why = if server.draining {
         "no work: the platform says that it is leaving".to_string()
-    } else if view.word.emptied.contains(&server.zone) {
+    } else if view.word.drained_zones.contains(&server.zone) {
         "no work: its zone is emptied".to_string()
     } else if services.is_empty() {
         "no work: no service selects it".to_string()
--- a/registry/src/leader.rs
+++ b/registry/src/leader.rs
@@ -18,7 +18,8 @@
 /// Whether this registry hears from more than half of all that there are, itself counted: one that
 /// does not may be cut off, and others are asked first (design 5.3).
 pub fn is_whole(view: &View) -> bool {
-    let is_registry = |one: &&(wire::Card, wire::Report)| one.0.role == wire::Role::Registry;
+    let is_registry =
+        |one: &&(wire::NodeInfo, wire::NodeStatus)| one.0.role == wire::Role::Registry;
     let live = view.live.iter().filter(is_registry).count();
     let lost = view.lost.iter().filter(is_registry).count();
     2 * live > live + lost
@@ -36,14 +37,19 @@
 
 /// The next plan if this daemon has the duty and something changed. `may_move`: enough time went
 /// by since the last step for its effect to show (a receipt's TTL and the way of the news).
-pub fn next(view: &View, own: &str, sources: &[Source], may_move: bool) -> Option<wire::Plan> {
+pub fn next(
+    view: &View,
+    own: &str,
+    sources: &[Source],
+    may_move: bool,
+) -> Option<wire::TrafficShiftPlan> {
     let holder = view.holder(wire::Role::Registry)?;
     // The last plan stays while this registry has not heard what all proxies see.
     if holder.name != own || !view.is_fresh || !view.knows_details {
         return None;
     }
     let before = &view.plan;
-    let is_mine = before.holder == own;
+    let is_mine = before.leader == own;
     // The last word of a proxy that is dead is no news of servers.
     let live: std::collections::HashSet<&str> =
         view.live.iter().map(|(card, _)| card.name.as_str()).collect();
@@ -54,23 +60,23 @@
         .filter(is_live)
         .collect();
     let Absent { cold, away } = absent(&proxies);
-    let moved = if may_move { moved(view, &proxies) } else { before.moved.clone() };
+    let moved = if may_move { moved(view, &proxies) } else { before.shifted.clone() };
     let is_same = is_mine
-        && before.moved == moved
-        && before.revision == view.word.setup_revision
-        && before.cold.keys().eq(cold.keys())
-        && before.away == away;
+        && before.shifted == moved
+        && before.revision == view.word.config_revision
+        && before.warming_up.keys().eq(cold.keys())
+        && before.unreachable == away;
     if is_same {
         return None;
     }
-    Some(wire::Plan {
+    Some(wire::TrafficShiftPlan {
         epoch: if is_mine { before.epoch } else { before.epoch + 1 },
         counter: if is_mine { before.counter + 1 } else { 1 },
-        holder: own.to_string(),
-        revision: view.word.setup_revision,
-        moved,
-        cold,
-        away,
+        leader: own.to_string(),
+        revision: view.word.config_revision,
+        shifted: moved,
+        warming_up: cold,
+        unreachable: away,
     })
 }
 
@@ -96,11 +102,11 @@
     }
     let mut all: std::collections::BTreeMap<&str, Seen> = Default::default();
     for source in proxies {
-        for sight in &source.detail.sights {
+        for sight in &source.detail.servers {
             let seen = all.entry(&sight.server).or_default();
-            seen.steady_ms = seen.steady_ms.max(sight.steady_ms);
+            seen.steady_ms = seen.steady_ms.max(sight.in_contact_ms);
             // The numbers of the proxy's phases: 1 cold, 4 suspect.
-            match (sight.phase, sight.refused) {
+            match (sight.phase, sight.connection_refused) {
                 (1, true) => seen.refused_ages.push(sight.age_ms),
                 (1, false) => seen.ages.push(sight.age_ms),
                 (4, true) => seen.refused_suspects += 1,
@@ -127,11 +133,11 @@
 
 /// The next shares of each service: what the zones' proxies take of it, in parts of a server's work,
 /// and how many servers each zone has for it.
-fn moved(view: &View, proxies: &[&Source]) -> std::collections::BTreeMap<String, wire::Shares> {
+fn moved(view: &View, proxies: &[&Source]) -> std::collections::BTreeMap<String, wire::ZoneShares> {
     let mut moved = std::collections::BTreeMap::new();
     let demand = demand(proxies);
     for (index, service) in view.setup.services.iter().enumerate() {
-        let before = view.plan.moved.get(&service.name).cloned().unwrap_or_default();
+        let before = view.plan.shifted.get(&service.name).cloned().unwrap_or_default();
         let shares = crate::traffic_shift::next(&zones(view, proxies, &demand, index), &before);
         if !shares.is_empty() {
             moved.insert(service.name.clone(), shares);
@@ -147,9 +153,9 @@
 fn demand<'s>(proxies: &[&'s Source]) -> Demand<'s> {
     let mut demand = Demand::new();
     for source in proxies {
-        for sight in &source.detail.sights {
+        for sight in &source.detail.servers {
             let (sum, count) = demand.entry(&sight.server).or_default();
-            *sum += sight.demand_milli.min(DEMAND_MOST);
+            *sum += sight.load_milli.min(DEMAND_MOST);
             *count += 1;
         }
     }
@@ -169,9 +175,9 @@
         let zone = zones.entry(source.card.zone.clone()).or_default();
         zone.region = source.card.region.clone();
         zone.is_place |= source.report.ready
-            && !source.report.leaving
-            && !view.word.emptied.contains(&source.card.zone);
-        let own = source.detail.taken.get(&view.setup.services[service].name);
+            && !source.report.draining
+            && !view.word.drained_zones.contains(&source.card.zone);
+        let own = source.detail.request_rates.get(&view.setup.services[service].name);
         zone.taken += f64::from(own.copied().unwrap_or(0));
         taken += f64::from(own.copied().unwrap_or(0));
     }
@@ -180,8 +186,8 @@
     let mut silent = 0.0;
     for server in &view.platform.servers {
         let is_there = !server.draining
-            && !view.plan.away.contains(&server.id)
-            && !view.word.emptied.contains(&server.zone)
+            && !view.plan.unreachable.contains(&server.id)
+            && !view.word.drained_zones.contains(&server.zone)
             && view.setup.services[service].selector.matches(server, none);
         if !is_there {
             continue;
--- a/registry/src/leader/tests.rs
+++ b/registry/src/leader/tests.rs
@@ -5,41 +5,57 @@
 use vanepath_cluster::node::View;
 use vanepath_cluster::wire;
 
-fn card(name: &str, role: wire::Role, zone: &str, port: u16) -> wire::Card {
+fn card(name: &str, role: wire::Role, zone: &str, port: u16) -> wire::NodeInfo {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], port));
-    wire::Card {
+    wire::NodeInfo {
         name: name.to_string(),
         role,
         region: zone[..1].to_string(),
         zone: zone.to_string(),
         address,
-        sibling_address: address,
+        cluster_address: address,
     }
 }
 
-fn sight(server: &str, phase: u8, steady_ms: u32, demand_milli: u32, refused: bool) -> wire::Sight {
+fn sight(
+    server: &str,
+    phase: u8,
+    steady_ms: u32,
+    demand_milli: u32,
+    refused: bool,
+) -> wire::ServerObservation {
     let server = server.to_string();
-    wire::Sight { server, phase, age_ms: 500, steady_ms, demand_milli, refused }
+    wire::ServerObservation {
+        server,
+        phase,
+        age_ms: 500,
+        in_contact_ms: steady_ms,
+        load_milli: demand_milli,
+        connection_refused: refused,
+    }
 }
 
 /// A registry that heard these sights from its proxies.
-fn heard(sights: &[(&str, &str, Vec<wire::Sight>)]) -> (News, View) {
+fn heard(sights: &[(&str, &str, Vec<wire::ServerObservation>)]) -> (News, View) {
     let now = Duration::from_secs(100);
     let mut news = News::new(card("r0", wire::Role::Registry, "a1", 1), vec![], 1, now);
-    news.step(now, Event::Report(wire::Report { settled: true, ..Default::default() }));
+    news.step(now, Event::Report(wire::NodeStatus { synced: true, ..Default::default() }));
     let mut deltas = Vec::new();
     for (index, (name, zone, sights)) in sights.iter().enumerate() {
-        deltas.push(wire::Delta {
+        deltas.push(wire::NodeDelta {
             name: name.to_string(),
-            mark: wire::Mark { life: 5, counter: 1, edition: 1, detail: 1 },
+            version: wire::NodeVersion { incarnation: 5, counter: 1, status_version: 1, detail: 1 },
             age_ms: 0,
             card: Some(card(name, wire::Role::Proxy, zone, 10 + index as u16)),
-            report: Some(wire::Report { ready: true, ..wire::Report::default() }),
-            detail: Some(wire::Detail { sights: sights.clone(), ..wire::Detail::default() }),
+            report: Some(wire::NodeStatus { ready: true, ..wire::NodeStatus::default() }),
+            detail: Some(wire::ProxyObservations {
+                servers: sights.clone(),
+                ..wire::ProxyObservations::default()
+            }),
         });
     }
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
-    let told = wire::News { deltas, ..wire::News::default() };
+    let told = wire::PullResponse { nodes: deltas, ..wire::PullResponse::default() };
     news.step(now, Event::Told { address, news: Some(Box::new(told)) });
     let setup = vanepath_config::model::parse(
         br#"{"classes": [{"name": "c", "urgency": 1, "kind": "repeatable"}],
@@ -57,7 +73,10 @@
     (news, view)
 }
 
-fn plan(sights: &[(&str, &str, Vec<wire::Sight>)], before: wire::Plan) -> Option<wire::Plan> {
+fn plan(
+    sights: &[(&str, &str, Vec<wire::ServerObservation>)],
+    before: wire::TrafficShiftPlan,
+) -> Option<wire::TrafficShiftPlan> {
     let (news, mut view) = heard(sights);
     view.plan = Arc::new(before);
     next(&view, "r0", &news.sources, true)
@@ -65,9 +84,9 @@
 
 #[test]
 fn refusals_are_proof_and_silence_needs_two_and_nobody_in_touch() {
-    let away = |sights: &[(&str, &str, Vec<wire::Sight>)]| -> (bool, bool) {
-        let plan = plan(sights, wire::Plan::default()).unwrap();
-        (plan.away.contains("s1"), plan.cold.contains_key("s1"))
+    let away = |sights: &[(&str, &str, Vec<wire::ServerObservation>)]| -> (bool, bool) {
+        let plan = plan(sights, wire::TrafficShiftPlan::default()).unwrap();
+        (plan.unreachable.contains("s1"), plan.warming_up.contains_key("s1"))
     };
     let suspect = || vec![sight("s1", 4, 0, 0, false)];
     let cold = || vec![sight("s1", 1, 300, 0, false)];
@@ -87,7 +106,7 @@
 /// come back. Demand that is not told, or not to be believed, moves nobody or few.
 #[test]
 fn callers_move_away_from_a_busy_zone_and_come_back() {
-    let mut last = wire::Plan::default();
+    let mut last = wire::TrafficShiftPlan::default();
     let mut shown = String::new();
     // What the zones' proxies take a second, and what their servers tell.
     for (taken, told) in [
@@ -107,13 +126,13 @@
         let sights = [("p0", "a1", sight(0, "s1")), ("p1", "b1", sight(1, "s2"))];
         let (mut news, mut view) = heard(&sights);
         for (source, count) in news.sources.iter_mut().zip(taken) {
-            source.detail.taken = [("s".to_string(), count * 1000)].into();
+            source.detail.request_rates = [("s".to_string(), count * 1000)].into();
         }
         view.plan = Arc::new(last.clone());
         if let Some(plan) = next(&view, "r0", &news.sources, true) {
             last = plan;
         }
-        shown += &format!("{taken:?} {told:?}: {:?}\n", last.moved.get("s"));
+        shown += &format!("{taken:?} {told:?}: {:?}\n", last.shifted.get("s"));
     }
     expect_test::expect![[r#"
         [10, 10] [500, 500]: None
@@ -136,15 +155,16 @@
     let sights = [("p0", "a1", vec![])];
     // One that would come first and has not settled yet leaves the duty where it is.
     let (news, mut view) = heard(&sights);
-    let mut early = (card("a0", wire::Role::Registry, "a1", 77), wire::Report::default());
+    let mut early = (card("a0", wire::Role::Registry, "a1", 77), wire::NodeStatus::default());
     view.live.push(early.clone());
     assert!(next(&view, "r0", &news.sources, true).is_some());
-    early.1.settled = true;
+    early.1.synced = true;
     *view.live.last_mut().unwrap() = early;
     assert!(next(&view, "r0", &news.sources, true).is_none());
-    let other = wire::Plan { epoch: 7, counter: 3, holder: "r9".into(), ..Default::default() };
+    let other =
+        wire::TrafficShiftPlan { epoch: 7, counter: 3, leader: "r9".into(), ..Default::default() };
     let taken = plan(&sights, other).unwrap();
-    assert_eq!((taken.epoch, taken.counter, taken.holder.as_str()), (8, 1, "r0"));
+    assert_eq!((taken.epoch, taken.counter, taken.leader.as_str()), (8, 1, "r0"));
     assert_eq!(plan(&sights, taken), None, "nothing new, nothing told");
     let mut tenure = Tenure::default();
     let second = Duration::from_secs;
--- a/registry/src/list_poller.rs
+++ b/registry/src/list_poller.rs
@@ -52,7 +52,7 @@
 
 pub async fn run(
     daemon: Arc<node::Daemon>,
-    tally: Arc<crate::shell::Tally>,
+    tally: Arc<crate::shell::Counters>,
     state: Arc<std::sync::Mutex<State>>,
 ) {
     let url = daemon.settings.endpoint_list_url.clone().expect("checked with the settings");
@@ -78,7 +78,7 @@
             continue;
         }
         tried_at = Some(began_at);
-        tally.one(Counter::PlatformReads);
+        tally.increment(Counter::PlatformReads);
         let source = Source { address, path: &path, dialect, zones: &daemon.settings.zone_regions };
         let read = tokio::time::timeout(READ_MOST, source.read(&mut sender, etag.as_ref()));
         let outcome = read.await.unwrap_or(Err(State::Unreachable));
@@ -103,7 +103,7 @@
                 let list = match reader.read(daemon.clock.now(), &view, servers) {
                     Some(Effect::Tell { list, .. }) => Some(list),
                     Some(Effect::Overtaken) => {
-                        tally.one(Counter::PlatformReadsOvertaken);
+                        tally.increment(Counter::PlatformReadsOvertaken);
                         None
                     }
                     _ => None,
@@ -113,14 +113,14 @@
         };
         if let Some(list) = list {
             if list.revision > view.platform.revision {
-                tally.one(Counter::PlatformChanges);
+                tally.increment(Counter::PlatformChanges);
                 note(&list, daemon.clock.now().saturating_sub(began_at));
             }
             let event = gossip::Event::ListRead { list, began_at };
             let _ = daemon.news.send(node::Tell(event)).await;
         }
         if found != State::Good {
-            tally.one(Counter::PlatformReadsBad);
+            tally.increment(Counter::PlatformReadsBad);
             etag = None;
         }
         let mut state = state.lock().expect("no panic under this lock");
--- a/registry/src/list_sequencer.rs
+++ b/registry/src/list_sequencer.rs
@@ -121,7 +121,7 @@
     /// The place among the live registries, in the order of their names.
     fn rank(&self, view: &View) -> usize {
         let registries = view.live.iter().filter(|(card, report)| {
-            card.role == Role::Registry && !report.leaving && card.name < self.name
+            card.role == Role::Registry && !report.draining && card.name < self.name
         });
         registries.count()
     }
--- a/registry/src/list_sequencer/tests.rs
+++ b/registry/src/list_sequencer/tests.rs
@@ -30,15 +30,15 @@
     let address = "127.0.0.1:9".parse().unwrap();
     let live = registries.iter().map(|(name, leaving)| {
         let role = if name.starts_with('p') { wire::Role::Proxy } else { wire::Role::Registry };
-        let card = wire::Card {
+        let card = wire::NodeInfo {
             name: name.to_string(),
             role,
             region: "a".to_string(),
             zone: "a1".to_string(),
             address,
-            sibling_address: address,
+            cluster_address: address,
         };
-        (card, wire::Report { leaving: *leaving, ..wire::Report::default() })
+        (card, wire::NodeStatus { draining: *leaving, ..wire::NodeStatus::default() })
     });
     View { live: live.collect(), ..Default::default() }
 }
--- a/registry/src/shell.rs
+++ b/registry/src/shell.rs
@@ -29,11 +29,11 @@
     }
 }
 
-pub type Tally = vanepath_cluster::counters::Tally<Counter>;
+pub type Counters = vanepath_cluster::counters::Counters<Counter>;
 
 pub struct Registry {
     pub daemon: Arc<node::Daemon>,
-    pub tally: Arc<Tally>,
+    pub tally: Arc<Counters>,
     pub platform: Arc<std::sync::Mutex<crate::list_poller::State>>,
     pub is_ready: std::sync::atomic::AtomicBool,
 }
@@ -50,7 +50,7 @@
     let listener = node::bind("listen", settings.listen).await?;
     let grace = settings.shutdown_grace;
     let daemon = node::Daemon::start(settings, None).await?;
-    let tally: Arc<Tally> = Arc::default();
+    let tally: Arc<Counters> = Arc::default();
     let platform = Arc::new(std::sync::Mutex::new(crate::list_poller::State::NotYetRead));
     let registry = Arc::new(Registry {
         daemon: daemon.clone(),
@@ -124,13 +124,13 @@
             log::info!("{}", if ready { "ready" } else { "not ready" });
         }
         let may_hold = self.tenure.may_hold(daemon.clock.now(), view.is_fresh);
-        let report = wire::Report {
+        let report = wire::NodeStatus {
             ready,
-            leaving: daemon.is_stopping(),
+            draining: daemon.is_stopping(),
             revision: view.word.revision,
-            settled: may_hold,
-            whole: crate::leader::is_whole(&view),
-            ..wire::Report::default()
+            synced: may_hold,
+            hears_majority: crate::leader::is_whole(&view),
+            ..wire::NodeStatus::default()
         };
         daemon.report(report).await;
         if !may_hold
@@ -157,7 +157,7 @@
             if plan.epoch != view.plan.epoch {
                 log::info!("has the duty of shares from epoch {} on", plan.epoch);
             }
-            self.registry.tally.one(Counter::PlansMade);
+            self.registry.tally.increment(Counter::PlansMade);
             let _ = daemon.news.send(node::Tell(gossip::Event::Plan(Arc::new(plan)))).await;
         }
     }
--- a/registry/src/steering.rs
+++ b/registry/src/steering.rs
@@ -91,8 +91,8 @@
     for ((card, report), is_lost) in live.chain(lost) {
         let is_fit = card.role == Role::Proxy
             && report.ready
-            && !report.leaving
-            && !view.word.emptied.contains(&card.zone);
+            && !report.draining
+            && !view.word.drained_zones.contains(&card.zone);
         if !is_fit {
             continue;
         }
@@ -195,7 +195,7 @@
     let Some(first) = steps.first() else { return };
     let zone = &places[first.place].zone;
     let service = &view.setup.services[view.setup.rules[rule].service].name;
-    let Some(to) = view.plan.moved.get(service).and_then(|moved| moved.get(zone)) else { return };
+    let Some(to) = view.plan.shifted.get(service).and_then(|moved| moved.get(zone)) else { return };
     let moved: u32 = to.values().sum();
     let turn = vanepath_config::stable_hash(&["move", zone, &caller.bucket.to_string()]) % 1000;
     if turn >= u64::from(moved) {
@@ -275,7 +275,7 @@
     let directories: Vec<jzon::JsonValue> = view
         .live
         .iter()
-        .filter(|(card, report)| card.role == Role::Registry && report.ready && !report.leaving)
+        .filter(|(card, report)| card.role == Role::Registry && report.ready && !report.draining)
         .map(|(card, _)| card.address.to_string().into())
         .collect();
     jzon::object! {
--- a/registry/src/steering/tests.rs
+++ b/registry/src/steering/tests.rs
@@ -14,15 +14,15 @@
     let mut live = Vec::new();
     for (index, zone) in ["a1", "a1", "a2", "b1", "b2", "c1"].iter().enumerate() {
         let address = format!("127.0.0.1:{}", 8000 + index).parse().unwrap();
-        let card = wire::Card {
+        let card = wire::NodeInfo {
             name: format!("p{index}"),
             role: wire::Role::Proxy,
             region: zone[..1].to_string(),
             zone: zone.to_string(),
             address,
-            sibling_address: address,
+            cluster_address: address,
         };
-        live.push((card, wire::Report { ready: true, ..wire::Report::default() }));
+        live.push((card, wire::NodeStatus { ready: true, ..wire::NodeStatus::default() }));
     }
     View {
         setup: Arc::new(vanepath_config::model::parse(setup.as_bytes()).unwrap()),
@@ -44,14 +44,17 @@
     let mut open = view(r#"{"name": "r", "class": "c", "service": "s"}"#);
     assert!(zones(&open, 3).starts_with("a2 a1 "), "{}", zones(&open, 3));
     assert_eq!(zones(&open, 3).split(' ').count(), 5);
-    let word = wire::Word { emptied: ["a2".to_string()].into(), ..wire::Word::default() };
+    let word = wire::CommittedConfig {
+        drained_zones: ["a2".to_string()].into(),
+        ..wire::CommittedConfig::default()
+    };
     open.word = Arc::new(word);
     assert!(zones(&open, 3).starts_with("a1 "));
     let bound = view(r#"{"name": "r", "class": "c", "service": "s", "regions": ["a", "c"]}"#);
     assert_eq!(zones(&bound, 3), "a2 a1 c1");
     let mut none = bound.clone();
     for (_, report) in &mut none.live {
-        report.leaving = true;
+        report.draining = true;
     }
     assert_eq!(zones(&none, 3), "", "nothing within bounds is left: nothing else either");
     // What is not heard of any more comes last, and never out of bounds.
@@ -138,11 +141,14 @@
     show("from nowhere", told(&all, true, "name=x"));
     show("from an unknown place", told(&all, true, "region=z&zone=z9"));
     let mut fewer = all.clone();
-    fewer.live[0].1.leaving = true;
+    fewer.live[0].1.draining = true;
     fewer.live[1].1.ready = false;
     show("two of a gone", told(&fewer, true, "region=a&zone=a1"));
     let mut emptied = all.clone();
-    let word = wire::Word { emptied: ["a1".to_string()].into(), ..wire::Word::default() };
+    let word = wire::CommittedConfig {
+        drained_zones: ["a1".to_string()].into(),
+        ..wire::CommittedConfig::default()
+    };
     emptied.word = Arc::new(word);
     show("a1 emptied", told(&emptied, true, "region=a&zone=a1"));
     let mut lost = all.clone();
--- a/registry/src/store_client.rs
+++ b/registry/src/store_client.rs
@@ -15,7 +15,7 @@
 
 #[derive(Debug)]
 pub enum Step {
-    Ask(Box<wire::Card>),
+    Ask(Box<wire::NodeInfo>),
     Pause(Duration),
     End(Outcome),
 }
@@ -24,7 +24,7 @@
     question: Ask,
     begun_at: Duration,
     until: Duration,
-    round: Vec<wire::Card>,
+    round: Vec<wire::NodeInfo>,
     /// Stores that were silent when this call asked them: asked again only after all others.
     silent: Vec<String>,
     asked: String,
@@ -77,7 +77,7 @@
     }
 
     /// `stores`: those that are live and vote, in the agreed order.
-    pub fn next(&mut self, now: Duration, stores: Vec<wire::Card>) -> Step {
+    pub fn next(&mut self, now: Duration, stores: Vec<wire::NodeInfo>) -> Step {
         self.round.retain(|card| stores.iter().any(|one| one.name == card.name));
         if let Some(card) = self.round.pop() {
             if now < self.until {
@@ -119,13 +119,13 @@
 }
 
 /// Live stores that vote, in the order of the table of seats: the first of them proposes.
-pub fn stores(view: &vanepath_cluster::node::View) -> Vec<wire::Card> {
-    let is_there = |report: &wire::Report| report.ready && !report.leaving;
-    let mut stores: Vec<(Option<u8>, &wire::Card)> = view
+pub fn stores(view: &vanepath_cluster::node::View) -> Vec<wire::NodeInfo> {
+    let is_there = |report: &wire::NodeStatus| report.ready && !report.draining;
+    let mut stores: Vec<(Option<u8>, &wire::NodeInfo)> = view
         .live
         .iter()
         .filter(|(card, report)| card.role == wire::Role::Store && is_there(report))
-        .map(|(card, report)| (report.disk.and_then(|disk| disk.seat), card))
+        .map(|(card, report)| (report.disk.and_then(|disk| disk.slot), card))
         .collect();
     stores.sort_by_key(|(seat, _)| *seat);
     stores.into_iter().map(|(_, card)| card.clone()).collect()
--- a/registry/src/store_client/tests.rs
+++ b/registry/src/store_client/tests.rs
@@ -3,15 +3,15 @@
 use vanepath_cluster::wire;
 use vanepath_store::protocol::{Ask, Change, Outcome, Tell};
 
-fn store(number: u8) -> wire::Card {
+fn store(number: u8) -> wire::NodeInfo {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 7000 + u16::from(number)));
-    wire::Card {
+    wire::NodeInfo {
         name: format!("store-{number}"),
         role: wire::Role::Store,
         region: "a".to_string(),
         zone: "a1".to_string(),
         address,
-        sibling_address: address,
+        cluster_address: address,
     }
 }
 
--- a/registry/src/traffic_shift.rs
+++ b/registry/src/traffic_shift.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-pub use vanepath_cluster::wire::Shares;
+pub use vanepath_cluster::wire::ZoneShares;
 
 /// One zone as a service sees it. Work is reckoned in servers: 1.0 keeps one of them wholly busy.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -31,7 +31,7 @@
 
 /// What each zone's own callers would bring if none were moved: what is taken, less those moved in,
 /// and those moved out added.
-fn homes(zones: &BTreeMap<String, Zone>, before: &Shares) -> BTreeMap<String, f64> {
+fn homes(zones: &BTreeMap<String, Zone>, before: &ZoneShares) -> BTreeMap<String, f64> {
     let share = |from: &str, to: &str| {
         let to = before.get(from).and_then(|to_| to_.get(to));
         f64::from(to.copied().unwrap_or(0)) / 1000.0
@@ -54,8 +54,8 @@
 fn targets(
     zones: &BTreeMap<String, Zone>,
     homes: &BTreeMap<String, f64>,
-    before: &Shares,
-) -> Shares {
+    before: &ZoneShares,
+) -> ZoneShares {
     let mut spare: BTreeMap<&str, f64> = BTreeMap::new();
     let mut excess: Vec<(&str, f64)> = Vec::new();
     for (name, zone) in zones {
@@ -69,7 +69,7 @@
             spare.insert(name, room);
         }
     }
-    let mut targets = Shares::new();
+    let mut targets = ZoneShares::new();
     // The nearest room first for all, and then the rest.
     for is_near in [true, false] {
         for (name, over) in &mut excess {
@@ -100,12 +100,12 @@
 }
 
 /// The next step from the shares before towards what is needed.
-pub fn next(zones: &BTreeMap<String, Zone>, before: &Shares) -> Shares {
+pub fn next(zones: &BTreeMap<String, Zone>, before: &ZoneShares) -> ZoneShares {
     let homes = homes(zones, before);
     let targets = targets(zones, &homes, before);
-    let mut shares = Shares::new();
+    let mut shares = ZoneShares::new();
     for name in zones.keys() {
-        let at = |shares: &Shares, to: &str| {
+        let at = |shares: &ZoneShares, to: &str| {
             shares.get(name).and_then(|all| all.get(to)).copied().unwrap_or(0)
         };
         let mut sum = 0;
--- a/registry/src/traffic_shift/tests.rs
+++ b/registry/src/traffic_shift/tests.rs
@@ -1,4 +1,4 @@
-use super::{Shares, Zone, next};
+use super::{Zone, ZoneShares, next};
 use std::collections::BTreeMap;
 
 /// Six zones in three regions with ten servers each, and what each zone's callers want.
@@ -14,7 +14,7 @@
 }
 
 /// What the zones' proxies take once callers follow the shares.
-fn follow(wants: &BTreeMap<String, Zone>, shares: &Shares) -> BTreeMap<String, Zone> {
+fn follow(wants: &BTreeMap<String, Zone>, shares: &ZoneShares) -> BTreeMap<String, Zone> {
     let mut taken = wants.clone();
     for (from, all) in shares {
         for (to, part) in all {
@@ -26,7 +26,7 @@
     taken
 }
 
-fn shown(shares: &Shares) -> String {
+fn shown(shares: &ZoneShares) -> String {
     let one = |(from, all): (&String, &BTreeMap<String, u32>)| {
         let to: Vec<String> = all.iter().map(|(to, part)| format!("{to} {part}")).collect();
         format!("{from} to {}", to.join(", "))
@@ -36,7 +36,7 @@
 }
 
 /// Steps until nothing changes; the shares then, how many steps, and the most that any moved.
-fn settle(wants: &BTreeMap<String, Zone>, before: &Shares) -> (Shares, usize, u32) {
+fn settle(wants: &BTreeMap<String, Zone>, before: &ZoneShares) -> (ZoneShares, usize, u32) {
     let (mut shares, mut most) = (before.clone(), 0);
     for step in 0..40 {
         let after = next(&follow(wants, &shares), &shares);
@@ -53,7 +53,7 @@
 /// moving more than it ends with, and moves back when the demand is over.
 #[test]
 fn only_what_is_too_much_moves_and_comes_back() {
-    let none = Shares::new();
+    let none = ZoneShares::new();
     let mut lines = String::new();
     for (what, wants) in [
         ("quiet", [4.5; 6]),
@@ -91,7 +91,7 @@
 fn a_lost_zone_is_spread_and_nobody_is_sent_where_no_proxy_is() {
     let mut wants = fleet([6.0; 6]);
     wants.get_mut("a1").unwrap().servers = 0.0;
-    let (shares, ..) = settle(&wants, &Shares::new());
+    let (shares, ..) = settle(&wants, &ZoneShares::new());
     let gone: u32 = shares["a1"].values().sum();
     assert!(gone >= 900, "{}", shown(&shares));
     let after = follow(&wants, &shares);
@@ -105,7 +105,7 @@
 #[test]
 fn late_and_rough_news_does_not_make_it_swing() {
     let wants = fleet([13.5, 4.5, 4.5, 4.5, 4.5, 4.5]);
-    let (mut shares, mut seen, mut seed) = (Shares::new(), wants.clone(), 7_u64);
+    let (mut shares, mut seen, mut seed) = (ZoneShares::new(), wants.clone(), 7_u64);
     let mut totals = Vec::new();
     for _ in 0..40 {
         let now = follow(&wants, &shares);
--- a/registry/tests/world/mod.rs
+++ b/registry/tests/world/mod.rs
@@ -68,8 +68,8 @@
 }
 
 enum Message {
-    Asked { from: usize, pull: Box<wire::Pull> },
-    Told { teller: usize, news: Box<wire::News> },
+    Asked { from: usize, pull: Box<wire::PullRequest> },
+    Told { teller: usize, news: Box<wire::PullResponse> },
 }
 
 /// A pull that is out: when it is given up.
@@ -168,13 +168,13 @@
         for index in 0..plan.registries + plan.proxies {
             let is_registry = index < plan.registries;
             let place = index % 3;
-            let card = wire::Card {
+            let card = wire::NodeInfo {
                 name: format!("{}{index}", if is_registry { "r" } else { "p" }),
                 role: if is_registry { wire::Role::Registry } else { wire::Role::Proxy },
                 region: format!("region-{place}"),
                 zone: format!("zone-{place}"),
                 address: address_of(index),
-                sibling_address: address_of(index),
+                cluster_address: address_of(index),
             };
             let reader = ListReader::new(&card.name, (world.part() * u64::MAX as f64) as u64);
             let news =
@@ -274,7 +274,7 @@
         self.messages.insert((self.now + way + jitter, self.count), (to, message));
     }
 
-    fn pull(&mut self, from: usize, to: usize, pull: wire::Pull) {
+    fn pull(&mut self, from: usize, to: usize, pull: wire::PullRequest) {
         let wait = Duration::from_millis(u64::from(pull.wait_ms) + 1000);
         let number = self.count + 1;
         self.pulling.insert((from, to), Pulling { number, until: self.now + wait });
--- a/store/src/consensus.rs
+++ b/store/src/consensus.rs
@@ -233,7 +233,7 @@
 const QUEUE_MOST: usize = 256;
 /// Changes, and about so many bytes of them, that one round takes together.
 const BATCH_MOST: usize = 64;
-const BATCH_BYTES_MOST: usize = vanepath_cluster::wire::FRAME_MOST / 2;
+const BATCH_BYTES_MOST: usize = vanepath_cluster::wire::MAX_FRAME_BYTES / 2;
 /// How often an empty disk, or one that may have lost its seat, asks for the table.
 const MEMBERSHIP_EVERY: Duration = Duration::from_millis(375);
 /// Behind what others know for so long, a copy asks whether it still has its seat.
@@ -362,11 +362,11 @@
 
 impl Summary {
     /// As the news tell it.
-    pub fn disk(&self) -> vanepath_cluster::wire::Disk {
-        vanepath_cluster::wire::Disk {
+    pub fn disk(&self) -> vanepath_cluster::wire::DiskStatus {
+        vanepath_cluster::wire::DiskStatus {
             incarnation: self.incarnation,
-            founds: self.founds,
-            seat: self.seat.map(|seat| seat as u8),
+            may_bootstrap: self.founds,
+            slot: self.seat.map(|seat| seat as u8),
         }
     }
 }
--- a/store/src/hints.rs
+++ b/store/src/hints.rs
@@ -13,7 +13,7 @@
     pub siblings: BTreeSet<SocketAddr>,
     /// The last plan, for what it says of servers that are away or came back lately. Its ages stand
     /// still while nobody runs, so that a cold server gets its modest rate rather too long.
-    pub plan: wire::Plan,
+    pub plan: wire::TrafficShiftPlan,
 }
 
 /// Files written in any minute at the most, and the pause between two.
@@ -43,12 +43,13 @@
             return None;
         }
         let mut siblings: BTreeSet<SocketAddr> =
-            view.live.iter().skip(1).map(|(card, _)| card.sibling_address).collect();
+            view.live.iter().skip(1).map(|(card, _)| card.cluster_address).collect();
         // Who is not heard of may be back later than this store; he is forgotten in time.
-        siblings.extend(view.lost.iter().map(|(card, _)| card.sibling_address));
+        siblings.extend(view.lost.iter().map(|(card, _)| card.cluster_address));
         let last = &self.kept.plan;
         let is_same_plan = (last.epoch, last.counter) >= (view.plan.epoch, view.plan.counter)
-            || (last.away == view.plan.away && last.cold.keys().eq(view.plan.cold.keys()));
+            || (last.unreachable == view.plan.unreachable
+                && last.warming_up.keys().eq(view.plan.warming_up.keys()));
         // Nobody in sight is no reason to forget where the others were.
         let is_same = siblings.is_empty() || siblings == self.kept.siblings;
         if is_same && is_same_plan {
--- a/store/src/hints/tests.rs
+++ b/store/src/hints/tests.rs
@@ -6,18 +6,22 @@
 fn view(counter: u64, away: &str) -> View {
     let card = |port: u16| {
         let address = std::net::SocketAddr::from(([127, 0, 0, 1], port));
-        wire::Card {
+        wire::NodeInfo {
             name: format!("d{port}"),
             role: wire::Role::Proxy,
             region: "a".to_string(),
             zone: "a1".to_string(),
             address,
-            sibling_address: address,
+            cluster_address: address,
         }
     };
-    let plan =
-        wire::Plan { epoch: 1, counter, away: [away.to_string()].into(), ..Default::default() };
-    let live = (1..4).map(|port| (card(port), wire::Report::default())).collect();
+    let plan = wire::TrafficShiftPlan {
+        epoch: 1,
+        counter,
+        unreachable: [away.to_string()].into(),
+        ..Default::default()
+    };
+    let live = (1..4).map(|port| (card(port), wire::NodeStatus::default())).collect();
     View { live, plan: Arc::new(plan), is_fresh: true, ..View::default() }
 }
 
--- a/store/src/protocol.rs
+++ b/store/src/protocol.rs
@@ -164,14 +164,14 @@
         recent.map(crate::idempotency::Known::of).or_else(|| self.older_keys.find(key))
     }
 
-    pub fn word(&self) -> vanepath_cluster::wire::Word {
-        vanepath_cluster::wire::Word {
+    pub fn word(&self) -> vanepath_cluster::wire::CommittedConfig {
+        vanepath_cluster::wire::CommittedConfig {
             revision: self.revision,
-            setup_revision: self.setup_revision,
-            setup_version: self.setup_version,
-            setup: self.setup.clone(),
-            emptied: self.emptied.clone(),
-            further_orders: self.further_orders.clone(),
+            config_revision: self.setup_revision,
+            config_version: self.setup_version,
+            document: self.setup.clone(),
+            drained_zones: self.emptied.clone(),
+            extra_drain_orders: self.further_orders.clone(),
         }
     }
 }
--- a/store/src/shell.rs
+++ b/store/src/shell.rs
@@ -22,14 +22,14 @@
     }
 }
 
-pub type Tally = vanepath_cluster::counters::Tally<Counter>;
+pub type Counters = vanepath_cluster::counters::Counters<Counter>;
 
 #[derive(xtra::Actor)]
 struct StoreActor {
     core: Register,
     disk: Arc<crate::disk::Disk>,
     daemon: Arc<node::Daemon>,
-    tally: Arc<Tally>,
+    tally: Arc<Counters>,
     summary: Arc<arc_swap::ArcSwap<crate::consensus::Summary>>,
     waiting: std::collections::HashMap<u64, tokio::sync::oneshot::Sender<Tell>>,
     next_ticket: u64,
@@ -71,7 +71,7 @@
     ) -> bool {
         match effect {
             Effect::Save(writes) => {
-                self.tally.one(Counter::StoreSaves);
+                self.tally.increment(Counter::StoreSaves);
                 let disk = self.disk.clone();
                 let saved = tokio::task::spawn_blocking(move || disk.save(&writes)).await;
                 let problem = match saved {
@@ -82,7 +82,7 @@
                     Ok(Err(error)) => error.to_string(),
                     Err(error) => error.to_string(),
                 };
-                self.tally.one(Counter::StoreSavesFailed);
+                self.tally.increment(Counter::StoreSavesFailed);
                 log::error!("cannot save to the data folder: {problem}");
                 events.push_back(Event::DiskFailed);
                 return false;
@@ -93,7 +93,7 @@
                 match reset {
                     Ok(Ok(found)) => events.push_back(Event::Reset(found)),
                     Ok(Err(error)) => {
-                        self.tally.one(Counter::StoreSavesFailed);
+                        self.tally.increment(Counter::StoreSavesFailed);
                         log::error!("cannot save to the data folder: {error}");
                         events.push_back(Event::DiskFailed);
                         return false;
@@ -102,7 +102,7 @@
                 }
             }
             Effect::Call { call, incarnation, ask } => {
-                self.tally.one(Counter::StoreCalls);
+                self.tally.increment(Counter::StoreCalls);
                 let address = self.claims.load().address_of(incarnation, &ask);
                 let own = own.clone();
                 let links = self.daemon.links.clone();
@@ -118,7 +118,7 @@
                         }
                     }
                     if tell.is_none() {
-                        tally.one(Counter::StoreCallsFailed);
+                        tally.increment(Counter::StoreCallsFailed);
                     }
                     let _ = own.send(Happened(Event::Told { call, tell })).await;
                 });
@@ -133,13 +133,13 @@
                 });
                 let Ok((tell, damaged)) = read.await else { return true };
                 if let Some((revision, digest)) = damaged {
-                    self.tally.one(Counter::StoreFilesDamaged);
+                    self.tally.increment(Counter::StoreFilesDamaged);
                     events.push_back(Event::Damaged { revision, digest });
                 }
                 self.answer(ticket, tell);
             }
             Effect::Chosen(value) => {
-                self.tally.one(Counter::StoreVersionsChosen);
+                self.tally.increment(Counter::StoreVersionsChosen);
                 let word = Arc::new(value.word());
                 let _ = self.daemon.news.send(node::Tell(gossip::Event::Word(word))).await;
             }
@@ -185,7 +185,7 @@
         let disk = self.disk.clone();
         match tokio::task::spawn_blocking(move || disk.recover(node::random())).await {
             Ok(Ok(found)) => {
-                self.tally.one(Counter::StoreDisksRecovered);
+                self.tally.increment(Counter::StoreDisksRecovered);
                 self.step(Event::DiskWorks(found), &own).await;
             }
             _ => self.try_disk_later(&own),
@@ -200,7 +200,7 @@
         let Some(own) = context.mailbox().address().try_upgrade() else {
             return;
         };
-        self.tally.one(Counter::StoreAsks);
+        self.tally.increment(Counter::StoreAsks);
         self.next_ticket += 1;
         self.waiting.insert(self.next_ticket, reply);
         self.step(Event::Asked { ticket: self.next_ticket, ask }, &own).await;
@@ -252,7 +252,7 @@
     let daemon = node::Daemon::start(started, Some(handler)).await?;
     let plan = Arc::new(hints.plan.clone());
     let _ = daemon.news.send(node::Tell(gossip::Event::Plan(plan))).await;
-    let tally: Arc<Tally> = Arc::default();
+    let tally: Arc<Counters> = Arc::default();
     let core = Register::new(identity, found, daemon.clock.now());
     let summary = Arc::new(arc_swap::ArcSwap::from_pointee(core.summary()));
     let claims = Arc::new(arc_swap::ArcSwap::from_pointee(Claims::default()));
@@ -287,7 +287,7 @@
                 let tally = hints_tally.clone();
                 // Beside the votes, which wait for no hint.
                 tokio::task::spawn_blocking(move || match disk.save_hints(&hints) {
-                    Ok(()) => tally.one(Counter::StoreHintsSaved),
+                    Ok(()) => tally.increment(Counter::StoreHintsSaved),
                     Err(error) => log::warn!("cannot save hints to the data folder: {error}"),
                 });
             }
@@ -301,14 +301,14 @@
                 }
             }
             let summary = pulse_summary.load();
-            let report = wire::Report {
+            let report = wire::NodeStatus {
                 ready: summary.votes,
-                leaving: pulse_daemon.is_stopping(),
+                draining: pulse_daemon.is_stopping(),
                 revision: view.word.revision,
-                blank: summary.blank,
-                settled: summary.settled,
+                empty_disk: summary.blank,
+                synced: summary.settled,
                 disk: Some(summary.disk()),
-                ..wire::Report::default()
+                ..wire::NodeStatus::default()
             };
             pulse_daemon.report(report).await;
         }
@@ -342,16 +342,16 @@
         let mut claims = Claims::default();
         for (card, report) in &view.live {
             let Some(disk) = report.disk else { continue };
-            claims.addresses.insert(disk.incarnation, card.sibling_address);
+            claims.addresses.insert(disk.incarnation, card.cluster_address);
             claims.live.push(crate::consensus::Claim {
                 name: card.name.clone(),
                 incarnation: disk.incarnation,
-                blank: report.blank,
-                founds: report.blank && disk.founds,
+                blank: report.empty_disk,
+                founds: report.empty_disk && disk.may_bootstrap,
             });
         }
         let lost = view.lost.iter().filter_map(|(card, report)| Some((card, report.disk?)));
-        claims.lost = lost.map(|(card, disk)| (disk.incarnation, card.sibling_address)).collect();
+        claims.lost = lost.map(|(card, disk)| (disk.incarnation, card.cluster_address)).collect();
         claims
     }
 
@@ -365,12 +365,12 @@
 fn answer_http(
     daemon: &node::Daemon,
     summary: &crate::consensus::Summary,
-    tally: &Tally,
+    tally: &Counters,
     request: &hyper::Request<hyper::body::Incoming>,
 ) -> hyper::Response<node::Body> {
     let path = request.uri().path();
     let ready = summary.votes && !daemon.is_stopping();
-    if let Some(receipt) = node::common(daemon, path, ready, |all| tally.show(all)) {
+    if let Some(receipt) = node::common(daemon, path, ready, |all| tally.write_json(all)) {
         return receipt;
     }
     if path != "/v1/status" {
--- a/store/tests/register.rs
+++ b/store/tests/register.rs
@@ -726,7 +726,7 @@
     assert_eq!(accepted(versioned(&mut fleet, "k9", "nine", Some(9))), (4, false));
     let value = fleet.value(1);
     assert_eq!((&value.setup[..], value.setup_version), (&b"nine"[..], 9));
-    assert_eq!(value.word().setup_version, 9);
+    assert_eq!(value.word().config_version, 9);
     assert!(value.emptied.contains("a1"));
     // Without a version as ever; an old version is not brought back by it.
     assert_eq!(accepted(versioned(&mut fleet, "k", "by hand", None)), (5, false));
@@ -1048,7 +1048,7 @@
 fn a_zone_is_emptied_until_every_order_is_withdrawn() {
     let mut fleet = Fleet::of(3);
     fleet.passes(Duration::from_secs(2));
-    let is_emptied = |fleet: &Fleet| fleet.value(1).word().emptied.contains("a1");
+    let is_emptied = |fleet: &Fleet| fleet.value(1).word().drained_zones.contains("a1");
     for (change, orders) in [
         (empty(), 1),
         (empty(), 2),
--- a/store/tests/stored_data.rs
+++ b/store/tests/stored_data.rs
@@ -225,15 +225,15 @@
     let plan = &hints.plan;
     let mut text = format!("siblings {:?}\n", hints.siblings);
     let _ =
-        writeln!(text, "plan {} {} {} {}", plan.epoch, plan.counter, plan.holder, plan.revision);
-    let _ = writeln!(text, "moved {:?}", plan.moved);
+        writeln!(text, "plan {} {} {} {}", plan.epoch, plan.counter, plan.leader, plan.revision);
+    let _ = writeln!(text, "moved {:?}", plan.shifted);
     let cold: Vec<String> = plan
-        .cold
+        .warming_up
         .iter()
         .map(|(server, (age_ms, refused))| format!("{server} {age_ms} {refused}"))
         .collect();
     let _ = writeln!(text, "cold {cold:?}");
-    let _ = writeln!(text, "away {:?}", plan.away);
+    let _ = writeln!(text, "away {:?}", plan.unreachable);
     expect_test::expect_file!["fixtures/hints.txt"].assert_eq(&text);
     let was = files(&folder, "hints.cbor");
     std::fs::remove_file(folder.join("hints.cbor")).unwrap();
--- a/testbed/src/scale/cores.rs
+++ b/testbed/src/scale/cores.rs
@@ -29,21 +29,28 @@
     let mut news = News::new(cards[0].clone(), Vec::new(), 1, now);
     news.step(
         now,
-        Event::Report(wire::Report { ready: true, settled: true, ..wire::Report::default() }),
+        Event::Report(wire::NodeStatus {
+            ready: true,
+            synced: true,
+            ..wire::NodeStatus::default()
+        }),
     );
     let others = cards.iter().enumerate().skip(1);
-    let deltas = others.map(|(index, card)| wire::Delta {
+    let deltas = others.map(|(index, card)| wire::NodeDelta {
         name: card.name.clone(),
-        mark: wire::Mark { life: 5, counter: 9, edition: 2, detail: 3 },
+        version: wire::NodeVersion { incarnation: 5, counter: 9, status_version: 2, detail: 3 },
         age_ms: 100,
         card: Some(card.clone()),
-        report: Some(wire::Report { ready: true, settled: true, ..wire::Report::default() }),
+        report: Some(wire::NodeStatus { ready: true, synced: true, ..wire::NodeStatus::default() }),
         detail: (details && card.role == wire::Role::Proxy)
             .then(|| super::detail(index, daemons, &list, services, 3, judged)),
     });
-    let told =
-        wire::News { deltas: deltas.collect(), platform: Some(list), ..wire::News::default() };
-    let address = cards[1].sibling_address;
+    let told = wire::PullResponse {
+        nodes: deltas.collect(),
+        platform: Some(list),
+        ..wire::PullResponse::default()
+    };
+    let address = cards[1].cluster_address;
     news.step(now, Event::Told { address, news: Some(Box::new(told)) });
     news
 }
@@ -53,7 +60,11 @@
     let now = Duration::from_secs(100);
     let (mut view, _) = View::of(news, &View::default(), now);
     view.setup = Arc::new(super::setup(routes, services, judged));
-    let word = wire::Word { revision: 5, setup_revision: 5, ..wire::Word::default() };
+    let word = wire::CommittedConfig {
+        revision: 5,
+        config_revision: 5,
+        ..wire::CommittedConfig::default()
+    };
     view.word = Arc::new(word);
     view.is_fresh = true;
     view.knows_details = true;
@@ -344,10 +355,15 @@
     let mut rows = Vec::new();
     for (routes, services) in [(275, 68), (550, 135), (1100, 270), (2200, 540)] {
         let setup = super::setup_text(routes, services, judged).into_bytes();
-        let word = wire::Word { revision: 9, setup_revision: 9, setup, ..wire::Word::default() };
+        let word = wire::CommittedConfig {
+            revision: 9,
+            config_revision: 9,
+            document: setup,
+            ..wire::CommittedConfig::default()
+        };
         let bytes = wire::encode(&word);
         let encode = each(span, || wire::encode(&word));
-        let decode = each(span, || wire::decode::<wire::Word>(&bytes));
+        let decode = each(span, || wire::decode::<wire::CommittedConfig>(&bytes));
         let digest = each(span, || vanepath_store::protocol::digest_of(&bytes));
         rows.push(Row {
             what: "store's value".to_string(),
