--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -161,7 +161,7 @@
         sum.code += super::spent().saturating_sub(started);
         sum.bytes_out += bytes.len() as u64 + 4;
         sum.largest = sum.largest.max(bytes.len());
-        self.oversized += u64::from(bytes.len() > wire::FRAME_MOST);
+        self.oversized += u64::from(bytes.len() > wire::MAX_FRAME_BYTES);
         bytes
     }
 
@@ -192,7 +192,7 @@
             }
             match what {
                 What::Unanswered { from } => {
-                    let address = self.daemons[from].core.own().sibling_address;
+                    let address = self.daemons[from].core.own().cluster_address;
                     self.step(now, whom, Event::Told { address, news: None });
                 }
                 What::Pulse => {
@@ -224,13 +224,13 @@
                 What::Answer { from, bytes } => {
                     let reply = self.decode(whom, &bytes, wire::decode::<wire::Reply>);
                     let wire::Reply::News(news) = reply else { continue };
-                    let address = self.daemons[from].core.own().sibling_address;
+                    let address = self.daemons[from].core.own().cluster_address;
                     // What a proxy has in force it reports.
                     let before = self.daemons[whom].core.word.revision;
                     self.step(now, whom, Event::Told { address, news: Some(Box::new(news)) });
                     let revision = self.daemons[whom].core.word.revision;
                     if revision != before {
-                        let report = wire::Report {
+                        let report = wire::NodeStatus {
                             revision,
                             ..self.daemons[whom].core.own_report().clone()
                         };
@@ -258,10 +258,10 @@
 const SILENCED_FOR: Duration = Duration::from_secs(6);
 
 /// All that a daemon tells of itself but its detail.
-fn whole(core: &News) -> wire::Delta {
-    wire::Delta {
+fn whole(core: &News) -> wire::NodeDelta {
+    wire::NodeDelta {
         name: core.own().name.clone(),
-        mark: core.own_mark(),
+        version: core.own_mark(),
         age_ms: 0,
         card: Some(core.own().clone()),
         report: Some(core.own_report().clone()),
@@ -275,7 +275,7 @@
     let limit = started + plan.limit;
     let cards = super::cards(plan.daemons);
     let seeds: Vec<std::net::SocketAddr> =
-        cards.iter().take(3).map(|card| card.sibling_address).collect();
+        cards.iter().take(3).map(|card| card.cluster_address).collect();
     let mut random = crate::sim::Random::new(7);
     let list = super::platform(plan.servers, plan.services, plan.judged);
     let mut run = Run {
@@ -287,18 +287,18 @@
         addresses: cards
             .iter()
             .enumerate()
-            .map(|(index, card)| (card.sibling_address, index))
+            .map(|(index, card)| (card.cluster_address, index))
             .collect(),
         list,
         oversized: 0,
         silenced: None,
     };
     let second = Duration::from_secs(1);
-    let report_of = |role: wire::Role| wire::Report {
+    let report_of = |role: wire::Role| wire::NodeStatus {
         ready: true,
-        settled: true,
-        whole: role == wire::Role::Registry,
-        ..wire::Report::default()
+        synced: true,
+        hears_majority: role == wire::Role::Registry,
+        ..wire::NodeStatus::default()
     };
     for (index, card) in cards.into_iter().enumerate() {
         // Lives are wall clocks with a random part, as the shell makes them.
@@ -321,10 +321,10 @@
     }
     if !plan.joins {
         // As if each had been told of all: the fleet is there.
-        let told = wire::News {
-            deltas: run.daemons.iter().map(|daemon| whole(&daemon.core)).collect(),
+        let told = wire::PullResponse {
+            nodes: run.daemons.iter().map(|daemon| whole(&daemon.core)).collect(),
             platform: Some(run.list.clone()),
-            ..wire::News::default()
+            ..wire::PullResponse::default()
         };
         for daemon in &mut run.daemons {
             let effects = daemon.core.step(second, Event::Pulse);
@@ -400,7 +400,12 @@
     let mut spread_cost = f64::NAN;
     if is_whole {
         let setup = super::setup_text(plan.routes, plan.services, plan.judged).into_bytes();
-        let word = wire::Word { revision: 9, setup_revision: 9, setup, ..wire::Word::default() };
+        let word = wire::CommittedConfig {
+            revision: 9,
+            config_revision: 9,
+            document: setup,
+            ..wire::CommittedConfig::default()
+        };
         let told = run.daemons.iter().position(|one| one.core.own().role == wire::Role::Store);
         run.step(end, told.unwrap_or(0), Event::Word(Arc::new(word)));
         let mut missing = plan.daemons - 1;
--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -153,7 +153,7 @@
 
 /// The daemons of a fleet: first the machines set aside, with a registry and a store each, then proxies
 /// over all zones.
-pub fn cards(daemons: usize) -> Vec<wire::Card> {
+pub fn cards(daemons: usize) -> Vec<wire::NodeInfo> {
     let machines = if daemons < 84 { 3 } else { 7 }.min(daemons / 3);
     (0..daemons)
         .map(|index| {
@@ -166,13 +166,13 @@
             };
             let (zone, region) = ZONES[place % ZONES.len()];
             let address = |port: u16| ([10, 0, (index >> 8) as u8, index as u8], port).into();
-            wire::Card {
+            wire::NodeInfo {
                 name,
                 role,
                 region: region.to_string(),
                 zone: zone.to_string(),
                 address: address(7000),
-                sibling_address: address(7001),
+                cluster_address: address(7001),
             }
         })
         .collect()
@@ -188,7 +188,7 @@
     services: usize,
     turn: u64,
     judged: Judged,
-) -> wire::Detail {
+) -> wire::ProxyObservations {
     let zone = proxy % ZONES.len();
     let watched = match judged {
         Judged::ByTraffic => 1,
@@ -201,18 +201,23 @@
         own.chain(others).filter(|index| *index < list.servers.len()).collect();
     let sights = seen
         .into_iter()
-        .map(|index| wire::Sight {
+        .map(|index| wire::ServerObservation {
             server: list.servers[index].id.clone(),
             phase: 3,
             age_ms: 3_000_000 + (turn as u32) * 2000,
-            steady_ms: 3_000_000 + (turn as u32) * 2000,
-            demand_milli: 300 + ((index as u64 * 37 + turn * 13) % 400) as u32,
-            refused: false,
+            in_contact_ms: 3_000_000 + (turn as u32) * 2000,
+            load_milli: 300 + ((index as u64 * 37 + turn * 13) % 400) as u32,
+            connection_refused: false,
         })
         .collect();
     let taken = (0..services)
         .map(|service| (format!("service-{service}"), 300 + ((service as u64 + turn) % 90) as u32));
-    wire::Detail { sights, in_hand: vec![3, 1, 0], waiting: vec![0; 3], taken: taken.collect() }
+    wire::ProxyObservations {
+        servers: sights,
+        in_flight: vec![3, 1, 0],
+        queued: vec![0; 3],
+        request_rates: taken.collect(),
+    }
 }
 
 /// Processor time of this thread so far: what other work on the machine takes is not in it.
--- a/testbed/src/sim/control.rs
+++ b/testbed/src/sim/control.rs
@@ -55,7 +55,7 @@
 
 pub struct Daemon {
     pub host: HostId,
-    pub card: wire::Card,
+    pub card: wire::NodeInfo,
     pub news: gossip::News,
     pub view: Arc<View>,
     pub duty: Duty,
@@ -150,7 +150,7 @@
     /// What is broken on purpose.
     pub breaks: Option<Break>,
     pub visit: Option<Visit>,
-    first_word: Option<Arc<wire::Word>>,
+    first_word: Option<Arc<wire::CommittedConfig>>,
     passed: u32,
     /// Which daemon was killed at the planned point, and when.
     pub visited: Option<(usize, Duration)>,
@@ -234,13 +234,13 @@
     ) -> usize {
         let host = self.net.add_host(name, zone, region);
         let address = Net::address_of(host);
-        let card = wire::Card {
+        let card = wire::NodeInfo {
             name: name.to_string(),
             role,
             region: region.to_string(),
             zone: zone.to_string(),
             address,
-            sibling_address: address,
+            cluster_address: address,
         };
         let duty = match role {
             wire::Role::Store => {
@@ -317,7 +317,7 @@
         daemon.news.step(now, gossip::Event::Plan(Arc::new(hints.plan)));
         daemon.view = Arc::default();
         if self.breaks == Some(Break::NoFloor) {
-            let address = daemon.card.sibling_address;
+            let address = daemon.card.cluster_address;
             daemon.news.step(now, gossip::Event::Floor { address, revision: Some(0) });
         }
         if self.breaks == Some(Break::StartsStale)
@@ -594,7 +594,10 @@
             }
             if is_blind {
                 let emptied = Default::default();
-                view.word = Arc::new(wire::Word { emptied, ..(*view.word).clone() });
+                view.word = Arc::new(wire::CommittedConfig {
+                    drained_zones: emptied,
+                    ..(*view.word).clone()
+                });
             }
             daemon.view = Arc::new(view);
             let life = self.net.hosts[host].life;
@@ -630,7 +633,10 @@
         if self.has(Break::SlipsBack) && self.net.now.as_millis() % 5000 < 50 {
             let word = &mut self.daemons[index].news.word;
             if word.revision > 3 {
-                *word = Arc::new(wire::Word { revision: word.revision - 2, ..(**word).clone() });
+                *word = Arc::new(wire::CommittedConfig {
+                    revision: word.revision - 2,
+                    ..(**word).clone()
+                });
                 let host = self.daemons[index].host;
                 let now = self.net.local(host);
                 let daemon = &mut self.daemons[index];
--- a/testbed/src/sim/control/registries.rs
+++ b/testbed/src/sim/control/registries.rs
@@ -31,13 +31,13 @@
         let Duty::Registry(registry) = &mut self.daemons[index].duty else { return };
         let may_hold = registry.tenure.may_hold(now, view.is_fresh);
         let revision = view.word.revision;
-        let report = wire::Report {
+        let report = wire::NodeStatus {
             ready,
-            leaving,
+            draining: leaving,
             revision,
-            settled: may_hold,
-            whole: vanepath_registry::leader::is_whole(&view),
-            ..wire::Report::default()
+            synced: may_hold,
+            hears_majority: vanepath_registry::leader::is_whole(&view),
+            ..wire::NodeStatus::default()
         };
         self.step_news(index, gossip::Event::Report(report));
         let Duty::Registry(registry) = &mut self.daemons[index].duty else { return };
@@ -52,8 +52,8 @@
         let plan = vanepath_registry::leader::next(&view, &name, sources, may_move);
         if let Some(plan) = plan {
             let text = format!("{name}: plan {}.{}", plan.epoch, plan.counter);
-            let away: Vec<&String> = plan.away.iter().collect();
-            self.note(|| format!("{text}, away {away:?}, cold {:?}", plan.cold));
+            let away: Vec<&String> = plan.unreachable.iter().collect();
+            self.note(|| format!("{text}, away {away:?}, cold {:?}", plan.warming_up));
             self.step_news(index, gossip::Event::Plan(Arc::new(plan)));
         }
     }
@@ -173,9 +173,9 @@
             let word = &self.daemons[index].view.word;
             if let Change::Empty { zone } = change
                 && self.has(Break::OneOrderForAll)
-                && word.emptied.contains(zone)
+                && word.drained_zones.contains(zone)
             {
-                let (revision, setup_revision) = (word.revision, word.setup_revision);
+                let (revision, setup_revision) = (word.revision, word.config_revision);
                 let told = Outcome::Accepted { revision, setup_revision, repeat: true };
                 return self.net.reply(call, Body::Operated(told));
             }
@@ -200,7 +200,7 @@
         let Some((store_call, call)) = registry.store_calls.get_mut(&number) else { return };
         match store_call.next(now, stores) {
             Step::Ask(card) => {
-                let target = Net::host_at(card.sibling_address);
+                let target = Net::host_at(card.cluster_address);
                 let mut question = store_call.question(now);
                 if self.passes(index, Point::BeforeStoreAsk) {
                     return;
@@ -245,7 +245,7 @@
                 self.net.reply(call, Body::Operated(outcome));
                 let Some(answered) = answered else { return };
                 for card in vanepath_registry::store_client::stores(&self.daemons[index].view) {
-                    let target = Net::host_at(card.sibling_address);
+                    let target = Net::host_at(card.cluster_address);
                     let limit = vanepath_registry::store_client::TRY_LIMIT;
                     let body = Body::Ask(answered.clone());
                     self.net.ask(host, target, limit, body, Purpose::None);
--- a/testbed/src/sim/control/stores.rs
+++ b/testbed/src/sim/control/stores.rs
@@ -27,13 +27,13 @@
         }
         let Duty::Store(store) = &self.daemons[index].duty else { return };
         let summary = store.core.summary();
-        let report = wire::Report {
+        let report = wire::NodeStatus {
             ready: summary.votes,
             revision,
-            blank: summary.blank,
-            settled: summary.settled,
+            empty_disk: summary.blank,
+            synced: summary.settled,
             disk: Some(summary.disk()),
-            ..wire::Report::default()
+            ..wire::NodeStatus::default()
         };
         self.daemons[index].is_well = summary.votes;
         self.step_news(index, gossip::Event::Report(report));
--- a/testbed/src/sim/data/proxies.rs
+++ b/testbed/src/sim/data/proxies.rs
@@ -72,11 +72,11 @@
         let is_news = pulsed.is_news || std::mem::take(&mut proxy.moved);
         if proxy.telling.is_due(now, is_news) {
             let counts = proxy.classes.counts();
-            detail = Some(wire::Detail {
-                sights: proxy.servers.sights(now),
-                in_hand: counts.iter().map(|one| one.2 as u32).collect(),
-                waiting: counts.iter().map(|one| one.3 as u32).collect(),
-                taken: proxy.request_counts.tell(now),
+            detail = Some(wire::ProxyObservations {
+                servers: proxy.servers.sights(now),
+                in_flight: counts.iter().map(|one| one.2 as u32).collect(),
+                queued: counts.iter().map(|one| one.3 as u32).collect(),
+                request_rates: proxy.request_counts.tell(now),
             });
         }
         for entry in pulsed.probes {
@@ -92,11 +92,11 @@
         if ready {
             self.judge_service(index);
         }
-        let report = wire::Report {
+        let report = wire::NodeStatus {
             ready,
-            leaving,
+            draining: leaving,
             revision: view.word.revision,
-            ..wire::Report::default()
+            ..wire::NodeStatus::default()
         };
         self.step_news(index, gossip::Event::Report(report));
         if let Some(detail) = detail {
@@ -346,7 +346,7 @@
         let want = Want {
             rule: own.rule,
             service: own.table.setup.rules[own.rule].service,
-            emptied: &view.word.emptied,
+            emptied: &view.word.drained_zones,
             zone: &zone,
             region: &region,
             tried: &own.tried,
@@ -444,7 +444,7 @@
         let Some(own) = proxy.ways.get_mut(&way) else { return };
         let entry = &own.table.entries[own.index];
         let Some((connection, _)) = own.connection else { return };
-        if proxy.servers.is_withdrawn(&own.table, entry, &word.emptied) {
+        if proxy.servers.is_withdrawn(&own.table, entry, &word.drained_zones) {
             return self.missed(index, way, Miss::Withdrawn);
         }
         let left = own.deadline.saturating_sub(now);
@@ -484,7 +484,7 @@
         let want = Want {
             rule: own.rule,
             service: own.table.setup.rules[own.rule].service,
-            emptied: &view.word.emptied,
+            emptied: &view.word.drained_zones,
             zone: &card.zone,
             region: &card.region,
             tried: &own.tried,
--- a/testbed/src/sim/day.rs
+++ b/testbed/src/sim/day.rs
@@ -155,7 +155,7 @@
         .daemons
         .iter()
         .filter(|daemon| daemon.card.role == Role::Registry)
-        .map(|daemon| daemon.card.sibling_address)
+        .map(|daemon| daemon.card.cluster_address)
         .collect();
     sim.world.directories = seeds.clone();
     let seeds: Vec<std::net::SocketAddr> = seeds.into_iter().take(3).collect();
--- a/testbed/src/sim/day/act.rs
+++ b/testbed/src/sim/day/act.rs
@@ -188,7 +188,7 @@
                 // Whoever installs a machine names some that run; the others keep the first day's.
                 sim.daemons[new].seeds = of_role(sim, Role::Registry)
                     .into_iter()
-                    .map(|index| sim.daemons[index].card.sibling_address)
+                    .map(|index| sim.daemons[index].card.cluster_address)
                     .take(3)
                     .collect();
                 sim.start_daemon(new);
--- a/testbed/src/sim/judge.rs
+++ b/testbed/src/sim/judge.rs
@@ -135,7 +135,7 @@
     // Callers are only ever cut from the proxies of their own region.
     let caller = &sim.world.callers[caller];
     let is_cut = sim.net.was_ill(caller.host, from, to);
-    let is_reached = |card: &vanepath_cluster::wire::Card| {
+    let is_reached = |card: &vanepath_cluster::wire::NodeInfo| {
         !is_cut || caller.zone.split('-').next() != Some(card.region.as_str())
     };
     let is_within = |one: &str| region.is_none_or(|region| one == region);
--- a/testbed/src/sim/net.rs
+++ b/testbed/src/sim/net.rs
@@ -30,8 +30,8 @@
 
 #[derive(Clone, Debug)]
 pub enum Body {
-    Pull(vanepath_cluster::wire::Pull),
-    News(vanepath_cluster::wire::News),
+    Pull(vanepath_cluster::wire::PullRequest),
+    News(vanepath_cluster::wire::PullResponse),
     Ask(vanepath_store::protocol::Ask),
     Tell(vanepath_store::protocol::Tell),
     /// An operator's call, by its number in the history.
--- a/testbed/tests/control.rs
+++ b/testbed/tests/control.rs
@@ -291,7 +291,7 @@
     fleet.until_in_force(revision, SOON).await;
     let registry = fleet.of("registry")[0];
     let sibling = fleet.members[registry].sibling_address;
-    let greeting = vanepath_cluster::wire::encode(&vanepath_cluster::wire::Greeting {
+    let greeting = vanepath_cluster::wire::encode(&vanepath_cluster::wire::Handshake {
         system: vanepath_cluster::wire::SYSTEM.to_string(),
         fleet: "another".to_string(),
         name: "stranger".to_string(),
--- a/testbed/tests/days.rs
+++ b/testbed/tests/days.rs
@@ -421,7 +421,7 @@
             for number in 0..stores {
                 // The three after it in a ring, or as many as there are.
                 let others = (1..=3.min(stores - 1)).map(|step| (number + step) % stores);
-                let seeds = others.map(|other| sim.daemons[other].card.sibling_address).collect();
+                let seeds = others.map(|other| sim.daemons[other].card.cluster_address).collect();
                 sim.daemons[number].seeds = seeds;
             }
             for number in 0..stores {
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -31,29 +31,34 @@
     let mut setup =
         scale::setup_text(2 * scale::ROUTES, 2 * scale::SERVICES, ByProbes).into_bytes();
     setup.resize(vanepath_config::model::MAX_BYTES, b' ');
-    let word = wire::Word { revision: 9, setup_revision: 9, setup, ..wire::Word::default() };
+    let word = wire::CommittedConfig {
+        revision: 9,
+        config_revision: 9,
+        document: setup,
+        ..wire::CommittedConfig::default()
+    };
     let now = Duration::from_secs(101);
     asked.step(now, vanepath_cluster::gossip::Event::Word(std::sync::Arc::new(word)));
     assert_eq!(asked.sources.len(), daemons - 1);
     let card = scale::cards(daemons).swap_remove(1);
-    let pull = wire::Pull {
-        vector: Some(Vec::new()),
+    let pull = wire::PullRequest {
+        known_versions: Some(Vec::new()),
         word: 0,
         platform: 0,
         plan: (0, 0),
-        own: wire::Delta {
+        sender: wire::NodeDelta {
             name: card.name.clone(),
-            mark: wire::Mark { life: 6, counter: 1, edition: 1, detail: 0 },
+            version: wire::NodeVersion { incarnation: 6, counter: 1, status_version: 1, detail: 0 },
             age_ms: 0,
             card: Some(card),
-            report: Some(wire::Report::default()),
+            report: Some(wire::NodeStatus::default()),
             detail: None,
         },
         wait_ms: 0,
-        wants_detail: true,
-        light: false,
-        silent: 0,
-        list_age_ms: None,
+        wants_observations: true,
+        is_leaf: false,
+        unreachable_digest: 0,
+        list_read_age_ms: None,
     };
     let effects = asked.step(now, vanepath_cluster::gossip::Event::Asked { ticket: 1, pull });
     let answer = effects.into_iter().find_map(|effect| match effect {
@@ -62,14 +67,10 @@
     });
     let reply = wire::Reply::News(answer.unwrap());
     let bytes = wire::encode(&reply);
-    assert!(bytes.len() < wire::FRAME_MOST / 2, "{}", bytes.len());
+    assert!(bytes.len() < wire::MAX_FRAME_BYTES / 2, "{}", bytes.len());
     let read: wire::Reply = wire::decode(&bytes).unwrap();
     let wire::Reply::News(news) = read else { panic!("another reply") };
-    assert_eq!(
-        news.deltas.len(),
-        daemons,
-        "its own entry too, by which it would know a later life"
-    );
+    assert_eq!(news.nodes.len(), daemons, "its own entry too, by which it would know a later life");
     assert_eq!(news.platform.unwrap().servers.len(), servers);
 }
 
