--- a/cluster/src/gossip.rs
+++ b/cluster/src/gossip.rs
@@ -6,12 +6,12 @@
 use std::time::Duration;
 
 /// How often a daemon raises its own counter.
-pub const BEAT: Duration = Duration::from_millis(700);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(700);
 /// Not heard of for so long: not live.
-pub const DEAD_AFTER: Duration = Duration::from_millis(3000);
-pub const REGISTRY_DEAD_AFTER: Duration = Duration::from_millis(2200);
+pub const NODE_TIMEOUT: Duration = Duration::from_millis(3000);
+pub const REGISTRY_TIMEOUT: Duration = Duration::from_millis(2200);
 /// Not heard of for so long: forgotten.
-pub const FORGOTTEN_AFTER: Duration = Duration::from_secs(600);
+pub const FORGET_TIMEOUT: Duration = Duration::from_secs(600);
 /// Between registries a read of the platform list that began so much later than the last one that was told
 /// is told at once.
 const LIST_READ_STEP: Duration = Duration::from_millis(200);
@@ -20,21 +20,21 @@
 /// A pull that is out for so long is slow: another registry is asked too.
 const SLOW_AFTER: Duration = Duration::from_millis(1100);
 /// A pull that finds nothing loud waits so long for it.
-pub const WAIT: Duration = Duration::from_millis(700);
+pub const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(700);
 /// After a failed pull.
-pub const BACK_OFF: Duration = Duration::from_millis(300);
+pub const PULL_BACKOFF: Duration = Duration::from_millis(300);
 /// A pulse that comes so late means that this daemon was frozen.
-pub const FREEZE: Duration = Duration::from_millis(1500);
+pub const PAUSE_THRESHOLD: Duration = Duration::from_millis(1500);
 /// A daemon that no registry reaches goes by what other siblings told it after so long.
-pub const FRESH_WAIT: Duration = Duration::from_secs(2);
+pub const PEER_FRESHNESS_TIMEOUT: Duration = Duration::from_secs(2);
 /// And by what it has where nobody at all replied for so long: it is cut off.
-pub const ALONE_WAIT: Duration = Duration::from_millis(2500);
+pub const ISOLATED_FRESHNESS_TIMEOUT: Duration = Duration::from_millis(2500);
 /// A daemon that is not fresh holds new work for so long: until it would go by what it has.
-pub const HOLD: Duration = Duration::from_secs(3);
-const _: () = assert!(FRESH_WAIT.as_millis() < ALONE_WAIT.as_millis());
-const _: () = assert!(ALONE_WAIT.as_millis() + 200 < HOLD.as_millis());
+pub const READINESS_TIMEOUT: Duration = Duration::from_secs(3);
+const _: () = assert!(PEER_FRESHNESS_TIMEOUT.as_millis() < ISOLATED_FRESHNESS_TIMEOUT.as_millis());
+const _: () = assert!(ISOLATED_FRESHNESS_TIMEOUT.as_millis() + 200 < READINESS_TIMEOUT.as_millis());
 /// No pull came back for so long: what is known here may be old.
-pub const ALONE_AFTER: Duration = Duration::from_millis(2500);
+pub const ISOLATION_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Those who are not heard of, and the seeds, are tried so often, one at a time.
 const SEED_EVERY: Duration = Duration::from_secs(1);
 /// So many registries hear details: the one that has the duty and the one that would take it over.
@@ -45,13 +45,13 @@
 const DETAILS_ASKED_FOR: Duration = Duration::from_secs(30);
 /// Sources remembered at the most; a sibling that makes up names cannot fill the memory. Six times the
 /// design size (docs/CAPACITY.md).
-pub const SOURCES_MOST: usize = 4096;
+pub const MAX_PEERS: usize = 4096;
 
 /// One source as this daemon knows it.
 #[derive(Clone, Debug)]
-pub struct Source {
+pub struct Peer {
     pub card: wire::NodeInfo,
-    pub mark: wire::NodeVersion,
+    pub version: wire::NodeVersion,
     pub report: wire::NodeStatus,
     pub detail: wire::ProxyObservations,
     /// It told its detail itself, and not by way of a third.
@@ -71,13 +71,13 @@
     was_live: bool,
 }
 
-impl Source {
+impl Peer {
     /// As seen by a daemon of the role `own`: registries pull straight from each other and know of
     /// each other's death sooner. The others go by what registries say, and judge nobody but
     /// registries while none speaks: `judged_at` is when one last did (design 5.3).
     fn is_live(&self, now: Duration, own: wire::Role, judged_at: Option<Duration>) -> bool {
         let is_both_registry = own == wire::Role::Registry && self.card.role == own;
-        let after = if is_both_registry { REGISTRY_DEAD_AFTER } else { DEAD_AFTER };
+        let after = if is_both_registry { REGISTRY_TIMEOUT } else { NODE_TIMEOUT };
         let now = match judged_at {
             Some(judged_at) if own != wire::Role::Registry => {
                 if self.is_silent {
@@ -146,7 +146,7 @@
         seen: &wire::NodeVersion,
         is_direct: bool,
     ) -> bool {
-        let behind = mark.detail.saturating_sub(seen.detail);
+        let behind = mark.observations_version.saturating_sub(seen.observations_version);
         let is_for_all = is_direct || self.is_first;
         self.wants_detail
             && (mark.incarnation != seen.incarnation || behind > 1 || (behind == 1 && is_for_all))
@@ -154,40 +154,40 @@
 }
 
 pub enum Event {
-    Pulse,
+    Tick,
     /// A sibling asks; answer under the ticket.
-    Asked {
+    PullReceived {
         ticket: u64,
         pull: wire::PullRequest,
     },
     /// The asker of a parked ticket is gone.
-    Left {
+    PullAbandoned {
         ticket: u64,
     },
     /// Nobody listens at a sibling's address.
-    Refused {
+    ConnectionRefused {
         address: std::net::SocketAddr,
     },
     /// A pull of ours came back.
-    Told {
+    PullCompleted {
         address: std::net::SocketAddr,
         news: Option<Box<wire::PullResponse>>,
     },
     /// This daemon's own state changed: loud, passed on at once.
-    Report(wire::NodeStatus),
-    Detail(wire::ProxyObservations),
-    Word(Arc<wire::CommittedConfig>),
-    Platform(Arc<vanepath_config::endpoint_list::EndpointList>),
+    StatusChanged(wire::NodeStatus),
+    ObservationsChanged(wire::ProxyObservations),
+    ConfigCommitted(Arc<wire::CommittedConfig>),
+    EndpointListReceived(Arc<vanepath_config::endpoint_list::EndpointList>),
     /// This daemon has read the platform list: what is in force by that, and when the read began.
-    ListRead {
+    EndpointListRead {
         list: Arc<vanepath_config::endpoint_list::EndpointList>,
         began_at: Duration,
     },
-    Plan(Arc<wire::TrafficShiftPlan>),
+    PlanReceived(Arc<wire::TrafficShiftPlan>),
     /// Somebody asks this registry for what proxies see.
-    WantDetails,
+    ObservationsWanted,
     /// The settings name other seeds from now on.
-    Seeds(Vec<std::net::SocketAddr>),
+    SeedsChanged(Vec<std::net::SocketAddr>),
     /// A store that was asked for the floor replied, or did not (design 5.8).
     Floor {
         address: std::net::SocketAddr,
@@ -206,29 +206,29 @@
         news: wire::PullResponse,
     },
     /// Asks a store for the floor.
-    AskFloor {
+    RequestReadIndex {
         address: std::net::SocketAddr,
     },
     /// Something that readers of the table care about is new.
-    Changed,
+    ViewChanged,
     /// Counted and logged by the shell.
-    Noted(&'static str),
+    Log(&'static str),
 }
 
-pub struct News {
+pub struct Gossip {
     own: wire::NodeInfo,
     mark: wire::NodeVersion,
     report: wire::NodeStatus,
     detail: wire::ProxyObservations,
     short: u32,
     seeds: Vec<std::net::SocketAddr>,
-    pub sources: Vec<Source>,
+    pub peers: Vec<Peer>,
     /// Where each name's source lies.
     by_name: std::collections::HashMap<String, usize>,
     /// Loud changes so far: what was not loud for somebody is not until there is another one.
     loud: u64,
-    pub word: Arc<wire::CommittedConfig>,
-    pub lists: crate::endpoint_cache::EndpointCache,
+    pub committed: Arc<wire::CommittedConfig>,
+    pub endpoints: crate::endpoint_cache::EndpointCache,
     pub plan: Arc<wire::TrafficShiftPlan>,
     lines: std::collections::BTreeMap<std::net::SocketAddr, Line>,
     parked: Vec<Parked>,
@@ -259,36 +259,41 @@
     /// When a pull last came back.
     good_at: Duration,
     /// What this life has to have before it goes by a word, or tells of one (design 5.8).
-    floor: crate::read_index::Floor,
+    floor: crate::read_index::ReadIndex,
     /// The highest revision that each name ever told as in force there, over all its lives.
     floors: std::collections::HashMap<String, u64>,
     /// The highest of them, and of what others said of it.
     highest: u64,
 }
 
-impl News {
+impl Gossip {
     pub fn new(
         own: wire::NodeInfo,
         seeds: Vec<std::net::SocketAddr>,
         life: u64,
         now: Duration,
-    ) -> News {
+    ) -> Gossip {
         let seeds = seeds.into_iter().filter(|seed| *seed != own.cluster_address).collect();
         // Each begins its turn of the lost elsewhere: between them all are tried soon.
         let turn = vanepath_config::stable_hash(&["turn", &own.name]) as usize;
         let short = wire::name_hash(&own.name);
-        News {
+        Gossip {
             own,
-            mark: wire::NodeVersion { incarnation: life, counter: 1, status_version: 1, detail: 0 },
+            mark: wire::NodeVersion {
+                incarnation: life,
+                counter: 1,
+                status_version: 1,
+                observations_version: 0,
+            },
             report: wire::NodeStatus::default(),
             detail: wire::ProxyObservations::default(),
             short,
             seeds,
-            sources: Vec::new(),
+            peers: Vec::new(),
             by_name: std::collections::HashMap::new(),
             loud: 1,
-            word: Arc::default(),
-            lists: crate::endpoint_cache::EndpointCache::default(),
+            committed: Arc::default(),
+            endpoints: crate::endpoint_cache::EndpointCache::default(),
             plan: Arc::default(),
             lines: std::collections::BTreeMap::new(),
             parked: Vec::new(),
@@ -309,21 +314,21 @@
             fresh_registry: false,
             awake_since: now,
             good_at: now,
-            floor: crate::read_index::Floor::new(now),
+            floor: crate::read_index::ReadIndex::new(now),
             floors: std::collections::HashMap::new(),
             highest: 0,
         }
     }
 
-    pub fn own(&self) -> &wire::NodeInfo {
+    pub fn node_info(&self) -> &wire::NodeInfo {
         &self.own
     }
 
-    pub fn own_report(&self) -> &wire::NodeStatus {
+    pub fn node_status(&self) -> &wire::NodeStatus {
         &self.report
     }
 
-    pub fn own_mark(&self) -> wire::NodeVersion {
+    pub fn node_version(&self) -> wire::NodeVersion {
         self.mark
     }
 
@@ -332,17 +337,17 @@
     pub fn is_fresh(&self, now: Duration) -> bool {
         let awake = now.saturating_sub(self.awake_since);
         self.fresh_registry
-            || (self.fresh_since.is_some() && awake > FRESH_WAIT)
-            || awake > ALONE_WAIT
+            || (self.fresh_since.is_some() && awake > PEER_FRESHNESS_TIMEOUT)
+            || awake > ISOLATED_FRESHNESS_TIMEOUT
     }
 
     /// How this life came to go by a word; `None`: it does not yet.
-    pub fn floor(&self) -> &crate::read_index::Floor {
+    pub fn read_index(&self) -> &crate::read_index::ReadIndex {
         &self.floor
     }
 
     /// It has waited for its floor in vain, and others take work: what comes does better there.
-    pub fn is_stuck(&self, now: Duration) -> bool {
+    pub fn is_stalled(&self, now: Duration) -> bool {
         let is_other = |card: &wire::NodeInfo| card.name != self.own.name;
         self.floor.is_stuck(now)
             && self.live(now).any(|(card, report)| {
@@ -351,17 +356,17 @@
     }
 
     /// The highest revision that each name told as in force there, over all its lives.
-    pub fn floors(&self) -> &std::collections::HashMap<String, u64> {
+    pub fn highest_active_revisions(&self) -> &std::collections::HashMap<String, u64> {
         &self.floors
     }
 
     /// The revision that is in force here; 0: none in this life so far.
     fn in_force(&self) -> u64 {
-        self.floor.met().map_or(0, |_| self.word.revision)
+        self.floor.met().map_or(0, |_| self.committed.revision)
     }
 
     /// Whether this registry has what proxies tell of servers, all of it (design 5.3).
-    pub fn knows_details(&self, now: Duration) -> bool {
+    pub fn has_observations(&self, now: Duration) -> bool {
         let since = self.details_since;
         since.is_some_and(|since| now.saturating_sub(since) >= DETAILS_HEARD_AFTER)
     }
@@ -374,32 +379,31 @@
         let wants = self.own.role == wire::Role::Registry
             && (now < self.details_until
                 || self.live(now).filter(is_before).count() < HEAR_DETAILS
-                || self.holder(wire::Role::Registry, now).is_some_and(|one| *one == self.own));
+                || self.leader(wire::Role::Registry, now).is_some_and(|one| *one == self.own));
         self.details_since = wants.then(|| self.details_since.unwrap_or(now));
     }
 
     /// No pull has come back for so long that others may know more by now.
-    pub fn is_alone(&self, now: Duration) -> bool {
-        now.saturating_sub(self.good_at) > ALONE_AFTER
+    pub fn is_isolated(&self, now: Duration) -> bool {
+        now.saturating_sub(self.good_at) > ISOLATION_TIMEOUT
     }
 
     /// Whether what is known here may be older than what others know: no pull came back, or, at a registry,
     /// none of those from other registries did. What asks from here says nothing of it, for that comes
     /// through a cut in one direction; nor does a store beside it, which may be cut off with it.
     /// Registries at whose addresses nobody listens are gone and do not count.
-    pub fn is_cut_off(&self, now: Duration) -> bool {
+    pub fn is_partitioned(&self, now: Duration) -> bool {
         let others = || {
-            let registries =
-                self.sources.iter().filter(|one| one.card.role == wire::Role::Registry);
+            let registries = self.peers.iter().filter(|one| one.card.role == wire::Role::Registry);
             registries.filter(|one| one.refused_at.is_none_or(|at| one.heard_at > at))
         };
         if self.own.role != wire::Role::Registry || others().next().is_none() {
-            return self.is_alone(now);
+            return self.is_isolated(now);
         }
-        let is_lately = |at: Duration| now.saturating_sub(at) <= ALONE_AFTER;
+        let is_lately = |at: Duration| now.saturating_sub(at) <= ISOLATION_TIMEOUT;
         // One that was heard of only now was not asked for long.
         let is_in_touch =
-            |one: &Source| is_lately(one.known_since) || one.replied_at.is_some_and(is_lately);
+            |one: &Peer| is_lately(one.known_since) || one.replied_at.is_some_and(is_lately);
         !others().any(is_in_touch)
     }
 
@@ -409,7 +413,7 @@
         now: Duration,
     ) -> impl Iterator<Item = (&wire::NodeInfo, &wire::NodeStatus)> {
         std::iter::once((&self.own, &self.report)).chain(
-            self.sources
+            self.peers
                 .iter()
                 .filter(move |source| source.is_live(now, self.own.role, self.judged_at))
                 .map(|source| (&source.card, &source.report)),
@@ -417,18 +421,18 @@
     }
 
     /// What is not live any more and not yet forgotten, as it was when last heard of.
-    pub fn lost(
+    pub fn unreachable(
         &self,
         now: Duration,
     ) -> impl Iterator<Item = (&wire::NodeInfo, &wire::NodeStatus)> {
-        self.sources
+        self.peers
             .iter()
             .filter(move |source| !source.is_live(now, self.own.role, self.judged_at))
             .map(|source| (&source.card, &source.report))
     }
 
     /// The first live and settled daemon of a role, in the order of names, has the duty (design 5.6).
-    pub fn holder(&self, role: wire::Role, now: Duration) -> Option<&wire::NodeInfo> {
+    pub fn leader(&self, role: wire::Role, now: Duration) -> Option<&wire::NodeInfo> {
         self.live(now)
             .filter(|(card, report)| card.role == role && !report.draining && report.synced)
             .map(|(card, _)| card)
@@ -438,14 +442,14 @@
     pub fn step(&mut self, now: Duration, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.notice(now, &mut effects);
-        let is_pulse = matches!(event, Event::Pulse);
+        let is_pulse = matches!(event, Event::Tick);
         match event {
-            Event::Pulse => self.pulse(now, &mut effects),
-            Event::Asked { ticket, pull } => self.asked(now, ticket, pull, &mut effects),
-            Event::Left { ticket } => self.left(ticket),
-            Event::Refused { address } => self.refused(now, address, &mut effects),
-            Event::Told { address, news } => self.told(now, address, news, &mut effects),
-            Event::Report(mut report) => {
+            Event::Tick => self.pulse(now, &mut effects),
+            Event::PullReceived { ticket, pull } => self.asked(now, ticket, pull, &mut effects),
+            Event::PullAbandoned { ticket } => self.left(ticket),
+            Event::ConnectionRefused { address } => self.refused(now, address, &mut effects),
+            Event::PullCompleted { address, news } => self.told(now, address, news, &mut effects),
+            Event::StatusChanged(mut report) => {
                 // Nothing is in force here before the floor is met.
                 report.revision = report.revision.min(self.in_force());
                 if report != self.report {
@@ -453,38 +457,38 @@
                     self.mark.status_version += 1;
                     self.mark.counter += 1;
                     self.loud += 1;
-                    effects.push(Effect::Changed);
+                    effects.push(Effect::ViewChanged);
                 }
             }
-            Event::Detail(detail) => {
+            Event::ObservationsChanged(detail) => {
                 if detail != self.detail {
                     self.detail = detail;
-                    self.mark.detail += 1;
+                    self.mark.observations_version += 1;
                 }
             }
-            Event::Word(word) => {
+            Event::ConfigCommitted(word) => {
                 // A store's own, seen with a majority since it started (design 6.2).
                 if self.own.role == wire::Role::Store {
                     self.floor.replied(now, &self.own.name, Some(word.revision));
                 }
                 self.hear_word(word, &mut effects);
             }
-            Event::Platform(list) => {
-                let is_new = self.lists.hear(list);
+            Event::EndpointListReceived(list) => {
+                let is_new = self.endpoints.hear(list);
                 self.note_list(is_new, &mut effects);
             }
-            Event::ListRead { list, began_at } => {
+            Event::EndpointListRead { list, began_at } => {
                 let revision = list.revision;
-                let is_new = self.lists.hear(list);
+                let is_new = self.endpoints.hear(list);
                 self.note_list(is_new, &mut effects);
                 self.note_list_read(revision, began_at);
             }
-            Event::Plan(plan) => self.hear_plan(plan, &mut effects),
-            Event::WantDetails => {
+            Event::PlanReceived(plan) => self.hear_plan(plan, &mut effects),
+            Event::ObservationsWanted => {
                 self.details_until = now + DETAILS_ASKED_FOR;
                 self.note_details(now);
             }
-            Event::Seeds(mut seeds) => {
+            Event::SeedsChanged(mut seeds) => {
                 seeds.retain(|seed| *seed != self.own.cluster_address);
                 self.seeds = seeds;
             }
@@ -507,7 +511,7 @@
 
     /// The name of the daemon at an address, or else the address.
     fn name_at(&self, address: std::net::SocketAddr) -> String {
-        let source = self.sources.iter().find(|one| one.card.cluster_address == address);
+        let source = self.peers.iter().find(|one| one.card.cluster_address == address);
         source.map_or_else(|| address.to_string(), |source| source.card.name.clone())
     }
 
@@ -515,10 +519,10 @@
         if self.floor.met().is_some() {
             return;
         }
-        if self.floor.look(now, self.word.revision, self.has_witnesses(now)) {
+        if self.floor.look(now, self.committed.revision, self.has_witnesses(now)) {
             // What was held back is told from here on.
             self.loud += 1;
-            effects.push(Effect::Changed);
+            effects.push(Effect::ViewChanged);
         }
     }
 
@@ -527,12 +531,12 @@
     /// went by before the region was cut off.
     fn has_witnesses(&self, now: Duration) -> bool {
         let live = self.live(now).count();
-        if live > self.lost(now).count() {
+        if live > self.unreachable(now).count() {
             return true;
         }
         let is_near = |card: &wire::NodeInfo| card.region == self.own.region;
         let near = self.live(now).filter(|(card, _)| is_near(card)).count();
-        near > 1 && near > self.lost(now).filter(|(card, _)| is_near(card)).count()
+        near > 1 && near > self.unreachable(now).filter(|(card, _)| is_near(card)).count()
     }
 
     /// Asks for the floor: stores that vote, in the order in which they propose, and the nearest. A store
@@ -559,14 +563,14 @@
         let stores: Vec<std::net::SocketAddr> =
             stores.iter().map(|one| one.1.cluster_address).collect();
         let due = self.floor.due(now, &stores, nearest);
-        effects.extend(due.into_iter().map(|address| Effect::AskFloor { address }));
+        effects.extend(due.into_iter().map(|address| Effect::RequestReadIndex { address }));
     }
 
     /// Its connection ended while it waited: it may be dead, so it is asked itself at once.
     fn left(&mut self, ticket: u64) {
         if let Some(parked) = self.parked.iter().find(|parked| parked.ticket == ticket) {
             let asker = &parked.asker;
-            let source = self.sources.iter().find(|source| source.card.name == *asker);
+            let source = self.peers.iter().find(|source| source.card.name == *asker);
             self.doubted.extend(source.map(|source| source.card.cluster_address));
         }
         self.parked.retain(|parked| parked.ticket != ticket);
@@ -574,23 +578,23 @@
 
     fn refused(&mut self, now: Duration, address: std::net::SocketAddr, effects: &mut Vec<Effect>) {
         let judged_at = self.judged_at;
-        for source in &mut self.sources {
+        for source in &mut self.peers {
             if source.card.cluster_address == address
                 && source.is_live(now, self.own.role, judged_at)
             {
                 source.refused_at = Some(now);
                 source.was_live = false;
-                effects.push(Effect::Changed);
+                effects.push(Effect::ViewChanged);
             }
         }
     }
 
     fn hear_word(&mut self, word: Arc<wire::CommittedConfig>, effects: &mut Vec<Effect>) {
         // Never backwards (design 5.4).
-        if word.revision > self.word.revision {
-            self.word = word;
+        if word.revision > self.committed.revision {
+            self.committed = word;
             self.loud += 1;
-            effects.push(Effect::Changed);
+            effects.push(Effect::ViewChanged);
         }
     }
 
@@ -598,13 +602,13 @@
     fn note_list(&mut self, is_new: bool, effects: &mut Vec<Effect>) {
         if is_new {
             self.loud += 1;
-            effects.push(Effect::Changed);
+            effects.push(Effect::ViewChanged);
         }
     }
 
     /// A read of the platform list found this revision in force.
     fn note_list_read(&mut self, revision: u64, began_at: Duration) {
-        let is_news = self.lists.note_read(revision, began_at);
+        let is_news = self.endpoints.note_read(revision, began_at);
         if is_news && self.own.role == wire::Role::Registry {
             self.loud += 1;
         }
@@ -615,17 +619,17 @@
         if (plan.epoch, plan.counter) > (self.plan.epoch, self.plan.counter) {
             self.plan = plan;
             self.loud += 1;
-            effects.push(Effect::Changed);
+            effects.push(Effect::ViewChanged);
         }
     }
 
     /// A freeze is noticed by whatever comes first after it, before that is taken for anything.
     fn notice(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         let gap = now.saturating_sub(self.pulsed_at);
-        if gap > FREEZE {
+        if gap > PAUSE_THRESHOLD {
             self.pulsed_at = now;
             // Frozen: nobody is dead for not being heard meanwhile, nothing is known as fresh.
-            for source in &mut self.sources {
+            for source in &mut self.peers {
                 source.heard_at += gap;
                 source.known_since = now;
             }
@@ -633,31 +637,31 @@
             self.fresh_registry = false;
             self.awake_since = now;
             self.floor.wake(now);
-            effects.push(Effect::Noted("woke from a freeze"));
-            effects.push(Effect::Changed);
+            effects.push(Effect::Log("woke from a freeze"));
+            effects.push(Effect::ViewChanged);
         }
     }
 
     fn pulse(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         self.pulsed_at = now;
         if now >= self.beat_at {
-            self.beat_at = now + BEAT;
+            self.beat_at = now + HEARTBEAT_INTERVAL;
             self.mark.counter += 1;
         }
-        let before = self.sources.len();
-        self.sources.retain(|source| now.saturating_sub(source.heard_at) < FORGOTTEN_AFTER);
-        if self.sources.len() < before {
-            let names = self.sources.iter().map(|source| source.card.name.clone());
+        let before = self.peers.len();
+        self.peers.retain(|source| now.saturating_sub(source.heard_at) < FORGET_TIMEOUT);
+        if self.peers.len() < before {
+            let names = self.peers.iter().map(|source| source.card.name.clone());
             self.by_name = names.zip(0..).collect();
-            let shorts = self.sources.iter().map(|source| source.short);
+            let shorts = self.peers.iter().map(|source| source.short);
             self.names = shorts.chain([self.short]).collect();
         }
         let mut just_lost = std::mem::take(&mut self.doubted);
         let (role, judged_at) = (self.own.role, self.judged_at);
-        for source in &mut self.sources {
+        for source in &mut self.peers {
             let is_live = source.is_live(now, role, judged_at);
             if std::mem::replace(&mut source.was_live, is_live) != is_live {
-                effects.push(Effect::Changed);
+                effects.push(Effect::ViewChanged);
                 if !is_live {
                     just_lost.push(source.card.cluster_address);
                 }
@@ -682,7 +686,7 @@
         if self.own.role != wire::Role::Registry {
             return;
         }
-        let silent = self.sources.iter().filter(|one| !one.is_live(now, self.own.role, None));
+        let silent = self.peers.iter().filter(|one| !one.is_live(now, self.own.role, None));
         let mut silent: Vec<u32> = silent.map(|source| source.short).collect();
         silent.sort_unstable();
         if silent != self.silent {
@@ -697,7 +701,7 @@
     fn registry_lines(
         &self,
         now: Duration,
-        live: &[&Source],
+        live: &[&Peer],
         others: &[crate::peer_selection::Known<'_>],
     ) -> Option<Vec<std::net::SocketAddr>> {
         let is_whole = |index: usize| live[index].report.hears_majority;
@@ -737,8 +741,8 @@
 
     /// The wanted lines: siblings by rendezvous, and in turn a seed or a lost source.
     fn choose(&mut self, now: Duration, just_lost: Vec<std::net::SocketAddr>) {
-        let live: Vec<&Source> = self
-            .sources
+        let live: Vec<&Peer> = self
+            .peers
             .iter()
             .filter(|one| one.is_live(now, self.own.role, self.judged_at))
             .collect();
@@ -765,11 +769,11 @@
         if self.own.role == wire::Role::Registry {
             // A store that nobody pulls from may be the one that chose it.
             let later = live.iter().filter(|one| {
-                one.card.role == wire::Role::Store && one.report.revision > self.word.revision
+                one.card.role == wire::Role::Store && one.report.revision > self.committed.revision
             });
             wanted.extend(later.map(|source| source.card.cluster_address));
         }
-        let is_below = self.floor.wanted().is_some_and(|floor| floor > self.word.revision);
+        let is_below = self.floor.wanted().is_some_and(|floor| floor > self.committed.revision);
         if self.floor.met().is_none() && is_below {
             // Whoever has the word that the floor is of: the registries may all be behind.
             let core = live.iter().filter(|one| one.card.role != wire::Role::Proxy);
@@ -786,7 +790,7 @@
         if now >= self.seed_at {
             self.seed_at = now + SEED_EVERY;
             let lost: Vec<std::net::SocketAddr> = self
-                .sources
+                .peers
                 .iter()
                 .filter(|source| !source.is_live(now, self.own.role, self.judged_at))
                 .map(|source| source.card.cluster_address)
@@ -826,7 +830,7 @@
         address: std::net::SocketAddr,
         effects: &mut Vec<Effect>,
     ) {
-        let is_registry = self.sources.iter().any(|source| {
+        let is_registry = self.peers.iter().any(|source| {
             source.card.cluster_address == address && source.card.role == wire::Role::Registry
         });
         let Some(line) = self.lines.get_mut(&address) else {
@@ -839,17 +843,18 @@
         let light = light && self.is_served;
         let has_vector = light && line.is_known;
         let silent = line.silent.as_ref().map_or(0, |(_, silent)| digest_of(silent));
-        let tells_detail = is_registry && line.detail_told < self.mark.detail;
+        let tells_detail = is_registry && line.detail_told < self.mark.observations_version;
         if tells_detail {
-            line.detail_told = self.mark.detail;
+            line.detail_told = self.mark.observations_version;
         }
         // The first pull of a life does not wait: it is how the daemon learns of the rest.
-        let wait_ms = if self.fresh_since.is_none() { 0 } else { WAIT.as_millis() as u32 };
+        let wait_ms =
+            if self.fresh_since.is_none() { 0 } else { LONG_POLL_TIMEOUT.as_millis() as u32 };
         let pull = wire::PullRequest {
             known_versions: (!has_vector)
-                .then(|| self.sources.iter().map(|one| (one.short, one.mark)).collect()),
-            word: self.word.revision,
-            platform: self.lists.held(),
+                .then(|| self.peers.iter().map(|one| (one.short, one.version)).collect()),
+            config_revision: self.committed.revision,
+            endpoint_list_revision: self.endpoints.held(),
             plan: (self.plan.epoch, self.plan.counter),
             sender: self.own_delta(tells_card, tells_detail),
             wait_ms,
@@ -857,7 +862,7 @@
             is_leaf: light,
             unreachable_digest: silent,
             list_read_age_ms: (self.own.role == wire::Role::Registry)
-                .then(|| self.lists.read(now).map(|read| read.age_ms))
+                .then(|| self.endpoints.read(now).map(|read| read.age_ms))
                 .flatten(),
         };
         effects.push(Effect::Pull { address, pull });
@@ -868,9 +873,9 @@
             name: self.own.name.clone(),
             version: self.mark,
             age_ms: 0,
-            card: tells_card.then(|| self.own.clone()),
-            report: Some(self.report.clone()),
-            detail: tells_detail.then(|| self.detail.clone()),
+            info: tells_card.then(|| self.own.clone()),
+            status: Some(self.report.clone()),
+            observations: tells_detail.then(|| self.detail.clone()),
         }
     }
 
@@ -893,32 +898,32 @@
             for delta in news.nodes {
                 self.hear(now, delta, false, effects);
             }
-            if let Some(silent) = news.silent {
+            if let Some(silent) = news.unreachable {
                 self.judge(now, address, silent);
             }
-            if let Some(word) = news.word {
+            if let Some(word) = news.config {
                 self.hear_word(Arc::new(word), effects);
             }
             if !resend {
                 // One that says nothing of it is of an earlier version, and told what it has.
-                let floor = news.read_index.unwrap_or(self.word.revision);
+                let floor = news.read_index.unwrap_or(self.committed.revision);
                 if self.floor.met().is_none() {
                     let teller = self.name_at(address);
                     self.floor.hear(&teller, floor);
                 }
                 self.highest = self.highest.max(news.read_index.unwrap_or(0));
             }
-            if let Some(list) = news.platform {
-                let is_new = self.lists.hear_whole(list);
+            if let Some(list) = news.endpoint_list {
+                let is_new = self.endpoints.hear_whole(list);
                 self.note_list(is_new, effects);
             }
             if let Some(delta) = news.endpoint_list_delta {
-                let is_new = self.lists.hear_delta(&delta);
+                let is_new = self.endpoints.hear_delta(&delta);
                 self.note_list(is_new, effects);
             }
             if let Some(read) = news.list_read {
                 let age = Duration::from_millis(u64::from(read.age_ms));
-                self.lists.note_revision(read.revision);
+                self.endpoints.note_revision(read.revision);
                 self.note_list_read(read.revision, now.saturating_sub(age));
             }
             if let Some(plan) = news.plan {
@@ -926,10 +931,10 @@
             }
             if is_of_now && self.fresh_since.is_none() {
                 self.fresh_since = Some(now);
-                effects.push(Effect::Changed);
+                effects.push(Effect::ViewChanged);
             }
             // A store that has asked a majority since it runs knows the word as well as a registry.
-            let vouches = self.sources.iter().any(|source| {
+            let vouches = self.peers.iter().any(|source| {
                 source.card.cluster_address == address
                     && source.report.ready
                     && (source.card.role == wire::Role::Registry
@@ -937,18 +942,18 @@
             });
             if is_of_now && vouches && !self.fresh_registry {
                 self.fresh_registry = true;
-                effects.push(Effect::Changed);
+                effects.push(Effect::ViewChanged);
             }
         }
         if good {
-            let mut teller = self.sources.iter_mut();
+            let mut teller = self.peers.iter_mut();
             if let Some(teller) = teller.find(|source| source.card.cluster_address == address) {
                 teller.replied_at = Some(now);
             }
         }
         if let Some(line) = self.lines.get_mut(&address) {
             line.busy = false;
-            line.next_at = if good { now } else { now + BACK_OFF };
+            line.next_at = if good { now } else { now + PULL_BACKOFF };
             line.is_known = good && !resend;
             line.failed = !good;
             if !good {
@@ -970,15 +975,15 @@
         }
         let lines = self.lines.values().filter_map(|line| line.silent.as_ref());
         let spoken: Vec<&Vec<u32>> = lines
-            .filter(|(at, _)| now.saturating_sub(*at) < ALONE_AFTER)
+            .filter(|(at, _)| now.saturating_sub(*at) < ISOLATION_TIMEOUT)
             .map(|one| &one.1)
             .collect();
-        for source in &mut self.sources {
+        for source in &mut self.peers {
             let name = source.short;
             let says_dead = |silent: &&Vec<u32>| silent.binary_search(&name).is_ok();
             source.is_silent = !spoken.is_empty() && spoken.iter().all(says_dead);
             let is_refuted =
-                source.refused_at.is_some_and(|at| now.saturating_sub(at) < DEAD_AFTER);
+                source.refused_at.is_some_and(|at| now.saturating_sub(at) < NODE_TIMEOUT);
             let is_teller = source.card.cluster_address == address;
             if is_teller || (!source.is_silent && !is_refuted) {
                 source.heard_at = now;
@@ -1001,49 +1006,49 @@
                 self.mark.incarnation = delta.version.incarnation + 1;
                 self.mark.counter += 1;
                 self.loud += 1;
-                effects.push(Effect::Noted("outlived an earlier life of this name"));
+                effects.push(Effect::Log("outlived an earlier life of this name"));
             }
             return;
         }
-        if let Some(report) = &delta.report
+        if let Some(report) = &delta.status
             && report.revision > 0
         {
             self.highest = self.highest.max(report.revision);
             if let Some(floor) = self.floors.get_mut(&delta.name) {
                 *floor = report.revision.max(*floor);
-            } else if self.floors.len() < SOURCES_MOST {
+            } else if self.floors.len() < MAX_PEERS {
                 self.floors.insert(delta.name.clone(), report.revision);
             }
         }
         let age = Duration::from_millis(u64::from(delta.age_ms));
-        if age >= FORGOTTEN_AFTER {
+        if age >= FORGET_TIMEOUT {
             return;
         }
         let heard_at = now.saturating_sub(age);
         let found = self.by_name.get(&delta.name).copied();
         let Some(index) = found else {
-            let (Some(card), Some(report)) = (delta.card, delta.report) else {
+            let (Some(card), Some(report)) = (delta.info, delta.status) else {
                 return;
             };
-            if self.sources.len() >= SOURCES_MOST {
-                effects.push(Effect::Noted("too many sources"));
+            if self.peers.len() >= MAX_PEERS {
+                effects.push(Effect::Log("too many sources"));
                 return;
             }
             // What was not told is not known.
             let mut mark = delta.version;
-            if delta.detail.is_none() {
-                mark.detail = 0;
+            if delta.observations.is_none() {
+                mark.observations_version = 0;
             }
-            let detail = delta.detail.unwrap_or_default();
+            let detail = delta.observations.unwrap_or_default();
             let short = wire::name_hash(&delta.name);
-            self.by_name.insert(delta.name, self.sources.len());
+            self.by_name.insert(delta.name, self.peers.len());
             self.loud += 1;
             self.names.insert(short);
-            self.sources.push(Source {
+            self.peers.push(Peer {
                 card,
-                mark,
+                version: mark,
                 report,
-                is_direct: is_direct && mark.detail > 0,
+                is_direct: is_direct && mark.observations_version > 0,
                 detail,
                 short,
                 heard_at,
@@ -1053,63 +1058,63 @@
                 is_silent: false,
                 was_live: false,
             });
-            effects.push(Effect::Changed);
+            effects.push(Effect::ViewChanged);
             return;
         };
-        let source = &mut self.sources[index];
+        let source = &mut self.peers[index];
         let rank = |mark: &wire::NodeVersion| (mark.incarnation, mark.counter);
         // A detail may come by a slower way than the beats: it has a number of its own.
-        let is_same_life = delta.version.incarnation == source.mark.incarnation;
+        let is_same_life = delta.version.incarnation == source.version.incarnation;
         if is_same_life
-            && delta.version.detail > source.mark.detail
-            && let Some(detail) = &delta.detail
+            && delta.version.observations_version > source.version.observations_version
+            && let Some(detail) = &delta.observations
         {
             source.detail = detail.clone();
-            source.mark.detail = delta.version.detail;
+            source.version.observations_version = delta.version.observations_version;
             source.is_direct = is_direct;
         }
-        if rank(&delta.version) < rank(&source.mark) {
+        if rank(&delta.version) < rank(&source.version) {
             return;
         }
-        let new_life = delta.version.incarnation != source.mark.incarnation;
-        if new_life && delta.card.is_none() {
+        let new_life = delta.version.incarnation != source.version.incarnation;
+        if new_life && delta.info.is_none() {
             return;
         }
-        if rank(&delta.version) > rank(&source.mark) {
+        if rank(&delta.version) > rank(&source.version) {
             source.heard_at = source.heard_at.max(heard_at);
         }
         self.loud +=
-            u64::from(new_life || delta.version.status_version > source.mark.status_version);
-        let old_detail = source.mark.detail;
-        if let Some(card) = delta.card
+            u64::from(new_life || delta.version.status_version > source.version.status_version);
+        let old_detail = source.version.observations_version;
+        if let Some(card) = delta.info
             && card != source.card
         {
             source.card = card;
-            effects.push(Effect::Changed);
+            effects.push(Effect::ViewChanged);
         }
-        if let Some(report) = delta.report
+        if let Some(report) = delta.status
             && report != source.report
         {
             source.report = report;
-            effects.push(Effect::Changed);
+            effects.push(Effect::ViewChanged);
         }
-        if (source.mark.incarnation, source.mark.status_version)
+        if (source.version.incarnation, source.version.status_version)
             != (delta.version.incarnation, delta.version.status_version)
         {
             self.loud += 1;
         }
-        source.mark = delta.version;
-        match delta.detail {
+        source.version = delta.version;
+        match delta.observations {
             Some(detail) if new_life => {
                 source.detail = detail;
                 source.is_direct = is_direct;
             }
             None if new_life => {
                 source.detail = wire::ProxyObservations::default();
-                source.mark.detail = 0;
+                source.version.observations_version = 0;
                 source.is_direct = false;
             }
-            _ => source.mark.detail = old_detail,
+            _ => source.version.observations_version = old_detail,
         }
     }
 
@@ -1122,10 +1127,10 @@
     ) {
         let asker = pull.sender.name.clone();
         let life = pull.sender.version.incarnation;
-        let seeks_floor = pull.sender.report.as_ref().is_some_and(|report| report.revision == 0);
+        let seeks_floor = pull.sender.status.as_ref().is_some_and(|report| report.revision == 0);
         self.hear(now, pull.sender, true, effects);
-        let wait = Duration::from_millis(u64::from(pull.wait_ms)).min(WAIT * 4);
-        self.lists.note_revision(pull.platform);
+        let wait = Duration::from_millis(u64::from(pull.wait_ms)).min(LONG_POLL_TIMEOUT * 4);
+        self.endpoints.note_revision(pull.endpoint_list_revision);
         let list_age = pull.list_read_age_ms.map(|age_ms| Duration::from_millis(u64::from(age_ms)));
         self.parked.retain(|parked| parked.asker != asker || parked.ticket == ticket);
         let known = self.askers.remove(&asker);
@@ -1137,8 +1142,8 @@
         let parked = Parked {
             ticket,
             vector,
-            word: pull.word,
-            platform: pull.platform,
+            word: pull.config_revision,
+            platform: pull.endpoint_list_revision,
             plan: pull.plan,
             wants_detail: pull.wants_observations,
             until: now + wait,
@@ -1201,16 +1206,17 @@
         is_silent_new
             || self.has_later_list_read(parked)
             || self.in_force() > parked.word
-            || self.lists.current().revision > parked.platform
+            || self.endpoints.current().revision > parked.platform
             || (self.plan.epoch, self.plan.counter) > parked.plan
             || louder(&self.own.name, self.short, &self.mark)
-            || self.sources.iter().any(|one| louder(&one.card.name, one.short, &one.mark))
+            || self.peers.iter().any(|one| louder(&one.card.name, one.short, &one.version))
     }
 
     /// Registries tell each other at once that the platform list was read, for who reads it next goes by that.
     fn has_later_list_read(&self, parked: &Parked) -> bool {
         let is_registry = self.own.role == wire::Role::Registry;
-        let Some(read_at) = self.lists.read_at().filter(|_| is_registry && !parked.light) else {
+        let Some(read_at) = self.endpoints.read_at().filter(|_| is_registry && !parked.light)
+        else {
             return false;
         };
         parked.list_read_at.is_none_or(|known_at| read_at >= known_at + LIST_READ_STEP)
@@ -1223,9 +1229,9 @@
             return None;
         }
         let mut weights: Vec<(usize, usize)> = Vec::new();
-        for (index, source) in self.sources.iter().enumerate() {
+        for (index, source) in self.peers.iter().enumerate() {
             let seen = parked.vector.get(&source.short).copied().unwrap_or_default();
-            if parked.has_new_detail(&source.mark, &seen, source.is_direct) {
+            if parked.has_new_detail(&source.version, &seen, source.is_direct) {
                 weights.push((index, source.detail.estimated_bytes()));
             }
         }
@@ -1262,9 +1268,9 @@
         }
         let mut deltas = Vec::new();
         let own = (&self.own, self.short, &self.mark, &self.report, (&self.detail, true), now);
-        let others = self.sources.iter().map(|one| {
+        let others = self.peers.iter().map(|one| {
             let detail = (&one.detail, one.is_direct);
-            (&one.card, one.short, &one.mark, &one.report, detail, one.heard_at)
+            (&one.card, one.short, &one.version, &one.report, detail, one.heard_at)
         });
         let told = self.told_details(parked);
         let is_told = |index: usize| {
@@ -1277,7 +1283,7 @@
             let new_life = mark.incarnation != seen.incarnation;
             let rank = |mark: &wire::NodeVersion| (mark.incarnation, mark.counter);
             let new_detail = parked.has_new_detail(mark, &seen, is_direct) && is_told(index);
-            if (rank(mark) <= rank(&seen) && !new_detail) || age >= FORGOTTEN_AFTER {
+            if (rank(mark) <= rank(&seen) && !new_detail) || age >= FORGET_TIMEOUT {
                 continue;
             }
             if mark.incarnation < seen.incarnation {
@@ -1292,23 +1298,23 @@
                 name: card.name.clone(),
                 version: *mark,
                 age_ms: age.as_millis() as u32,
-                card: new_life.then(|| card.clone()),
-                report: (new_life || mark.status_version > seen.status_version)
+                info: new_life.then(|| card.clone()),
+                status: (new_life || mark.status_version > seen.status_version)
                     .then(|| report.clone()),
-                detail: new_detail.then(|| detail.clone()),
+                observations: new_detail.then(|| detail.clone()),
             });
         }
-        let parcel = self.lists.parcel_for(parked.platform);
+        let parcel = self.endpoints.parcel_for(parked.platform);
         let tells_read = !parked.light || parcel.whole.is_some() || parcel.delta.is_some();
         wire::PullResponse {
             nodes: deltas,
-            word: (self.in_force() > parked.word).then(|| (*self.word).clone()),
-            platform: parcel.whole,
+            config: (self.in_force() > parked.word).then(|| (*self.committed).clone()),
+            endpoint_list: parcel.whole,
             endpoint_list_delta: parcel.delta,
-            list_read: self.lists.read(now).filter(|_| tells_read),
+            list_read: self.endpoints.read(now).filter(|_| tells_read),
             plan: ((self.plan.epoch, self.plan.counter) > parked.plan)
                 .then(|| (*self.plan).clone()),
-            silent: (parked.light && self.own.role == wire::Role::Registry)
+            unreachable: (parked.light && self.own.role == wire::Role::Registry)
                 .then(|| self.silent_for(parked)),
             resend_versions: false,
             read_index: parked.seeks_floor.then(|| self.highest.max(self.in_force())),
--- a/cluster/src/node.rs
+++ b/cluster/src/node.rs
@@ -28,7 +28,7 @@
 }
 
 /// Lines go to standard error, for changes of state only; counters tell the rest (design 9.3).
-pub fn logs() {
+pub fn init_logging() {
     logforth::starter_log::builder()
         .dispatch(|dispatch| {
             dispatch
@@ -46,83 +46,87 @@
 
 /// What the daemon goes by, read-copy-update: each reader loads one whole and consistent view.
 #[derive(Clone, Debug, Default)]
-pub struct View {
-    pub word: Arc<wire::CommittedConfig>,
+pub struct ClusterView {
+    pub committed: Arc<wire::CommittedConfig>,
     /// The parsed setup of the word in force.
-    pub setup: Arc<vanepath_config::model::Config>,
-    pub platform: Arc<vanepath_config::endpoint_list::EndpointList>,
+    pub config: Arc<vanepath_config::model::Config>,
+    pub endpoints: Arc<vanepath_config::endpoint_list::EndpointList>,
     /// When the newest read that found this list in force began.
     pub list_read_at: Option<Duration>,
     /// The highest revision of a list that anyone told of.
-    pub highest_list: u64,
+    pub highest_list_revision: u64,
     pub plan: Arc<wire::TrafficShiftPlan>,
     /// All live daemons, this one first.
     pub live: Vec<(wire::NodeInfo, wire::NodeStatus)>,
     /// Not live any more, as last heard of: dead, or cut off from here.
-    pub lost: Vec<(wire::NodeInfo, wire::NodeStatus)>,
+    pub unreachable: Vec<(wire::NodeInfo, wire::NodeStatus)>,
     pub is_fresh: bool,
     /// How this life came to go by a word (design 5.8); `None`: it goes by none yet.
-    pub floor: Option<crate::read_index::Met>,
+    pub read_index: Option<crate::read_index::EstablishedReadIndex>,
     /// What it has to reach before that, as far as it is known.
-    pub floor_wanted: Option<u64>,
+    pub required_revision: Option<u64>,
     /// It has waited for that in vain: what comes is turned away at once (design 5.8).
-    pub is_stuck: bool,
+    pub is_stalled: bool,
     /// The highest revision that each name told as in force there, over all its lives.
-    pub floors: Arc<std::collections::HashMap<String, u64>>,
+    pub highest_active_revisions: Arc<std::collections::HashMap<String, u64>>,
     /// No sibling has replied for a while: others may know more.
-    pub is_alone: bool,
+    pub is_isolated: bool,
     /// Most registries may know more (`News::is_cut_off`).
-    pub is_cut_off: bool,
+    pub is_partitioned: bool,
     /// A registry that has what all proxies tell of servers (design 5.3).
-    pub knows_details: bool,
+    pub has_observations: bool,
     /// How the operator's documents read here.
-    pub dialect: vanepath_config::wire_format::SelectedFormat,
+    pub wire_format: vanepath_config::wire_format::SelectedFormat,
 }
 
-impl View {
+impl ClusterView {
     /// Whether what time alone changes is still as it was when this view was made.
-    pub fn is_up_to_date(&self, core: &gossip::News, now: Duration) -> bool {
+    pub fn is_up_to_date(&self, core: &gossip::Gossip, now: Duration) -> bool {
         self.is_fresh == is_fresh(core, now)
-            && self.list_read_at == core.lists.read_at()
-            && self.highest_list == core.lists.highest()
-            && self.is_alone == core.is_alone(now)
-            && self.is_cut_off == core.is_cut_off(now)
-            && self.floor_wanted == core.floor().wanted()
-            && self.is_stuck == core.is_stuck(now)
-            && self.knows_details == core.knows_details(now)
+            && self.list_read_at == core.endpoints.read_at()
+            && self.highest_list_revision == core.endpoints.highest()
+            && self.is_isolated == core.is_isolated(now)
+            && self.is_partitioned == core.is_partitioned(now)
+            && self.required_revision == core.read_index().wanted()
+            && self.is_stalled == core.is_stalled(now)
+            && self.has_observations == core.has_observations(now)
     }
 
     /// The revision in force here; 0: none in this life so far (design 5.8).
-    pub fn in_force(&self) -> u64 {
-        self.floor.as_ref().map_or(0, |_| self.word.revision)
+    pub fn active_revision(&self) -> u64 {
+        self.read_index.as_ref().map_or(0, |_| self.committed.revision)
     }
 
     /// What this life began with, for a daemon's status.
-    pub fn show_floor(&self) -> jzon::JsonValue {
-        match &self.floor {
+    pub fn read_index_json(&self) -> jzon::JsonValue {
+        match &self.read_index {
             Some(met) => jzon::object! {
                 "met": true,
-                "floor": met.floor,
-                "by": met.by.to_string(),
+                "floor": met.revision,
+                "by": met.source.to_string(),
                 "from": met.from.as_str(),
                 "waitedMs": met.waited.as_millis() as u64,
             },
             None => jzon::object! {
                 "met": false,
-                "stuck": self.is_stuck,
-                "floor": self.floor_wanted,
-                "has": self.word.revision,
+                "stuck": self.is_stalled,
+                "floor": self.required_revision,
+                "has": self.committed.revision,
             },
         }
     }
 
     /// What the news amount to now, and the changes worth a line.
-    pub fn of(core: &gossip::News, before: &View, now: Duration) -> (View, Vec<String>) {
+    pub fn of(
+        core: &gossip::Gossip,
+        before: &ClusterView,
+        now: Duration,
+    ) -> (ClusterView, Vec<String>) {
         let mut notes = Vec::new();
-        let word = core.word.clone();
-        let mut setup = before.setup.clone();
-        if word.config_revision != before.word.config_revision {
-            match before.dialect.setup(&word.document) {
+        let word = core.committed.clone();
+        let mut setup = before.config.clone();
+        if word.config_revision != before.committed.config_revision {
+            match before.wire_format.setup(&word.document) {
                 Ok(parsed) => {
                     setup = Arc::new(parsed);
                     notes.push(format!("setup of revision {} is in force", word.config_revision));
@@ -147,51 +151,57 @@
         for (old, _) in before.live.iter().filter(|(old, _)| !are.contains(&old.name)) {
             notes.push(format!("{} {} in zone {} is not live", old.role, old.name, old.zone));
         }
-        if let (None, Some(met)) = (&before.floor, core.floor().met()) {
+        if let (None, Some(met)) = (&before.read_index, core.read_index().met()) {
             notes.push(format!(
                 "goes by revision {}: the floor is {} by {} ({}), after {} ms",
                 word.revision,
-                met.floor,
-                met.by,
+                met.revision,
+                met.source,
                 met.from,
                 met.waited.as_millis()
             ));
         }
-        if core.is_stuck(now) && !before.is_stuck {
-            let wanted = core.floor().wanted().map_or("not known".into(), |one| one.to_string());
+        if core.is_stalled(now) && !before.is_stalled {
+            let wanted =
+                core.read_index().wanted().map_or("not known".into(), |one| one.to_string());
             notes.push(format!(
                 "below its floor: it has revision {}, the floor is {wanted}; it takes no work",
                 word.revision
             ));
         }
-        let view = View {
-            word,
-            setup,
-            platform: core.lists.current().clone(),
-            list_read_at: core.lists.read_at(),
-            highest_list: core.lists.highest(),
+        let view = ClusterView {
+            committed: word,
+            config: setup,
+            endpoints: core.endpoints.current().clone(),
+            list_read_at: core.endpoints.read_at(),
+            highest_list_revision: core.endpoints.highest(),
             plan: core.plan.clone(),
             live,
-            lost: core.lost(now).map(|(card, report)| (card.clone(), report.clone())).collect(),
+            unreachable: core
+                .unreachable(now)
+                .map(|(card, report)| (card.clone(), report.clone()))
+                .collect(),
             is_fresh: is_fresh(core, now),
-            floor: core.floor().met().cloned(),
-            floor_wanted: core.floor().wanted(),
-            is_stuck: core.is_stuck(now),
-            floors: if *before.floors == *core.floors() {
-                before.floors.clone()
+            read_index: core.read_index().met().cloned(),
+            required_revision: core.read_index().wanted(),
+            is_stalled: core.is_stalled(now),
+            highest_active_revisions: if *before.highest_active_revisions
+                == *core.highest_active_revisions()
+            {
+                before.highest_active_revisions.clone()
             } else {
-                Arc::new(core.floors().clone())
+                Arc::new(core.highest_active_revisions().clone())
             },
-            is_alone: core.is_alone(now),
-            is_cut_off: core.is_cut_off(now),
-            knows_details: core.knows_details(now),
-            dialect: before.dialect,
+            is_isolated: core.is_isolated(now),
+            is_partitioned: core.is_partitioned(now),
+            has_observations: core.has_observations(now),
+            wire_format: before.wire_format,
         };
         (view, notes)
     }
 
     /// The first live and settled daemon of a role has the duty (design 5.6).
-    pub fn holder(&self, role: wire::Role) -> Option<&wire::NodeInfo> {
+    pub fn leader(&self, role: wire::Role) -> Option<&wire::NodeInfo> {
         self.live
             .iter()
             .filter(|(card, report)| card.role == role && !report.draining && report.synced)
@@ -201,40 +211,40 @@
 }
 
 /// What is known is of now, and not below what an earlier life went by.
-fn is_fresh(core: &gossip::News, now: Duration) -> bool {
-    core.is_fresh(now) && core.floor().met().is_some()
+fn is_fresh(core: &gossip::Gossip, now: Duration) -> bool {
+    core.is_fresh(now) && core.read_index().met().is_some()
 }
 
 #[derive(xtra::Actor)]
-pub struct NewsActor {
-    core: gossip::News,
+pub struct GossipActor {
+    core: gossip::Gossip,
     clock: Clock,
     links: Arc<transport::Client>,
     tally: Arc<transport::Counters>,
-    view: tokio::sync::watch::Sender<Arc<View>>,
-    table: Arc<arc_swap::ArcSwap<View>>,
+    view: tokio::sync::watch::Sender<Arc<ClusterView>>,
+    table: Arc<arc_swap::ArcSwap<ClusterView>>,
     waiting: std::collections::HashMap<u64, tokio::sync::oneshot::Sender<wire::PullResponse>>,
     pulsed_at_ms: Arc<std::sync::atomic::AtomicU64>,
 }
 
 /// An event for the core.
-pub struct Tell(pub gossip::Event);
+pub struct Deliver(pub gossip::Event);
 /// A sibling's pull; the reply comes through the channel.
 struct Asked(u64, wire::PullRequest, tokio::sync::oneshot::Sender<wire::PullResponse>);
 /// All sources with their details.
-pub struct Sources;
+pub struct ListPeers;
 
-impl NewsActor {
-    fn perform(&mut self, effects: Vec<gossip::Effect>, own: &xtra::Address<NewsActor>) {
+impl GossipActor {
+    fn perform(&mut self, effects: Vec<gossip::Effect>, own: &xtra::Address<GossipActor>) {
         let mut changed = false;
         for effect in effects {
             match effect {
                 gossip::Effect::Pull { address, pull } => {
                     let links = self.links.clone();
                     let own = own.clone();
-                    let other_zone = self.core.sources.iter().any(|source| {
+                    let other_zone = self.core.peers.iter().any(|source| {
                         source.card.cluster_address == address
-                            && source.card.zone != self.core.own().zone
+                            && source.card.zone != self.core.node_info().zone
                     });
                     tokio::spawn(async move {
                         let limit = Duration::from_millis(u64::from(pull.wait_ms) + 1000);
@@ -242,13 +252,15 @@
                         let told = match links.call(address, &request, limit, other_zone).await {
                             Ok(wire::Reply::News(news)) => Some(Box::new(news)),
                             Err(transport::TransportError::Refused) => {
-                                let refused = gossip::Event::Refused { address };
-                                let _ = own.send(Tell(refused)).await;
+                                let refused = gossip::Event::ConnectionRefused { address };
+                                let _ = own.send(Deliver(refused)).await;
                                 None
                             }
                             _ => None,
                         };
-                        let _ = own.send(Tell(gossip::Event::Told { address, news: told })).await;
+                        let _ = own
+                            .send(Deliver(gossip::Event::PullCompleted { address, news: told }))
+                            .await;
                     });
                 }
                 gossip::Effect::Answer { ticket, news } => {
@@ -256,7 +268,7 @@
                         let _ = waiting.send(news);
                     }
                 }
-                gossip::Effect::AskFloor { address } => {
+                gossip::Effect::RequestReadIndex { address } => {
                     self.tally.increment(transport::Counter::FloorAsks);
                     let links = self.links.clone();
                     let own = own.clone();
@@ -268,11 +280,11 @@
                             _ => None,
                         };
                         let told = gossip::Event::Floor { address, revision };
-                        let _ = own.send(Tell(told)).await;
+                        let _ = own.send(Deliver(told)).await;
                     });
                 }
-                gossip::Effect::Changed => changed = true,
-                gossip::Effect::Noted(what) => {
+                gossip::Effect::ViewChanged => changed = true,
+                gossip::Effect::Log(what) => {
                     if what.contains("freeze") {
                         self.tally.increment(transport::Counter::Freezes);
                     }
@@ -287,13 +299,13 @@
 
     fn publish(&mut self) {
         let before = self.table.load_full();
-        if let (None, Some(met)) = (&before.floor, self.core.floor().met()) {
-            self.tally.increment(match met.by {
-                crate::read_index::By::Majority => transport::Counter::FloorsByMajority,
-                crate::read_index::By::Witnesses => transport::Counter::FloorsByWitnesses,
+        if let (None, Some(met)) = (&before.read_index, self.core.read_index().met()) {
+            self.tally.increment(match met.source {
+                crate::read_index::ReadIndexSource::Quorum => transport::Counter::FloorsByMajority,
+                crate::read_index::ReadIndexSource::Peers => transport::Counter::FloorsByWitnesses,
             });
         }
-        let (view, notes) = View::of(&self.core, &before, self.clock.now());
+        let (view, notes) = ClusterView::of(&self.core, &before, self.clock.now());
         for note in notes {
             log::info!("{note}");
         }
@@ -303,13 +315,13 @@
     }
 }
 
-impl xtra::Handler<Tell> for NewsActor {
+impl xtra::Handler<Deliver> for GossipActor {
     type Return = ();
 
-    async fn handle(&mut self, Tell(event): Tell, context: &mut xtra::Context<Self>) {
+    async fn handle(&mut self, Deliver(event): Deliver, context: &mut xtra::Context<Self>) {
         let own = context.mailbox().address().try_upgrade();
         let Some(own) = own else { return };
-        let is_pulse = matches!(event, gossip::Event::Pulse);
+        let is_pulse = matches!(event, gossip::Event::Tick);
         let now = self.clock.now();
         let effects = self.core.step(now, event);
         self.perform(effects, &own);
@@ -323,7 +335,7 @@
     }
 }
 
-impl xtra::Handler<Asked> for NewsActor {
+impl xtra::Handler<Asked> for GossipActor {
     type Return = ();
 
     async fn handle(
@@ -336,28 +348,29 @@
         };
         self.waiting.retain(|_, waiting| !waiting.is_closed());
         self.waiting.insert(ticket, reply);
-        let effects = self.core.step(self.clock.now(), gossip::Event::Asked { ticket, pull });
+        let effects =
+            self.core.step(self.clock.now(), gossip::Event::PullReceived { ticket, pull });
         self.perform(effects, &own);
     }
 }
 
-impl xtra::Handler<Sources> for NewsActor {
-    type Return = Vec<gossip::Source>;
+impl xtra::Handler<ListPeers> for GossipActor {
+    type Return = Vec<gossip::Peer>;
 
-    async fn handle(&mut self, _: Sources, _: &mut xtra::Context<Self>) -> Vec<gossip::Source> {
-        self.core.sources.clone()
+    async fn handle(&mut self, _: ListPeers, _: &mut xtra::Context<Self>) -> Vec<gossip::Peer> {
+        self.core.peers.clone()
     }
 }
 
 /// A running daemon's shared parts.
-pub struct Daemon {
+pub struct Node {
     pub settings: vanepath_config::settings::Settings,
     pub clock: Clock,
-    pub links: Arc<transport::Client>,
-    pub link_tally: Arc<transport::Counters>,
-    pub news: xtra::Address<NewsActor>,
-    pub table: Arc<arc_swap::ArcSwap<View>>,
-    pub view: tokio::sync::watch::Receiver<Arc<View>>,
+    pub transport: Arc<transport::Client>,
+    pub transport_counters: Arc<transport::Counters>,
+    pub gossip: xtra::Address<GossipActor>,
+    pub table: Arc<arc_swap::ArcSwap<ClusterView>>,
+    pub view: tokio::sync::watch::Receiver<Arc<ClusterView>>,
     /// Turns true when the daemon was told to stop.
     pub stop: tokio::sync::watch::Receiver<bool>,
     pub card: wire::NodeInfo,
@@ -371,11 +384,11 @@
         + Sync,
 >;
 
-impl Daemon {
+impl Node {
     pub async fn start(
         settings: vanepath_config::settings::Settings,
         store_handler: Option<StoreHandler>,
-    ) -> Result<Arc<Daemon>, miette::Report> {
+    ) -> Result<Arc<Node>, miette::Report> {
         let clock = Clock::start();
         let card = wire::NodeInfo {
             name: settings.name.clone(),
@@ -399,11 +412,11 @@
             .duration_since(std::time::UNIX_EPOCH)
             .map_or(0, |since| since.as_millis() as u64);
         let life = (life << 12) | (random() & 0xfff);
-        let core = gossip::News::new(card.clone(), settings.seeds.clone(), life, clock.now());
-        let first = View { dialect: settings.wire_format, ..View::default() };
+        let core = gossip::Gossip::new(card.clone(), settings.seeds.clone(), life, clock.now());
+        let first = ClusterView { wire_format: settings.wire_format, ..ClusterView::default() };
         let table = Arc::new(arc_swap::ArcSwap::from_pointee(first));
         let (sender, view) = tokio::sync::watch::channel(table.load_full());
-        let actor = NewsActor {
+        let actor = GossipActor {
             core,
             clock,
             links: links.clone(),
@@ -442,7 +455,7 @@
             pulse.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
             loop {
                 pulse.tick().await;
-                if pulsed.send(Tell(gossip::Event::Pulse)).await.is_err() {
+                if pulsed.send(Deliver(gossip::Event::Tick)).await.is_err() {
                     return;
                 }
             }
@@ -456,12 +469,12 @@
             settings.listen,
             settings.cluster_listen
         );
-        Ok(Arc::new(Daemon {
+        Ok(Arc::new(Node {
             settings,
             clock,
-            links,
-            link_tally,
-            news,
+            transport: links,
+            transport_counters: link_tally,
+            gossip: news,
             table,
             view,
             stop,
@@ -470,17 +483,18 @@
         }))
     }
 
-    pub async fn report(&self, report: wire::NodeStatus) {
-        let _ = self.news.send(Tell(gossip::Event::Report(report))).await;
+    pub async fn publish_status(&self, report: wire::NodeStatus) {
+        let _ = self.gossip.send(Deliver(gossip::Event::StatusChanged(report))).await;
     }
 
     /// False right after a freeze, before the pulse that will find it out (design 5.5).
     pub fn is_awake(&self) -> bool {
         let pulsed_at_ms = self.pulsed_at_ms.load(std::sync::atomic::Ordering::Relaxed);
-        self.clock.now().saturating_sub(Duration::from_millis(pulsed_at_ms)) < gossip::FREEZE
+        self.clock.now().saturating_sub(Duration::from_millis(pulsed_at_ms))
+            < gossip::PAUSE_THRESHOLD
     }
 
-    pub fn is_stopping(&self) -> bool {
+    pub fn is_shutting_down(&self) -> bool {
         *self.stop.borrow()
     }
 }
@@ -489,7 +503,7 @@
 /// over then, everything else with the next start (design 2.2).
 async fn follow_settings(
     mut known: vanepath_config::settings::Settings,
-    news: xtra::Address<NewsActor>,
+    news: xtra::Address<GossipActor>,
 ) {
     use vanepath_config::settings::{Invocation, start};
     let Some(file) = known.file.clone() else { return };
@@ -512,7 +526,7 @@
                 if settings.seeds != known.seeds {
                     log::info!("other seeds: {:?}", settings.seeds);
                     known.seeds = settings.seeds.clone();
-                    let _ = news.send(Tell(gossip::Event::Seeds(settings.seeds))).await;
+                    let _ = news.send(Deliver(gossip::Event::SeedsChanged(settings.seeds))).await;
                 }
             }
             Ok(Invocation::Print(_)) => {}
@@ -525,7 +539,7 @@
 
 /// A sibling's pull that waits for news. Dropped before that came: the asker is gone.
 struct Waits {
-    news: xtra::Address<NewsActor>,
+    news: xtra::Address<GossipActor>,
     ticket: u64,
     is_over: bool,
 }
@@ -535,7 +549,7 @@
         if !self.is_over {
             let (news, ticket) = (self.news.clone(), self.ticket);
             tokio::spawn(async move {
-                let _ = news.send(Tell(gossip::Event::Left { ticket })).await;
+                let _ = news.send(Deliver(gossip::Event::PullAbandoned { ticket })).await;
             });
         }
     }
@@ -545,7 +559,7 @@
     listener: tokio::net::TcpListener,
     greeting: wire::Handshake,
     tally: Arc<transport::Counters>,
-    news: xtra::Address<NewsActor>,
+    news: xtra::Address<GossipActor>,
     store_handler: Option<StoreHandler>,
 ) {
     let tickets = Arc::new(std::sync::atomic::AtomicU64::new(0));
@@ -690,7 +704,7 @@
     http_body_util::Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-pub fn json(status: hyper::StatusCode, value: &jzon::JsonValue) -> hyper::Response<Body> {
+pub fn json_response(status: hyper::StatusCode, value: &jzon::JsonValue) -> hyper::Response<Body> {
     let mut text = value.dump();
     text.push('\n');
     let mut receipt = hyper::Response::new(body(text));
@@ -706,32 +720,35 @@
 }
 
 /// The paths that every daemon has: liveness, readiness and counters.
-pub fn common(
-    daemon: &Daemon,
+pub fn common_pages(
+    daemon: &Node,
     path: &str,
     ready: bool,
     metrics: impl FnOnce(&mut jzon::JsonValue),
 ) -> Option<hyper::Response<Body>> {
     match path {
-        "/v1/live" => Some(json(hyper::StatusCode::OK, &jzon::object! { "live": true })),
+        "/v1/live" => Some(json_response(hyper::StatusCode::OK, &jzon::object! { "live": true })),
         "/v1/ready" => {
             let status =
                 if ready { hyper::StatusCode::OK } else { hyper::StatusCode::SERVICE_UNAVAILABLE };
             let view = daemon.table.load();
-            Some(json(status, &jzon::object! { "ready": ready, "revision": view.in_force() }))
+            Some(json_response(
+                status,
+                &jzon::object! { "ready": ready, "revision": view.active_revision() },
+            ))
         }
         "/v1/metrics" => {
             let mut all = jzon::JsonValue::new_object();
-            daemon.link_tally.write_json(&mut all);
+            daemon.transport_counters.write_json(&mut all);
             metrics(&mut all);
-            Some(json(hyper::StatusCode::OK, &all))
+            Some(json_response(hyper::StatusCode::OK, &all))
         }
         _ => None,
     }
 }
 
 /// Runs a daemon's main future on several threads; what is left at its end is cut off.
-pub fn runtime(
+pub fn run_on_runtime(
     grace: Duration,
     main: impl Future<Output = Result<(), miette::Report>>,
 ) -> Result<(), miette::Report> {
--- a/cluster/src/read_index.rs
+++ b/cluster/src/read_index.rs
@@ -18,28 +18,30 @@
 /// as well, until its directory knows.
 const STUCK_AFTER: Duration = Duration::from_millis(2300);
 const _: () = assert!(STUCK_AFTER.as_millis() > WITNESS_WAIT.as_millis());
-const _: () = assert!(STUCK_AFTER.as_millis() < crate::gossip::HOLD.as_millis());
+const _: () = assert!(STUCK_AFTER.as_millis() < crate::gossip::READINESS_TIMEOUT.as_millis());
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
-pub enum By {
+pub enum ReadIndexSource {
     /// A store asked a majority of them after this life began.
-    Majority,
+    #[strum(serialize = "majority")]
+    Quorum,
     /// Siblings, while no majority of stores could be asked.
-    Witnesses,
+    #[strum(serialize = "witnesses")]
+    Peers,
 }
 
 /// What this life began with.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Met {
-    pub floor: u64,
-    pub by: By,
+pub struct EstablishedReadIndex {
+    pub revision: u64,
+    pub source: ReadIndexSource,
     /// Who told the floor.
     pub from: String,
     pub waited: Duration,
 }
 
-pub struct Floor {
+pub struct ReadIndex {
     began_at: Duration,
     /// Witnesses count from here: the start, or the last freeze before the floor was met.
     awake_since: Duration,
@@ -47,16 +49,16 @@
     majority: Option<(u64, String)>,
     /// The highest that siblings told as in force anywhere, and who did.
     told: Option<(u64, String)>,
-    met: Option<Met>,
+    met: Option<EstablishedReadIndex>,
     next_at: Duration,
     turn: usize,
     /// Stores are known of and were asked, since the start or the last freeze.
     has_asked: bool,
 }
 
-impl Floor {
-    pub fn new(now: Duration) -> Floor {
-        Floor {
+impl ReadIndex {
+    pub fn new(now: Duration) -> ReadIndex {
+        ReadIndex {
             began_at: now,
             awake_since: now,
             majority: None,
@@ -68,7 +70,7 @@
         }
     }
 
-    pub fn met(&self) -> Option<&Met> {
+    pub fn met(&self) -> Option<&EstablishedReadIndex> {
         self.met.as_ref()
     }
 
@@ -142,15 +144,20 @@
         }
         let has_waited = now.saturating_sub(self.awake_since) > WITNESS_WAIT;
         let (by, told) = match (&self.majority, &self.told) {
-            (Some(told), _) => (By::Majority, told),
-            (None, Some(told)) if has_waited && is_whole => (By::Witnesses, told),
+            (Some(told), _) => (ReadIndexSource::Quorum, told),
+            (None, Some(told)) if has_waited && is_whole => (ReadIndexSource::Peers, told),
             _ => return false,
         };
         if revision < told.0 {
             return false;
         }
         let waited = now.saturating_sub(self.began_at);
-        self.met = Some(Met { floor: told.0, by, from: told.1.clone(), waited });
+        self.met = Some(EstablishedReadIndex {
+            revision: told.0,
+            source: by,
+            from: told.1.clone(),
+            waited,
+        });
         true
     }
 }
--- a/cluster/src/wire.rs
+++ b/cluster/src/wire.rs
@@ -209,10 +209,15 @@
     pub incarnation: u64,
     pub counter: u64,
     pub status_version: u64,
-    pub detail: u64,
+    pub observations_version: u64,
 }
 
-bare!(NodeVersion { incarnation: u64, counter: u64, status_version: u64, detail: u64 });
+bare!(NodeVersion {
+    incarnation: u64,
+    counter: u64,
+    status_version: u64,
+    observations_version: u64
+});
 
 type DeltaBare =
     (String, NodeVersion, u32, Option<NodeInfo>, Option<NodeStatus>, Option<ProxyObservations>);
@@ -224,18 +229,18 @@
     pub version: NodeVersion,
     pub age_ms: u32,
     /// Absent where the asker's mark shows that it has them.
-    pub card: Option<NodeInfo>,
-    pub report: Option<NodeStatus>,
-    pub detail: Option<ProxyObservations>,
+    pub info: Option<NodeInfo>,
+    pub status: Option<NodeStatus>,
+    pub observations: Option<ProxyObservations>,
 }
 
 bare!(NodeDelta {
     name: String,
     version: NodeVersion,
     age_ms: u32,
-    card: Option<NodeInfo>,
-    report: Option<NodeStatus>,
-    detail: Option<ProxyObservations>,
+    info: Option<NodeInfo>,
+    status: Option<NodeStatus>,
+    observations: Option<ProxyObservations>,
 });
 
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
@@ -243,8 +248,10 @@
     /// Sources by the short hash of their names; `None`: as after the last reply to this asker.
     #[serde(rename = "vector")]
     pub known_versions: Option<Vec<(u32, NodeVersion)>>,
-    pub word: u64,
-    pub platform: u64,
+    #[serde(rename = "word")]
+    pub config_revision: u64,
+    #[serde(rename = "platform")]
+    pub endpoint_list_revision: u64,
     pub plan: (u64, u64),
     #[serde(rename = "own")]
     pub sender: NodeDelta,
@@ -279,8 +286,10 @@
 pub struct PullResponse {
     #[serde(rename = "deltas")]
     pub nodes: Vec<NodeDelta>,
-    pub word: Option<CommittedConfig>,
-    pub platform: Option<vanepath_config::endpoint_list::EndpointList>,
+    #[serde(rename = "word")]
+    pub config: Option<CommittedConfig>,
+    #[serde(rename = "platform")]
+    pub endpoint_list: Option<vanepath_config::endpoint_list::EndpointList>,
     /// Instead of the whole list, where the asker has one that the teller knows.
     #[serde(rename = "platform_delta")]
     pub endpoint_list_delta: Option<vanepath_config::endpoint_list::EndpointListDelta>,
@@ -289,7 +298,8 @@
     pub list_read: Option<EndpointListRead>,
     pub plan: Option<TrafficShiftPlan>,
     /// For a light asker: who is not live as the teller sees it, by short names.
-    pub silent: Option<Vec<u32>>,
+    #[serde(rename = "silent")]
+    pub unreachable: Option<Vec<u32>>,
     /// The teller does not know what this asker has: it is to send its vector.
     #[serde(rename = "resend")]
     pub resend_versions: bool,
--- a/cluster/tests/details.rs
+++ b/cluster/tests/details.rs
@@ -4,7 +4,7 @@
 
 use common::card;
 use std::time::Duration;
-use vanepath_cluster::gossip::{Effect, Event, News};
+use vanepath_cluster::gossip::{Effect, Event, Gossip};
 use vanepath_cluster::wire;
 
 const NOW: Duration = Duration::from_secs(100);
@@ -31,42 +31,47 @@
             incarnation: 7,
             counter: number,
             status_version: 1,
-            detail: number,
+            observations_version: number,
         },
         age_ms: 0,
-        card: Some(card(&name, wire::Role::Proxy, 1000 + index as u16)),
-        report: Some(wire::NodeStatus::default()),
-        detail: Some(detail(sights, number as u32)),
+        info: Some(card(&name, wire::Role::Proxy, 1000 + index as u16)),
+        status: Some(wire::NodeStatus::default()),
+        observations: Some(detail(sights, number as u32)),
         name,
     }
 }
 
-fn tell(news: &mut News, deltas: Vec<wire::NodeDelta>) {
+fn tell(news: &mut Gossip, deltas: Vec<wire::NodeDelta>) {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 3));
     let told = wire::PullResponse { nodes: deltas, ..wire::PullResponse::default() };
-    news.step(NOW, Event::Told { address, news: Some(Box::new(told)) });
+    news.step(NOW, Event::PullCompleted { address, news: Some(Box::new(told)) });
 }
 
 /// The registry `asked` answers `asker`'s pull when its time is up; the answer is told to the asker.
-fn pull(asker: &mut News, asked: &mut News, ticket: u64) -> wire::PullResponse {
+fn pull(asker: &mut Gossip, asked: &mut Gossip, ticket: u64) -> wire::PullResponse {
     pull_after(asker, asked, ticket, 700)
 }
 
-fn pull_after(asker: &mut News, asked: &mut News, ticket: u64, wait_ms: u32) -> wire::PullResponse {
+fn pull_after(
+    asker: &mut Gossip,
+    asked: &mut Gossip,
+    ticket: u64,
+    wait_ms: u32,
+) -> wire::PullResponse {
     let pull = wire::PullRequest {
         known_versions: Some(
-            asker.sources.iter().map(|one| (wire::name_hash(&one.card.name), one.mark)).collect(),
+            asker.peers.iter().map(|one| (wire::name_hash(&one.card.name), one.version)).collect(),
         ),
-        word: 0,
-        platform: asker.lists.held(),
+        config_revision: 0,
+        endpoint_list_revision: asker.endpoints.held(),
         plan: (0, 0),
         sender: wire::NodeDelta {
-            name: asker.own().name.clone(),
-            version: asker.own_mark(),
+            name: asker.node_info().name.clone(),
+            version: asker.node_version(),
             age_ms: 0,
-            card: Some(asker.own().clone()),
-            report: Some(asker.own_report().clone()),
-            detail: None,
+            info: Some(asker.node_info().clone()),
+            status: Some(asker.node_status().clone()),
+            observations: None,
         },
         wait_ms,
         wants_observations: true,
@@ -74,9 +79,9 @@
         unreachable_digest: 0,
         list_read_age_ms: None,
     };
-    let mut effects = asked.step(NOW, Event::Asked { ticket, pull });
+    let mut effects = asked.step(NOW, Event::PullReceived { ticket, pull });
     let until = NOW + Duration::from_millis(u64::from(wait_ms));
-    effects.extend(asked.step(until, Event::Pulse));
+    effects.extend(asked.step(until, Event::Tick));
     let answer = effects.into_iter().find_map(|effect| match effect {
         Effect::Answer { ticket: of, news } if of == ticket => Some(news),
         _ => None,
@@ -86,8 +91,8 @@
     news
 }
 
-fn registry(name: &str, port: u16) -> News {
-    News::new(card(name, wire::Role::Registry, port), Vec::new(), 1, NOW)
+fn registry(name: &str, port: u16) -> Gossip {
+    Gossip::new(card(name, wire::Role::Registry, port), Vec::new(), 1, NOW)
 }
 
 /// More than a reply holds comes with several, each within its bounds, and nothing is left out for good.
@@ -98,20 +103,20 @@
     let weight = detail(900, 1).estimated_bytes();
     assert!(656 * weight > 4 * wire::MAX_OBSERVATION_BYTES, "{weight}");
     let known =
-        |asker: &News| asker.sources.iter().filter(|one| one.detail.servers.len() == 900).count();
+        |asker: &Gossip| asker.peers.iter().filter(|one| one.detail.servers.len() == 900).count();
     let mut rounds = 0;
     while known(&asker) < 656 {
         let before = known(&asker);
         let bytes = wire::encode(&pull(&mut asker, &mut asked, rounds)).len();
         assert!(bytes < wire::MAX_OBSERVATION_BYTES + (1 << 20), "{bytes}");
         assert!(known(&asker) > before, "{before} after {rounds}");
-        assert_eq!(asker.sources.len(), 657, "all were heard of with the first reply");
+        assert_eq!(asker.peers.len(), 657, "all were heard of with the first reply");
         rounds += 1;
     }
     assert!(rounds < 16, "{rounds}");
     let rest = pull(&mut asker, &mut asked, 99);
     let mut proxies = rest.nodes.iter().filter(|one| one.name.starts_with("proxy-"));
-    assert!(proxies.all(|one| one.detail.is_none()), "nothing twice");
+    assert!(proxies.all(|one| one.observations.is_none()), "nothing twice");
 }
 
 /// Who heard a detail from its source tells it at once; a third only what the asker missed a round of.
@@ -119,11 +124,11 @@
 fn a_third_tells_details_only_after_a_round_was_missed() {
     let (mut first, mut third) = (registry("r0", 1), registry("r1", 2));
     let mut asker = registry("r2", 4);
-    let own = |first: &mut News, number: u64| {
+    let own = |first: &mut Gossip, number: u64| {
         let pull = wire::PullRequest {
             known_versions: Some(Vec::new()),
-            word: 0,
-            platform: 0,
+            config_revision: 0,
+            endpoint_list_revision: 0,
             plan: (0, 0),
             sender: delta(0, number, 3),
             wait_ms: 700,
@@ -132,11 +137,11 @@
             unreachable_digest: 0,
             list_read_age_ms: None,
         };
-        first.step(NOW, Event::Asked { ticket: number, pull });
+        first.step(NOW, Event::PullReceived { ticket: number, pull });
     };
-    let seen = |news: &News| {
-        let one = news.sources.iter().find(|one| one.card.name == "proxy-0").unwrap();
-        (one.mark.detail, one.detail.servers[0].load_milli)
+    let seen = |news: &Gossip| {
+        let one = news.peers.iter().find(|one| one.card.name == "proxy-0").unwrap();
+        (one.version.observations_version, one.detail.servers[0].load_milli)
     };
     own(&mut first, 1);
     pull(&mut third, &mut first, 11);
@@ -184,32 +189,32 @@
 fn a_list_is_told_by_what_changed_and_whole_where_that_leads_astray() {
     let (mut teller, mut asker, mut astray) =
         (registry("r0", 1), registry("r1", 2), registry("r2", 4));
-    let hear = |news: &mut News, list| {
-        news.step(NOW, Event::Platform(list));
+    let hear = |news: &mut Gossip, list| {
+        news.step(NOW, Event::EndpointListReceived(list));
     };
     hear(&mut teller, list(1, &[]));
     hear(&mut asker, list(1, &[]));
     hear(&mut astray, list(1, &[7]));
     hear(&mut teller, list(2, &[3]));
-    let pulled = |asker: &mut News, teller: &mut News, ticket: u64| {
+    let pulled = |asker: &mut Gossip, teller: &mut Gossip, ticket: u64| {
         let told = pull(asker, teller, ticket);
         let news = Some(Box::new(told.clone()));
-        asker.step(NOW, Event::Told { address: teller.own().cluster_address, news });
+        asker.step(NOW, Event::PullCompleted { address: teller.node_info().cluster_address, news });
         told
     };
     let told = pulled(&mut asker, &mut teller, 1);
-    assert!(told.platform.is_none() && told.endpoint_list_delta.unwrap().changed.len() == 1);
-    assert_eq!(asker.lists.current(), teller.lists.current());
+    assert!(told.endpoint_list.is_none() && told.endpoint_list_delta.unwrap().changed.len() == 1);
+    assert_eq!(asker.endpoints.current(), teller.endpoints.current());
     pulled(&mut astray, &mut teller, 2);
-    assert_eq!(astray.lists.current().revision, 1, "it does not lead there");
+    assert_eq!(astray.endpoints.current().revision, 1, "it does not lead there");
     let told = pulled(&mut astray, &mut teller, 3);
-    assert!(told.platform.is_some());
-    assert_eq!(astray.lists.current(), teller.lists.current());
+    assert!(told.endpoint_list.is_some());
+    assert_eq!(astray.endpoints.current(), teller.endpoints.current());
 }
 
 /// What a registry hears of others of its kind, and whether its next pulls ask for details.
-fn asks_for_details(news: &mut News, now: Duration) -> bool {
-    let effects = news.step(now, Event::Pulse);
+fn asks_for_details(news: &mut Gossip, now: Duration) -> bool {
+    let effects = news.step(now, Event::Tick);
     let pulls = effects.iter().filter_map(|effect| match effect {
         Effect::Pull { pull, .. } => Some(pull.wants_observations),
         _ => None,
@@ -222,11 +227,16 @@
 fn others(names: &[&str], leaving: bool) -> Vec<wire::NodeDelta> {
     let other = |name: &&str| wire::NodeDelta {
         name: name.to_string(),
-        version: wire::NodeVersion { incarnation: 7, counter: 1, status_version: 1, detail: 0 },
+        version: wire::NodeVersion {
+            incarnation: 7,
+            counter: 1,
+            status_version: 1,
+            observations_version: 0,
+        },
         age_ms: 0,
-        card: Some(card(name, wire::Role::Registry, 100 + u16::from(name.as_bytes()[1]))),
-        report: Some(wire::NodeStatus { draining: leaving, ..wire::NodeStatus::default() }),
-        detail: None,
+        info: Some(card(name, wire::Role::Registry, 100 + u16::from(name.as_bytes()[1]))),
+        status: Some(wire::NodeStatus { draining: leaving, ..wire::NodeStatus::default() }),
+        observations: None,
     };
     names.iter().map(other).collect()
 }
@@ -255,8 +265,8 @@
     let mut news = registry("r2", 1);
     tell(&mut news, others(&["r0", "r1"], false));
     let second = |count: u64| NOW + Duration::from_secs(count);
-    news.step(NOW, Event::Pulse);
-    assert!(!news.knows_details(second(100)), "it hears none");
-    news.step(second(1), Event::WantDetails);
-    assert!(!news.knows_details(second(2)) && news.knows_details(second(3)));
+    news.step(NOW, Event::Tick);
+    assert!(!news.has_observations(second(100)), "it hears none");
+    news.step(second(1), Event::ObservationsWanted);
+    assert!(!news.has_observations(second(2)) && news.has_observations(second(3)));
 }
--- a/cluster/tests/floor.rs
+++ b/cluster/tests/floor.rs
@@ -5,9 +5,9 @@
 use common::card;
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_cluster::gossip::{Effect, Event, News};
-use vanepath_cluster::node::View;
-use vanepath_cluster::read_index::{By, Floor, NEXT_AFTER, WITNESS_WAIT};
+use vanepath_cluster::gossip::{Effect, Event, Gossip};
+use vanepath_cluster::node::ClusterView;
+use vanepath_cluster::read_index::{NEXT_AFTER, ReadIndex, ReadIndexSource, WITNESS_WAIT};
 use vanepath_cluster::wire::{self, Role};
 
 const START: Duration = Duration::from_secs(100);
@@ -27,12 +27,12 @@
             incarnation: 5,
             counter: report.revision + 1,
             status_version: 1,
-            detail: 0,
+            observations_version: 0,
         },
         age_ms: 0,
-        card: Some(card(name, role, port)),
-        report: Some(report),
-        detail: None,
+        info: Some(card(name, role, port)),
+        status: Some(report),
+        observations: None,
     }
 }
 
@@ -44,32 +44,32 @@
     wire::NodeStatus { ready: true, revision, ..wire::NodeStatus::default() }
 }
 
-fn proxy(seeds: Vec<std::net::SocketAddr>) -> News {
-    News::new(card("p", Role::Proxy, 1), seeds, 1, START)
+fn proxy(seeds: Vec<std::net::SocketAddr>) -> Gossip {
+    Gossip::new(card("p", Role::Proxy, 1), seeds, 1, START)
 }
 
-fn view(news: &News, now: Duration) -> View {
-    View::of(news, &View::default(), now).0
+fn view(news: &Gossip, now: Duration) -> ClusterView {
+    ClusterView::of(news, &ClusterView::default(), now).0
 }
 
 /// A registry at port 2 replies with a word and with the highest revision that it knows as in force.
-fn reply(news: &mut News, now: Duration, revision: u64, floor: u64) -> Vec<Effect> {
-    news.step(now, Event::Pulse);
+fn reply(news: &mut Gossip, now: Duration, revision: u64, floor: u64) -> Vec<Effect> {
+    news.step(now, Event::Tick);
     let told = wire::PullResponse {
         nodes: vec![delta("r", Role::Registry, 2, ready(revision))],
-        word: Some(word(revision)),
+        config: Some(word(revision)),
         read_index: Some(floor),
         ..wire::PullResponse::default()
     };
-    news.step(now, Event::Told { address: address(2), news: Some(Box::new(told)) })
+    news.step(now, Event::PullCompleted { address: address(2), news: Some(Box::new(told)) })
 }
 
 /// The report that it tells others, by the answer to a sibling's pull.
-fn told_by(news: &mut News, now: Duration, asker_revision: u64) -> wire::PullResponse {
+fn told_by(news: &mut Gossip, now: Duration, asker_revision: u64) -> wire::PullResponse {
     let pull = wire::PullRequest {
         known_versions: Some(Vec::new()),
-        word: 0,
-        platform: 0,
+        config_revision: 0,
+        endpoint_list_revision: 0,
         plan: (0, 0),
         sender: delta("q", Role::Proxy, 9, ready(asker_revision)),
         wait_ms: 0,
@@ -78,7 +78,7 @@
         unreachable_digest: 0,
         list_read_age_ms: None,
     };
-    let effects = news.step(now, Event::Asked { ticket: 1, pull });
+    let effects = news.step(now, Event::PullReceived { ticket: 1, pull });
     let answer = effects.into_iter().find_map(|effect| match effect {
         Effect::Answer { news, .. } => Some(news),
         _ => None,
@@ -93,15 +93,18 @@
     reply(&mut news, ms(10), 3, 3);
     assert!(news.is_fresh(ms(10)), "the news are of now");
     assert!(!view(&news, ms(10)).is_fresh, "and the word may be old");
-    assert_eq!(view(&news, ms(10)).in_force(), 0);
+    assert_eq!(view(&news, ms(10)).active_revision(), 0);
     news.step(ms(20), Event::Floor { address: address(3), revision: Some(5) });
     assert!(!view(&news, ms(20)).is_fresh, "it has 3 of 5");
     reply(&mut news, ms(30), 5, 5);
     let view = view(&news, ms(30));
     assert!(view.is_fresh);
-    assert_eq!(view.in_force(), 5);
-    let met = view.floor.unwrap();
-    assert_eq!((met.floor, met.by, met.waited), (5, By::Majority, Duration::from_millis(30)));
+    assert_eq!(view.active_revision(), 5);
+    let met = view.read_index.unwrap();
+    assert_eq!(
+        (met.revision, met.source, met.waited),
+        (5, ReadIndexSource::Quorum, Duration::from_millis(30))
+    );
 }
 
 /// What is held back is neither offered nor told as in force; later it is both.
@@ -109,31 +112,31 @@
 fn nothing_is_offered_or_told_before_the_floor_is_met() {
     let mut news = proxy(vec![address(2)]);
     reply(&mut news, ms(10), 3, 3);
-    news.step(ms(10), Event::Report(ready(3)));
+    news.step(ms(10), Event::StatusChanged(ready(3)));
     let told = told_by(&mut news, ms(20), 0);
-    assert!(told.word.is_none());
+    assert!(told.config.is_none());
     let own = |told: &wire::PullResponse| {
         let own = told.nodes.iter().find(|delta| delta.name == "p").unwrap();
-        own.report.as_ref().unwrap().revision
+        own.status.as_ref().unwrap().revision
     };
     assert_eq!(own(&told), 0);
     news.step(ms(30), Event::Floor { address: address(3), revision: Some(3) });
-    news.step(ms(30), Event::Report(ready(3)));
+    news.step(ms(30), Event::StatusChanged(ready(3)));
     let told = told_by(&mut news, ms(40), 0);
-    assert_eq!((told.word.unwrap().revision, told.read_index), (3, Some(3)));
+    assert_eq!((told.config.unwrap().revision, told.read_index), (3, Some(3)));
 }
 
 /// Whoever heard what a name went by, or what anyone did, tells it to those who go by nothing yet.
 #[test]
 fn a_witness_tells_what_was_in_force() {
-    let mut witness = News::new(card("r", Role::Registry, 2), Vec::new(), 1, START);
+    let mut witness = Gossip::new(card("r", Role::Registry, 2), Vec::new(), 1, START);
     told_by(&mut witness, ms(10), 7);
     let told = told_by(&mut witness, ms(20), 7);
     assert_eq!(told.read_index, None, "it goes by a word already");
     // The next life of that name.
     let told = told_by(&mut witness, ms(30), 0);
     assert_eq!(told.read_index, Some(7), "a lower report does not take it back");
-    assert_eq!(witness.floors().get("q"), Some(&7));
+    assert_eq!(witness.highest_active_revisions().get("q"), Some(&7));
 }
 
 /// Without a majority of stores a daemon waits two seconds and goes by no less than any witness told.
@@ -143,21 +146,21 @@
     reply(&mut news, ms(10), 3, 7);
     let late = WITNESS_WAIT.as_millis() as u64 + 50;
     for at in (50..late).step_by(50) {
-        news.step(ms(at), Event::Pulse);
+        news.step(ms(at), Event::Tick);
     }
     reply(&mut news, ms(late), 3, 3);
     assert!(!view(&news, ms(late)).is_fresh, "one witness knows of 7");
-    assert_eq!(view(&news, ms(late)).floor_wanted, Some(7));
+    assert_eq!(view(&news, ms(late)).required_revision, Some(7));
     reply(&mut news, ms(late + 50), 7, 7);
-    let met = view(&news, ms(late + 50)).floor.unwrap();
-    assert_eq!((met.floor, met.by, met.from.as_str()), (7, By::Witnesses, "r"));
+    let met = view(&news, ms(late + 50)).read_index.unwrap();
+    assert_eq!((met.revision, met.source, met.from.as_str()), (7, ReadIndexSource::Peers, "r"));
 }
 
 /// Who hears of no more than half of those it knows of may be cut off together with them: it waits.
 #[test]
 fn a_cut_off_part_is_no_witness() {
     let mut news = proxy(vec![address(2)]);
-    news.step(START, Event::Pulse);
+    news.step(START, Event::Tick);
     let mut deltas: Vec<wire::NodeDelta> = (0..3_u16)
         .map(|index| {
             let lost = delta(&format!("q{index}"), Role::Proxy, 20 + index, ready(3));
@@ -167,26 +170,26 @@
     deltas.push(delta("r", Role::Registry, 2, ready(3)));
     let told = wire::PullResponse {
         nodes: deltas,
-        word: Some(word(3)),
+        config: Some(word(3)),
         read_index: Some(3),
         ..Default::default()
     };
-    news.step(ms(10), Event::Told { address: address(2), news: Some(Box::new(told)) });
+    news.step(ms(10), Event::PullCompleted { address: address(2), news: Some(Box::new(told)) });
     for at in (50..2950).step_by(50) {
-        news.step(ms(at), Event::Pulse);
+        news.step(ms(at), Event::Tick);
     }
-    assert!(view(&news, ms(2900)).floor.is_none(), "two of five");
+    assert!(view(&news, ms(2900)).read_index.is_none(), "two of five");
 }
 
 /// A store's own word was seen with a majority since it started; what siblings told it was not.
 #[test]
 fn a_store_finds_the_floor_by_itself() {
-    let mut news = News::new(card("s", Role::Store, 1), vec![address(2)], 1, START);
+    let mut news = Gossip::new(card("s", Role::Store, 1), vec![address(2)], 1, START);
     let effects = reply(&mut news, ms(10), 3, 3);
-    assert!(!effects.iter().any(|effect| matches!(effect, Effect::AskFloor { .. })));
-    assert!(told_by(&mut news, ms(20), 0).word.is_none());
-    news.step(ms(30), Event::Word(Arc::new(word(4))));
-    assert_eq!(told_by(&mut news, ms(40), 0).word.unwrap().revision, 4);
+    assert!(!effects.iter().any(|effect| matches!(effect, Effect::RequestReadIndex { .. })));
+    assert!(told_by(&mut news, ms(20), 0).config.is_none());
+    news.step(ms(30), Event::ConfigCommitted(Arc::new(word(4))));
+    assert_eq!(told_by(&mut news, ms(40), 0).config.unwrap().revision, 4);
 }
 
 /// Once any store that votes is known of, the first in the order of seats is asked, and the nearest beside
@@ -195,19 +198,19 @@
 fn stores_are_asked_in_the_order_of_their_seats() {
     let asked = |effects: &[Effect]| -> Vec<u16> {
         let asks = effects.iter().filter_map(|effect| match effect {
-            Effect::AskFloor { address } => Some(address.port()),
+            Effect::RequestReadIndex { address } => Some(address.port()),
             _ => None,
         });
         asks.collect()
     };
     let mut news = proxy(vec![address(2)]);
-    assert_eq!(asked(&news.step(START, Event::Pulse)), [0_u16; 0], "none is known of");
+    assert_eq!(asked(&news.step(START, Event::Tick)), [0_u16; 0], "none is known of");
     let store = |name: &str, port: u16, seat: u8, votes: bool, zone: &str| {
         let disk = Some(wire::DiskStatus { slot: Some(seat), ..wire::DiskStatus::default() });
         let report = wire::NodeStatus { disk, ..wire::NodeStatus { ready: votes, ..ready(0) } };
         let told = delta(name, Role::Store, port, report);
-        let card = wire::NodeInfo { zone: zone.to_string(), ..told.card.clone().unwrap() };
-        wire::NodeDelta { card: Some(card), ..told }
+        let card = wire::NodeInfo { zone: zone.to_string(), ..told.info.clone().unwrap() };
+        wire::NodeDelta { info: Some(card), ..told }
     };
     let deltas = vec![
         store("s1", 11, 1, true, "a1"),
@@ -215,21 +218,21 @@
         store("s2", 12, 2, false, "a1"),
     ];
     let told = wire::PullResponse { nodes: deltas, ..wire::PullResponse::default() };
-    let told = Event::Told { address: address(2), news: Some(Box::new(told)) };
+    let told = Event::PullCompleted { address: address(2), news: Some(Box::new(told)) };
     assert_eq!(asked(&news.step(ms(10), told)), [10, 11], "with the reply that tells of them");
     let mut ports = Vec::new();
     for at in (50..1000).step_by(50) {
-        ports.extend(asked(&news.step(ms(at), Event::Pulse)));
+        ports.extend(asked(&news.step(ms(at), Event::Tick)));
     }
     assert_eq!(ports, [11, 10, 11], "one each {NEXT_AFTER:?}");
     // One that cannot tell holds up the next by a little only.
     news.step(ms(1000), Event::Floor { address: address(11), revision: None });
     let soon: Vec<u16> =
-        (1050..1150).step_by(50).flat_map(|at| asked(&news.step(ms(at), Event::Pulse))).collect();
+        (1050..1150).step_by(50).flat_map(|at| asked(&news.step(ms(at), Event::Tick))).collect();
     assert_eq!(soon, [10]);
     news.step(ms(1150), Event::Floor { address: address(10), revision: Some(0) });
     let after: Vec<u16> =
-        (1200..3000).step_by(50).flat_map(|at| asked(&news.step(ms(at), Event::Pulse))).collect();
+        (1200..3000).step_by(50).flat_map(|at| asked(&news.step(ms(at), Event::Tick))).collect();
     assert!(after.is_empty(), "it has what it asked for: {after:?}");
 }
 
@@ -239,8 +242,8 @@
 fn more_than_half_of_its_own_region_are_witnesses() {
     let far = |index: u16| {
         let lost = delta(&format!("q{index}"), Role::Proxy, 20 + index, ready(3));
-        let card = wire::NodeInfo { region: "b".to_string(), ..lost.card.clone().unwrap() };
-        wire::NodeDelta { age_ms: 60_000, card: Some(card), ..lost }
+        let card = wire::NodeInfo { region: "b".to_string(), ..lost.info.clone().unwrap() };
+        wire::NodeDelta { age_ms: 60_000, info: Some(card), ..lost }
     };
     let near_lost = |index: u16| {
         let lost = delta(&format!("n{index}"), Role::Proxy, 40 + index, ready(3));
@@ -248,22 +251,22 @@
     };
     for (lost_near, waits_on) in [(1, false), (2, true)] {
         let mut news = proxy(vec![address(2)]);
-        news.step(START, Event::Pulse);
+        news.step(START, Event::Tick);
         let mut deltas: Vec<wire::NodeDelta> = (0..6).map(far).collect();
         deltas.extend((0..lost_near).map(near_lost));
         deltas.push(delta("r", Role::Registry, 2, ready(3)));
         let told = wire::PullResponse {
             nodes: deltas,
-            word: Some(word(3)),
+            config: Some(word(3)),
             read_index: Some(3),
             ..Default::default()
         };
-        news.step(ms(10), Event::Told { address: address(2), news: Some(Box::new(told)) });
+        news.step(ms(10), Event::PullCompleted { address: address(2), news: Some(Box::new(told)) });
         for at in (50..2150).step_by(50) {
-            assert!(at > 2000 || view(&news, ms(at)).floor.is_none(), "two seconds first");
-            news.step(ms(at), Event::Pulse);
+            assert!(at > 2000 || view(&news, ms(at)).read_index.is_none(), "two seconds first");
+            news.step(ms(at), Event::Tick);
         }
-        let met = view(&news, ms(2150)).floor;
+        let met = view(&news, ms(2150)).read_index;
         assert_eq!(met.is_none(), waits_on, "{lost_near} of the region lost: {met:?}");
     }
 }
@@ -271,7 +274,7 @@
 /// A freeze takes away no word, and who slept before it had a floor counts its witnesses anew.
 #[test]
 fn a_freeze_before_the_floor_begins_the_wait_anew() {
-    let mut floor = Floor::new(START);
+    let mut floor = ReadIndex::new(START);
     floor.hear("r", 3);
     floor.wake(ms(9000));
     assert!(!floor.look(ms(9100), 3, true));
@@ -283,7 +286,7 @@
 /// The first majority's word is the floor: what is accepted meanwhile does not push it up for good.
 #[test]
 fn a_storm_of_changes_does_not_move_the_floor() {
-    let mut floor = Floor::new(START);
+    let mut floor = ReadIndex::new(START);
     floor.replied(ms(10), "s0", Some(5));
     floor.replied(ms(20), "s1", Some(9));
     floor.hear("r", 12);
--- a/cluster/tests/frames.rs
+++ b/cluster/tests/frames.rs
@@ -29,7 +29,7 @@
 }
 
 fn mark() -> NodeVersion {
-    NodeVersion { incarnation: 11, counter: 12, status_version: 13, detail: 14 }
+    NodeVersion { incarnation: 11, counter: 12, status_version: 13, observations_version: 14 }
 }
 
 fn card(role: Role) -> NodeInfo {
@@ -77,14 +77,14 @@
 
 fn bare_delta() -> NodeDelta {
     let name = "one".to_string();
-    NodeDelta { name, version: mark(), age_ms: 61, card: None, report: None, detail: None }
+    NodeDelta { name, version: mark(), age_ms: 61, info: None, status: None, observations: None }
 }
 
 fn full_delta() -> NodeDelta {
     NodeDelta {
-        card: Some(card(Role::Proxy)),
-        report: Some(report()),
-        detail: Some(detail()),
+        info: Some(card(Role::Proxy)),
+        status: Some(report()),
+        observations: Some(detail()),
         ..bare_delta()
     }
 }
@@ -147,8 +147,8 @@
 fn bare_pull() -> PullRequest {
     PullRequest {
         known_versions: None,
-        word: 101,
-        platform: 102,
+        config_revision: 101,
+        endpoint_list_revision: 102,
         plan: (103, 104),
         sender: bare_delta(),
         wait_ms: 700,
@@ -192,12 +192,12 @@
     frames.add("news-bare", &Reply::News(PullResponse::default()));
     let full = PullResponse {
         nodes: vec![bare_delta(), full_delta()],
-        word: Some(word()),
-        platform: Some(list()),
+        config: Some(word()),
+        endpoint_list: Some(list()),
         endpoint_list_delta: Some(list_delta()),
         list_read: Some(EndpointListRead { revision: 91, age_ms: 5 }),
         plan: Some(plan()),
-        silent: Some(vec![name_hash("two")]),
+        unreachable: Some(vec![name_hash("two")]),
         resend_versions: true,
         read_index: Some(70),
     };
--- a/cluster/tests/light.rs
+++ b/cluster/tests/light.rs
@@ -5,7 +5,7 @@
 use common::card;
 use std::net::SocketAddr;
 use std::time::Duration;
-use vanepath_cluster::gossip::{Effect, Event, News};
+use vanepath_cluster::gossip::{Effect, Event, Gossip};
 use vanepath_cluster::wire;
 
 fn ms(millis: u64) -> Duration {
@@ -15,16 +15,21 @@
 fn delta(name: &str, role: wire::Role, port: u16, report: wire::NodeStatus) -> wire::NodeDelta {
     wire::NodeDelta {
         name: name.to_string(),
-        version: wire::NodeVersion { incarnation: 5, counter: 1, status_version: 1, detail: 0 },
+        version: wire::NodeVersion {
+            incarnation: 5,
+            counter: 1,
+            status_version: 1,
+            observations_version: 0,
+        },
         age_ms: 0,
-        card: Some(card(name, role, port)),
-        report: Some(report),
-        detail: None,
+        info: Some(card(name, role, port)),
+        status: Some(report),
+        observations: None,
     }
 }
 
 fn told(
-    news: &mut News,
+    news: &mut Gossip,
     now: Duration,
     port: u16,
     deltas: Vec<wire::NodeDelta>,
@@ -37,11 +42,11 @@
     };
     let told = wire::PullResponse {
         nodes: deltas,
-        silent: silent.map(names),
+        unreachable: silent.map(names),
         ..wire::PullResponse::default()
     };
     let address = SocketAddr::from(([127, 0, 0, 1], port));
-    news.step(now, Event::Told { address, news: Some(Box::new(told)) });
+    news.step(now, Event::PullCompleted { address, news: Some(Box::new(told)) });
 }
 
 fn pulled(effects: Vec<Effect>) -> Vec<u16> {
@@ -62,8 +67,8 @@
 fn a_settled_store_makes_fresh_at_once() {
     for settled in [false, true] {
         let seeds = vec![SocketAddr::from(([127, 0, 0, 1], 7))];
-        let mut news = News::new(card("p", wire::Role::Proxy, 1), seeds, 9, ms(0));
-        news.step(ms(10), Event::Pulse);
+        let mut news = Gossip::new(card("p", wire::Role::Proxy, 1), seeds, 9, ms(0));
+        news.step(ms(10), Event::Tick);
         let report =
             wire::NodeStatus { ready: true, synced: settled, ..wire::NodeStatus::default() };
         told(&mut news, ms(50), 7, vec![delta("s", wire::Role::Store, 7, report)], None);
@@ -75,7 +80,7 @@
 /// for live is, and while none speaks nobody is judged.
 #[test]
 fn a_light_daemon_goes_by_what_registries_say() {
-    let mut news = News::new(card("p0", wire::Role::Proxy, 1), Vec::new(), 9, ms(0));
+    let mut news = Gossip::new(card("p0", wire::Role::Proxy, 1), Vec::new(), 9, ms(0));
     let whole =
         wire::NodeStatus { ready: true, hears_majority: true, ..wire::NodeStatus::default() };
     let deltas = vec![
@@ -85,14 +90,14 @@
         delta("p2", wire::Role::Proxy, 3, wire::NodeStatus::default()),
     ];
     told(&mut news, ms(100), 11, deltas, Some(&[]));
-    news.step(ms(150), Event::Pulse);
-    let live = |news: &News, now: Duration| {
+    news.step(ms(150), Event::Tick);
+    let live = |news: &Gossip, now: Duration| {
         let mut names: Vec<String> = news.live(now).map(|one| one.0.name.clone()).collect();
         names.sort_unstable();
         names.join(" ")
     };
     for now in (200..8000).step_by(50) {
-        news.step(ms(now), Event::Pulse);
+        news.step(ms(now), Event::Tick);
         if now % 500 == 0 {
             told(&mut news, ms(now), 11, Vec::new(), Some(&["p1"]));
             told(&mut news, ms(now), 12, Vec::new(), Some(if now < 4000 { &[] } else { &["p1"] }));
@@ -104,7 +109,7 @@
     assert_eq!(live(&news, ms(8000)), "p0 p2 r1 r2");
     // Both fall silent: they are not live any more, and nobody else is judged by that.
     for now in (8000..14_000).step_by(50) {
-        news.step(ms(now), Event::Pulse);
+        news.step(ms(now), Event::Tick);
     }
     assert_eq!(live(&news, ms(14_000)), "p0 p2");
 }
@@ -119,8 +124,8 @@
         (wire::Role::Store, false, "two of 11 12 13, 21 22"),
     ] {
         let seeds = vec![SocketAddr::from(([127, 0, 0, 1], 11))];
-        let mut news = News::new(card("x", role, 1), seeds, 9, ms(0));
-        news.step(ms(10), Event::Pulse);
+        let mut news = Gossip::new(card("x", role, 1), seeds, 9, ms(0));
+        news.step(ms(10), Event::Tick);
         let report = |whole| wire::NodeStatus {
             ready: true,
             hears_majority: whole,
@@ -139,7 +144,7 @@
         told(&mut news, ms(100), 11, deltas, Some(&[]));
         let mut ports = vec![11];
         for now in [150, 200, 250] {
-            ports.extend(pulled(news.step(ms(now), Event::Pulse)));
+            ports.extend(pulled(news.step(ms(now), Event::Tick)));
         }
         ports.sort_unstable();
         ports.dedup();
--- a/proxy/src/endpoints.rs
+++ b/proxy/src/endpoints.rs
@@ -7,7 +7,7 @@
 use crate::retry_budget::Need;
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_cluster::node::View;
+use vanepath_cluster::node::ClusterView;
 use vanepath_cluster::wire;
 
 /// What the platform list and the setup say of a server; changes rarely.
@@ -103,7 +103,11 @@
 
 /// Whether this proxy is one of the few that watch a server for the whole fleet: by rendezvous
 /// hashing one of the server's own region and two of outside, who are there when the region isn't.
-fn is_watcher(view: &View, own: &str, server: &vanepath_config::endpoint_list::Server) -> bool {
+fn is_watcher(
+    view: &ClusterView,
+    own: &str,
+    server: &vanepath_config::endpoint_list::Server,
+) -> bool {
     let is_near = |card: &wire::NodeInfo| card.region == server.region;
     let rank =
         |card: &wire::NodeInfo| vanepath_config::stable_hash(&["watch", &card.name, &server.id]);
@@ -135,7 +139,13 @@
         self.proxies = None;
     }
 
-    pub fn pulse(&mut self, now: Duration, view: &View, own: &wire::NodeInfo, table: &Table) {
+    pub fn pulse(
+        &mut self,
+        now: Duration,
+        view: &ClusterView,
+        own: &wire::NodeInfo,
+        table: &Table,
+    ) {
         if now >= self.at {
             self.at = now + PACES_EVERY;
             let proxies = || {
@@ -153,7 +163,7 @@
 }
 
 /// How often this proxy probes each server of its table.
-fn probe_pauses(view: &View, own: &wire::NodeInfo, table: &Table) -> Vec<Duration> {
+fn probe_pauses(view: &ClusterView, own: &wire::NodeInfo, table: &Table) -> Vec<Duration> {
     let pause = |entry: &Entry| {
         let server = &entry.server;
         let is_near = server.region == own.region;
@@ -203,7 +213,7 @@
 
 /// The proxies that may carry requests of this rule.
 pub fn carriers<'v>(
-    view: &'v View,
+    view: &'v ClusterView,
     rule: &'v vanepath_config::model::Rule,
 ) -> impl Iterator<Item = &'v wire::NodeInfo> {
     let all = view.live.iter().filter(|(card, report)| {
@@ -211,17 +221,17 @@
             && report.ready
             && !report.draining
             && rule.allows_region(&card.region)
-            && !view.word.drained_zones.contains(&card.zone)
+            && !view.committed.drained_zones.contains(&card.zone)
     });
     all.map(|(card, _)| card)
 }
 
 /// What a table made from this view stems from.
-pub fn revision_of(view: &View) -> (u64, u64) {
-    (view.word.config_revision, view.platform.revision)
+pub fn revision_of(view: &ClusterView) -> (u64, u64) {
+    (view.committed.config_revision, view.endpoints.revision)
 }
 
-pub fn live_proxies(view: &View) -> usize {
+pub fn live_proxies(view: &ClusterView) -> usize {
     let proxies = view.live.iter().filter(|(card, _)| card.role == wire::Role::Proxy);
     proxies.count().max(1)
 }
@@ -229,7 +239,7 @@
 /// This proxy's part of a cold server's modest rate: it goes to the nearest proxies first, who would
 /// choose it first, and among equals by rendezvous hashing.
 pub fn cold_rate(
-    view: &View,
+    view: &ClusterView,
     own: &str,
     server: &vanepath_config::endpoint_list::Server,
     services: &[usize],
@@ -251,7 +261,7 @@
     // Of several services the most modest one counts.
     let service = services
         .iter()
-        .filter_map(|index| view.setup.services.get(*index))
+        .filter_map(|index| view.config.services.get(*index))
         .min_by(|left, right| left.slow_start_rate.total_cmp(&right.slow_start_rate));
     let per_second = service.map_or(1.0, |service| service.slow_start_rate);
     let period = service.map_or(Duration::from_secs(10), |service| service.slow_start_period);
@@ -259,7 +269,7 @@
 }
 
 /// Of each server of the table.
-fn cold_rates(view: &View, own: &str, table: &Table) -> Vec<ColdRate> {
+fn cold_rates(view: &ClusterView, own: &str, table: &Table) -> Vec<ColdRate> {
     let rate = |entry: &Entry| cold_rate(view, own, &entry.server, &entry.services);
     table.entries.iter().map(rate).collect()
 }
@@ -510,7 +520,7 @@
     }
 
     /// Which servers of its zone are this proxy's part (design 8.7), by who is live there.
-    pub fn part(&self, view: &View, own: &wire::NodeInfo) {
+    pub fn part(&self, view: &ClusterView, own: &wire::NodeInfo) {
         let table = self.table.load();
         let hash = |kind: &str, name: &str| vanepath_config::stable_hash(&["part", kind, name]);
         let mut proxies: Vec<(u64, &str)> = view
--- a/proxy/src/forward.rs
+++ b/proxy/src/forward.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
-use vanepath_cluster::node::{self, Body, BodyError, Daemon, View};
+use vanepath_cluster::node::{self, Body, BodyError, ClusterView, Node};
 use vanepath_config::ExecutionStatus;
 use vanepath_config::model::Idempotency;
 
@@ -74,7 +74,7 @@
 const WIDE_MBPS: f64 = 100.0;
 
 pub struct Proxy {
-    pub daemon: Arc<Daemon>,
+    pub daemon: Arc<Node>,
     pub servers: Servers<crate::connector::Sender>,
     pub classes: std::sync::Mutex<Classes>,
     waiting:
@@ -96,7 +96,7 @@
 }
 
 impl Proxy {
-    pub fn new(daemon: Arc<Daemon>) -> Proxy {
+    pub fn new(daemon: Arc<Node>) -> Proxy {
         let proves_answers = daemon.settings.wire_format.headers().request_id.is_some();
         let mut servers = Servers::default();
         servers.proves_answers = proves_answers;
@@ -312,7 +312,7 @@
     if !more.detail.is_empty() {
         value["detail"] = more.detail.as_str().into();
     }
-    let mut receipt = node::json(refusal.status(verdict), &value);
+    let mut receipt = node::json_response(refusal.status(verdict), &value);
     let headers = receipt.headers_mut();
     if let Some(verdict) = proxy.daemon.settings.wire_format.headers().execution_status {
         headers.insert(verdict, HeaderValue::from_static(told));
@@ -571,10 +571,10 @@
             )
     };
     while !is_fit() {
-        if proxy.daemon.table.load().is_stuck {
+        if proxy.daemon.table.load().is_stalled {
             return Err(Refusal::BelowFloor);
         }
-        if proxy.now().saturating_sub(received_at) >= vanepath_cluster::gossip::HOLD {
+        if proxy.now().saturating_sub(received_at) >= vanepath_cluster::gossip::READINESS_TIMEOUT {
             return Err(Refusal::NotReady);
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -582,7 +582,7 @@
     Ok(())
 }
 
-fn places_for(view: &View, rule: &vanepath_config::model::Rule) -> Vec<jzon::JsonValue> {
+fn places_for(view: &ClusterView, rule: &vanepath_config::model::Rule) -> Vec<jzon::JsonValue> {
     let place = |card: &vanepath_cluster::wire::NodeInfo| {
         jzon::object! {
             "zone": card.zone.as_str(),
@@ -737,7 +737,7 @@
         let want = Want {
             rule,
             service,
-            emptied: &latest.word.drained_zones,
+            emptied: &latest.committed.drained_zones,
             zone: &proxy.daemon.settings.zone,
             region: &proxy.daemon.settings.region,
             tried,
@@ -793,7 +793,7 @@
         let want = Want {
             rule: self.rule,
             service: service_of(self.table, self.rule, self.drawn),
-            emptied: &latest.word.drained_zones,
+            emptied: &latest.committed.drained_zones,
             zone: &proxy.daemon.settings.zone,
             region: &proxy.daemon.settings.region,
             tried: self.tried,
@@ -830,7 +830,7 @@
         if !self.proxy.daemon.is_awake() || !latest.is_fresh {
             return true;
         }
-        self.proxy.servers.is_withdrawn(self.table, self.entry, &latest.word.drained_zones)
+        self.proxy.servers.is_withdrawn(self.table, self.entry, &latest.committed.drained_zones)
     }
 
     fn bad(&self, failure: Failure) {
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -6,9 +6,9 @@
     match vanepath_config::settings::start(role, &arguments)? {
         vanepath_config::settings::Invocation::Print(text) => println!("{text}"),
         vanepath_config::settings::Invocation::Run(settings) => {
-            vanepath_cluster::node::logs();
+            vanepath_cluster::node::init_logging();
             let grace = settings.shutdown_grace;
-            vanepath_cluster::node::runtime(grace, vanepath_proxy::shell::run(*settings))?;
+            vanepath_cluster::node::run_on_runtime(grace, vanepath_proxy::shell::run(*settings))?;
         }
     }
     Ok(())
--- a/proxy/src/shell.rs
+++ b/proxy/src/shell.rs
@@ -12,7 +12,7 @@
 pub async fn run(settings: vanepath_config::settings::Settings) -> Result<(), miette::Report> {
     let listener = node::bind("listen", settings.listen).await?;
     let grace = settings.shutdown_grace;
-    let daemon = node::Daemon::start(settings, None).await?;
+    let daemon = node::Node::start(settings, None).await?;
     let proxy = Arc::new(Proxy::new(daemon.clone()));
     let keeper = xtra::spawn_tokio(
         Keeper {
@@ -216,20 +216,20 @@
 }
 
 impl Keeper {
-    fn adopt(&mut self, now: Duration, view: &node::View) {
+    fn adopt(&mut self, now: Duration, view: &node::ClusterView) {
         let revision = crate::endpoints::revision_of(view);
         if revision == self.revision {
             return;
         }
         if self.revision.0 != revision.0 {
             let mut classes = self.proxy.classes.lock().expect("no panic under this lock");
-            classes.adopt(&view.setup);
+            classes.adopt(&view.config);
             let woken = classes.wake();
             drop(classes);
             self.proxy.wake(woken);
             let mut request_counts =
                 self.proxy.request_counts.lock().expect("no panic under this lock");
-            request_counts.adopt(view.setup.services.iter().map(|one| one.name.as_str()));
+            request_counts.adopt(view.config.services.iter().map(|one| one.name.as_str()));
         }
         self.revision = revision;
         self.paces.renew();
@@ -237,20 +237,20 @@
         let notes = self.proxy.servers.adopt(
             now,
             revision,
-            &view.setup,
-            &view.platform,
+            &view.config,
+            &view.endpoints,
             |server, services| crate::endpoints::cold_rate(view, own, server, services),
         );
         if let Some(read_at) = view.list_read_at.filter(|_| !notes.is_empty()) {
             let age_ms = now.saturating_sub(read_at).as_millis();
-            log::info!("platform list {}, read {age_ms} ms ago", view.platform.revision);
+            log::info!("platform list {}, read {age_ms} ms ago", view.endpoints.revision);
         }
         for note in notes {
             log::info!("{note}");
         }
     }
 
-    fn pulse_servers(&mut self, now: Duration, view: &node::View) {
+    fn pulse_servers(&mut self, now: Duration, view: &node::ClusterView) {
         let proxy = &self.proxy;
         proxy.live_proxies.store(crate::endpoints::live_proxies(view), Ordering::Relaxed);
         let table = proxy.servers.table.load_full();
@@ -281,17 +281,17 @@
     }
 
     /// Tells siblings what is in force here, and registries what this proxy sees.
-    async fn tell(&mut self, now: Duration, view: &node::View) {
+    async fn tell(&mut self, now: Duration, view: &node::ClusterView) {
         let proxy = &self.proxy;
         let is_leaving = proxy.is_leaving.load(Ordering::Relaxed);
         let ready = proxy.servers.is_fit(now, view.is_fresh, self.revision) && !is_leaving;
         if proxy.is_ready.swap(ready, Ordering::Relaxed) != ready {
             log::info!("{}", if ready { "ready" } else { "not ready" });
         }
-        let (leaving, revision) = (is_leaving, view.word.revision);
+        let (leaving, revision) = (is_leaving, view.committed.revision);
         let report =
             wire::NodeStatus { ready, draining: leaving, revision, ..wire::NodeStatus::default() };
-        proxy.daemon.report(report).await;
+        proxy.daemon.publish_status(report).await;
         if !self.telling.is_due(now, proxy.is_news.load(Ordering::Relaxed)) {
             return;
         }
@@ -302,7 +302,11 @@
             // Nobody plans by told demand where servers are judged by traffic.
             let detail =
                 wire::ProxyObservations { servers: sights, ..wire::ProxyObservations::default() };
-            let _ = proxy.daemon.news.send(node::Tell(gossip::Event::Detail(detail))).await;
+            let _ = proxy
+                .daemon
+                .gossip
+                .send(node::Deliver(gossip::Event::ObservationsChanged(detail)))
+                .await;
             return;
         }
         let counts = proxy.classes.lock().expect("no panic under this lock").counts();
@@ -312,7 +316,11 @@
             queued: counts.iter().map(|one| one.3 as u32).collect(),
             request_rates: proxy.request_counts.lock().expect("no panic under this lock").tell(now),
         };
-        let _ = proxy.daemon.news.send(node::Tell(gossip::Event::Detail(detail))).await;
+        let _ = proxy
+            .daemon
+            .gossip
+            .send(node::Deliver(gossip::Event::ObservationsChanged(detail)))
+            .await;
     }
 }
 
@@ -383,13 +391,13 @@
 fn answer_own(proxy: &Proxy, path: &str) -> hyper::Response<node::Body> {
     let ready = proxy.is_ready.load(Ordering::Relaxed);
     if let Some(receipt) =
-        node::common(&proxy.daemon, path, ready, |all| proxy.tally.write_json(all))
+        node::common_pages(&proxy.daemon, path, ready, |all| proxy.tally.write_json(all))
     {
         return receipt;
     }
     if path != "/v1/status" {
         let error = jzon::object! { "error": "no such path" };
-        return node::json(hyper::StatusCode::NOT_FOUND, &error);
+        return node::json_response(hyper::StatusCode::NOT_FOUND, &error);
     }
     let view = proxy.daemon.table.load();
     let now = proxy.daemon.clock.now();
@@ -402,7 +410,7 @@
                 let phase: &'static str = quick.liveness.phase.into();
                 let why = if entry.server.draining {
                     "no work: the platform says that it is leaving"
-                } else if view.word.drained_zones.contains(&entry.server.zone) {
+                } else if view.committed.drained_zones.contains(&entry.server.zone) {
                     "no work: its zone is emptied"
                 } else if entry.services.is_empty() {
                     "no work: no service selects it"
@@ -443,16 +451,16 @@
         "name": proxy.daemon.settings.name.as_str(),
         "ready": ready,
         "fresh": view.is_fresh,
-        "floor": view.show_floor(),
+        "floor": view.read_index_json(),
         "leaving": proxy.is_leaving.load(Ordering::Relaxed),
-        "revision": view.word.revision,
-        "setupRevision": view.word.config_revision,
-        "platformRevision": view.platform.revision,
-        "emptied": view.word.drained_zones.iter().map(|one| one.as_str().into()).collect::<Vec<jzon::JsonValue>>(),
+        "revision": view.committed.revision,
+        "setupRevision": view.committed.config_revision,
+        "platformRevision": view.endpoints.revision,
+        "emptied": view.committed.drained_zones.iter().map(|one| one.as_str().into()).collect::<Vec<jzon::JsonValue>>(),
         "epoch": view.plan.epoch,
         "holder": view.plan.leader.as_str(),
         "classes": classes,
         "servers": servers,
     };
-    node::json(hyper::StatusCode::OK, &status)
+    node::json_response(hyper::StatusCode::OK, &status)
 }
--- a/proxy/tests/cold_rate.rs
+++ b/proxy/tests/cold_rate.rs
@@ -1,7 +1,7 @@
 //! A proxy's part of a cold server's rate, reckoned without sorting all proxies, is what the sorted list says.
 
 use std::time::Duration;
-use vanepath_cluster::node::View;
+use vanepath_cluster::node::ClusterView;
 use vanepath_cluster::wire;
 use vanepath_proxy::health::ColdRate;
 
@@ -30,7 +30,7 @@
     let mut parts = 0;
     for daemons in [1, 2, 6, 30, 90] {
         let live = (0..daemons).map(|index| (card(index), wire::NodeStatus::default())).collect();
-        let view = View { setup: setup.clone(), live, ..View::default() };
+        let view = ClusterView { config: setup.clone(), live, ..ClusterView::default() };
         for number in 0..40 {
             let zone = ZONES[number % 5];
             let server = vanepath_config::endpoint_list::Server {
--- a/proxy/tests/crowding.rs
+++ b/proxy/tests/crowding.rs
@@ -6,7 +6,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_cluster::node::View;
+use vanepath_cluster::node::ClusterView;
 use vanepath_cluster::wire;
 use vanepath_proxy::client_deadlines::Longest;
 use vanepath_proxy::endpoints::{Answered, Choice, Servers, Want};
@@ -154,7 +154,8 @@
         let proxies = (0..count).map(|number| {
             let own: Servers<()> = Servers::default();
             own.adopt(Duration::ZERO, (1, 1), &setup, &list, |_, _| ColdRate::default());
-            let view = View { setup: setup.clone(), live: live.clone(), ..View::default() };
+            let view =
+                ClusterView { config: setup.clone(), live: live.clone(), ..ClusterView::default() };
             own.part(&view, &card(number));
             own
         });
--- a/registry/src/api.rs
+++ b/registry/src/api.rs
@@ -24,7 +24,8 @@
     let path = path.strip_prefix("/vanepath").unwrap_or(&path).to_string();
     let ready = registry.is_ready.load(std::sync::atomic::Ordering::Relaxed);
     let tally = &registry.tally;
-    if let Some(receipt) = node::common(&registry.daemon, &path, ready, |all| tally.write_json(all))
+    if let Some(receipt) =
+        node::common_pages(&registry.daemon, &path, ready, |all| tally.write_json(all))
     {
         return receipt;
     }
@@ -58,11 +59,11 @@
 }
 
 fn fault(status: StatusCode, message: &str) -> Receipt {
-    node::json(status, &jzon::object! { "error": message })
+    node::json_response(status, &jzon::object! { "error": message })
 }
 
 fn come_back(status: StatusCode, value: &jzon::JsonValue, after_s: u32) -> Receipt {
-    let mut receipt = node::json(status, value);
+    let mut receipt = node::json_response(status, value);
     receipt.headers_mut().insert(header::RETRY_AFTER, HeaderValue::from(after_s));
     receipt
 }
@@ -84,7 +85,7 @@
         registry.tally.increment(Counter::SteerEchoesBad);
     }
     match steered.receipt {
-        Ok(receipt) => node::json(StatusCode::OK, &receipt),
+        Ok(receipt) => node::json_response(StatusCode::OK, &receipt),
         Err(why) => steers_nobody(registry, why),
     }
 }
@@ -106,9 +107,10 @@
     let view = registry.daemon.table.load();
     let settings = &registry.daemon.settings;
     let own = (settings.zone.as_str(), settings.region.as_str());
-    let is_ready = view.is_fresh && registry.daemon.is_awake() && !registry.daemon.is_stopping();
+    let is_ready =
+        view.is_fresh && registry.daemon.is_awake() && !registry.daemon.is_shutting_down();
     match crate::steering::addresses(&view, is_ready, own, query, node::random()) {
-        Ok(answer) => node::json(StatusCode::OK, &answer),
+        Ok(answer) => node::json_response(StatusCode::OK, &answer),
         Err(why) => steers_nobody(registry, why),
     }
 }
@@ -129,7 +131,7 @@
                 let question = store_call.question(now());
                 let request = wire::Request::Store(wire::encode(&question).into());
                 let other_zone = card.zone != registry.daemon.settings.zone;
-                let links = &registry.daemon.links;
+                let links = &registry.daemon.transport;
                 let limit = crate::store_client::TRY_LIMIT;
                 let tell = match links.call(card.cluster_address, &request, limit, other_zone).await
                 {
@@ -151,7 +153,7 @@
 fn tell_stores(registry: &Registry, told: &Ask) {
     let request = wire::Request::Store(wire::encode(told).into());
     for card in crate::store_client::stores(&registry.daemon.table.load()) {
-        let (links, request) = (registry.daemon.links.clone(), request.clone());
+        let (links, request) = (registry.daemon.transport.clone(), request.clone());
         let other_zone = card.zone != registry.daemon.settings.zone;
         tokio::spawn(async move {
             let limit = crate::store_client::TRY_LIMIT;
@@ -269,7 +271,7 @@
         }
     };
     value["submission"] = key.into();
-    node::json(status, &value)
+    node::json_response(status, &value)
 }
 
 async fn write_setup(
@@ -327,16 +329,16 @@
         "outcome": "nothing-done",
         "faults": vanepath_config::json_reader::faults_as_json(faults),
     };
-    node::json(status, &value)
+    node::json_response(status, &value)
 }
 
 /// Whether anything that this registry knows of stands in a zone of that name.
 fn is_zone(registry: &Registry, zone: &str) -> bool {
     let view = registry.daemon.table.load_full();
     view.live.iter().any(|(card, _)| card.zone == zone)
-        || view.platform.servers.iter().any(|server| server.zone == zone)
-        || view.setup.zones.iter().any(|place| place.name == zone)
-        || view.word.drained_zones.contains(zone)
+        || view.endpoints.servers.iter().any(|server| server.zone == zone)
+        || view.config.zones.iter().any(|place| place.name == zone)
+        || view.committed.drained_zones.contains(zone)
         || registry.daemon.settings.zone_regions.contains_key(zone)
 }
 
@@ -344,7 +346,7 @@
 fn is_settled(registry: &Registry) -> bool {
     let view = registry.daemon.table.load();
     let own = view.live.first().is_some_and(|(_, report)| report.synced);
-    own || view.is_alone || registry.daemon.clock.now() > SETTLES_WITHIN
+    own || view.is_isolated || registry.daemon.clock.now() > SETTLES_WITHIN
 }
 
 /// A registry that was started so long ago has heard of all that there is.
@@ -404,7 +406,7 @@
         Ok(Outcome::Value { value }) if value.setup_revision > 0 => setup_receipt(&value),
         Ok(Outcome::NoSuchRevision { latest }) => {
             let value = jzon::object! { "error": "no such revision", "latest": latest };
-            node::json(StatusCode::NOT_FOUND, &value)
+            node::json_response(StatusCode::NOT_FOUND, &value)
         }
         Ok(_) => fault(StatusCode::NOT_FOUND, "no setup was in force at that revision"),
         Err(receipt) => receipt,
@@ -434,7 +436,7 @@
                 "orders": orders_as_json(&value.emptied, &value.further_orders),
                 "revision": value.revision,
             };
-            node::json(StatusCode::OK, &value)
+            node::json_response(StatusCode::OK, &value)
         }
         Ok(_) => fault(StatusCode::INTERNAL_SERVER_ERROR, "a store replied to another question"),
         Err(receipt) => receipt,
@@ -459,7 +461,7 @@
                     "why": "no write under this key is among the last ones in force",
                     "revision": value.revision,
                 };
-                node::json(StatusCode::NOT_FOUND, &value)
+                node::json_response(StatusCode::NOT_FOUND, &value)
             }
         },
         Ok(_) => fault(StatusCode::INTERNAL_SERVER_ERROR, "a store replied to another question"),
@@ -474,13 +476,16 @@
 const DETAILS_LIMIT: std::time::Duration = std::time::Duration::from_millis(2500);
 
 /// What is known, with what proxies see of servers.
-async fn with_details(registry: &Registry) -> std::sync::Arc<node::View> {
+async fn with_details(registry: &Registry) -> std::sync::Arc<node::ClusterView> {
     let daemon = &registry.daemon;
-    let _ = daemon.news.send(node::Tell(vanepath_cluster::gossip::Event::WantDetails)).await;
+    let _ = daemon
+        .gossip
+        .send(node::Deliver(vanepath_cluster::gossip::Event::ObservationsWanted))
+        .await;
     let until = daemon.clock.now() + DETAILS_LIMIT;
     loop {
         let view = daemon.table.load_full();
-        if view.knows_details || daemon.clock.now() >= until {
+        if view.has_observations || daemon.clock.now() >= until {
             return view;
         }
         tokio::time::sleep(std::time::Duration::from_millis(50)).await;
@@ -490,15 +495,15 @@
 async fn status(registry: &Registry) -> Receipt {
     let daemon = &registry.daemon;
     let view = with_details(registry).await;
-    let sources = daemon.news.send(node::Sources).await.unwrap_or_default();
+    let sources = daemon.gossip.send(node::ListPeers).await.unwrap_or_default();
     let daemons: Vec<jzon::JsonValue> = view
         .live
         .iter()
         .map(|(card, report)| {
             // What it ever told as in force there, in any of its lives (design 5.8).
             let is_own = card.name == daemon.card.name;
-            let own = is_own.then(|| view.in_force());
-            let floor = own.or(view.floors.get(&card.name).copied()).unwrap_or(0);
+            let own = is_own.then(|| view.active_revision());
+            let floor = own.or(view.highest_active_revisions.get(&card.name).copied()).unwrap_or(0);
             jzon::object! {
                 "floor": floor,
                 "behind": report.revision < floor,
@@ -525,7 +530,7 @@
         bucket: 0,
     };
     let places = crate::steering::places(&view);
-    let rules: Vec<jzon::JsonValue> = (0..view.setup.rules.len())
+    let rules: Vec<jzon::JsonValue> = (0..view.config.rules.len())
         .map(|rule| {
             let steps = crate::steering::order(&view, &places, rule, &caller);
             let order: Vec<jzon::JsonValue> = steps
@@ -537,22 +542,27 @@
                     }
                 })
                 .collect();
-            jzon::object! { "rule": view.setup.rules[rule].name.as_str(), "order": order }
+            jzon::object! { "rule": view.config.rules[rule].name.as_str(), "order": order }
         })
         .collect();
-    let servers: Vec<jzon::JsonValue> =
-        view.platform.servers.iter().map(|server| server_status(&view, &sources, server)).collect();
+    let servers: Vec<jzon::JsonValue> = view
+        .endpoints
+        .servers
+        .iter()
+        .map(|server| server_status(&view, &sources, server))
+        .collect();
     let emptied: Vec<jzon::JsonValue> =
-        view.word.drained_zones.iter().map(|zone| zone.as_str().into()).collect();
+        view.committed.drained_zones.iter().map(|zone| zone.as_str().into()).collect();
     let in_force = view
         .live
         .iter()
         .filter(|(card, report)| {
-            card.role != wire::Role::Proxy || report.revision >= view.word.revision
+            card.role != wire::Role::Proxy || report.revision >= view.committed.revision
         })
         .count();
-    let is_behind =
-        |card: &wire::NodeInfo, now: u64| view.floors.get(&card.name).is_some_and(|one| now < *one);
+    let is_behind = |card: &wire::NodeInfo, now: u64| {
+        view.highest_active_revisions.get(&card.name).is_some_and(|one| now < *one)
+    };
     let behind: Vec<jzon::JsonValue> = view
         .live
         .iter()
@@ -562,33 +572,33 @@
     let platform = registry.platform.lock().expect("no panic under this lock").to_string();
     let value = jzon::object! {
         "name": daemon.settings.name.as_str(),
-        "revision": view.word.revision,
-        "setupRevision": view.word.config_revision,
+        "revision": view.committed.revision,
+        "setupRevision": view.committed.config_revision,
         "inForceEverywhere": in_force == view.live.len(),
         "behindFloor": behind,
-        "floor": view.show_floor(),
+        "floor": view.read_index_json(),
         "emptied": emptied,
-        "orders": orders_as_json(&view.word.drained_zones, &view.word.extra_drain_orders),
+        "orders": orders_as_json(&view.committed.drained_zones, &view.committed.extra_drain_orders),
         "epoch": view.plan.epoch,
         "holder": view.plan.leader.as_str(),
-        "platform": jzon::object! { "revision": view.platform.revision, "state": platform },
+        "platform": jzon::object! { "revision": view.endpoints.revision, "state": platform },
         "daemons": daemons,
         "lost": lost,
         "ordersFromHere": rules,
         "servers": servers,
     };
-    node::json(StatusCode::OK, &value)
+    node::json_response(StatusCode::OK, &value)
 }
 
 /// A server with the reason why it is or isn't given work, as all proxies together see it.
 fn server_status(
-    view: &node::View,
-    sources: &[vanepath_cluster::gossip::Source],
+    view: &node::ClusterView,
+    sources: &[vanepath_cluster::gossip::Peer],
     server: &vanepath_config::endpoint_list::Server,
 ) -> jzon::JsonValue {
     let viewpoint = vanepath_config::selector::ClientLocation::default();
     let services: Vec<&str> = view
-        .setup
+        .config
         .services
         .iter()
         .filter(|service| service.selector.matches(server, viewpoint))
@@ -596,7 +606,7 @@
         .collect();
     let mut phases: std::collections::BTreeMap<&str, u32> = Default::default();
     let mut demand_milli = 0;
-    let is_live = |source: &&vanepath_cluster::gossip::Source| {
+    let is_live = |source: &&vanepath_cluster::gossip::Peer| {
         view.live.iter().any(|(card, _)| card.name == source.card.name)
     };
     for source in sources.iter().filter(is_live) {
@@ -610,7 +620,7 @@
     }
     let why = if server.draining {
         "no work: the platform says that it is leaving".to_string()
-    } else if view.word.drained_zones.contains(&server.zone) {
+    } else if view.committed.drained_zones.contains(&server.zone) {
         "no work: its zone is emptied".to_string()
     } else if services.is_empty() {
         "no work: no service selects it".to_string()
--- a/registry/src/leader.rs
+++ b/registry/src/leader.rs
@@ -1,6 +1,6 @@
 //! The duty of one registry: the plan of shares, under an epoch (design 5.6, 7.4). Pure.
 
-use vanepath_cluster::{gossip::Source, node::View, wire};
+use vanepath_cluster::{gossip::Peer, node::ClusterView, wire};
 
 /// A server does no more than all of its work, in thousandths, whatever it tells.
 const DEMAND_MOST: u32 = 1000;
@@ -17,11 +17,11 @@
 
 /// Whether this registry hears from more than half of all that there are, itself counted: one that
 /// does not may be cut off, and others are asked first (design 5.3).
-pub fn is_whole(view: &View) -> bool {
+pub fn is_whole(view: &ClusterView) -> bool {
     let is_registry =
         |one: &&(wire::NodeInfo, wire::NodeStatus)| one.0.role == wire::Role::Registry;
     let live = view.live.iter().filter(is_registry).count();
-    let lost = view.lost.iter().filter(is_registry).count();
+    let lost = view.unreachable.iter().filter(is_registry).count();
     2 * live > live + lost
 }
 
@@ -38,14 +38,14 @@
 /// The next plan if this daemon has the duty and something changed. `may_move`: enough time went
 /// by since the last step for its effect to show (a receipt's TTL and the way of the news).
 pub fn next(
-    view: &View,
+    view: &ClusterView,
     own: &str,
-    sources: &[Source],
+    sources: &[Peer],
     may_move: bool,
 ) -> Option<wire::TrafficShiftPlan> {
-    let holder = view.holder(wire::Role::Registry)?;
+    let holder = view.leader(wire::Role::Registry)?;
     // The last plan stays while this registry has not heard what all proxies see.
-    if holder.name != own || !view.is_fresh || !view.knows_details {
+    if holder.name != own || !view.is_fresh || !view.has_observations {
         return None;
     }
     let before = &view.plan;
@@ -53,8 +53,8 @@
     // The last word of a proxy that is dead is no news of servers.
     let live: std::collections::HashSet<&str> =
         view.live.iter().map(|(card, _)| card.name.as_str()).collect();
-    let is_live = |source: &&Source| live.contains(source.card.name.as_str());
-    let proxies: Vec<&Source> = sources
+    let is_live = |source: &&Peer| live.contains(source.card.name.as_str());
+    let proxies: Vec<&Peer> = sources
         .iter()
         .filter(|source| source.card.role == wire::Role::Proxy)
         .filter(is_live)
@@ -63,7 +63,7 @@
     let moved = if may_move { moved(view, &proxies) } else { before.shifted.clone() };
     let is_same = is_mine
         && before.shifted == moved
-        && before.revision == view.word.config_revision
+        && before.revision == view.committed.config_revision
         && before.warming_up.keys().eq(cold.keys())
         && before.unreachable == away;
     if is_same {
@@ -73,7 +73,7 @@
         epoch: if is_mine { before.epoch } else { before.epoch + 1 },
         counter: if is_mine { before.counter + 1 } else { 1 },
         leader: own.to_string(),
-        revision: view.word.config_revision,
+        revision: view.committed.config_revision,
         shifted: moved,
         warming_up: cold,
         unreachable: away,
@@ -91,7 +91,7 @@
 /// and none is in touch with it. It is cold where one saw it come back after a refusal, or two did
 /// after silence and none has been in touch with it since before: a part of the fleet that was cut
 /// off saw nothing come back but itself.
-fn absent(proxies: &[&Source]) -> Absent {
+fn absent(proxies: &[&Peer]) -> Absent {
     #[derive(Default)]
     struct Seen {
         suspects: u32,
@@ -133,10 +133,13 @@
 
 /// The next shares of each service: what the zones' proxies take of it, in parts of a server's work,
 /// and how many servers each zone has for it.
-fn moved(view: &View, proxies: &[&Source]) -> std::collections::BTreeMap<String, wire::ZoneShares> {
+fn moved(
+    view: &ClusterView,
+    proxies: &[&Peer],
+) -> std::collections::BTreeMap<String, wire::ZoneShares> {
     let mut moved = std::collections::BTreeMap::new();
     let demand = demand(proxies);
-    for (index, service) in view.setup.services.iter().enumerate() {
+    for (index, service) in view.config.services.iter().enumerate() {
         let before = view.plan.shifted.get(&service.name).cloned().unwrap_or_default();
         let shares = crate::traffic_shift::next(&zones(view, proxies, &demand, index), &before);
         if !shares.is_empty() {
@@ -150,7 +153,7 @@
 /// waits there, and is work that another one may do.
 type Demand<'s> = std::collections::HashMap<&'s str, (u32, u32)>;
 
-fn demand<'s>(proxies: &[&'s Source]) -> Demand<'s> {
+fn demand<'s>(proxies: &[&'s Peer]) -> Demand<'s> {
     let mut demand = Demand::new();
     for source in proxies {
         for sight in &source.detail.servers {
@@ -163,8 +166,8 @@
 }
 
 fn zones(
-    view: &View,
-    proxies: &[&Source],
+    view: &ClusterView,
+    proxies: &[&Peer],
     demand: &Demand<'_>,
     service: usize,
 ) -> std::collections::BTreeMap<String, crate::traffic_shift::Zone> {
@@ -176,19 +179,19 @@
         zone.region = source.card.region.clone();
         zone.is_place |= source.report.ready
             && !source.report.draining
-            && !view.word.drained_zones.contains(&source.card.zone);
-        let own = source.detail.request_rates.get(&view.setup.services[service].name);
+            && !view.committed.drained_zones.contains(&source.card.zone);
+        let own = source.detail.request_rates.get(&view.config.services[service].name);
         zone.taken += f64::from(own.copied().unwrap_or(0));
         taken += f64::from(own.copied().unwrap_or(0));
     }
     let none = vanepath_config::selector::ClientLocation::default();
     let mut work = Vec::new();
     let mut silent = 0.0;
-    for server in &view.platform.servers {
+    for server in &view.endpoints.servers {
         let is_there = !server.draining
             && !view.plan.unreachable.contains(&server.id)
-            && !view.word.drained_zones.contains(&server.zone)
-            && view.setup.services[service].selector.matches(server, none);
+            && !view.committed.drained_zones.contains(&server.zone)
+            && view.config.services[service].selector.matches(server, none);
         if !is_there {
             continue;
         }
--- a/registry/src/leader/tests.rs
+++ b/registry/src/leader/tests.rs
@@ -1,8 +1,8 @@
 use super::{Tenure, next};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_cluster::gossip::{Event, News};
-use vanepath_cluster::node::View;
+use vanepath_cluster::gossip::{Event, Gossip};
+use vanepath_cluster::node::ClusterView;
 use vanepath_cluster::wire;
 
 fn card(name: &str, role: wire::Role, zone: &str, port: u16) -> wire::NodeInfo {
@@ -36,19 +36,24 @@
 }
 
 /// A registry that heard these sights from its proxies.
-fn heard(sights: &[(&str, &str, Vec<wire::ServerObservation>)]) -> (News, View) {
+fn heard(sights: &[(&str, &str, Vec<wire::ServerObservation>)]) -> (Gossip, ClusterView) {
     let now = Duration::from_secs(100);
-    let mut news = News::new(card("r0", wire::Role::Registry, "a1", 1), vec![], 1, now);
-    news.step(now, Event::Report(wire::NodeStatus { synced: true, ..Default::default() }));
+    let mut news = Gossip::new(card("r0", wire::Role::Registry, "a1", 1), vec![], 1, now);
+    news.step(now, Event::StatusChanged(wire::NodeStatus { synced: true, ..Default::default() }));
     let mut deltas = Vec::new();
     for (index, (name, zone, sights)) in sights.iter().enumerate() {
         deltas.push(wire::NodeDelta {
             name: name.to_string(),
-            version: wire::NodeVersion { incarnation: 5, counter: 1, status_version: 1, detail: 1 },
+            version: wire::NodeVersion {
+                incarnation: 5,
+                counter: 1,
+                status_version: 1,
+                observations_version: 1,
+            },
             age_ms: 0,
-            card: Some(card(name, wire::Role::Proxy, zone, 10 + index as u16)),
-            report: Some(wire::NodeStatus { ready: true, ..wire::NodeStatus::default() }),
-            detail: Some(wire::ProxyObservations {
+            info: Some(card(name, wire::Role::Proxy, zone, 10 + index as u16)),
+            status: Some(wire::NodeStatus { ready: true, ..wire::NodeStatus::default() }),
+            observations: Some(wire::ProxyObservations {
                 servers: sights.clone(),
                 ..wire::ProxyObservations::default()
             }),
@@ -56,7 +61,7 @@
     }
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     let told = wire::PullResponse { nodes: deltas, ..wire::PullResponse::default() };
-    news.step(now, Event::Told { address, news: Some(Box::new(told)) });
+    news.step(now, Event::PullCompleted { address, news: Some(Box::new(told)) });
     let setup = vanepath_config::model::parse(
         br#"{"classes": [{"name": "c", "urgency": 1, "kind": "repeatable"}],
           "services": [{"name": "s", "selector": "all", "livenessPath": "/"}],
@@ -65,11 +70,11 @@
     let list = br#"{"revision": 1, "servers": [
         {"id": "s1", "address": "127.0.0.1:1001", "region": "a", "zone": "a1", "state": "ready"},
         {"id": "s2", "address": "127.0.0.1:1002", "region": "b", "zone": "b1", "state": "ready"}]}"#;
-    let (mut view, _) = View::of(&news, &View::default(), now);
-    view.setup = Arc::new(setup.unwrap());
-    view.platform = Arc::new(vanepath_config::endpoint_list::parse(list).unwrap());
+    let (mut view, _) = ClusterView::of(&news, &ClusterView::default(), now);
+    view.config = Arc::new(setup.unwrap());
+    view.endpoints = Arc::new(vanepath_config::endpoint_list::parse(list).unwrap());
     view.is_fresh = true;
-    view.knows_details = true;
+    view.has_observations = true;
     (news, view)
 }
 
@@ -79,7 +84,7 @@
 ) -> Option<wire::TrafficShiftPlan> {
     let (news, mut view) = heard(sights);
     view.plan = Arc::new(before);
-    next(&view, "r0", &news.sources, true)
+    next(&view, "r0", &news.peers, true)
 }
 
 #[test]
@@ -125,11 +130,11 @@
         let sight = |index: usize, id: &str| vec![sight(id, 3, 9000, told[index], false)];
         let sights = [("p0", "a1", sight(0, "s1")), ("p1", "b1", sight(1, "s2"))];
         let (mut news, mut view) = heard(&sights);
-        for (source, count) in news.sources.iter_mut().zip(taken) {
+        for (source, count) in news.peers.iter_mut().zip(taken) {
             source.detail.request_rates = [("s".to_string(), count * 1000)].into();
         }
         view.plan = Arc::new(last.clone());
-        if let Some(plan) = next(&view, "r0", &news.sources, true) {
+        if let Some(plan) = next(&view, "r0", &news.peers, true) {
             last = plan;
         }
         shown += &format!("{taken:?} {told:?}: {:?}\n", last.shifted.get("s"));
@@ -157,10 +162,10 @@
     let (news, mut view) = heard(&sights);
     let mut early = (card("a0", wire::Role::Registry, "a1", 77), wire::NodeStatus::default());
     view.live.push(early.clone());
-    assert!(next(&view, "r0", &news.sources, true).is_some());
+    assert!(next(&view, "r0", &news.peers, true).is_some());
     early.1.synced = true;
     *view.live.last_mut().unwrap() = early;
-    assert!(next(&view, "r0", &news.sources, true).is_none());
+    assert!(next(&view, "r0", &news.peers, true).is_none());
     let other =
         wire::TrafficShiftPlan { epoch: 7, counter: 3, leader: "r9".into(), ..Default::default() };
     let taken = plan(&sights, other).unwrap();
--- a/registry/src/list_poller.rs
+++ b/registry/src/list_poller.rs
@@ -51,7 +51,7 @@
 }
 
 pub async fn run(
-    daemon: Arc<node::Daemon>,
+    daemon: Arc<node::Node>,
     tally: Arc<crate::shell::Counters>,
     state: Arc<std::sync::Mutex<State>>,
 ) {
@@ -92,9 +92,9 @@
             Ok(Read::Same) => (State::Good, None),
             Ok(Read::Numbered { list, tag }) => {
                 is_numbered = true;
-                let found = judge(&view.platform, &list);
+                let found = judge(&view.endpoints, &list);
                 etag = tag.filter(|_| found == State::Good);
-                let is_new = found == State::Good && list.revision > view.platform.revision;
+                let is_new = found == State::Good && list.revision > view.endpoints.revision;
                 (found, is_new.then(|| Arc::new(list)))
             }
             Ok(Read::Plain(servers)) => {
@@ -112,12 +112,12 @@
             }
         };
         if let Some(list) = list {
-            if list.revision > view.platform.revision {
+            if list.revision > view.endpoints.revision {
                 tally.increment(Counter::PlatformChanges);
                 note(&list, daemon.clock.now().saturating_sub(began_at));
             }
-            let event = gossip::Event::ListRead { list, began_at };
-            let _ = daemon.news.send(node::Tell(event)).await;
+            let event = gossip::Event::EndpointListRead { list, began_at };
+            let _ = daemon.gossip.send(node::Deliver(event)).await;
         }
         if found != State::Good {
             tally.increment(Counter::PlatformReadsBad);
--- a/registry/src/list_sequencer.rs
+++ b/registry/src/list_sequencer.rs
@@ -8,7 +8,7 @@
 
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_cluster::node::View;
+use vanepath_cluster::node::ClusterView;
 use vanepath_cluster::wire::Role;
 use vanepath_config::endpoint_list::{EndpointList, Server};
 
@@ -70,7 +70,7 @@
     }
 
     /// Time goes by.
-    pub fn pulse(&mut self, now: Duration, view: &View) -> Option<Effect> {
+    pub fn pulse(&mut self, now: Duration, view: &ClusterView) -> Option<Effect> {
         if self.reading.is_some() || !self.is_due(now, view) {
             return None;
         }
@@ -84,7 +84,7 @@
     pub fn read(
         &mut self,
         now: Duration,
-        view: &View,
+        view: &ClusterView,
         servers: Option<Vec<Server>>,
     ) -> Option<Effect> {
         let Reading { began_at, seen } = self.reading.take()?;
@@ -93,9 +93,9 @@
             self.is_overtaken = true;
             return Some(Effect::Overtaken);
         }
-        let is_known = servers == view.platform.servers && view.platform.revision == seen;
+        let is_known = servers == view.endpoints.servers && view.endpoints.revision == seen;
         let list = match is_known {
-            true => view.platform.clone(),
+            true => view.endpoints.clone(),
             false => Arc::new(EndpointList { revision: self.number_after(seen), servers }),
         };
         Some(Effect::Tell { list, began_at })
@@ -105,11 +105,11 @@
         ((seen >> READER_BITS) + 1) << READER_BITS | u64::from(self.reader)
     }
 
-    fn is_due(&self, now: Duration, view: &View) -> bool {
+    fn is_due(&self, now: Duration, view: &ClusterView) -> bool {
         let Some(tried_at) = self.tried_at else { return true };
         let is_after = |at: Duration, pause: Duration| now >= at + pause;
         match self.rank(view) {
-            0 if !view.is_alone => self.is_overtaken || is_after(tried_at, FIRST_EVERY),
+            0 if !view.is_isolated => self.is_overtaken || is_after(tried_at, FIRST_EVERY),
             rank => {
                 let wait = TAKEOVER_AFTER + TAKEOVER_STEP * rank.saturating_sub(1) as u32;
                 view.list_read_at.is_none_or(|at| is_after(at, wait))
@@ -119,7 +119,7 @@
     }
 
     /// The place among the live registries, in the order of their names.
-    fn rank(&self, view: &View) -> usize {
+    fn rank(&self, view: &ClusterView) -> usize {
         let registries = view.live.iter().filter(|(card, report)| {
             card.role == Role::Registry && !report.draining && card.name < self.name
         });
@@ -128,8 +128,8 @@
 }
 
 /// The highest number that this registry has heard of.
-fn highest(view: &View) -> u64 {
-    view.highest_list.max(view.platform.revision)
+fn highest(view: &ClusterView) -> u64 {
+    view.highest_list_revision.max(view.endpoints.revision)
 }
 
 /// In the order of ids. A server that moved from one page to the next while they were read stands on both:
--- a/registry/src/list_sequencer/tests.rs
+++ b/registry/src/list_sequencer/tests.rs
@@ -1,7 +1,7 @@
 use super::{Effect, ListReader, READ_MOST};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_cluster::node::View;
+use vanepath_cluster::node::ClusterView;
 use vanepath_cluster::wire;
 use vanepath_config::endpoint_list::{EndpointList, Server};
 
@@ -26,7 +26,7 @@
     ids.iter().map(|id| server(id)).collect()
 }
 
-fn view(registries: &[(&str, bool)]) -> View {
+fn view(registries: &[(&str, bool)]) -> ClusterView {
     let address = "127.0.0.1:9".parse().unwrap();
     let live = registries.iter().map(|(name, leaving)| {
         let role = if name.starts_with('p') { wire::Role::Proxy } else { wire::Role::Registry };
@@ -40,14 +40,14 @@
         };
         (card, wire::NodeStatus { draining: *leaving, ..wire::NodeStatus::default() })
     });
-    View { live: live.collect(), ..Default::default() }
+    ClusterView { live: live.collect(), ..Default::default() }
 }
 
 /// Goes by what was told, as the news would.
-fn take(view: &mut View, told: &Option<Effect>) {
+fn take(view: &mut ClusterView, told: &Option<Effect>) {
     if let Some(Effect::Tell { list, began_at }) = told {
-        view.highest_list = view.highest_list.max(list.revision);
-        view.platform = list.clone();
+        view.highest_list_revision = view.highest_list_revision.max(list.revision);
+        view.endpoints = list.clone();
         view.list_read_at = Some(*began_at);
     }
 }
@@ -63,12 +63,12 @@
     let mut view = view(&[("r1", false)]);
     let mut reader = ListReader::new("r1", 7 << 48);
     let mut now = ms(0);
-    let mut read = |view: &mut View, found: Vec<Server>| -> Arc<EndpointList> {
+    let mut read = |view: &mut ClusterView, found: Vec<Server>| -> Arc<EndpointList> {
         now += ms(600);
         assert_eq!(reader.pulse(now, view), Some(Effect::Read));
         let told = reader.read(now + ms(20), view, Some(found));
         take(view, &told);
-        view.platform.clone()
+        view.endpoints.clone()
     };
     let first = read(&mut view, servers(&["b", "a"]));
     assert_eq!((first.revision, ids(&first)), (1 << 16 | 7, vec!["a", "b"]));
@@ -107,7 +107,7 @@
     let mut reader = ListReader::new("r1", 0);
     assert_eq!(reader.pulse(ms(0), &view), Some(Effect::Read));
     // Only heard of so far, from a proxy that has it.
-    view.highest_list = 9 << 16 | 3;
+    view.highest_list_revision = 9 << 16 | 3;
     assert_eq!(reader.read(ms(90), &view, Some(servers(&["a"]))), Some(Effect::Overtaken));
     assert_eq!(reader.pulse(ms(100), &view), Some(Effect::Read), "at once");
     let told = reader.read(ms(120), &view, Some(servers(&["a"])));
@@ -128,12 +128,12 @@
     reader.pulse(ms(0), &view);
     let told = reader.read(ms(9), &view, Some(servers(&["a"])));
     take(&mut view, &told);
-    assert_eq!(view.platform.revision, 1 << 16 | 5);
-    view.highest_list = 40 << 16 | 2;
+    assert_eq!(view.endpoints.revision, 1 << 16 | 5);
+    view.highest_list_revision = 40 << 16 | 2;
     assert_eq!(reader.pulse(ms(600), &view), Some(Effect::Read));
     let told = reader.read(ms(609), &view, Some(servers(&["a"])));
     take(&mut view, &told);
-    assert_eq!(view.platform.revision, 41 << 16 | 5);
+    assert_eq!(view.endpoints.revision, 41 << 16 | 5);
 }
 
 /// Two registries that read at the same moment never give one number to two lists.
@@ -160,7 +160,7 @@
 fn one_registry_reads_the_list_often_and_the_next_takes_over_from_silence() {
     let mut all = view(&[("p0", false), ("r2", false), ("r1", false), ("r3", false)]);
     all.list_read_at = Some(ms(5000));
-    let is_due = |name: &str, view: &View, tried: u64, now: u64| {
+    let is_due = |name: &str, view: &ClusterView, tried: u64, now: u64| {
         let mut reader = ListReader::new(name, 0);
         assert_eq!(
             reader.pulse(ms(tried), view),
@@ -182,7 +182,7 @@
     assert!(is_due("r2", &without, 5000, 5600), "the first is leaving: the next one is the first");
     assert!(!is_due("r3", &without, 5000, 5600));
     let mut cut = view(&[("r1", false)]);
-    cut.is_alone = true;
+    cut.is_isolated = true;
     cut.list_read_at = Some(ms(5000));
     assert!(!is_due("r1", &cut, 1, 5600) && is_due("r1", &cut, 1, 6200), "others may read as well");
 }
--- a/registry/src/shell.rs
+++ b/registry/src/shell.rs
@@ -32,7 +32,7 @@
 pub type Counters = vanepath_cluster::counters::Counters<Counter>;
 
 pub struct Registry {
-    pub daemon: Arc<node::Daemon>,
+    pub daemon: Arc<node::Node>,
     pub tally: Arc<Counters>,
     pub platform: Arc<std::sync::Mutex<crate::list_poller::State>>,
     pub is_ready: std::sync::atomic::AtomicBool,
@@ -49,7 +49,7 @@
 pub async fn run(settings: vanepath_config::settings::Settings) -> Result<(), miette::Report> {
     let listener = node::bind("listen", settings.listen).await?;
     let grace = settings.shutdown_grace;
-    let daemon = node::Daemon::start(settings, None).await?;
+    let daemon = node::Node::start(settings, None).await?;
     let tally: Arc<Counters> = Arc::default();
     let platform = Arc::new(std::sync::Mutex::new(crate::list_poller::State::NotYetRead));
     let registry = Arc::new(Registry {
@@ -118,7 +118,7 @@
         let daemon = &self.registry.daemon;
         let view = daemon.table.load_full();
         // With the word, and with time enough to have heard of the proxies.
-        let ready = view.word.revision > 0 && view.is_fresh && !daemon.is_stopping();
+        let ready = view.committed.revision > 0 && view.is_fresh && !daemon.is_shutting_down();
         let relaxed = std::sync::atomic::Ordering::Relaxed;
         if self.registry.is_ready.swap(ready, relaxed) != ready {
             log::info!("{}", if ready { "ready" } else { "not ready" });
@@ -126,15 +126,15 @@
         let may_hold = self.tenure.may_hold(daemon.clock.now(), view.is_fresh);
         let report = wire::NodeStatus {
             ready,
-            draining: daemon.is_stopping(),
-            revision: view.word.revision,
+            draining: daemon.is_shutting_down(),
+            revision: view.committed.revision,
             synced: may_hold,
             hears_majority: crate::leader::is_whole(&view),
             ..wire::NodeStatus::default()
         };
-        daemon.report(report).await;
+        daemon.publish_status(report).await;
         if !may_hold
-            || view.holder(wire::Role::Registry).is_none_or(|card| card.name != daemon.card.name)
+            || view.leader(wire::Role::Registry).is_none_or(|card| card.name != daemon.card.name)
         {
             return;
         }
@@ -142,7 +142,7 @@
         if began < self.look_at {
             return;
         }
-        let Ok(sources) = daemon.news.send(node::Sources).await else {
+        let Ok(sources) = daemon.gossip.send(node::ListPeers).await else {
             return;
         };
         let now = daemon.clock.now();
@@ -158,7 +158,10 @@
                 log::info!("has the duty of shares from epoch {} on", plan.epoch);
             }
             self.registry.tally.increment(Counter::PlansMade);
-            let _ = daemon.news.send(node::Tell(gossip::Event::Plan(Arc::new(plan)))).await;
+            let _ = daemon
+                .gossip
+                .send(node::Deliver(gossip::Event::PlanReceived(Arc::new(plan))))
+                .await;
         }
     }
 }
--- a/registry/src/steering.rs
+++ b/registry/src/steering.rs
@@ -1,7 +1,7 @@
 //! The directory: the steering design. For each caller that asks an ordered list of places and
 //! how long it holds, from memory alone (design 7.1 to 7.3). Pure.
 
-use vanepath_cluster::node::View;
+use vanepath_cluster::node::ClusterView;
 use vanepath_cluster::wire::Role;
 use vanepath_config::selector::{ClientLocation, Selector};
 
@@ -84,15 +84,15 @@
 /// Zones with proxies that are ready and not leaving; emptied ones get nobody. A zone none of whose
 /// proxies is heard of any more is still a place, the last to be tried: a directory cannot tell
 /// their death from its own isolation.
-pub fn places(view: &View) -> Vec<Place> {
+pub fn places(view: &ClusterView) -> Vec<Place> {
     let mut places: Vec<Place> = Vec::new();
     let live = view.live.iter().map(|one| (one, false));
-    let lost = view.lost.iter().map(|one| (one, true));
+    let lost = view.unreachable.iter().map(|one| (one, true));
     for ((card, report), is_lost) in live.chain(lost) {
         let is_fit = card.role == Role::Proxy
             && report.ready
             && !report.draining
-            && !view.word.drained_zones.contains(&card.zone);
+            && !view.committed.drained_zones.contains(&card.zone);
         if !is_fit {
             continue;
         }
@@ -101,7 +101,7 @@
             // Others of that zone are live.
             Some(_) => {}
             None => {
-                let told = view.setup.zones.iter().find(|place| place.name == card.zone);
+                let told = view.config.zones.iter().find(|place| place.name == card.zone);
                 places.push(Place {
                     zone: card.zone.clone(),
                     region: card.region.clone(),
@@ -129,8 +129,8 @@
 /// The order of places for one rule and one caller. Within a step of the rule's preferences each
 /// place draws by the caller's bucket with its share as weight: so shares hold over all callers,
 /// the same caller always draws the same, and a change of shares moves no more than it must.
-pub fn order(view: &View, places: &[Place], rule: usize, caller: &Caller) -> Vec<Step> {
-    let facts = &view.setup.rules[rule];
+pub fn order(view: &ClusterView, places: &[Place], rule: usize, caller: &Caller) -> Vec<Step> {
+    let facts = &view.config.rules[rule];
     let viewpoint = ClientLocation { zone: &caller.zone, region: &caller.region };
     let near = |text: &str| Selector::parse(text).expect("a fixed selector");
     let mut tiers: Vec<(String, Vec<(Selector, f64)>)> = facts
@@ -191,10 +191,16 @@
 /// The part of an overloaded place's callers that the plan asks elsewhere goes first to the place that
 /// each draws among those with room (design 7.4). Both draws are the caller's own, so that as few as
 /// can be change their place when the shares change.
-fn move_away(view: &View, places: &[Place], rule: usize, caller: &Caller, steps: &mut [Step]) {
+fn move_away(
+    view: &ClusterView,
+    places: &[Place],
+    rule: usize,
+    caller: &Caller,
+    steps: &mut [Step],
+) {
     let Some(first) = steps.first() else { return };
     let zone = &places[first.place].zone;
-    let service = &view.setup.services[view.setup.rules[rule].service].name;
+    let service = &view.config.services[view.config.rules[rule].service].name;
     let Some(to) = view.plan.shifted.get(service).and_then(|moved| moved.get(zone)) else { return };
     let moved: u32 = to.values().sum();
     let turn = vanepath_config::stable_hash(&["move", zone, &caller.bucket.to_string()]) % 1000;
@@ -225,20 +231,20 @@
 }
 
 /// The receipt, with the source's field names where they fit. `random` jitters the TTL.
-pub fn receipt(view: &View, caller: &Caller, random: u64, shows: bool) -> jzon::JsonValue {
+pub fn receipt(view: &ClusterView, caller: &Caller, random: u64, shows: bool) -> jzon::JsonValue {
     let places = places(view);
     let jitter = (random % 1001) as f64 / 1000.0;
     let ttl_s = (TTL.as_secs_f64() * (0.75 + 0.5 * jitter)).min(TTL_MOST.as_secs_f64());
-    let echo = Echo { revision: view.word.revision, caller: caller.clone() };
+    let echo = Echo { revision: view.committed.revision, caller: caller.clone() };
     let zones = |steps: &[Step]| -> jzon::JsonValue {
         let zones = steps.iter().map(|step| places[step.place].zone.as_str().into());
         jzon::JsonValue::Array(zones.collect())
     };
     let mut rules = jzon::JsonValue::new_array();
     let mut general: Option<Vec<Step>> = None;
-    for (index, rule) in view.setup.rules.iter().enumerate() {
+    for (index, rule) in view.config.rules.iter().enumerate() {
         let steps = order(view, &places, index, caller);
-        let kind = view.setup.classes[rule.class].idempotency;
+        let kind = view.config.classes[rule.class].idempotency;
         let mut entry = jzon::object! {
             "NAME": rule.name.as_str(),
             "METHODS": rule.methods.iter().map(|one| one.as_str().into()).collect::<Vec<jzon::JsonValue>>(),
@@ -286,7 +292,7 @@
         "PATHWAYS": pathways,
         "RULES": rules,
         "DIRECTORIES": directories,
-        "REVISION": view.word.revision,
+        "REVISION": view.committed.revision,
         "EPOCH": view.plan.epoch,
     }
 }
@@ -311,9 +317,15 @@
 
 /// Answers one poll from memory. `own` is the directory's zone and region, for callers that do
 /// not say theirs.
-pub fn steer(view: &View, is_ready: bool, own: (&str, &str), query: &str, random: u64) -> Steered {
+pub fn steer(
+    view: &ClusterView,
+    is_ready: bool,
+    own: (&str, &str),
+    query: &str,
+    random: u64,
+) -> Steered {
     let none = |why| Steered { receipt: Err(why), is_first: false, is_forged: false };
-    if !is_ready || view.setup.rules.is_empty() || places(view).is_empty() {
+    if !is_ready || view.config.rules.is_empty() || places(view).is_empty() {
         // Without any place to name it says nothing, and callers keep what they have.
         return none(NoReceipt::NotReady);
     }
@@ -326,10 +338,10 @@
     let is_first = echo.is_none();
     let caller = match echo {
         // The caller has a newer order: it must not get an older one from here.
-        Some(echo) if echo.revision > view.word.revision => return none(NoReceipt::Behind),
+        Some(echo) if echo.revision > view.committed.revision => return none(NoReceipt::Behind),
         // Cut off from most registries it would hold its callers to what was so before. Another may
         // know more, and if there is none the caller keeps what it has; who has nothing gets this.
-        Some(_) if view.is_alone || view.is_cut_off => return none(NoReceipt::CutOff),
+        Some(_) if view.is_isolated || view.is_partitioned => return none(NoReceipt::CutOff),
         Some(echo) => echo.caller,
         None => {
             let name =
@@ -362,7 +374,7 @@
 /// # Errors
 /// Where this directory knows too little to say; another one may know more.
 pub fn addresses(
-    view: &View,
+    view: &ClusterView,
     is_ready: bool,
     own: (&str, &str),
     query: &str,
@@ -372,7 +384,7 @@
     if !is_ready || places.iter().all(|place| place.is_lost) {
         return Err(NoReceipt::NotReady);
     }
-    if view.is_alone {
+    if view.is_isolated {
         return Err(NoReceipt::CutOff);
     }
     let get = |name: &str| {
@@ -388,7 +400,7 @@
     let mut found: Vec<std::net::SocketAddr> =
         live().filter(is_near).flat_map(|place| place.addresses.iter().copied()).collect();
     // Whoever has work that is bound to regions takes it to the addresses named here like any other.
-    let is_any_bound = view.setup.rules.iter().any(|rule| !rule.regions.is_empty());
+    let is_any_bound = view.config.rules.iter().any(|rule| !rule.regions.is_empty());
     let least = if is_any_bound { 1 } else { ADDRESSES_LEAST };
     if found.len() < least {
         // Not enough there: the other regions' in the order of this zone's own draw.
--- a/registry/src/steering/tests.rs
+++ b/registry/src/steering/tests.rs
@@ -1,9 +1,9 @@
 use super::{Caller, Echo, order, places};
 use std::sync::Arc;
-use vanepath_cluster::node::View;
+use vanepath_cluster::node::ClusterView;
 use vanepath_cluster::wire;
 
-fn view(rules: &str) -> View {
+fn view(rules: &str) -> ClusterView {
     let setup = format!(
         r#"{{"places": [{{"zone": "a1", "region": "a", "labels": {{"cost": "low"}}}},
                       {{"zone": "c1", "region": "c"}}],
@@ -24,14 +24,14 @@
         };
         live.push((card, wire::NodeStatus { ready: true, ..wire::NodeStatus::default() }));
     }
-    View {
-        setup: Arc::new(vanepath_config::model::parse(setup.as_bytes()).unwrap()),
+    ClusterView {
+        config: Arc::new(vanepath_config::model::parse(setup.as_bytes()).unwrap()),
         live,
-        ..View::default()
+        ..ClusterView::default()
     }
 }
 
-fn zones(view: &View, bucket: u64) -> String {
+fn zones(view: &ClusterView, bucket: u64) -> String {
     let caller = Caller { zone: "a2".to_string(), region: "a".to_string(), bucket };
     let places = places(view);
     let steps = order(view, &places, 0, &caller);
@@ -48,7 +48,7 @@
         drained_zones: ["a2".to_string()].into(),
         ..wire::CommittedConfig::default()
     };
-    open.word = Arc::new(word);
+    open.committed = Arc::new(word);
     assert!(zones(&open, 3).starts_with("a1 "));
     let bound = view(r#"{"name": "r", "class": "c", "service": "s", "regions": ["a", "c"]}"#);
     assert_eq!(zones(&bound, 3), "a2 a1 c1");
@@ -59,7 +59,7 @@
     assert_eq!(zones(&none, 3), "", "nothing within bounds is left: nothing else either");
     // What is not heard of any more comes last, and never out of bounds.
     let mut cut = bound.clone();
-    cut.lost = cut.live.extract_if(.., |(card, _)| card.zone != "c1").collect();
+    cut.unreachable = cut.live.extract_if(.., |(card, _)| card.zone != "c1").collect();
     assert_eq!(zones(&cut, 3), "c1 a2 a1");
 }
 
@@ -77,7 +77,7 @@
     let (before, after) = (with(20), with(30));
     let mut counts = [0, 0, 0];
     for bucket in 0..4000 {
-        let first = |view: &View| zones(view, bucket).starts_with("a1");
+        let first = |view: &ClusterView| zones(view, bucket).starts_with("a1");
         let (old, new) = (first(&before), first(&after));
         counts[0] += i32::from(old);
         counts[1] += i32::from(new);
@@ -94,13 +94,14 @@
     let mut cut = view(r#"{"name": "r", "class": "c", "service": "s"}"#);
     let caller = Caller { zone: "a2".into(), region: "a".into(), bucket: 77 };
     let echo = format!("state={}", Echo { revision: 0, caller }.show());
-    let is_told =
-        |view: &View, query: &str| super::steer(view, true, ("a1", "a"), query, 1).receipt.is_ok();
+    let is_told = |view: &ClusterView, query: &str| {
+        super::steer(view, true, ("a1", "a"), query, 1).receipt.is_ok()
+    };
     assert!(is_told(&cut, &echo) && is_told(&cut, "zone=a2"));
-    cut.is_alone = true;
+    cut.is_isolated = true;
     assert!(!is_told(&cut, &echo) && is_told(&cut, "zone=a2"));
-    cut.is_alone = false;
-    cut.is_cut_off = true;
+    cut.is_isolated = false;
+    cut.is_partitioned = true;
     assert!(!is_told(&cut, &echo) && is_told(&cut, "zone=a2"));
 }
 
@@ -116,7 +117,7 @@
 
 const ANY: &str = r#"{"name": "r", "class": "c", "service": "s"}"#;
 
-fn told(view: &View, is_ready: bool, query: &str) -> String {
+fn told(view: &ClusterView, is_ready: bool, query: &str) -> String {
     match super::addresses(view, is_ready, ("a1", "a"), query, 0) {
         Ok(answer) => {
             let ports = answer["addresses"].members().filter_map(|one| one.as_str());
@@ -149,18 +150,18 @@
         drained_zones: ["a1".to_string()].into(),
         ..wire::CommittedConfig::default()
     };
-    emptied.word = Arc::new(word);
+    emptied.committed = Arc::new(word);
     show("a1 emptied", told(&emptied, true, "region=a&zone=a1"));
     let mut lost = all.clone();
-    lost.lost = lost.live.extract_if(.., |(card, _)| card.region == "a").collect();
+    lost.unreachable = lost.live.extract_if(.., |(card, _)| card.region == "a").collect();
     show("a lost", told(&lost, true, "region=a&zone=a1"));
-    lost.lost.append(&mut lost.live);
+    lost.unreachable.append(&mut lost.live);
     show("all lost", told(&lost, true, "region=a&zone=a1"));
     show("not ready", told(&all, false, "region=a&zone=a1"));
     let mut alone = all.clone();
-    alone.is_alone = true;
+    alone.is_isolated = true;
     show("cut off", told(&alone, true, "region=a&zone=a1"));
-    show("nobody known", told(&View::default(), true, "region=a&zone=a1"));
+    show("nobody known", told(&ClusterView::default(), true, "region=a&zone=a1"));
     expect_test::expect![[r#"
         from a: 8000 8001 8002 for 2 s
         from b: 8003 8004 for 2 s
@@ -186,7 +187,7 @@
     assert_eq!(told(&bound, true, "region=c&zone=c1"), "8005 for 2 s");
     assert_eq!(told(&bound, true, "region=a&zone=a1"), "8000 8001 8002 for 2 s");
     // With none of its own left a region's clients are helped all the same.
-    bound.lost = bound.live.extract_if(.., |(card, _)| card.region == "c").collect();
+    bound.unreachable = bound.live.extract_if(.., |(card, _)| card.region == "c").collect();
     assert_ne!(told(&bound, true, "region=c&zone=c1"), "");
     assert!(told(&bound, true, "region=c&zone=c1").ends_with("for 2 s"));
 }
--- a/registry/src/store_client.rs
+++ b/registry/src/store_client.rs
@@ -119,7 +119,7 @@
 }
 
 /// Live stores that vote, in the order of the table of seats: the first of them proposes.
-pub fn stores(view: &vanepath_cluster::node::View) -> Vec<wire::NodeInfo> {
+pub fn stores(view: &vanepath_cluster::node::ClusterView) -> Vec<wire::NodeInfo> {
     let is_there = |report: &wire::NodeStatus| report.ready && !report.draining;
     let mut stores: Vec<(Option<u8>, &wire::NodeInfo)> = view
         .live
--- a/registry/tests/world/mod.rs
+++ b/registry/tests/world/mod.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_cluster::gossip::{Effect, Event, News};
-use vanepath_cluster::node::View;
+use vanepath_cluster::gossip::{Effect, Event, Gossip};
+use vanepath_cluster::node::ClusterView;
 use vanepath_cluster::wire;
 use vanepath_config::endpoint_list::{EndpointList, Server};
 use vanepath_registry::list_sequencer::{Effect as Reads, ListReader, READ_MOST};
@@ -54,8 +54,8 @@
 }
 
 struct Node {
-    news: News,
-    view: View,
+    news: Gossip,
+    view: ClusterView,
     way: Duration,
     reader: ListReader,
     read: Option<Read>,
@@ -178,11 +178,11 @@
             };
             let reader = ListReader::new(&card.name, (world.part() * u64::MAX as f64) as u64);
             let news =
-                News::new(card, seeds.clone(), plan.seed * 100 + index as u64, Duration::ZERO);
+                Gossip::new(card, seeds.clone(), plan.seed * 100 + index as u64, Duration::ZERO);
             let jitter = Duration::from_millis((world.part() * 250.0) as u64);
             world.nodes.push(Node {
                 news,
-                view: View::default(),
+                view: ClusterView::default(),
                 way: Duration::from_millis([1, 6, 12][place]),
                 reader,
                 read: None,
@@ -232,13 +232,13 @@
             match message {
                 Message::Asked { from, pull } => {
                     self.tickets.insert((to, number), from);
-                    self.step(to, Event::Asked { ticket: number, pull: *pull });
+                    self.step(to, Event::PullReceived { ticket: number, pull: *pull });
                 }
                 Message::Told { teller, news } => {
                     if self.pulling.remove(&(to, teller)).is_some() {
                         self.connected.insert((to, teller));
                         let address = address_of(teller);
-                        self.step(to, Event::Told { address, news: Some(news) });
+                        self.step(to, Event::PullCompleted { address, news: Some(news) });
                     }
                 }
             }
@@ -254,7 +254,7 @@
             self.pulling.remove(&(asker, teller));
             self.connected.remove(&(asker, teller));
             let address = address_of(teller);
-            self.step(asker, Event::Told { address, news: None });
+            self.step(asker, Event::PullCompleted { address, news: None });
         }
     }
 
@@ -303,15 +303,15 @@
                         self.send(index, to, Message::Told { teller: index, news });
                     }
                 }
-                Effect::Changed => self.publish(index),
-                Effect::AskFloor { .. } | Effect::Noted(_) => {}
+                Effect::ViewChanged => self.publish(index),
+                Effect::RequestReadIndex { .. } | Effect::Log(_) => {}
             }
         }
     }
 
     fn publish(&mut self, index: usize) {
         let node = &self.nodes[index];
-        let (view, _) = View::of(&node.news, &node.view, self.now);
+        let (view, _) = ClusterView::of(&node.news, &node.view, self.now);
         self.nodes[index].view = view;
     }
 
@@ -320,7 +320,7 @@
             return;
         }
         self.nodes[index].pulse_at = self.now + PULSE;
-        self.step(index, Event::Pulse);
+        self.step(index, Event::Tick);
         let node = &self.nodes[index];
         if !node.view.is_up_to_date(&node.news, self.now) {
             self.publish(index);
@@ -366,7 +366,7 @@
         let node = &mut self.nodes[index];
         let servers = node.read.take().map(|read| read.servers).filter(|_| is_whole);
         if let Some(Reads::Tell { list, began_at }) = node.reader.read(now, &node.view, servers) {
-            self.step(index, Event::ListRead { list, began_at });
+            self.step(index, Event::EndpointListRead { list, began_at });
         }
     }
 
@@ -380,12 +380,12 @@
     fn judge(&mut self, bound: Duration) {
         let now = self.now;
         for node in &mut self.nodes {
-            let list = node.news.lists.current().clone();
+            let list = node.news.endpoints.current().clone();
             if Arc::ptr_eq(&node.judged, &list) {
                 continue;
             }
             node.judged = list.clone();
-            let name = &node.news.own().name;
+            let name = &node.news.node_info().name;
             for server in &list.servers {
                 if server.draining {
                     node.known_leaving.entry(server.id.clone()).or_insert(now);
@@ -402,9 +402,9 @@
         for id in due {
             self.leaving_since.remove(&id);
             for node in &self.nodes {
-                let servers = &node.news.lists.current().servers;
+                let servers = &node.news.endpoints.current().servers;
                 if servers.iter().any(|one| one.id == id && !one.draining) {
-                    let name = &node.news.own().name;
+                    let name = &node.news.node_info().name;
                     self.faults.push(format!("{now:?}: {name} does not know that {id} leaves"));
                 }
             }
@@ -415,11 +415,11 @@
         let mut shown = self.shown.clone();
         shown.sort_by(|left, right| left.id.cmp(&right.id));
         for node in &self.nodes {
-            let mut known = node.news.lists.current().servers.clone();
+            let mut known = node.news.endpoints.current().servers.clone();
             known.sort_by(|left, right| left.id.cmp(&right.id));
             if known != shown {
-                let name = &node.news.own().name;
-                let revision = node.news.lists.current().revision;
+                let name = &node.news.node_info().name;
+                let revision = node.news.endpoints.current().revision;
                 self.faults.push(format!("at the end {name} has another list, {revision}"));
             }
         }
--- a/store/src/hints.rs
+++ b/store/src/hints.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
-use vanepath_cluster::{node::View, wire};
+use vanepath_cluster::{node::ClusterView, wire};
 
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Hints {
@@ -34,7 +34,7 @@
     }
 
     /// What to write now, if anything.
-    pub fn step(&mut self, now: Duration, view: &View) -> Option<Hints> {
+    pub fn step(&mut self, now: Duration, view: &ClusterView) -> Option<Hints> {
         while self.written.front().is_some_and(|at| now >= *at + Duration::from_secs(60)) {
             self.written.pop_front();
         }
@@ -45,7 +45,7 @@
         let mut siblings: BTreeSet<SocketAddr> =
             view.live.iter().skip(1).map(|(card, _)| card.cluster_address).collect();
         // Who is not heard of may be back later than this store; he is forgotten in time.
-        siblings.extend(view.lost.iter().map(|(card, _)| card.cluster_address));
+        siblings.extend(view.unreachable.iter().map(|(card, _)| card.cluster_address));
         let last = &self.kept.plan;
         let is_same_plan = (last.epoch, last.counter) >= (view.plan.epoch, view.plan.counter)
             || (last.unreachable == view.plan.unreachable
--- a/store/src/hints/tests.rs
+++ b/store/src/hints/tests.rs
@@ -1,9 +1,9 @@
 use super::{Hints, Keeper};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_cluster::{node::View, wire};
+use vanepath_cluster::{node::ClusterView, wire};
 
-fn view(counter: u64, away: &str) -> View {
+fn view(counter: u64, away: &str) -> ClusterView {
     let card = |port: u16| {
         let address = std::net::SocketAddr::from(([127, 0, 0, 1], port));
         wire::NodeInfo {
@@ -22,7 +22,7 @@
         ..Default::default()
     };
     let live = (1..4).map(|port| (card(port), wire::NodeStatus::default())).collect();
-    View { live, plan: Arc::new(plan), is_fresh: true, ..View::default() }
+    ClusterView { live, plan: Arc::new(plan), is_fresh: true, ..ClusterView::default() }
 }
 
 /// Written when something is new, never more often than a disk is meant to be, and not
--- a/store/src/shell.rs
+++ b/store/src/shell.rs
@@ -28,7 +28,7 @@
 struct StoreActor {
     core: Register,
     disk: Arc<crate::disk::Disk>,
-    daemon: Arc<node::Daemon>,
+    daemon: Arc<node::Node>,
     tally: Arc<Counters>,
     summary: Arc<arc_swap::ArcSwap<crate::consensus::Summary>>,
     waiting: std::collections::HashMap<u64, tokio::sync::oneshot::Sender<Tell>>,
@@ -105,7 +105,7 @@
                 self.tally.increment(Counter::StoreCalls);
                 let address = self.claims.load().address_of(incarnation, &ask);
                 let own = own.clone();
-                let links = self.daemon.links.clone();
+                let links = self.daemon.transport.clone();
                 let tally = self.tally.clone();
                 let body = wire::Request::Store(wire::encode(&ask).into());
                 tokio::spawn(async move {
@@ -141,7 +141,11 @@
             Effect::Chosen(value) => {
                 self.tally.increment(Counter::StoreVersionsChosen);
                 let word = Arc::new(value.word());
-                let _ = self.daemon.news.send(node::Tell(gossip::Event::Word(word))).await;
+                let _ = self
+                    .daemon
+                    .gossip
+                    .send(node::Deliver(gossip::Event::ConfigCommitted(word)))
+                    .await;
             }
             Effect::Noted(text) => log::info!("store: {text}"),
         }
@@ -249,9 +253,9 @@
     let hints = disk.hints();
     let mut started = settings.clone();
     started.seeds.extend(&hints.siblings);
-    let daemon = node::Daemon::start(started, Some(handler)).await?;
+    let daemon = node::Node::start(started, Some(handler)).await?;
     let plan = Arc::new(hints.plan.clone());
-    let _ = daemon.news.send(node::Tell(gossip::Event::Plan(plan))).await;
+    let _ = daemon.gossip.send(node::Deliver(gossip::Event::PlanReceived(plan))).await;
     let tally: Arc<Counters> = Arc::default();
     let core = Register::new(identity, found, daemon.clock.now());
     let summary = Arc::new(arc_swap::ArcSwap::from_pointee(core.summary()));
@@ -294,7 +298,7 @@
             let found = Claims::of(&view);
             let live = found.live.clone();
             claims.store(Arc::new(found));
-            let revision = view.word.revision;
+            let revision = view.committed.revision;
             for event in [Event::Live(live), Event::Heard { revision }, Event::Pulse] {
                 if pulsed.send(Happened(event)).await.is_err() {
                     return;
@@ -303,14 +307,14 @@
             let summary = pulse_summary.load();
             let report = wire::NodeStatus {
                 ready: summary.votes,
-                draining: pulse_daemon.is_stopping(),
-                revision: view.word.revision,
+                draining: pulse_daemon.is_shutting_down(),
+                revision: view.committed.revision,
                 empty_disk: summary.blank,
                 synced: summary.settled,
                 disk: Some(summary.disk()),
                 ..wire::NodeStatus::default()
             };
-            pulse_daemon.report(report).await;
+            pulse_daemon.publish_status(report).await;
         }
     });
 
@@ -338,7 +342,7 @@
 }
 
 impl Claims {
-    pub fn of(view: &node::View) -> Claims {
+    pub fn of(view: &node::ClusterView) -> Claims {
         let mut claims = Claims::default();
         for (card, report) in &view.live {
             let Some(disk) = report.disk else { continue };
@@ -350,7 +354,7 @@
                 founds: report.empty_disk && disk.may_bootstrap,
             });
         }
-        let lost = view.lost.iter().filter_map(|(card, report)| Some((card, report.disk?)));
+        let lost = view.unreachable.iter().filter_map(|(card, report)| Some((card, report.disk?)));
         claims.lost = lost.map(|(card, disk)| (disk.incarnation, card.cluster_address)).collect();
         claims
     }
@@ -363,19 +367,19 @@
 }
 
 fn answer_http(
-    daemon: &node::Daemon,
+    daemon: &node::Node,
     summary: &crate::consensus::Summary,
     tally: &Counters,
     request: &hyper::Request<hyper::body::Incoming>,
 ) -> hyper::Response<node::Body> {
     let path = request.uri().path();
-    let ready = summary.votes && !daemon.is_stopping();
-    if let Some(receipt) = node::common(daemon, path, ready, |all| tally.write_json(all)) {
+    let ready = summary.votes && !daemon.is_shutting_down();
+    if let Some(receipt) = node::common_pages(daemon, path, ready, |all| tally.write_json(all)) {
         return receipt;
     }
     if path != "/v1/status" {
         let error = jzon::object! { "error": "no such path" };
-        return node::json(hyper::StatusCode::NOT_FOUND, &error);
+        return node::json_response(hyper::StatusCode::NOT_FOUND, &error);
     }
     let seats: Vec<jzon::JsonValue> = summary
         .seats
@@ -391,8 +395,8 @@
     let view = daemon.table.load();
     let status = jzon::object! {
         "name": daemon.settings.name.as_str(),
-        "revision": view.in_force(),
-        "floor": view.show_floor(),
+        "revision": view.active_revision(),
+        "floor": view.read_index_json(),
         "seat": summary.seat,
         "incarnation": format!("{:016x}", summary.incarnation),
         "votes": summary.votes,
@@ -403,7 +407,7 @@
         "versions": summary.versions,
         "seats": seats,
     };
-    node::json(hyper::StatusCode::OK, &status)
+    node::json_response(hyper::StatusCode::OK, &status)
 }
 
 fn rescue(
--- a/testbed/src/scale/cores.rs
+++ b/testbed/src/scale/cores.rs
@@ -3,8 +3,8 @@
 use super::{Judged, Row, each, weigh};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_cluster::gossip::{Event, News};
-use vanepath_cluster::node::View;
+use vanepath_cluster::gossip::{Event, Gossip};
+use vanepath_cluster::node::ClusterView;
 use vanepath_cluster::wire;
 
 fn us(time: Duration) -> f64 {
@@ -22,14 +22,14 @@
     services: usize,
     details: bool,
     judged: Judged,
-) -> News {
+) -> Gossip {
     let now = Duration::from_secs(100);
     let list = super::platform(servers, services, judged);
     let cards = super::cards(daemons);
-    let mut news = News::new(cards[0].clone(), Vec::new(), 1, now);
+    let mut news = Gossip::new(cards[0].clone(), Vec::new(), 1, now);
     news.step(
         now,
-        Event::Report(wire::NodeStatus {
+        Event::StatusChanged(wire::NodeStatus {
             ready: true,
             synced: true,
             ..wire::NodeStatus::default()
@@ -38,36 +38,41 @@
     let others = cards.iter().enumerate().skip(1);
     let deltas = others.map(|(index, card)| wire::NodeDelta {
         name: card.name.clone(),
-        version: wire::NodeVersion { incarnation: 5, counter: 9, status_version: 2, detail: 3 },
+        version: wire::NodeVersion {
+            incarnation: 5,
+            counter: 9,
+            status_version: 2,
+            observations_version: 3,
+        },
         age_ms: 100,
-        card: Some(card.clone()),
-        report: Some(wire::NodeStatus { ready: true, synced: true, ..wire::NodeStatus::default() }),
-        detail: (details && card.role == wire::Role::Proxy)
+        info: Some(card.clone()),
+        status: Some(wire::NodeStatus { ready: true, synced: true, ..wire::NodeStatus::default() }),
+        observations: (details && card.role == wire::Role::Proxy)
             .then(|| super::detail(index, daemons, &list, services, 3, judged)),
     });
     let told = wire::PullResponse {
         nodes: deltas.collect(),
-        platform: Some(list),
+        endpoint_list: Some(list),
         ..wire::PullResponse::default()
     };
     let address = cards[1].cluster_address;
-    news.step(now, Event::Told { address, news: Some(Box::new(told)) });
+    news.step(now, Event::PullCompleted { address, news: Some(Box::new(told)) });
     news
 }
 
 /// What a daemon of such a fleet goes by.
-pub fn view(news: &News, routes: usize, services: usize, judged: Judged) -> View {
+pub fn view(news: &Gossip, routes: usize, services: usize, judged: Judged) -> ClusterView {
     let now = Duration::from_secs(100);
-    let (mut view, _) = View::of(news, &View::default(), now);
-    view.setup = Arc::new(super::setup(routes, services, judged));
+    let (mut view, _) = ClusterView::of(news, &ClusterView::default(), now);
+    view.config = Arc::new(super::setup(routes, services, judged));
     let word = wire::CommittedConfig {
         revision: 5,
         config_revision: 5,
         ..wire::CommittedConfig::default()
     };
-    view.word = Arc::new(word);
+    view.committed = Arc::new(word);
     view.is_fresh = true;
-    view.knows_details = true;
+    view.has_observations = true;
     view
 }
 
@@ -185,13 +190,13 @@
             vanepath_proxy::endpoints::cold_rate(&view, &own.name, server, services)
         };
         let started = super::spent();
-        table.adopt(Duration::ZERO, (5, 1), &view.setup, &list, rate);
+        table.adopt(Duration::ZERO, (5, 1), &view.config, &list, rate);
         let first = super::spent().saturating_sub(started);
         for entry in &table.table.load().entries {
             table.good(Duration::from_secs(1), entry.slot);
         }
         let now = Duration::from_secs(2);
-        let again = each(span, || table.adopt(now, (5, 1), &view.setup, &list, rate));
+        let again = each(span, || table.adopt(now, (5, 1), &view.config, &list, rate));
         let whole = table.table.load_full();
         let emptied = Default::default();
         let mut turn = 0;
@@ -299,14 +304,12 @@
                 vanepath_registry::steering::steer(&view, true, ("a1", "a"), &query, turn);
             bytes = steered.receipt.map_or(0, |receipt| receipt.dump().len());
         });
-        let own = news.own().name.clone();
-        let duty =
-            each(span, || vanepath_registry::leader::next(&view, &own, &news.sources, false));
-        let moving =
-            each(span, || vanepath_registry::leader::next(&view, &own, &news.sources, true));
-        let copied = each(span, || news.sources.clone());
+        let own = news.node_info().name.clone();
+        let duty = each(span, || vanepath_registry::leader::next(&view, &own, &news.peers, false));
+        let moving = each(span, || vanepath_registry::leader::next(&view, &own, &news.peers, true));
+        let copied = each(span, || news.peers.clone());
         let now = Duration::from_secs(100);
-        let viewed = each(span, || View::of(&news, &view, now));
+        let viewed = each(span, || ClusterView::of(&news, &view, now));
         rows.push(Row {
             what: "registry".to_string(),
             size: vec![
