--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -5,7 +5,7 @@
 use std::cmp::Reverse;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use vanepath_cluster::gossip::{Effect, Event, News};
+use vanepath_cluster::gossip::{Effect, Event, Gossip};
 use vanepath_cluster::wire;
 
 #[derive(Clone, Debug)]
@@ -66,7 +66,7 @@
 }
 
 struct Daemon {
-    core: News,
+    core: Gossip,
     /// Who waits under which ticket.
     waiting: std::collections::HashMap<u64, usize>,
     tickets: u64,
@@ -109,7 +109,7 @@
     }
 
     fn delay(&self, from: usize, to: usize) -> Duration {
-        let (from, to) = (self.daemons[from].core.own(), self.daemons[to].core.own());
+        let (from, to) = (self.daemons[from].core.node_info(), self.daemons[to].core.node_info());
         Duration::from_micros(if from.zone == to.zone {
             300
         } else if from.region == to.region {
@@ -145,11 +145,11 @@
                     self.push(at, to, What::Answer { from: whom, bytes });
                 }
                 // Its stores have no disks: none holds more than the word that they are told.
-                Effect::AskFloor { address } => {
+                Effect::RequestReadIndex { address } => {
                     let event = Event::Floor { address, revision: Some(0) };
                     self.step(now, whom, event);
                 }
-                Effect::Changed | Effect::Noted(_) => {}
+                Effect::ViewChanged | Effect::Log(_) => {}
             }
         }
     }
@@ -192,11 +192,11 @@
             }
             match what {
                 What::Unanswered { from } => {
-                    let address = self.daemons[from].core.own().cluster_address;
-                    self.step(now, whom, Event::Told { address, news: None });
+                    let address = self.daemons[from].core.node_info().cluster_address;
+                    self.step(now, whom, Event::PullCompleted { address, news: None });
                 }
                 What::Pulse => {
-                    self.step(now, whom, Event::Pulse);
+                    self.step(now, whom, Event::Tick);
                     self.push(now + PULSE, whom, What::Pulse);
                 }
                 What::Detail(turn) => {
@@ -209,7 +209,7 @@
                         turn,
                         self.plan.judged,
                     );
-                    self.step(now, whom, Event::Detail(detail));
+                    self.step(now, whom, Event::ObservationsChanged(detail));
                     self.push(now + DETAIL_EVERY, whom, What::Detail(turn + 1));
                 }
                 What::Pull { from, bytes } => {
@@ -219,22 +219,26 @@
                     daemon.tickets += 1;
                     let ticket = daemon.tickets;
                     daemon.waiting.insert(ticket, from);
-                    self.step(now, whom, Event::Asked { ticket, pull });
+                    self.step(now, whom, Event::PullReceived { ticket, pull });
                 }
                 What::Answer { from, bytes } => {
                     let reply = self.decode(whom, &bytes, wire::decode::<wire::Reply>);
                     let wire::Reply::News(news) = reply else { continue };
-                    let address = self.daemons[from].core.own().cluster_address;
+                    let address = self.daemons[from].core.node_info().cluster_address;
                     // What a proxy has in force it reports.
-                    let before = self.daemons[whom].core.word.revision;
-                    self.step(now, whom, Event::Told { address, news: Some(Box::new(news)) });
-                    let revision = self.daemons[whom].core.word.revision;
+                    let before = self.daemons[whom].core.committed.revision;
+                    self.step(
+                        now,
+                        whom,
+                        Event::PullCompleted { address, news: Some(Box::new(news)) },
+                    );
+                    let revision = self.daemons[whom].core.committed.revision;
                     if revision != before {
                         let report = wire::NodeStatus {
                             revision,
-                            ..self.daemons[whom].core.own_report().clone()
+                            ..self.daemons[whom].core.node_status().clone()
                         };
-                        self.step(now, whom, Event::Report(report));
+                        self.step(now, whom, Event::StatusChanged(report));
                     }
                 }
             }
@@ -249,7 +253,8 @@
     }
 
     fn take_sums(&mut self) -> Vec<(wire::Role, Sum)> {
-        let take = |daemon: &mut Daemon| (daemon.core.own().role, std::mem::take(&mut daemon.sum));
+        let take =
+            |daemon: &mut Daemon| (daemon.core.node_info().role, std::mem::take(&mut daemon.sum));
         self.daemons.iter_mut().map(take).collect()
     }
 }
@@ -258,14 +263,14 @@
 const SILENCED_FOR: Duration = Duration::from_secs(6);
 
 /// All that a daemon tells of itself but its detail.
-fn whole(core: &News) -> wire::NodeDelta {
+fn whole(core: &Gossip) -> wire::NodeDelta {
     wire::NodeDelta {
-        name: core.own().name.clone(),
-        version: core.own_mark(),
+        name: core.node_info().name.clone(),
+        version: core.node_version(),
         age_ms: 0,
-        card: Some(core.own().clone()),
-        report: Some(core.own_report().clone()),
-        detail: None,
+        info: Some(core.node_info().clone()),
+        status: Some(core.node_status().clone()),
+        observations: None,
     }
 }
 
@@ -306,13 +311,13 @@
         let at = second + random.between(Duration::ZERO, second);
         let role = card.role;
         run.daemons.push(Daemon {
-            core: News::new(card, seeds.clone(), life, if plan.joins { at } else { second }),
+            core: Gossip::new(card, seeds.clone(), life, if plan.joins { at } else { second }),
             waiting: Default::default(),
             tickets: 0,
             sum: Sum::default(),
             index,
         });
-        run.step(at, index, Event::Report(report_of(role)));
+        run.step(at, index, Event::StatusChanged(report_of(role)));
         run.push(at, index, What::Pulse);
         if role == wire::Role::Proxy && plan.details {
             let first = at + random.between(Duration::ZERO, DETAIL_EVERY);
@@ -323,29 +328,29 @@
         // As if each had been told of all: the fleet is there.
         let told = wire::PullResponse {
             nodes: run.daemons.iter().map(|daemon| whole(&daemon.core)).collect(),
-            platform: Some(run.list.clone()),
+            endpoint_list: Some(run.list.clone()),
             ..wire::PullResponse::default()
         };
         for daemon in &mut run.daemons {
-            let effects = daemon.core.step(second, Event::Pulse);
+            let effects = daemon.core.step(second, Event::Tick);
             let asked = effects.iter().filter_map(|effect| match effect {
                 Effect::Pull { address, .. } => Some(*address),
                 _ => None,
             });
             for (index, address) in asked.enumerate() {
                 let news = (index == 0).then(|| Box::new(told.clone()));
-                daemon.core.step(second, Event::Told { address, news });
+                daemon.core.step(second, Event::PullCompleted { address, news });
             }
             // What it asks upon that nobody hears; its lines begin anew.
             let cut: Vec<std::net::SocketAddr> = run.addresses.keys().copied().collect();
             for address in cut {
-                daemon.core.step(second, Event::Told { address, news: None });
+                daemon.core.step(second, Event::PullCompleted { address, news: None });
             }
             daemon.sum = Sum::default();
         }
     }
     let list = Arc::new(run.list.clone());
-    run.step(2 * second, 0, Event::Platform(list));
+    run.step(2 * second, 0, Event::EndpointListReceived(list));
 
     let mut rows = Vec::new();
     let size =
@@ -406,18 +411,19 @@
             document: setup,
             ..wire::CommittedConfig::default()
         };
-        let told = run.daemons.iter().position(|one| one.core.own().role == wire::Role::Store);
-        run.step(end, told.unwrap_or(0), Event::Word(Arc::new(word)));
+        let told =
+            run.daemons.iter().position(|one| one.core.node_info().role == wire::Role::Store);
+        run.step(end, told.unwrap_or(0), Event::ConfigCommitted(Arc::new(word)));
         let mut missing = plan.daemons - 1;
         let mut has: Vec<bool> =
-            run.daemons.iter().map(|one| one.core.word.revision == 9).collect();
+            run.daemons.iter().map(|one| one.core.committed.revision == 9).collect();
         let mut until = end;
         let all = run.until(end + 6 * second, limit, |run, now| {
             // One daemon changes with one event; a walk over all is cheap enough now and then.
             if now >= until + Duration::from_millis(2) {
                 until = now;
                 for (index, has) in has.iter_mut().enumerate() {
-                    if !*has && run.daemons[index].core.word.revision == 9 {
+                    if !*has && run.daemons[index].core.committed.revision == 9 {
                         *has = true;
                         missing = missing.saturating_sub(1);
                     }
@@ -448,13 +454,13 @@
     if is_whole && !plan.joins && spread_bytes.is_finite() {
         let at = end + 3 * second;
         let last = plan.daemons - 1;
-        let card = run.daemons[last].core.own().clone();
-        run.daemons[last].core = News::new(card, seeds.clone(), LIFE + 0x1_0000, at);
+        let card = run.daemons[last].core.node_info().clone();
+        run.daemons[last].core = Gossip::new(card, seeds.clone(), LIFE + 0x1_0000, at);
         run.daemons[last].waiting.clear();
-        run.step(at, last, Event::Report(report_of(wire::Role::Proxy)));
+        run.step(at, last, Event::StatusChanged(report_of(wire::Role::Proxy)));
         let mut known_at = None;
         let whole = run.until(at + 2 * second, limit, |run, now| {
-            if known_at.is_none() && run.daemons[last].core.sources.len() + 1 == plan.daemons {
+            if known_at.is_none() && run.daemons[last].core.peers.len() + 1 == plan.daemons {
                 known_at = Some(now);
             }
             true
--- a/testbed/src/sim/control.rs
+++ b/testbed/src/sim/control.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_cluster::node::View;
+use vanepath_cluster::node::ClusterView;
 use vanepath_cluster::{gossip, wire};
 use vanepath_registry::list_sequencer::{Effect as Reads, ListReader, READ_MOST};
 use vanepath_registry::store_client::{Step, StoreCall};
@@ -56,8 +56,8 @@
 pub struct Daemon {
     pub host: HostId,
     pub card: wire::NodeInfo,
-    pub news: gossip::News,
-    pub view: Arc<View>,
+    pub news: gossip::Gossip,
+    pub view: Arc<ClusterView>,
     pub duty: Duty,
     pub leaving: bool,
     pub seeds: Vec<std::net::SocketAddr>,
@@ -262,7 +262,7 @@
             wire::Role::Registry => Duty::Registry(Box::default()),
             wire::Role::Proxy => Duty::Proxy(Box::default()),
         };
-        let news = gossip::News::new(card.clone(), Vec::new(), 0, Duration::ZERO);
+        let news = gossip::Gossip::new(card.clone(), Vec::new(), 0, Duration::ZERO);
         self.daemons.push(Daemon {
             host,
             card,
@@ -313,8 +313,8 @@
         }
         let mut seeds = daemon.seeds.clone();
         seeds.extend(&hints.siblings);
-        daemon.news = gossip::News::new(daemon.card.clone(), seeds, life, now);
-        daemon.news.step(now, gossip::Event::Plan(Arc::new(hints.plan)));
+        daemon.news = gossip::Gossip::new(daemon.card.clone(), seeds, life, now);
+        daemon.news.step(now, gossip::Event::PlanReceived(Arc::new(hints.plan)));
         daemon.view = Arc::default();
         if self.breaks == Some(Break::NoFloor) {
             let address = daemon.card.cluster_address;
@@ -324,8 +324,8 @@
             && let Some(first) = &self.first_word
             && daemon.card.role == wire::Role::Proxy
         {
-            daemon.news.word = first.clone();
-            daemon.view = Arc::new(View::of(&daemon.news, &daemon.view, now).0);
+            daemon.news.committed = first.clone();
+            daemon.view = Arc::new(ClusterView::of(&daemon.news, &daemon.view, now).0);
         }
         let name = daemon.card.name.clone();
         self.note(|| format!("{name} starts"));
@@ -456,9 +456,9 @@
             Body::Pull(mut pull) => {
                 if self.has(Break::LateWord) && !self.net.now.as_secs().is_multiple_of(7) {
                     // As if it had what it lacks.
-                    pull.word = u64::MAX;
+                    pull.config_revision = u64::MAX;
                 }
-                self.step_news(index, gossip::Event::Asked { ticket: call, pull });
+                self.step_news(index, gossip::Event::PullReceived { ticket: call, pull });
             }
             Body::Ask(Ask::Floor) if self.daemons[index].card.role != wire::Role::Store => {
                 self.net.reply(call, Body::Reset);
@@ -490,7 +490,7 @@
                     Some(Body::News(news)) => Some(Box::new(news)),
                     _ => None,
                 };
-                self.step_news(index, gossip::Event::Told { address, news });
+                self.step_news(index, gossip::Event::PullCompleted { address, news });
             }
             (Purpose::Store { call }, Some(index)) => {
                 let tell = match body {
@@ -563,14 +563,14 @@
                     }
                     self.net.reply(ticket, Body::News(news));
                 }
-                gossip::Effect::AskFloor { address } => {
+                gossip::Effect::RequestReadIndex { address } => {
                     let limit = vanepath_cluster::read_index::LIMIT;
                     let purpose = Purpose::Floor { address };
                     let body = Body::Ask(Ask::Floor);
                     self.net.ask(host, Net::host_at(address), limit, body, purpose);
                 }
-                gossip::Effect::Changed => changed = true,
-                gossip::Effect::Noted(what) => {
+                gossip::Effect::ViewChanged => changed = true,
+                gossip::Effect::Log(what) => {
                     let name = self.daemons[index].card.name.clone();
                     self.note(|| format!("{name}: {what}"));
                 }
@@ -578,9 +578,9 @@
         }
         let daemon = &mut self.daemons[index];
         if changed || !daemon.view.is_up_to_date(&daemon.news, now) {
-            let (mut view, notes) = View::of(&daemon.news, &daemon.view, now);
-            if self.first_word.is_none() && view.word.revision > 0 {
-                self.first_word = Some(view.word.clone());
+            let (mut view, notes) = ClusterView::of(&daemon.news, &daemon.view, now);
+            if self.first_word.is_none() && view.committed.revision > 0 {
+                self.first_word = Some(view.committed.clone());
             }
             let is_blind = match self.breaks {
                 Some(Break::IgnoresEmptied) => true,
@@ -588,27 +588,28 @@
                 _ => false,
             };
             if self.breaks == Some(Break::ForgetsBounds) {
-                let mut open = (*view.setup).clone();
+                let mut open = (*view.config).clone();
                 open.rules.iter_mut().for_each(|rule| rule.regions.clear());
-                view.setup = Arc::new(open);
+                view.config = Arc::new(open);
             }
             if is_blind {
                 let emptied = Default::default();
-                view.word = Arc::new(wire::CommittedConfig {
+                view.committed = Arc::new(wire::CommittedConfig {
                     drained_zones: emptied,
-                    ..(*view.word).clone()
+                    ..(*view.committed).clone()
                 });
             }
             daemon.view = Arc::new(view);
             let life = self.net.hosts[host].life;
-            let revision = daemon.view.word.revision;
+            let revision = daemon.view.committed.revision;
             if daemon.revisions.last().is_none_or(|last| (last.1, last.2) != (life, revision)) {
                 daemon.revisions.push((self.net.now, life, revision));
             }
             // A store routes nothing: what it tells others counts.
             let is_store = daemon.card.role == wire::Role::Store;
-            let goes_by =
-                daemon.view.floor.is_some() && (is_store || daemon.view.is_fresh) && revision > 0;
+            let goes_by = daemon.view.read_index.is_some()
+                && (is_store || daemon.view.is_fresh)
+                && revision > 0;
             let is_new =
                 daemon.in_force.last().is_none_or(|last| (last.1, last.2) != (life, revision));
             if goes_by && is_new {
@@ -631,7 +632,7 @@
 
     fn pulse(&mut self, index: usize) {
         if self.has(Break::SlipsBack) && self.net.now.as_millis() % 5000 < 50 {
-            let word = &mut self.daemons[index].news.word;
+            let word = &mut self.daemons[index].news.committed;
             if word.revision > 3 {
                 *word = Arc::new(wire::CommittedConfig {
                     revision: word.revision - 2,
@@ -640,13 +641,13 @@
                 let host = self.daemons[index].host;
                 let now = self.net.local(host);
                 let daemon = &mut self.daemons[index];
-                let (view, _) = View::of(&daemon.news, &daemon.view, now);
+                let (view, _) = ClusterView::of(&daemon.news, &daemon.view, now);
                 daemon.view = Arc::new(view);
-                let revision = daemon.view.word.revision;
+                let revision = daemon.view.committed.revision;
                 daemon.revisions.push((self.net.now, self.net.hosts[host].life, revision));
             }
         }
-        self.step_news(index, gossip::Event::Pulse);
+        self.step_news(index, gossip::Event::Tick);
         match self.daemons[index].card.role {
             wire::Role::Store => self.pulse_store(index),
             wire::Role::Registry => self.pulse_registry(index),
--- a/testbed/src/sim/control/registries.rs
+++ b/testbed/src/sim/control/registries.rs
@@ -9,7 +9,7 @@
         let view = self.daemons[index].view.clone();
         let name = self.daemons[index].card.name.clone();
         let leaving = self.daemons[index].leaving;
-        let ready = view.word.revision > 0 && view.is_fresh && !leaving;
+        let ready = view.committed.revision > 0 && view.is_fresh && !leaving;
         let Duty::Registry(registry) = &mut self.daemons[index].duty else { return };
         registry.ready = ready;
         let reads = match self.is_platform_plain {
@@ -30,7 +30,7 @@
         self.daemons[index].is_well = ready;
         let Duty::Registry(registry) = &mut self.daemons[index].duty else { return };
         let may_hold = registry.tenure.may_hold(now, view.is_fresh);
-        let revision = view.word.revision;
+        let revision = view.committed.revision;
         let report = wire::NodeStatus {
             ready,
             draining: leaving,
@@ -39,22 +39,22 @@
             hears_majority: vanepath_registry::leader::is_whole(&view),
             ..wire::NodeStatus::default()
         };
-        self.step_news(index, gossip::Event::Report(report));
+        self.step_news(index, gossip::Event::StatusChanged(report));
         let Duty::Registry(registry) = &mut self.daemons[index].duty else { return };
-        if !may_hold || view.holder(wire::Role::Registry).is_none_or(|card| card.name != name) {
+        if !may_hold || view.leader(wire::Role::Registry).is_none_or(|card| card.name != name) {
             return;
         }
         let may_move = now >= registry.step_at;
         if may_move {
             registry.step_at = now + Duration::from_secs(4);
         }
-        let sources = &self.daemons[index].news.sources;
+        let sources = &self.daemons[index].news.peers;
         let plan = vanepath_registry::leader::next(&view, &name, sources, may_move);
         if let Some(plan) = plan {
             let text = format!("{name}: plan {}.{}", plan.epoch, plan.counter);
             let away: Vec<&String> = plan.unreachable.iter().collect();
             self.note(|| format!("{text}, away {away:?}, cold {:?}", plan.warming_up));
-            self.step_news(index, gossip::Event::Plan(Arc::new(plan)));
+            self.step_news(index, gossip::Event::PlanReceived(Arc::new(plan)));
         }
     }
 
@@ -66,13 +66,13 @@
         if self.is_platform_plain {
             return self.plain_list_told(index, list);
         }
-        let last = self.daemons[index].view.platform.clone();
+        let last = self.daemons[index].view.endpoints.clone();
         let Duty::Registry(registry) = &mut self.daemons[index].duty else { return };
         let Some(list) = list else { return };
         let verdict = vanepath_registry::list_poller::judge(&last, &list);
         registry.state = Some(verdict);
         if verdict == vanepath_registry::list_poller::State::Good && list.revision > last.revision {
-            self.step_news(index, gossip::Event::Platform(list));
+            self.step_news(index, gossip::Event::EndpointListReceived(list));
         }
     }
 
@@ -92,7 +92,7 @@
         if let (Some(Reads::Tell { list, began_at }), Some(shown)) = (told, shown) {
             let known = self.lists_read.entry(list.revision).or_default();
             *known = shown.max(*known);
-            self.step_news(index, gossip::Event::ListRead { list, began_at });
+            self.step_news(index, gossip::Event::EndpointListRead { list, began_at });
         }
     }
 
@@ -134,13 +134,13 @@
     }
 
     pub(super) fn platform_text(&mut self, index: usize, text: &str) {
-        let last = self.daemons[index].view.platform.clone();
+        let last = self.daemons[index].view.endpoints.clone();
         let (verdict, list) = vanepath_registry::list_poller::heard(&last, text.as_bytes());
         if let Duty::Registry(registry) = &mut self.daemons[index].duty {
             registry.state = Some(verdict);
         }
         if let Some(list) = list {
-            self.step_news(index, gossip::Event::Platform(Arc::new(list)));
+            self.step_news(index, gossip::Event::EndpointListReceived(Arc::new(list)));
         }
     }
 
@@ -170,7 +170,7 @@
             if self.has(Break::CountsSentAgain) {
                 *unnamed_for = None;
             }
-            let word = &self.daemons[index].view.word;
+            let word = &self.daemons[index].view.committed;
             if let Change::Empty { zone } = change
                 && self.has(Break::OneOrderForAll)
                 && word.drained_zones.contains(zone)
--- a/testbed/src/sim/control/stores.rs
+++ b/testbed/src/sim/control/stores.rs
@@ -17,7 +17,7 @@
             }
         }
         self.try_disk(index);
-        let revision = view.word.revision;
+        let revision = view.committed.revision;
         for event in [
             consensus::Event::Live(live),
             consensus::Event::Heard { revision },
@@ -36,7 +36,7 @@
             ..wire::NodeStatus::default()
         };
         self.daemons[index].is_well = summary.votes;
-        self.step_news(index, gossip::Event::Report(report));
+        self.step_news(index, gossip::Event::StatusChanged(report));
     }
 
     pub(super) fn store_event(&mut self, index: usize, event: consensus::Event) {
@@ -167,7 +167,7 @@
                         return;
                     }
                     let word = Arc::new(value.word());
-                    self.step_news(index, gossip::Event::Word(word));
+                    self.step_news(index, gossip::Event::ConfigCommitted(word));
                 }
                 consensus::Effect::Noted(text) => {
                     if text.contains("never happen") {
--- a/testbed/src/sim/data/proxies.rs
+++ b/testbed/src/sim/data/proxies.rs
@@ -15,19 +15,19 @@
         }
         let mut woken = Vec::new();
         if proxy.revision.is_none_or(|old| old.0 != revision.0) {
-            proxy.classes.adopt(&view.setup);
+            proxy.classes.adopt(&view.config);
             woken = proxy.classes.wake();
-            proxy.request_counts.adopt(view.setup.services.iter().map(|one| one.name.as_str()));
+            proxy.request_counts.adopt(view.config.services.iter().map(|one| one.name.as_str()));
         }
         proxy.revision = Some(revision);
         let cold = |server: &vanepath_config::endpoint_list::Server, services: &[usize]| {
             vanepath_proxy::endpoints::cold_rate(&view, &name, server, services)
         };
-        let mut list = (*view.platform).clone();
+        let mut list = (*view.endpoints).clone();
         if self.breaks == Some(Break::IgnoresLeaving) {
             list.servers.iter_mut().for_each(|server| server.draining = false);
         }
-        proxy.servers.adopt(now, revision, &view.setup, &list, cold);
+        proxy.servers.adopt(now, revision, &view.config, &list, cold);
         proxy.paces.renew();
         self.wake_ways(index, woken);
     }
@@ -95,12 +95,12 @@
         let report = wire::NodeStatus {
             ready,
             draining: leaving,
-            revision: view.word.revision,
+            revision: view.committed.revision,
             ..wire::NodeStatus::default()
         };
-        self.step_news(index, gossip::Event::Report(report));
+        self.step_news(index, gossip::Event::StatusChanged(report));
         if let Some(detail) = detail {
-            self.step_news(index, gossip::Event::Detail(detail));
+            self.step_news(index, gossip::Event::ObservationsChanged(detail));
         }
         let Duty::Proxy(proxy) = &self.daemons[index].duty else { return };
         if proxy.closed && proxy.ways.is_empty() {
@@ -173,7 +173,7 @@
         let view = &self.daemons[index].view;
         let is_fresh = view.is_fresh || self.has(Break::StartsStale);
         let revision = vanepath_proxy::endpoints::revision_of(view);
-        now.saturating_sub(proxy.pulsed_at) < gossip::FREEZE
+        now.saturating_sub(proxy.pulsed_at) < gossip::PAUSE_THRESHOLD
             && proxy.servers.is_fit(now, is_fresh, revision)
     }
 
@@ -199,7 +199,7 @@
                 rule: 0,
                 tried: Vec::new(),
                 received_at: now,
-                deadline: now + gossip::HOLD,
+                deadline: now + gossip::READINESS_TIMEOUT,
                 held: None,
                 waits: None,
                 in_hand: None,
@@ -237,10 +237,10 @@
         if !self.is_fit(index) {
             let Duty::Proxy(proxy) = &self.daemons[index].duty else { return };
             let Some(own) = proxy.ways.get(&way) else { return };
-            if self.daemons[index].view.is_stuck {
+            if self.daemons[index].view.is_stalled {
                 return self.end_way(index, way, Err(Refusal::BelowFloor));
             }
-            if now.saturating_sub(own.received_at) >= gossip::HOLD {
+            if now.saturating_sub(own.received_at) >= gossip::READINESS_TIMEOUT {
                 return self.end_way(index, way, Err(Refusal::NotReady));
             }
             return self.net.timer(host, Duration::from_millis(10), Timer::WayReady(way));
@@ -346,7 +346,7 @@
         let want = Want {
             rule: own.rule,
             service: own.table.setup.rules[own.rule].service,
-            emptied: &view.word.drained_zones,
+            emptied: &view.committed.drained_zones,
             zone: &zone,
             region: &region,
             tried: &own.tried,
@@ -439,7 +439,7 @@
     pub(super) fn way_work(&mut self, index: usize, way: usize) {
         let host = self.daemons[index].host;
         let now = self.net.local(host);
-        let word = self.daemons[index].view.word.clone();
+        let word = self.daemons[index].view.committed.clone();
         let Duty::Proxy(proxy) = &mut self.daemons[index].duty else { return };
         let Some(own) = proxy.ways.get_mut(&way) else { return };
         let entry = &own.table.entries[own.index];
@@ -484,7 +484,7 @@
         let want = Want {
             rule: own.rule,
             service: own.table.setup.rules[own.rule].service,
-            emptied: &view.word.drained_zones,
+            emptied: &view.committed.drained_zones,
             zone: &card.zone,
             region: &card.region,
             tried: &own.tried,
--- a/testbed/src/sim/reach.rs
+++ b/testbed/src/sim/reach.rs
@@ -70,7 +70,7 @@
 }
 
 fn word(daemon: &Daemon) -> u64 {
-    daemon.news.word.revision
+    daemon.news.committed.revision
 }
 
 impl Sim {
@@ -114,8 +114,8 @@
                 reach.begun[index] = now;
             }
             if is_up && daemon.card.role == Role::Proxy {
-                let list = self.list_shown(daemon.view.platform.revision);
-                let own = (daemon.view.word.revision, list);
+                let list = self.list_shown(daemon.view.endpoints.revision);
+                let own = (daemon.view.committed.revision, list);
                 let least = everywhere.unwrap_or(own);
                 everywhere = Some((least.0.min(own.0), least.1.min(own.1)));
                 self.lags(&mut reach, index, own);
@@ -155,7 +155,7 @@
         let mut words = part.iter().map(|index| word(&self.daemons[*index])).max().unwrap_or(0);
         let lists = part
             .iter()
-            .map(|index| self.list_shown(self.daemons[*index].news.lists.current().revision));
+            .map(|index| self.list_shown(self.daemons[*index].news.endpoints.current().revision));
         let mut list = lists.max().unwrap_or(0);
         if of(Role::Registry).any(|index| {
             let host = self.daemons[index].host;
@@ -233,9 +233,9 @@
             // Its servers are those of the list that it went over to, not of the one that it heard of.
             let list = match &daemon.duty {
                 Duty::Proxy(proxy) => proxy.servers.table.load().revision.1,
-                _ => daemon.view.platform.revision,
+                _ => daemon.view.endpoints.revision,
             };
-            (daemon.view.word.revision, self.list_shown(list))
+            (daemon.view.committed.revision, self.list_shown(list))
         };
         let Some(floor) = self.reach.floors.get(index).copied() else { return };
         let known = &self.reach.known[index];
--- a/testbed/src/sim/starts.rs
+++ b/testbed/src/sim/starts.rs
@@ -128,7 +128,7 @@
     let daemon = &sim.daemons[index];
     match &daemon.duty {
         Duty::Proxy(_) => sim.is_fit(index),
-        Duty::Registry(_) => daemon.view.word.revision > 0 && daemon.view.is_fresh,
+        Duty::Registry(_) => daemon.view.committed.revision > 0 && daemon.view.is_fresh,
         Duty::Store(store) => store.core.summary().votes,
     }
 }
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -38,21 +38,26 @@
         ..wire::CommittedConfig::default()
     };
     let now = Duration::from_secs(101);
-    asked.step(now, vanepath_cluster::gossip::Event::Word(std::sync::Arc::new(word)));
-    assert_eq!(asked.sources.len(), daemons - 1);
+    asked.step(now, vanepath_cluster::gossip::Event::ConfigCommitted(std::sync::Arc::new(word)));
+    assert_eq!(asked.peers.len(), daemons - 1);
     let card = scale::cards(daemons).swap_remove(1);
     let pull = wire::PullRequest {
         known_versions: Some(Vec::new()),
-        word: 0,
-        platform: 0,
+        config_revision: 0,
+        endpoint_list_revision: 0,
         plan: (0, 0),
         sender: wire::NodeDelta {
             name: card.name.clone(),
-            version: wire::NodeVersion { incarnation: 6, counter: 1, status_version: 1, detail: 0 },
+            version: wire::NodeVersion {
+                incarnation: 6,
+                counter: 1,
+                status_version: 1,
+                observations_version: 0,
+            },
             age_ms: 0,
-            card: Some(card),
-            report: Some(wire::NodeStatus::default()),
-            detail: None,
+            info: Some(card),
+            status: Some(wire::NodeStatus::default()),
+            observations: None,
         },
         wait_ms: 0,
         wants_observations: true,
@@ -60,7 +65,8 @@
         unreachable_digest: 0,
         list_read_age_ms: None,
     };
-    let effects = asked.step(now, vanepath_cluster::gossip::Event::Asked { ticket: 1, pull });
+    let effects =
+        asked.step(now, vanepath_cluster::gossip::Event::PullReceived { ticket: 1, pull });
     let answer = effects.into_iter().find_map(|effect| match effect {
         vanepath_cluster::gossip::Effect::Answer { news, .. } => Some(news),
         _ => None,
@@ -71,7 +77,7 @@
     let read: wire::Reply = wire::decode(&bytes).unwrap();
     let wire::Reply::News(news) = read else { panic!("another reply") };
     assert_eq!(news.nodes.len(), daemons, "its own entry too, by which it would know a later life");
-    assert_eq!(news.platform.unwrap().servers.len(), servers);
+    assert_eq!(news.endpoint_list.unwrap().servers.len(), servers);
 }
 
 /// The measure itself: hollow daemons hear of each other, of a new setup, of one that starts anew and of
