--- a/registry/src/api.rs
+++ b/registry/src/api.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use vanepath_cluster::{node, wire};
-use vanepath_store::protocol::{Ask, Change, Outcome, Value};
+use vanepath_store::protocol::{Change, Outcome, Request, Value};
 
 type Receipt = hyper::Response<node::Body>;
 
@@ -41,11 +41,11 @@
         ("PUT", ["v1", "setup"]) => write_setup(&registry, request).await,
         ("GET", ["v1", "zones"]) => read_zones(&registry).await,
         ("PUT", ["v1", "zones", zone, "emptied"]) => {
-            let change = Change::Empty { zone: zone.to_string() };
+            let change = Change::DrainZone { zone: zone.to_string() };
             write_zone(&registry, zone, change, request.headers()).await
         }
         ("DELETE", ["v1", "zones", zone, "emptied"]) => {
-            let change = Change::Return { zone: zone.to_string() };
+            let change = Change::RestoreZone { zone: zone.to_string() };
             write_zone(&registry, zone, change, request.headers()).await
         }
         ("GET", ["v1", "submissions", key]) => read_submission(&registry, key).await,
@@ -118,7 +118,7 @@
 // ---- the operator's word ---------------------------------------------------------------------
 
 /// Runs a call at the stores to its end.
-async fn run(registry: &Registry, question: Ask) -> Outcome {
+async fn run(registry: &Registry, question: Request) -> Outcome {
     let now = || registry.daemon.clock.now();
     let mut store_call = StoreCall::new(question, now());
     loop {
@@ -150,7 +150,7 @@
 }
 
 /// Tells all stores something that needs no reply.
-fn tell_stores(registry: &Registry, told: &Ask) {
+fn tell_stores(registry: &Registry, told: &Request) {
     let request = wire::Request::Store(wire::encode(told).into());
     for card in crate::store_client::stores(&registry.daemon.table.load()) {
         let (links, request) = (registry.daemon.transport.clone(), request.clone());
@@ -162,10 +162,10 @@
     }
 }
 
-async fn read(registry: &Registry, question: Ask) -> Result<Outcome, Receipt> {
+async fn read(registry: &Registry, question: Request) -> Result<Outcome, Receipt> {
     registry.tally.increment(Counter::Reads);
     match run(registry, question).await {
-        Outcome::NothingDone { why } => {
+        Outcome::NotApplied { reason: why } => {
             let value = jzon::object! { "error": why };
             Err(come_back(StatusCode::SERVICE_UNAVAILABLE, &value, 2))
         }
@@ -177,7 +177,7 @@
 async fn write(registry: &Registry, key: &Key, change: Change, came: Duration) -> Outcome {
     let waited = registry.daemon.clock.now().saturating_sub(came);
     let unnamed_for = key.is_made.then_some(waited);
-    run(registry, Ask::Change { key: key.text.clone(), change, unnamed_for }).await
+    run(registry, Request::Change { key: key.text.clone(), change, keyless_for: unnamed_for }).await
 }
 
 /// The key of a write, and whether it was made for it here.
@@ -213,7 +213,7 @@
 fn told(registry: &Registry, key: &str, outcome: Outcome) -> Receipt {
     let look_up = format!("/v1/submissions/{key}");
     let (status, mut value) = match outcome {
-        Outcome::Accepted { revision, setup_revision, repeat } => (
+        Outcome::Accepted { revision, config_revision: setup_revision, is_repeat: repeat } => (
             StatusCode::OK,
             jzon::object! {
                 "outcome": "accepted",
@@ -222,7 +222,7 @@
                 "repeat": repeat,
             },
         ),
-        Outcome::Conflict { revision, setup_revision } => {
+        Outcome::Conflict { revision, config_revision: setup_revision } => {
             registry.tally.increment(Counter::SetupsConflicting);
             (
                 StatusCode::PRECONDITION_FAILED,
@@ -242,7 +242,7 @@
                 "revision": revision,
             },
         ),
-        Outcome::VersionTaken { version, held } => {
+        Outcome::VersionTaken { version, highest: held } => {
             registry.tally.increment(Counter::SetupsConflicting);
             (
                 StatusCode::CONFLICT,
@@ -261,7 +261,7 @@
                 jzon::object! { "outcome": "unknown", "lookUp": look_up.as_str() },
             )
         }
-        Outcome::NothingDone { why } => {
+        Outcome::NotApplied { reason: why } => {
             registry.tally.increment(Counter::WritesNothingDone);
             let value = jzon::object! { "outcome": "nothing-done", "why": why };
             return come_back(StatusCode::SERVICE_UNAVAILABLE, &value, 2);
@@ -315,9 +315,9 @@
             return refused(StatusCode::UNPROCESSABLE_ENTITY, &faults);
         }
     };
-    let change = Change::Setup { bytes: bytes.to_vec(), if_revision, version };
+    let change = Change::ReplaceConfig { bytes: bytes.to_vec(), if_revision, version };
     let outcome = write(registry, &key, change, came).await;
-    if let Outcome::Accepted { revision, repeat: false, .. } = outcome {
+    if let Outcome::Accepted { revision, is_repeat: false, .. } = outcome {
         registry.tally.increment(Counter::SetupsAccepted);
         log::info!("setup accepted as revision {revision}");
     }
@@ -376,21 +376,21 @@
 }
 
 fn setup_receipt(value: &Value) -> Receipt {
-    let mut receipt = hyper::Response::new(node::body(value.setup.clone()));
+    let mut receipt = hyper::Response::new(node::body(value.document.clone()));
     let headers = receipt.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     headers.insert(header::CACHE_CONTROL, HeaderValue::from_static("no-store"));
-    if let Ok(tag) = HeaderValue::from_str(&format!("\"{}\"", value.setup_revision)) {
+    if let Ok(tag) = HeaderValue::from_str(&format!("\"{}\"", value.config_revision)) {
         headers.insert(header::ETAG, tag);
     }
-    headers.insert("vanepath-setup-revision", HeaderValue::from(value.setup_revision));
+    headers.insert("vanepath-setup-revision", HeaderValue::from(value.config_revision));
     headers.insert("vanepath-revision", HeaderValue::from(value.revision));
     receipt
 }
 
 async fn read_setup(registry: &Registry) -> Receipt {
-    match read(registry, Ask::Read).await {
-        Ok(Outcome::Value { value }) if value.setup_revision > 0 => setup_receipt(&value),
+    match read(registry, Request::Read).await {
+        Ok(Outcome::Value { value }) if value.config_revision > 0 => setup_receipt(&value),
         Ok(Outcome::Value { .. }) => fault(StatusCode::NOT_FOUND, "no setup was accepted yet"),
         Ok(_) => fault(StatusCode::INTERNAL_SERVER_ERROR, "a store replied to another question"),
         Err(receipt) => receipt,
@@ -402,8 +402,8 @@
     let Ok(revision) = revision.parse::<u64>() else {
         return fault(StatusCode::BAD_REQUEST, "a revision is a whole number");
     };
-    match read(registry, Ask::History { revision }).await {
-        Ok(Outcome::Value { value }) if value.setup_revision > 0 => setup_receipt(&value),
+    match read(registry, Request::History { revision }).await {
+        Ok(Outcome::Value { value }) if value.config_revision > 0 => setup_receipt(&value),
         Ok(Outcome::NoSuchRevision { latest }) => {
             let value = jzon::object! { "error": "no such revision", "latest": latest };
             node::json_response(StatusCode::NOT_FOUND, &value)
@@ -427,13 +427,13 @@
 }
 
 async fn read_zones(registry: &Registry) -> Receipt {
-    match read(registry, Ask::Read).await {
+    match read(registry, Request::Read).await {
         Ok(Outcome::Value { value }) => {
             let emptied: Vec<jzon::JsonValue> =
-                value.emptied.iter().map(|zone| zone.as_str().into()).collect();
+                value.drained_zones.iter().map(|zone| zone.as_str().into()).collect();
             let value = jzon::object! {
                 "emptied": emptied,
-                "orders": orders_as_json(&value.emptied, &value.further_orders),
+                "orders": orders_as_json(&value.drained_zones, &value.extra_drain_orders),
                 "revision": value.revision,
             };
             node::json_response(StatusCode::OK, &value)
@@ -444,15 +444,15 @@
 }
 
 async fn read_submission(registry: &Registry, key: &str) -> Receipt {
-    match read(registry, Ask::Read).await {
-        Ok(Outcome::Value { value }) => match value.submission(key) {
+    match read(registry, Request::Read).await {
+        Ok(Outcome::Value { value }) => match value.known_write(key) {
             Some(known) => told(
                 registry,
                 key,
                 Outcome::Accepted {
                     revision: known.revision,
-                    setup_revision: known.setup_revision,
-                    repeat: true,
+                    config_revision: known.setup_revision,
+                    is_repeat: true,
                 },
             ),
             None => {
--- a/registry/src/store_client.rs
+++ b/registry/src/store_client.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 use vanepath_cluster::wire;
-use vanepath_store::protocol::{Ask, Change, Outcome, Tell};
+use vanepath_store::protocol::{Change, Outcome, Request, Response};
 use vanepath_store::retransmission;
 
 /// A question is asked again for so long.
@@ -21,7 +21,7 @@
 }
 
 pub struct StoreCall {
-    question: Ask,
+    question: Request,
     begun_at: Duration,
     until: Duration,
     round: Vec<wire::NodeInfo>,
@@ -34,7 +34,7 @@
 }
 
 impl StoreCall {
-    pub fn new(question: Ask, now: Duration) -> StoreCall {
+    pub fn new(question: Request, now: Duration) -> StoreCall {
         StoreCall {
             question,
             begun_at: now,
@@ -49,9 +49,9 @@
     }
 
     /// What to ask now: a store is told how long an order without a caller's key has waited.
-    pub fn question(&self, now: Duration) -> Ask {
+    pub fn question(&self, now: Duration) -> Request {
         let mut question = self.question.clone();
-        if let Ask::Change { unnamed_for: Some(waited), .. } = &mut question {
+        if let Request::Change { keyless_for: Some(waited), .. } = &mut question {
             *waited += now.saturating_sub(self.begun_at);
         }
         question
@@ -59,21 +59,22 @@
 
     /// What to tell all stores once the caller of an order is answered, if it surely gets that in its
     /// time: it isn't sent again then, and the next one like it is another one (design 6.10).
-    pub fn answered(&self, now: Duration, outcome: &Outcome) -> Option<Ask> {
-        let Ask::Change { change, unnamed_for: Some(waited), .. } = &self.question else {
+    pub fn answered(&self, now: Duration, outcome: &Outcome) -> Option<Request> {
+        let Request::Change { change, keyless_for: Some(waited), .. } = &self.question else {
             return None;
         };
-        if matches!(change, Change::Setup { .. }) {
+        if matches!(change, Change::ReplaceConfig { .. }) {
             return None;
         }
         let Outcome::Accepted { revision, .. } = outcome else { return None };
-        let is_in_time = *waited + now.saturating_sub(self.begun_at) < retransmission::SURE_WITHIN;
-        let (matter, revision) = (change.matter(), *revision);
-        is_in_time.then_some(Ask::Answered { matter, revision })
+        let is_in_time =
+            *waited + now.saturating_sub(self.begun_at) < retransmission::OVERTAKEN_AFTER;
+        let (matter, revision) = (change.content_hash(), *revision);
+        is_in_time.then_some(Request::Acknowledge { content_hash: matter, revision })
     }
 
     fn is_write(&self) -> bool {
-        matches!(self.question, Ask::Change { .. })
+        matches!(self.question, Request::Change { .. })
     }
 
     /// `stores`: those that are live and vote, in the agreed order.
@@ -90,7 +91,7 @@
             return Step::End(if self.is_doubtful {
                 Outcome::Unknown
             } else {
-                Outcome::NothingDone { why: self.why.clone() }
+                Outcome::NotApplied { reason: self.why.clone() }
             });
         }
         self.round = stores.clone();
@@ -104,14 +105,14 @@
 
     /// `None`: no reply. Once one try of a write may have got through, only a store's own word
     /// ends the doubt.
-    pub fn told(&mut self, tell: Option<Tell>) -> Option<Outcome> {
+    pub fn told(&mut self, tell: Option<Response>) -> Option<Outcome> {
         if tell.is_none() {
             self.silent.push(self.asked.clone());
         }
         match tell {
-            Some(Tell::Outcome(Outcome::NothingDone { why })) => self.why = why,
-            Some(Tell::Outcome(Outcome::Unknown)) | None => self.is_doubtful |= self.is_write(),
-            Some(Tell::Outcome(outcome)) => return Some(outcome),
+            Some(Response::Outcome(Outcome::NotApplied { reason: why })) => self.why = why,
+            Some(Response::Outcome(Outcome::Unknown)) | None => self.is_doubtful |= self.is_write(),
+            Some(Response::Outcome(outcome)) => return Some(outcome),
             Some(_) => {}
         }
         None
--- a/registry/src/store_client/tests.rs
+++ b/registry/src/store_client/tests.rs
@@ -1,7 +1,7 @@
 use super::{LIMIT, Step, StoreCall, TRY_LIMIT};
 use std::time::Duration;
 use vanepath_cluster::wire;
-use vanepath_store::protocol::{Ask, Change, Outcome, Tell};
+use vanepath_store::protocol::{Change, Outcome, Request, Response};
 
 fn store(number: u8) -> wire::NodeInfo {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 7000 + u16::from(number)));
@@ -21,15 +21,17 @@
 fn an_order_without_a_key_tells_how_long_it_has_waited() {
     let ms = Duration::from_millis;
     let ask = |unnamed_for| {
-        let change = Change::Empty { zone: "a1".to_string() };
-        Ask::Change { key: "k".to_string(), change, unnamed_for }
+        let change = Change::DrainZone { zone: "a1".to_string() };
+        Request::Change { key: "k".to_string(), change, keyless_for: unnamed_for }
     };
-    let outcome = Outcome::Accepted { revision: 3, setup_revision: 2, repeat: false };
+    let outcome = Outcome::Accepted { revision: 3, config_revision: 2, is_repeat: false };
     let store_call = StoreCall::new(ask(Some(ms(40))), ms(5000));
-    let Ask::Change { unnamed_for, .. } = store_call.question(ms(5100)) else { panic!("a change") };
+    let Request::Change { keyless_for: unnamed_for, .. } = store_call.question(ms(5100)) else {
+        panic!("a change")
+    };
     assert_eq!(unnamed_for, Some(ms(140)));
     let told = store_call.answered(ms(5300), &outcome);
-    assert!(matches!(told, Some(Ask::Answered { revision: 3, .. })), "{told:?}");
+    assert!(matches!(told, Some(Request::Acknowledge { revision: 3, .. })), "{told:?}");
     assert!(store_call.answered(ms(5800), &outcome).is_none());
     assert!(store_call.answered(ms(5300), &Outcome::Unknown).is_none());
     assert!(StoreCall::new(ask(None), ms(0)).answered(ms(100), &outcome).is_none());
@@ -39,8 +41,8 @@
 /// second dies with the question in hand, and the third still has time to tell.
 #[test]
 fn two_silent_stores_leave_time_for_the_third() {
-    let change = Change::Empty { zone: "a1".to_string() };
-    let question = Ask::Change { key: "k".to_string(), change, unnamed_for: None };
+    let change = Change::DrainZone { zone: "a1".to_string() };
+    let question = Request::Change { key: "k".to_string(), change, keyless_for: None };
     let mut now = Duration::ZERO;
     let mut store_call = StoreCall::new(question, now);
     let mut asked = Vec::new();
@@ -53,7 +55,7 @@
                 asked.push(card.name.clone());
                 if card.name == "store-2" {
                     let why = "not yet".to_string();
-                    let tell = Tell::Outcome(Outcome::NothingDone { why });
+                    let tell = Response::Outcome(Outcome::NotApplied { reason: why });
                     assert!(store_call.told(Some(tell)).is_none());
                 } else {
                     now += TRY_LIMIT;
@@ -63,8 +65,8 @@
         }
         // Whoever replied is asked again before those that were silent.
         if asked.len() == 4 {
-            let value = Outcome::Accepted { revision: 3, setup_revision: 2, repeat: false };
-            break store_call.told(Some(Tell::Outcome(value))).expect("the store's own word");
+            let value = Outcome::Accepted { revision: 3, config_revision: 2, is_repeat: false };
+            break store_call.told(Some(Response::Outcome(value))).expect("the store's own word");
         }
     };
     assert_eq!(asked, ["store-0", "store-1", "store-2", "store-2"]);
--- a/store/src/consensus.rs
+++ b/store/src/consensus.rs
@@ -8,9 +8,11 @@
 mod proposer;
 mod reader;
 
-use crate::protocol::{Ask, Ballot, Change, Digest, Membership, Meta, Outcome, Seats};
-use crate::protocol::{GENESIS, Tell, Value, holders, seat_of};
-use crate::retransmission::Orders;
+use crate::protocol::{
+    AcceptedProposal, Ballot, Change, Digest, MemberTable, MembershipSnapshot, Outcome, Request,
+};
+use crate::protocol::{BOOTSTRAP_BALLOT, Response, Value, member_incarnations, slot_of};
+use crate::retransmission::RetransmissionFilter;
 pub use change::rescued;
 use change::{changed, genesis, owned, seated};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -19,15 +21,15 @@
 
 /// What the state file holds.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct State {
+pub struct HardState {
     pub incarnation: u64,
     pub promised: Ballot,
-    pub accepted: Option<Meta>,
+    pub accepted: Option<AcceptedProposal>,
 }
 
 /// One readable version file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Kept {
+pub struct StoredVersion {
     pub digest: Digest,
     pub parent_revision: u64,
     pub parent: Digest,
@@ -35,13 +37,13 @@
 }
 
 /// What was read from the disk at the start.
-pub struct Found {
-    pub state: State,
+pub struct RecoveredState {
+    pub state: HardState,
     /// The accepted value, if its file is whole.
     pub value: Option<Arc<Value>>,
     /// The versions that were proposed together with it, as far as they are whole.
-    pub before: Vec<Arc<Value>>,
-    pub kept: Vec<(u64, Kept)>,
+    pub batch: Vec<Arc<Value>>,
+    pub versions: Vec<(u64, StoredVersion)>,
 }
 
 /// What a store is told by its settings.
@@ -49,33 +51,33 @@
 pub struct Identity {
     pub name: String,
     /// So many empty stores begin a word; 0: this one takes no part in that.
-    pub founders: usize,
+    pub bootstrap_size: usize,
 }
 
 pub enum Event {
-    Pulse,
-    Asked {
+    Tick,
+    RequestReceived {
         ticket: u64,
-        ask: Ask,
+        request: Request,
     },
-    Told {
+    ResponseReceived {
         call: u64,
-        tell: Option<Tell>,
+        response: Option<Response>,
     },
     /// Live stores, as the news has them, this one included.
-    Live(Vec<Claim>),
+    LiveStores(Vec<LiveStore>),
     /// The highest revision that is known as chosen to anyone.
-    Heard {
+    RevisionHeard {
         revision: u64,
     },
     /// The disk refused a write or a sync: this copy must not vote any more.
     DiskFailed,
     /// The disk works again, and this is what lasts on it: the copy goes on as after a restart.
-    DiskWorks(Found),
+    DiskRecovered(RecoveredState),
     /// The disk is an empty one under a new incarnation, as `Reset` asked.
-    Reset(Found),
+    Reset(RecoveredState),
     /// A version file turned out damaged.
-    Damaged {
+    VersionDamaged {
         revision: u64,
         digest: Digest,
     },
@@ -83,45 +85,45 @@
 
 /// What a live store says of its disk; its seat is found by the table.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Claim {
+pub struct LiveStore {
     pub name: String,
     pub incarnation: u64,
-    pub blank: bool,
+    pub is_empty: bool,
     /// Empty, it may take part in the beginning of a word.
-    pub founds: bool,
+    pub may_bootstrap: bool,
 }
 
 #[derive(Debug)]
 pub enum Effect {
-    Save(Vec<Write>),
+    Persist(Vec<DiskWrite>),
     /// Ask the store whose disk has this incarnation.
-    Call {
+    Send {
         call: u64,
         incarnation: u64,
-        ask: Ask,
+        request: Request,
     },
-    Answer {
+    Reply {
         ticket: u64,
-        tell: Tell,
+        response: Response,
     },
     /// Answer with `Fetched` or, for an operator, with an outcome, from the version's file.
-    AnswerFromFile {
+    ReplyFromDisk {
         ticket: u64,
         versions: Vec<At>,
         as_outcome: bool,
     },
     /// This version is chosen: tell all.
-    Chosen(Arc<Value>),
+    Committed(Arc<Value>),
     /// The seat went to another disk: take a new incarnation and remove the old files; `Event::Reset`
     /// tells when that lasts (design 6.5).
     Reset,
-    Noted(String),
+    Log(String),
 }
 
 #[derive(Debug)]
-pub enum Write {
+pub enum DiskWrite {
     Version { revision: u64, digest: Digest, bytes: Vec<u8> },
-    State(State),
+    State(HardState),
     Remove { revision: u64, digest: Digest },
 }
 
@@ -152,7 +154,7 @@
     Seat(Vacancy),
     /// Begin the word with these seats, or find out whether all of them hold its beginning.
     Genesis {
-        seats: Seats,
+        seats: MemberTable,
     },
     /// Changes that were proposed, with what to tell once they are chosen.
     Batch {
@@ -172,7 +174,7 @@
 /// What a copy told of itself.
 #[derive(Clone, Copy, Debug)]
 struct Copy {
-    accepted: Option<Meta>,
+    accepted: Option<AcceptedProposal>,
     blank: bool,
     founders: usize,
 }
@@ -191,21 +193,21 @@
     Preparing {
         ballot: Ballot,
         asked: BTreeSet<u64>,
-        promises: BTreeMap<u64, Meta>,
-        best: (Meta, Arc<Value>, Vec<Arc<Value>>),
+        promises: BTreeMap<u64, AcceptedProposal>,
+        best: (AcceptedProposal, Arc<Value>, Vec<Arc<Value>>),
     },
     /// Accepting a value that was there already.
     Mending {
         ballot: Ballot,
         value: Arc<Value>,
-        meta: Meta,
+        meta: AcceptedProposal,
         accepts: BTreeSet<u64>,
     },
     /// Accepting the value that the operation makes.
     Writing {
         ballot: Ballot,
         value: Arc<Value>,
-        meta: Meta,
+        meta: AcceptedProposal,
         accepts: BTreeSet<u64>,
     },
     /// Outbid; goes on at this time.
@@ -245,7 +247,7 @@
 /// Silent for so long when asked directly, a holder is lost even if the news still have it.
 const SILENT_AFTER: Duration = Duration::from_millis(1500);
 /// What lies further back than so many bytes is not kept once the disk holds the most.
-const CHAIN_BYTES_MOST: usize = crate::protocol::HISTORY_BYTES_MOST / 4 * 3;
+const CHAIN_BYTES_MOST: usize = crate::protocol::MAX_HISTORY_BYTES / 4 * 3;
 /// Versions, and bytes of them, that one reply to a copy that lacks them holds.
 const FETCH_MOST: usize = 64;
 const FETCH_BYTES_MOST: usize = 1 << 20;
@@ -255,11 +257,11 @@
 
 /// The answer to `AnswerFromFile`, given how a file is read, and the version whose file turned out
 /// damaged. For the shells.
-pub fn from_files(
+pub fn response_from_disk(
     versions: &[At],
     as_outcome: bool,
     load: impl Fn(&At) -> Option<Value>,
-) -> (Tell, Option<At>) {
+) -> (Response, Option<At>) {
     let mut read = Vec::new();
     let mut bytes = 0;
     let mut damaged = None;
@@ -268,7 +270,7 @@
             damaged = Some(*at);
             break;
         };
-        bytes += value.setup.len() + 20 * value.keys.len();
+        bytes += value.document.len() + 20 * value.recent_writes.len();
         read.push(value);
         if bytes > FETCH_BYTES_MOST {
             break;
@@ -277,35 +279,35 @@
     let tell = match (as_outcome, read.pop()) {
         (false, last) => {
             read.extend(last);
-            Tell::Fetched(read)
+            Response::Fetched(read)
         }
-        (true, Some(value)) => Tell::Outcome(Outcome::Value { value }),
-        (true, None) => Tell::Outcome(Outcome::NothingDone {
-            why: "this copy's file is damaged and being mended".to_string(),
+        (true, Some(value)) => Response::Outcome(Outcome::Value { value }),
+        (true, None) => Response::Outcome(Outcome::NotApplied {
+            reason: "this copy's file is damaged and being mended".to_string(),
         }),
     };
     (tell, damaged)
 }
 
 #[derive(Clone, Debug)]
-pub struct Register {
+pub struct Replica {
     identity: Identity,
-    state: State,
+    state: HardState,
     value: Option<Arc<Value>>,
     /// What was proposed together with the accepted value.
     before: Vec<Arc<Value>>,
-    kept: BTreeMap<u64, Vec<Kept>>,
+    kept: BTreeMap<u64, Vec<StoredVersion>>,
     /// Known as chosen, with its digest where this copy has it.
-    chosen: Option<Meta>,
+    chosen: Option<AcceptedProposal>,
     heard_revision: u64,
-    live: Vec<Claim>,
+    live: Vec<LiveStore>,
     job: Option<Job>,
     queue: VecDeque<Op>,
     next_call: u64,
     /// Fetches and the like, apart from the job.
     aside: BTreeMap<u64, Aside>,
     /// What others last showed of the table.
-    members: BTreeMap<u64, Membership>,
+    members: BTreeMap<u64, MembershipSnapshot>,
     /// Holders of seats that were asked whether they are there, while an empty disk waits.
     pings: BTreeMap<u64, (u64, Duration)>,
     watched: BTreeMap<u64, Watched>,
@@ -317,7 +319,7 @@
     pulsed_at: Duration,
     /// The time of the step under way.
     now: Duration,
-    orders: Orders,
+    orders: RetransmissionFilter,
     /// Changes that cannot be told yet from the ones before them (design 6.10).
     held: VecDeque<Op>,
     behind_since: Option<Duration>,
@@ -345,19 +347,19 @@
 /// For status: what this copy holds and whether it votes.
 #[derive(Clone, Debug)]
 pub struct Summary {
-    pub seat: Option<usize>,
+    pub slot: Option<usize>,
     pub incarnation: u64,
-    pub founds: bool,
-    pub votes: bool,
-    pub blank: bool,
-    pub why: &'static str,
+    pub may_bootstrap: bool,
+    pub is_voting: bool,
+    pub is_empty: bool,
+    pub reason: &'static str,
     pub promised: u64,
     pub accepted: u64,
-    pub chosen: u64,
+    pub committed: u64,
     /// It has asked a majority since it was started, and knows what is chosen.
-    pub settled: bool,
+    pub synced: bool,
     pub versions: usize,
-    pub seats: Seats,
+    pub members: MemberTable,
 }
 
 impl Summary {
@@ -365,27 +367,27 @@
     pub fn disk(&self) -> vanepath_cluster::wire::DiskStatus {
         vanepath_cluster::wire::DiskStatus {
             incarnation: self.incarnation,
-            may_bootstrap: self.founds,
-            slot: self.seat.map(|seat| seat as u8),
+            may_bootstrap: self.may_bootstrap,
+            slot: self.slot.map(|seat| seat as u8),
         }
     }
 }
 
-impl Register {
-    pub fn new(identity: Identity, found: Found, now: Duration) -> Register {
-        let mut kept: BTreeMap<u64, Vec<Kept>> = BTreeMap::new();
-        for (revision, one) in found.kept {
+impl Replica {
+    pub fn new(identity: Identity, found: RecoveredState, now: Duration) -> Replica {
+        let mut kept: BTreeMap<u64, Vec<StoredVersion>> = BTreeMap::new();
+        for (revision, one) in found.versions {
             kept.entry(revision).or_default().push(one);
         }
-        let mut orders = Orders::default();
+        let mut orders = RetransmissionFilter::default();
         if let Some(value) = &found.value {
-            orders.see(value, now);
+            orders.observe(value, now);
         }
-        Register {
+        Replica {
             identity,
             state: found.state,
             value: found.value,
-            before: found.before,
+            before: found.batch,
             kept,
             chosen: None,
             heard_revision: 0,
@@ -421,16 +423,16 @@
     /// It holds the beginning of a word and does not know yet whether all seats do: whoever finds
     /// out that they do asks for a higher ballot (design 6.4).
     fn is_young(&self) -> bool {
-        let is_beginning = self.state.accepted.is_some_and(|meta| meta.ballot == GENESIS);
-        is_beginning && self.state.promised <= GENESIS
+        let is_beginning = self.state.accepted.is_some_and(|meta| meta.ballot == BOOTSTRAP_BALLOT);
+        is_beginning && self.state.promised <= BOOTSTRAP_BALLOT
     }
 
-    fn seats(&self) -> Seats {
-        self.value.as_ref().map(|value| value.seats.clone()).unwrap_or_default()
+    fn seats(&self) -> MemberTable {
+        self.value.as_ref().map(|value| value.members.clone()).unwrap_or_default()
     }
 
     fn own_seat(&self) -> Option<usize> {
-        seat_of(&self.value.as_ref()?.seats, self.state.incarnation)
+        slot_of(&self.value.as_ref()?.members, self.state.incarnation)
     }
 
     pub fn summary(&self) -> Summary {
@@ -448,18 +450,18 @@
             "it holds its seat"
         };
         Summary {
-            seat: self.own_seat(),
+            slot: self.own_seat(),
             incarnation: self.state.incarnation,
-            founds: self.identity.founders > 0,
-            votes: self.votes(),
-            blank: self.is_blank(),
-            why,
+            may_bootstrap: self.identity.bootstrap_size > 0,
+            is_voting: self.votes(),
+            is_empty: self.is_blank(),
+            reason: why,
             promised: self.state.promised.number,
             accepted: self.state.accepted.map_or(0, |meta| meta.revision),
-            chosen: self.chosen.map_or(0, |meta| meta.revision),
-            settled: self.chosen.is_some(),
+            committed: self.chosen.map_or(0, |meta| meta.revision),
+            synced: self.chosen.is_some(),
             versions: self.kept.values().map(Vec::len).sum(),
-            seats: self.seats(),
+            members: self.seats(),
         }
     }
 
@@ -478,7 +480,7 @@
     }
 
     /// What this copy accepted, where it has the bytes of it too.
-    fn whole(&self) -> Option<(&Meta, &Arc<Value>)> {
+    fn whole(&self) -> Option<(&AcceptedProposal, &Arc<Value>)> {
         self.state.accepted.as_ref().zip(self.value.as_ref())
     }
 
@@ -486,30 +488,36 @@
         let mut effects = Vec::new();
         self.now = now;
         match event {
-            Event::Pulse => self.pulse(now, &mut effects),
-            Event::Asked { ticket, ask } => self.asked(now, ticket, ask, &mut effects),
-            Event::Told { call, tell } => self.told(now, call, tell, &mut effects),
-            Event::Live(live) => self.live = live,
-            Event::Heard { revision } => self.heard_revision = self.heard_revision.max(revision),
+            Event::Tick => self.pulse(now, &mut effects),
+            Event::RequestReceived { ticket, request: ask } => {
+                self.asked(now, ticket, ask, &mut effects)
+            }
+            Event::ResponseReceived { call, response: tell } => {
+                self.told(now, call, tell, &mut effects)
+            }
+            Event::LiveStores(live) => self.live = live,
+            Event::RevisionHeard { revision } => {
+                self.heard_revision = self.heard_revision.max(revision)
+            }
             Event::Reset(found) => self.begin_anew(found, now),
             Event::DiskFailed => {
                 if !self.failed {
                     self.failed = true;
-                    effects.push(Effect::Noted("the disk failed; this store stops voting".into()));
+                    effects.push(Effect::Log("the disk failed; this store stops voting".into()));
                     self.drop_all("the disk failed", &mut effects);
                 }
             }
-            Event::DiskWorks(found) => {
+            Event::DiskRecovered(found) => {
                 if self.failed {
                     self.begin_anew(found, now);
-                    effects.push(Effect::Noted("the disk works again".into()));
+                    effects.push(Effect::Log("the disk works again".into()));
                 }
             }
-            Event::Damaged { revision, digest } => {
+            Event::VersionDamaged { revision, digest } => {
                 if let Some(list) = self.kept.get_mut(&revision) {
                     list.retain(|one| one.digest != digest);
                 }
-                effects.push(Effect::Noted(format!("the file of revision {revision} is damaged")));
+                effects.push(Effect::Log(format!("the file of revision {revision} is damaged")));
             }
         }
         self.start_next(now, &mut effects);
@@ -517,8 +525,8 @@
     }
 
     /// Nothing counts but what lasts on the disk; replies to earlier calls reach nobody.
-    fn begin_anew(&mut self, found: Found, now: Duration) {
-        let mut next = Register::new(self.identity.clone(), found, now);
+    fn begin_anew(&mut self, found: RecoveredState, now: Duration) {
+        let mut next = Replica::new(self.identity.clone(), found, now);
         next.next_call = self.next_call;
         next.heard_revision = self.heard_revision;
         next.live = std::mem::take(&mut self.live);
@@ -532,7 +540,7 @@
         }
         let held = std::mem::take(&mut self.held);
         for op in std::mem::take(&mut self.queue).into_iter().chain(held) {
-            self.answer(&op, Outcome::NothingDone { why: why.to_string() }, effects);
+            self.answer(&op, Outcome::NotApplied { reason: why.to_string() }, effects);
         }
     }
 
@@ -599,7 +607,8 @@
                 self.fetch_turn = self.fetch_turn.wrapping_add(1);
                 let others = self.others();
                 if let Some(incarnation) = others.get(self.fetch_turn % others.len().max(1)) {
-                    let call = self.call(*incarnation, Ask::Fetch { revision, digest }, effects);
+                    let call =
+                        self.call(*incarnation, Request::Fetch { revision, digest }, effects);
                     self.aside.insert(call, Aside::Fetch { revision, digest });
                 }
             }
@@ -611,17 +620,17 @@
     fn others(&self) -> Vec<u64> {
         let own = self.own();
         match &self.value {
-            Some(value) => holders(&value.seats).filter(|one| *one != own).collect(),
+            Some(value) => member_incarnations(&value.members).filter(|one| *one != own).collect(),
             None => {
-                let held = self.live.iter().filter(|claim| !claim.blank);
+                let held = self.live.iter().filter(|claim| !claim.is_empty);
                 held.map(|claim| claim.incarnation).filter(|one| *one != own).collect()
             }
         }
     }
 
-    fn call(&mut self, incarnation: u64, ask: Ask, effects: &mut Vec<Effect>) -> u64 {
+    fn call(&mut self, incarnation: u64, request: Request, effects: &mut Vec<Effect>) -> u64 {
         self.next_call += 1;
-        effects.push(Effect::Call { call: self.next_call, incarnation, ask });
+        effects.push(Effect::Send { call: self.next_call, incarnation, request: request });
         self.next_call
     }
 }
--- a/store/src/consensus/acceptor.rs
+++ b/store/src/consensus/acceptor.rs
@@ -1,156 +1,165 @@
 //! The acceptor: promises and acceptances, and the versions that it keeps (design 6.2). Invariant: what it
 //! tells rests on what was saved before, for effects are carried out in order.
 
-use super::{Aside, At, Effect, Kept, Op, Register, Write, owned};
+use super::{Aside, At, DiskWrite, Effect, Op, Replica, StoredVersion, owned};
 use super::{CHAIN_BYTES_MOST, FETCH_MOST, QUEUE_MOST};
 use crate::protocol::{
-    Ask, Ballot, Digest, GENESIS, Membership, Meta, Outcome, Refusal, Tell, Value, seat_of,
+    AcceptedProposal, BOOTSTRAP_BALLOT, Ballot, Digest, MembershipSnapshot, Outcome, Rejection,
+    Request, Response, Value, slot_of,
 };
-use crate::retransmission::Verdict;
+use crate::retransmission::Judgement;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
 
-impl Register {
-    pub(super) fn refuse(&self, ticket: u64, why: Refusal, effects: &mut Vec<Effect>) {
-        let tell = Tell::Refused { why, promised: self.state.promised };
-        effects.push(Effect::Answer { ticket, tell });
+impl Replica {
+    pub(super) fn refuse(&self, ticket: u64, why: Rejection, effects: &mut Vec<Effect>) {
+        let tell = Response::Rejected { reason: why, promised: self.state.promised };
+        effects.push(Effect::Reply { ticket, response: tell });
     }
 
     pub(super) fn asked(
         &mut self,
         now: Duration,
         ticket: u64,
-        ask: Ask,
+        ask: Request,
         effects: &mut Vec<Effect>,
     ) {
         match ask {
-            Ask::Prepare { from, ballot, has } => {
+            Request::Prepare { from, ballot, known_digest: has } => {
                 let (Some((accepted, value)), false) = (self.whole(), self.is_off()) else {
-                    return self.refuse(ticket, Refusal::NoVote, effects);
+                    return self.refuse(ticket, Rejection::NotVoting, effects);
                 };
                 let accepted = *accepted;
-                if seat_of(&value.seats, from).is_none() {
-                    return self.refuse(ticket, Refusal::Unseated, effects);
+                if slot_of(&value.members, from).is_none() {
+                    return self.refuse(ticket, Rejection::NotAMember, effects);
                 }
                 if ballot < self.state.promised {
-                    return self.refuse(ticket, Refusal::Outbid, effects);
+                    return self.refuse(ticket, Rejection::Preempted, effects);
                 }
                 if ballot > self.state.promised {
                     self.state.promised = ballot;
-                    effects.push(Effect::Save(vec![Write::State(self.state.clone())]));
+                    effects.push(Effect::Persist(vec![DiskWrite::State(self.state.clone())]));
                 }
-                let open = self.value.as_ref().map(|value| self.orders.open(value, now));
+                let open = self.value.as_ref().map(|value| self.orders.unacknowledged(value, now));
                 let value = self.value.as_ref().filter(|_| has != Some(accepted.digest));
                 let before = if value.is_some() { owned(&self.before) } else { Vec::new() };
                 let value = value.map(|value| (**value).clone());
-                let tell = Tell::Promise { from: self.own(), accepted, value, before, open };
-                effects.push(Effect::Answer { ticket, tell });
+                let tell = Response::Promise {
+                    from: self.own(),
+                    accepted,
+                    value,
+                    batch: before,
+                    unacknowledged: open,
+                };
+                effects.push(Effect::Reply { ticket, response: tell });
             }
-            Ask::Accept { from, ballot, value, before } => {
+            Request::Accept { from, ballot, value, batch: before } => {
                 if self.is_off() {
-                    return self.refuse(ticket, Refusal::NoVote, effects);
+                    return self.refuse(ticket, Rejection::NotVoting, effects);
                 }
-                let seat = seat_of(&value.seats, self.own());
-                let Some(holder) = seat.and_then(|seat| value.seats[seat].as_ref()) else {
-                    return self.refuse(ticket, Refusal::NoVote, effects);
+                let seat = slot_of(&value.members, self.own());
+                let Some(holder) = seat.and_then(|seat| value.members[seat].as_ref()) else {
+                    return self.refuse(ticket, Rejection::NotVoting, effects);
                 };
-                if ballot == GENESIS {
+                if ballot == BOOTSTRAP_BALLOT {
                     // An empty disk has promised nothing to anyone; one that holds a beginning takes no
                     // other.
                     let may_begin = value.revision == 0
-                        && !holder.admitted
-                        && self.identity.founders == value.seats.len();
+                        && !holder.joined_later
+                        && self.identity.bootstrap_size == value.members.len();
                     let digest = crate::protocol::digest_of(&value.encode());
                     let has_it = self.state.accepted.is_some_and(|meta| meta.digest == digest);
                     if !(has_it || (self.is_blank() && may_begin)) {
-                        return self.refuse(ticket, Refusal::NoVote, effects);
+                        return self.refuse(ticket, Rejection::NotVoting, effects);
                     }
                 } else if self.is_blank() {
                     // One that came later must catch up first (design 6.5).
-                    return self.refuse(ticket, Refusal::NoVote, effects);
+                    return self.refuse(ticket, Rejection::NotVoting, effects);
                 }
-                let known = self.value.as_ref().map_or(&value.seats, |own| &own.seats);
-                if seat_of(known, from).is_none() && seat_of(&value.seats, from).is_none() {
-                    return self.refuse(ticket, Refusal::Unseated, effects);
+                let known = self.value.as_ref().map_or(&value.members, |own| &own.members);
+                if slot_of(known, from).is_none() && slot_of(&value.members, from).is_none() {
+                    return self.refuse(ticket, Rejection::NotAMember, effects);
                 }
                 if ballot < self.state.promised {
-                    return self.refuse(ticket, Refusal::Outbid, effects);
+                    return self.refuse(ticket, Rejection::Preempted, effects);
                 }
                 let before = before.into_iter().map(Arc::new).collect();
                 match self.accept(ballot, Arc::new(value), before, effects) {
                     true => {
-                        let tell = Tell::Accepted { from: self.own() };
-                        effects.push(Effect::Answer { ticket, tell });
+                        let tell = Response::Accepted { from: self.own() };
+                        effects.push(Effect::Reply { ticket, response: tell });
                     }
-                    false => self.refuse(ticket, Refusal::Outbid, effects),
+                    false => self.refuse(ticket, Rejection::Preempted, effects),
                 }
             }
-            Ask::Query => {
-                let tell = Tell::State {
+            Request::QueryStatus => {
+                let tell = Response::Status {
                     from: self.own(),
-                    blank: self.is_blank() && !self.is_off(),
-                    founders: self.identity.founders,
-                    votes: !self.is_off() && self.whole().is_some(),
+                    is_empty: self.is_blank() && !self.is_off(),
+                    bootstrap_size: self.identity.bootstrap_size,
+                    is_voting: !self.is_off() && self.whole().is_some(),
                     accepted: self.state.accepted,
                 };
-                effects.push(Effect::Answer { ticket, tell });
+                effects.push(Effect::Reply { ticket, response: tell });
             }
-            Ask::Alive => {
-                let tell = Tell::Alive { from: self.own(), is_sound: !self.is_off() };
-                effects.push(Effect::Answer { ticket, tell });
+            Request::Ping => {
+                let tell = Response::Pong { from: self.own(), is_healthy: !self.is_off() };
+                effects.push(Effect::Reply { ticket, response: tell });
             }
-            Ask::Fetch { revision, digest } => {
+            Request::Fetch { revision, digest } => {
                 // That one and what comes before it, as far as it is here and fits.
                 let (mut versions, _) = self.chain_from((revision, digest));
                 versions.truncate(FETCH_MOST);
-                effects.push(Effect::AnswerFromFile { ticket, versions, as_outcome: false });
+                effects.push(Effect::ReplyFromDisk { ticket, versions, as_outcome: false });
             }
-            Ask::Membership { from, wants_value } => {
+            Request::Membership { from, wants_value } => {
                 // One that was told that its seat is gone shows what it accepted all the same: a new
                 // disk may need it, and it counts by the table that all show (incident 0013).
                 let may_show = !self.is_off() && !self.is_young();
                 let Some((accepted, value)) = self.whole().filter(|_| may_show) else {
-                    return self.refuse(ticket, Refusal::NoVote, effects);
+                    return self.refuse(ticket, Rejection::NotVoting, effects);
                 };
-                let is_told = wants_value && seat_of(&value.seats, from).is_some();
-                let shown = Box::new(Membership {
+                let is_told = wants_value && slot_of(&value.members, from).is_some();
+                let shown = Box::new(MembershipSnapshot {
                     promised: self.state.promised,
                     accepted: *accepted,
-                    seats: value.seats.clone(),
+                    members: value.members.clone(),
                     value: is_told.then(|| (**value).clone()),
-                    before: if is_told { owned(&self.before) } else { Vec::new() },
+                    batch: if is_told { owned(&self.before) } else { Vec::new() },
                 });
-                let tell = Tell::Membership { from: self.own(), shown };
-                effects.push(Effect::Answer { ticket, tell });
+                let tell = Response::Membership { from: self.own(), shown };
+                effects.push(Effect::Reply { ticket, response: tell });
             }
-            Ask::Change { key, change, unnamed_for } => {
+            Request::Change { key, change, keyless_for: unnamed_for } => {
                 let unnamed_since = unnamed_for.map(|waited| now.saturating_sub(waited));
                 let op = Op::Change { ticket, key, change, unnamed_since };
                 match self.verdict(&op) {
-                    Verdict::TooSoon if self.held.len() < QUEUE_MOST => self.held.push_back(op),
+                    Judgement::Undecided if self.held.len() < QUEUE_MOST => self.held.push_back(op),
                     _ => self.enqueue(op, effects),
                 }
             }
-            Ask::Answered { matter, revision } => {
+            Request::Acknowledge { content_hash: matter, revision } => {
                 if let Some(value) = &self.value {
-                    self.orders.answered(value, matter, revision, now);
+                    self.orders.acknowledge(value, matter, revision, now);
                 }
                 self.release(effects);
-                effects.push(Effect::Answer { ticket, tell: Tell::Noted });
+                effects.push(Effect::Reply { ticket, response: Response::Acknowledged });
+            }
+            Request::Read => self.enqueue_shared(Op::Read { tickets: vec![ticket] }, effects),
+            Request::ReadIndex => self.enqueue_shared(Op::Floor { tickets: vec![ticket] }, effects),
+            Request::History { revision } => {
+                self.enqueue(Op::History { ticket, revision }, effects)
             }
-            Ask::Read => self.enqueue_shared(Op::Read { tickets: vec![ticket] }, effects),
-            Ask::Floor => self.enqueue_shared(Op::Floor { tickets: vec![ticket] }, effects),
-            Ask::History { revision } => self.enqueue(Op::History { ticket, revision }, effects),
         }
     }
 
-    pub(super) fn verdict(&mut self, op: &Op) -> Verdict {
+    pub(super) fn verdict(&mut self, op: &Op) -> Judgement {
         match (op, &self.value) {
             (Op::Change { change, unnamed_since, .. }, Some(value)) if self.votes() => {
                 self.orders.judge(value, change, *unnamed_since, self.now)
             }
-            _ => Verdict::Another,
+            _ => Judgement::New,
         }
     }
 
@@ -160,11 +169,11 @@
     pub(super) fn release(&mut self, effects: &mut Vec<Effect>) {
         for op in std::mem::take(&mut self.held) {
             match self.verdict(&op) {
-                Verdict::TooSoon => self.held.push_back(op),
-                Verdict::SentAgain { .. } => self.enqueue(op, effects),
-                Verdict::Another => {
+                Judgement::Undecided => self.held.push_back(op),
+                Judgement::Retransmission { .. } => self.enqueue(op, effects),
+                Judgement::New => {
                     let why = "it waited for the answer to one like it".to_string();
-                    self.answer(&op, Outcome::NothingDone { why }, effects);
+                    self.answer(&op, Outcome::NotApplied { reason: why }, effects);
                 }
             }
         }
@@ -172,10 +181,10 @@
 
     pub(super) fn enqueue(&mut self, op: Op, effects: &mut Vec<Effect>) {
         if !self.votes() {
-            self.answer(&op, Outcome::NothingDone { why: self.summary().why.into() }, effects);
+            self.answer(&op, Outcome::NotApplied { reason: self.summary().reason.into() }, effects);
         } else if self.queue.len() >= QUEUE_MOST {
             let why = "too many changes wait".to_string();
-            self.answer(&op, Outcome::NothingDone { why }, effects);
+            self.answer(&op, Outcome::NotApplied { reason: why }, effects);
         } else {
             self.queue.push_back(op);
         }
@@ -206,7 +215,7 @@
     ) -> bool {
         let bytes = value.encode();
         let digest = crate::protocol::digest_of(&bytes);
-        let meta = Meta { ballot, revision: value.revision, digest };
+        let meta = AcceptedProposal { ballot, revision: value.revision, digest };
         if let Some(accepted) = self.state.accepted {
             if accepted.rank() > meta.rank() {
                 return false;
@@ -217,7 +226,7 @@
             }
             if accepted.rank() == meta.rank() && accepted.digest != digest {
                 let text = "two values under one ballot: this must never happen";
-                effects.push(Effect::Noted(text.to_string()));
+                effects.push(Effect::Log(text.to_string()));
                 return false;
             }
         }
@@ -228,7 +237,7 @@
         self.keep(&value, digest, bytes, &mut writes);
         // As far as they are what it names as its parents.
         self.before.clear();
-        for one in before.into_iter().rev().take(value.together as usize) {
+        for one in before.into_iter().rev().take(value.batched_before as usize) {
             let bytes = one.encode();
             if one.revision != revision || crate::protocol::digest_of(&bytes) != wanted {
                 break;
@@ -237,11 +246,11 @@
             (revision, wanted) = (one.parent_revision, one.parent);
             self.before.insert(0, one);
         }
-        self.orders.see(&value, self.now);
+        self.orders.observe(&value, self.now);
         self.value = Some(value);
-        writes.push(Write::State(self.state.clone()));
+        writes.push(DiskWrite::State(self.state.clone()));
         self.prune(&mut writes);
-        effects.push(Effect::Save(writes));
+        effects.push(Effect::Persist(writes));
         true
     }
 
@@ -251,14 +260,14 @@
         value: &Value,
         digest: Digest,
         bytes: Vec<u8>,
-        writes: &mut Vec<Write>,
+        writes: &mut Vec<DiskWrite>,
     ) {
         let (parent_revision, parent) = (value.parent_revision, value.parent);
-        let one = Kept { digest, parent_revision, parent, bytes: bytes.len() };
+        let one = StoredVersion { digest, parent_revision, parent, bytes: bytes.len() };
         let list = self.kept.entry(value.revision).or_default();
         if !list.iter().any(|kept| kept.digest == digest) {
             list.push(one);
-            writes.push(Write::Version { revision: value.revision, digest, bytes });
+            writes.push(DiskWrite::Version { revision: value.revision, digest, bytes });
         }
     }
 
@@ -281,7 +290,8 @@
             };
             chain.push(at);
             bytes += one.bytes;
-            let is_full = chain.len() >= crate::protocol::HISTORY || bytes >= CHAIN_BYTES_MOST;
+            let is_full =
+                chain.len() >= crate::protocol::HISTORY_LENGTH || bytes >= CHAIN_BYTES_MOST;
             if at.0 == 0 || is_full {
                 return (chain, None);
             }
@@ -291,11 +301,11 @@
 
     /// Removes what lies off the chain below the chosen version, and what is too old; where the disk
     /// holds too many bytes, whatever is not on this copy's own chain as far as that may go.
-    pub(super) fn prune(&mut self, writes: &mut Vec<Write>) {
+    pub(super) fn prune(&mut self, writes: &mut Vec<DiskWrite>) {
         let total: usize = self.kept.values().map(Vec::len).sum();
         let bytes: usize = self.kept.values().flatten().map(|one| one.bytes).sum();
-        let is_heavy = bytes > crate::protocol::HISTORY_BYTES_MOST;
-        if total <= crate::protocol::HISTORY + 64 && !is_heavy {
+        let is_heavy = bytes > crate::protocol::MAX_HISTORY_BYTES;
+        if total <= crate::protocol::HISTORY_LENGTH + 64 && !is_heavy {
             return;
         }
         let accepted = self.state.accepted.map(|meta| (meta.revision, meta.digest));
@@ -321,7 +331,7 @@
                     || (!is_heavy && *revision > chosen)
                     || (!is_heavy && *revision >= lowest && *revision == chosen);
                 if !stays {
-                    writes.push(Write::Remove { revision: *revision, digest: one.digest });
+                    writes.push(DiskWrite::Remove { revision: *revision, digest: one.digest });
                 }
                 stays
             });
@@ -332,11 +342,11 @@
     pub(super) fn told_aside(
         &mut self,
         aside: Aside,
-        tell: Option<Tell>,
+        tell: Option<Response>,
         effects: &mut Vec<Effect>,
     ) {
         match (aside, tell) {
-            (Aside::Fetch { revision, digest }, Some(Tell::Fetched(values))) => {
+            (Aside::Fetch { revision, digest }, Some(Response::Fetched(values))) => {
                 let mut wanted = (revision, digest);
                 let mut writes = Vec::new();
                 for value in values {
@@ -354,12 +364,12 @@
                     }
                 }
                 if !writes.is_empty() {
-                    effects.push(Effect::Save(writes));
+                    effects.push(Effect::Persist(writes));
                     // The chain goes on at once.
                     self.aside_at = Duration::ZERO;
                 }
             }
-            (Aside::Membership, Some(Tell::Membership { from, shown })) => {
+            (Aside::Membership, Some(Response::Membership { from, shown })) => {
                 self.members.insert(from, *shown);
                 self.judge_membership(effects);
             }
--- a/store/src/consensus/membership.rs
+++ b/store/src/consensus/membership.rs
@@ -2,24 +2,27 @@
 //! (design 6.4, 6.5). Invariant: a disk votes only once a majority of the other holders has shown it one
 //! chosen value with its incarnation in it.
 
-use super::{Aside, Claim, Copy, Effect, Job, Op, Phase, Register, Vacancy, genesis};
+use super::{Aside, Copy, Effect, Job, LiveStore, Op, Phase, Replica, Vacancy, genesis};
 use super::{BEHIND_AFTER, MEMBERSHIP_EVERY, PING_EVERY, PING_SELDOM, SILENT_AFTER};
-use crate::protocol::{Ask, Ballot, GENESIS, Holder, Membership, holders, quorum, seat_of};
+use crate::protocol::{
+    BOOTSTRAP_BALLOT, Ballot, Member, MembershipSnapshot, Request, member_incarnations,
+    quorum_size, slot_of,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 
-impl Register {
+impl Replica {
     /// The first live seated store in the order of the table proposes; the others leave it to it
     /// (design 6.3).
     pub(super) fn is_first(&self, now: Duration) -> bool {
-        let is_there = |holder: &&Holder| {
+        let is_there = |holder: &&Member| {
             self.live.iter().any(|claim| {
-                claim.incarnation == holder.incarnation && !(claim.blank && holder.admitted)
+                claim.incarnation == holder.incarnation && !(claim.is_empty && holder.joined_later)
             }) && !self.is_lost(now, holder.incarnation)
         };
         let own = self.own();
-        let seats = self.value.as_ref().map(|value| value.seats.as_slice()).unwrap_or_default();
+        let seats = self.value.as_ref().map(|value| value.members.as_slice()).unwrap_or_default();
         let before = seats.iter().flatten().take_while(|holder| holder.incarnation != own);
         !before.into_iter().any(|holder| is_there(&holder))
     }
@@ -28,21 +31,21 @@
     /// of, nobody holds anything, and no daemon has heard of a word; the first of them by name does it
     /// (design 6.4).
     pub(super) fn blank_pulse(&mut self) {
-        let is_known = self.heard_revision > 0 || self.live.iter().any(|claim| !claim.blank);
-        if self.identity.founders == 0 || is_known {
+        let is_known = self.heard_revision > 0 || self.live.iter().any(|claim| !claim.is_empty);
+        if self.identity.bootstrap_size == 0 || is_known {
             return;
         }
-        let founders = self.live.iter().filter(|claim| claim.founds);
+        let founders = self.live.iter().filter(|claim| claim.may_bootstrap);
         let by_name: BTreeMap<&str, u64> =
             founders.clone().map(|claim| (claim.name.as_str(), claim.incarnation)).collect();
-        let is_exact = founders.count() == self.identity.founders
-            && by_name.len() == self.identity.founders
+        let is_exact = founders.count() == self.identity.bootstrap_size
+            && by_name.len() == self.identity.bootstrap_size
             && by_name.values().next() == Some(&self.own());
         if !is_exact {
             return;
         }
         let seat = |(name, incarnation): (&&str, &u64)| {
-            Some(Holder { name: name.to_string(), incarnation: *incarnation, admitted: false })
+            Some(Member { name: name.to_string(), incarnation: *incarnation, joined_later: false })
         };
         let seats = by_name.iter().map(seat).collect();
         self.queue.push_back(Op::Genesis { seats });
@@ -67,22 +70,22 @@
         }
         self.members_at = now + MEMBERSHIP_EVERY;
         let from = self.own();
-        let held = self.live.iter().filter(|claim| !claim.blank && claim.incarnation != from);
+        let held = self.live.iter().filter(|claim| !claim.is_empty && claim.incarnation != from);
         let held: Vec<u64> = held.map(|claim| claim.incarnation).collect();
         self.members.retain(|incarnation, _| held.contains(incarnation));
         for incarnation in held {
-            let ask = Ask::Membership { from, wants_value: self.is_blank() };
+            let ask = Request::Membership { from, wants_value: self.is_blank() };
             let call = self.call(incarnation, ask, effects);
             self.aside.insert(call, Aside::Membership);
         }
     }
 
     /// Empty disks that have no seat, in the order of their names.
-    pub(super) fn waiting(&self) -> Vec<&Claim> {
+    pub(super) fn waiting(&self) -> Vec<&LiveStore> {
         let Some(value) = &self.value else { return Vec::new() };
-        let blank = self.live.iter().filter(|claim| claim.blank);
-        let mut waiting: Vec<&Claim> =
-            blank.filter(|claim| seat_of(&value.seats, claim.incarnation).is_none()).collect();
+        let blank = self.live.iter().filter(|claim| claim.is_empty);
+        let mut waiting: Vec<&LiveStore> =
+            blank.filter(|claim| slot_of(&value.members, claim.incarnation).is_none()).collect();
         waiting.sort_by(|left, right| left.name.cmp(&right.name));
         waiting
     }
@@ -132,9 +135,9 @@
         let own = self.own_seat().unwrap_or_default();
         for incarnation in others {
             let is_open = self.pings.values().any(|(one, _)| *one == incarnation);
-            let is_before = seat_of(&seats, incarnation).is_some_and(|seat| seat < own);
+            let is_before = slot_of(&seats, incarnation).is_some_and(|seat| seat < own);
             if !is_open && (is_first || is_before) {
-                let call = self.call(incarnation, Ask::Alive, effects);
+                let call = self.call(incarnation, Request::Ping, effects);
                 self.pings.insert(call, (incarnation, now));
             }
         }
@@ -146,7 +149,7 @@
         let Some(value) = &self.value else { return Vec::new() };
         let mut waiting = self.waiting();
         let mut lost: Vec<(Duration, usize)> = Vec::new();
-        for (seat, holder) in value.seats.iter().enumerate() {
+        for (seat, holder) in value.members.iter().enumerate() {
             match holder {
                 None => lost.push((Duration::ZERO, seat)),
                 Some(holder) if self.is_lost(now, holder.incarnation) => {
@@ -160,14 +163,14 @@
         // The disk of a store that holds a seat takes that one: another one's holder may be back before
         // this store's own old disk is found to be gone, and would have to leave (incident 0013).
         let holds_seat = |name: &str| {
-            let mut holders = value.seats.iter().flatten();
+            let mut holders = value.members.iter().flatten();
             holders.any(|holder| holder.name == name)
         };
         let mut found = Vec::new();
         for is_same in [true, false] {
             lost.retain(|(_, seat)| {
-                let old = value.seats[*seat].as_ref();
-                let fits = |claim: &&Claim| match is_same {
+                let old = value.members[*seat].as_ref();
+                let fits = |claim: &&LiveStore| match is_same {
                     true => old.is_some_and(|holder| holder.name == claim.name),
                     false => !holds_seat(&claim.name),
                 };
@@ -207,26 +210,26 @@
             self.members.values().map(|shown| shown.accepted.ballot).collect();
         for ballot in ballots {
             for is_seated in [true, false] {
-                let shown: Vec<(&u64, &Membership)> = self
+                let shown: Vec<(&u64, &MembershipSnapshot)> = self
                     .members
                     .iter()
                     .filter(|(_, shown)| shown.accepted.ballot == ballot)
-                    .filter(|(_, shown)| seat_of(&shown.seats, own).is_some() == is_seated)
+                    .filter(|(_, shown)| slot_of(&shown.members, own).is_some() == is_seated)
                     .collect();
                 let Some((_, best)) = shown.iter().max_by_key(|(_, one)| one.accepted.revision)
                 else {
                     continue;
                 };
-                let seats = &best.seats;
-                let others = holders(seats).filter(|one| *one != own).count();
+                let seats = &best.members;
+                let others = member_incarnations(seats).filter(|one| *one != own).count();
                 let is_own = self.state.accepted.is_some_and(|meta| meta.ballot == ballot);
                 let needed = match (is_seated, is_own) {
                     // With its own copy they are a majority of all.
-                    (true, true) => quorum(seats) - 1,
+                    (true, true) => quorum_size(seats) - 1,
                     (true, false) => others / 2 + 1,
-                    (false, _) => quorum(seats),
+                    (false, _) => quorum_size(seats),
                 };
-                let counted = shown.iter().filter(|(who, _)| seat_of(seats, **who).is_some());
+                let counted = shown.iter().filter(|(who, _)| slot_of(seats, **who).is_some());
                 let least = shown.iter().map(|(_, one)| one.accepted.rank()).min();
                 let own_rank = self.state.accepted.map(|meta| meta.rank());
                 let is_old = least < own_rank || (least == own_rank && !is_seated);
@@ -257,16 +260,16 @@
     }
 
     /// From here on it votes.
-    pub(super) fn admit(&mut self, best: Membership, effects: &mut Vec<Effect>) {
+    pub(super) fn admit(&mut self, best: MembershipSnapshot, effects: &mut Vec<Effect>) {
         let Some(value) = best.value else { return };
         let promised = self.members.values().map(|shown| shown.promised).max();
         self.state.promised = self.state.promised.max(promised.unwrap_or_default());
-        let before = best.before.into_iter().map(Arc::new).collect();
+        let before = best.batch.into_iter().map(Arc::new).collect();
         self.accept(best.accepted.ballot, Arc::new(value), before, effects);
         self.members.clear();
         self.sweep_at = Duration::ZERO;
         self.aside_at = Duration::ZERO;
-        effects.push(Effect::Noted("admitted to its seat; this store votes".to_string()));
+        effects.push(Effect::Log("admitted to its seat; this store votes".to_string()));
     }
 
     /// Never a vote under this incarnation again.
@@ -275,7 +278,7 @@
         self.resetting = true;
         self.drop_all(why, effects);
         let text = format!("{why}: it goes on as an empty one");
-        effects.push(Effect::Noted(text));
+        effects.push(Effect::Log(text));
         effects.push(Effect::Reset);
     }
 
@@ -288,7 +291,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let Op::Genesis { seats } = &job.op else { return };
-        if !holders(seats).all(|one| states.contains_key(&one)) {
+        if !member_incarnations(seats).all(|one| states.contains_key(&one)) {
             return;
         }
         if self.is_blank() {
@@ -296,12 +299,12 @@
                 return;
             }
             let is_one = |copy: &Copy| copy.blank && copy.founders == seats.len();
-            if !states.values().all(is_one) || self.identity.founders != seats.len() {
+            if !states.values().all(is_one) || self.identity.bootstrap_size != seats.len() {
                 return;
             }
             let text = format!("{} empty stores: the word begins", seats.len());
-            effects.push(Effect::Noted(text));
-            self.accept(GENESIS, Arc::new(genesis(seats.clone())), Vec::new(), effects);
+            effects.push(Effect::Log(text));
+            self.accept(BOOTSTRAP_BALLOT, Arc::new(genesis(seats.clone())), Vec::new(), effects);
         }
         let (Some((own, value)), true) = (self.whole(), self.is_young()) else { return };
         let (own, value) = (*own, value.clone());
@@ -312,7 +315,7 @@
                 held.insert(*who);
             } else if copy.blank {
                 let (value, before) = ((*value).clone(), Vec::new());
-                let ask = Ask::Accept { from, ballot: GENESIS, value, before };
+                let ask = Request::Accept { from, ballot: BOOTSTRAP_BALLOT, value, batch: before };
                 let call = self.call(*who, ask, effects);
                 job.open.insert(call, *who);
             } else {
--- a/store/src/consensus/proposer.rs
+++ b/store/src/consensus/proposer.rs
@@ -2,17 +2,18 @@
 //! Invariant: a version is made only on a value that its round showed as chosen, and nothing is told but on
 //! a round that began after it was asked for, or once a version made beside it is chosen.
 
-use super::{Aside, BATCH_BYTES_MOST, BATCH_MOST, QUEUE_MOST, TRIES_MOST, Watched, Write};
-use super::{Copy, Effect, Job, Op, Phase, Register, Vacancy, changed, owned, seated};
+use super::{Aside, BATCH_BYTES_MOST, BATCH_MOST, DiskWrite, QUEUE_MOST, TRIES_MOST, Watched};
+use super::{Copy, Effect, Job, Op, Phase, Replica, Vacancy, changed, owned, seated};
 use crate::protocol::{
-    Ask, Ballot, Change, GENESIS, Meta, Outcome, Refusal, Tell, Value, holders, quorum, seat_of,
+    AcceptedProposal, BOOTSTRAP_BALLOT, Ballot, Change, Outcome, Rejection, Request, Response,
+    Value, member_incarnations, quorum_size, slot_of,
 };
-use crate::retransmission::Verdict;
+use crate::retransmission::Judgement;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 
-impl Register {
+impl Replica {
     pub(super) fn start_next(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         while self.job.is_none() && !self.failed {
             let Some(op) = self.queue.pop_front() else {
@@ -61,7 +62,7 @@
         let promises = BTreeMap::from([(self.own(), best.0)]);
         // Its own disk first: so the ballot is never used twice.
         self.state.promised = ballot;
-        effects.push(Effect::Save(vec![Write::State(self.state.clone())]));
+        effects.push(Effect::Persist(vec![DiskWrite::State(self.state.clone())]));
         job.phase = Phase::Preparing { ballot, asked: BTreeSet::new(), promises, best };
         self.ask_promises(job, effects);
     }
@@ -71,9 +72,14 @@
         let own = self.own();
         let Phase::Preparing { ballot, asked, best, .. } = &mut job.phase else { return };
         let (ballot, has) = (*ballot, Some(best.0.digest));
-        let seated = holders(&best.1.seats).filter(|one| *one != own && asked.insert(*one));
+        let seated =
+            member_incarnations(&best.1.members).filter(|one| *one != own && asked.insert(*one));
         for incarnation in seated.collect::<Vec<u64>>() {
-            let call = self.call(incarnation, Ask::Prepare { from: own, ballot, has }, effects);
+            let call = self.call(
+                incarnation,
+                Request::Prepare { from: own, ballot, known_digest: has },
+                effects,
+            );
             job.open.insert(call, incarnation);
         }
     }
@@ -82,13 +88,13 @@
         &mut self,
         now: Duration,
         call: u64,
-        tell: Option<Tell>,
+        tell: Option<Response>,
         effects: &mut Vec<Effect>,
     ) {
         if let Some((incarnation, asked_at)) = self.pings.remove(&call) {
             let watched = self.watched.entry(incarnation).or_default();
             match tell {
-                Some(Tell::Alive { from, is_sound: true }) if from == incarnation => {
+                Some(Response::Pong { from, is_healthy: true }) if from == incarnation => {
                     *watched = Watched { heard_at: now, silent_since: None };
                 }
                 _ => {
@@ -111,16 +117,28 @@
         match (&mut job.phase, tell) {
             (
                 Phase::Querying { states },
-                Some(Tell::State { from, blank, founders, accepted, votes }),
+                Some(Response::Status {
+                    from,
+                    is_empty: blank,
+                    bootstrap_size: founders,
+                    accepted,
+                    is_voting: votes,
+                }),
             ) if from == asked && (votes || blank) => {
                 states.insert(from, Copy { accepted, blank, founders });
             }
-            (Phase::Founding { held }, Some(Tell::Accepted { from })) if from == asked => {
+            (Phase::Founding { held }, Some(Response::Accepted { from })) if from == asked => {
                 held.insert(from);
             }
             (
                 Phase::Preparing { ballot, promises, best, .. },
-                Some(Tell::Promise { from, accepted, value, before, open }),
+                Some(Response::Promise {
+                    from,
+                    accepted,
+                    value,
+                    batch: before,
+                    unacknowledged: open,
+                }),
             ) => {
                 // Where this very copy has promised another proposer since, the ballot is lost.
                 let is_own = self.state.promised == *ballot && from == asked;
@@ -139,7 +157,7 @@
                     }
                 };
                 if let (Some((value, _)), Some(open)) = (&told, &open) {
-                    self.orders.told(value, open, now);
+                    self.orders.merge(value, open, now);
                 }
                 if is_own && accepted.rank() <= best.0.rank() {
                     promises.insert(from, accepted);
@@ -153,16 +171,16 @@
             }
             (
                 Phase::Mending { accepts, .. } | Phase::Writing { accepts, .. },
-                Some(Tell::Accepted { from }),
+                Some(Response::Accepted { from }),
             ) if from == asked => {
                 accepts.insert(from);
             }
-            (_, Some(Tell::Refused { why, promised })) => {
+            (_, Some(Response::Rejected { reason: why, promised })) => {
                 job.outbid = job.outbid.max(promised);
-                if why == Refusal::Unseated && !self.unseated {
+                if why == Rejection::NotAMember && !self.unseated {
                     self.unseated = true;
                     let text = "it is told that its seat went to another disk";
-                    effects.push(Effect::Noted(text.to_string()));
+                    effects.push(Effect::Log(text.to_string()));
                 }
             }
             _ => {}
@@ -192,19 +210,21 @@
                         let job = self.job.take().expect("just seen");
                         return self.fail(job, "no readable copy of the latest version", effects);
                     };
-                    let seats = &value.seats;
-                    let best =
-                        states.values().filter_map(|copy| copy.accepted).max_by_key(Meta::rank);
+                    let seats = &value.members;
+                    let best = states
+                        .values()
+                        .filter_map(|copy| copy.accepted)
+                        .max_by_key(AcceptedProposal::rank);
                     let own = self.state.accepted;
                     let same = states
                         .iter()
                         .filter(|(from, copy)| {
-                            seat_of(seats, **from).is_some() && copy.accepted == best
+                            slot_of(seats, **from).is_some() && copy.accepted == best
                         })
                         .count();
-                    let majority = quorum(seats);
+                    let majority = quorum_size(seats);
                     // Until all seats hold the beginning nothing is.
-                    let best = best.filter(|meta| meta.ballot > GENESIS);
+                    let best = best.filter(|meta| meta.ballot > BOOTSTRAP_BALLOT);
                     let is_sweep = matches!(job.op, Op::Sweep);
                     if best.is_some() && best == own && same >= majority {
                         if is_sweep && !is_over {
@@ -241,7 +261,7 @@
                 }
                 Phase::Founding { held } => {
                     let Op::Genesis { seats } = &job.op else { return };
-                    let is_whole = holders(seats).all(|one| held.contains(&one));
+                    let is_whole = member_incarnations(seats).all(|one| held.contains(&one));
                     if !is_whole && !is_over {
                         return;
                     }
@@ -257,9 +277,10 @@
                 }
                 Phase::Preparing { ballot, promises, best, .. } => {
                     let (ballot, (meta, value, before)) = (*ballot, best.clone());
-                    let counted =
-                        promises.iter().filter(|(from, _)| seat_of(&value.seats, **from).is_some());
-                    let majority = quorum(&value.seats);
+                    let counted = promises
+                        .iter()
+                        .filter(|(from, _)| slot_of(&value.members, **from).is_some());
+                    let majority = quorum_size(&value.members);
                     if counted.clone().count() >= majority && self.state.promised == ballot {
                         let promised = promises.keys().copied().collect();
                         let same = counted.filter(|(_, theirs)| **theirs == meta).count();
@@ -267,7 +288,7 @@
                         if let Some(job) = &mut self.job {
                             job.promised = promised;
                         }
-                        if same >= majority && is_own && meta.ballot > GENESIS {
+                        if same >= majority && is_own && meta.ballot > BOOTSTRAP_BALLOT {
                             self.choose(meta, effects);
                             return self.under_ballot(now, Some(ballot), effects);
                         }
@@ -309,12 +330,12 @@
                         self.choose(meta, effects);
                         if let Op::Seat(Vacancy { seat, name, .. }) = &job.op {
                             let text = format!("seat {seat} goes to the empty disk of {name}");
-                            effects.push(Effect::Noted(text));
+                            effects.push(Effect::Log(text));
                         }
                         if let Op::Batch { receipts } = job.op {
                             for (ticket, outcome) in receipts {
-                                let tell = Tell::Outcome(outcome);
-                                effects.push(Effect::Answer { ticket, tell });
+                                let tell = Response::Outcome(outcome);
+                                effects.push(Effect::Reply { ticket, response: tell });
                             }
                         }
                         return self.under_ballot(now, Some(ballot), effects);
@@ -333,13 +354,13 @@
 
     /// A majority of the holders; for a change of seats a majority of the others (design 6.5).
     pub(super) fn is_enough(&self, op: &Op, value: &Value, accepts: &BTreeSet<u64>) -> bool {
-        let counted = holders(&value.seats).filter(|one| accepts.contains(one));
+        let counted = member_incarnations(&value.members).filter(|one| accepts.contains(one));
         match op {
             Op::Seat(Vacancy { incarnation: given, .. }) => {
-                let others = holders(&value.seats).filter(|one| one != given).count();
+                let others = member_incarnations(&value.members).filter(|one| one != given).count();
                 counted.filter(|one| one != given).count() > others / 2
             }
-            _ => counted.count() >= quorum(&value.seats),
+            _ => counted.count() >= quorum_size(&value.members),
         }
     }
 
@@ -354,21 +375,21 @@
     ) {
         job.open.clear();
         let from = self.own();
-        for incarnation in holders(&value.seats).filter(|one| *one != from) {
+        for incarnation in member_incarnations(&value.members).filter(|one| *one != from) {
             let (value, before) = ((*value).clone(), owned(&before));
-            let ask = Ask::Accept { from, ballot, value, before };
+            let ask = Request::Accept { from, ballot, value, batch: before };
             let call = self.call(incarnation, ask, effects);
             job.open.insert(call, incarnation);
         }
         let mut accepts = BTreeSet::new();
         if self.state.promised == ballot
-            && seat_of(&value.seats, from).is_some()
+            && slot_of(&value.members, from).is_some()
             && self.accept(ballot, value.clone(), before, effects)
         {
             accepts.insert(from);
         }
         let digest = crate::protocol::digest_of(&value.encode());
-        let meta = Meta { ballot, revision: value.revision, digest };
+        let meta = AcceptedProposal { ballot, revision: value.revision, digest };
         job.phase = if is_mend {
             Phase::Mending { ballot, value, meta, accepts }
         } else {
@@ -376,13 +397,13 @@
         };
     }
 
-    pub(super) fn choose(&mut self, meta: Meta, effects: &mut Vec<Effect>) {
+    pub(super) fn choose(&mut self, meta: AcceptedProposal, effects: &mut Vec<Effect>) {
         let is_new = self.chosen.is_none_or(|old| old.revision < meta.revision);
         let is_held = self.state.accepted.is_some_and(|own| own.digest == meta.digest);
         if is_new && is_held {
             self.chosen = Some(meta);
             if let Some(value) = &self.value {
-                effects.push(Effect::Chosen(value.clone()));
+                effects.push(Effect::Committed(value.clone()));
             }
         }
     }
@@ -491,7 +512,7 @@
         &mut self,
         first: Op,
         value: &Value,
-        own: &Meta,
+        own: &AcceptedProposal,
         is_own_round: bool,
         effects: &mut Vec<Effect>,
     ) -> (Vec<(u64, Outcome)>, Vec<Arc<Value>>) {
@@ -504,8 +525,8 @@
         let mut next = Some(first);
         while let Some(Op::Change { ticket, key, change, unnamed_since }) = next.take() {
             let verdict = self.orders.judge(&last, &change, unnamed_since, self.now);
-            let is_known = last.submission(&key).is_some();
-            if verdict == Verdict::TooSoon && !is_known {
+            let is_known = last.known_write(&key).is_some();
+            if verdict == Judgement::Undecided && !is_known {
                 // The one before it waits in the same round.
                 self.held.push_back(Op::Change { ticket, key, change, unnamed_since });
                 next = self.next_change();
@@ -514,7 +535,7 @@
             let is_made = unnamed_since.is_some();
             match changed(&last, &meta, &key, is_made, &change, verdict) {
                 Err(outcome) if is_proven => {
-                    effects.push(Effect::Answer { ticket, tell: Tell::Outcome(outcome) });
+                    effects.push(Effect::Reply { ticket, response: Response::Outcome(outcome) });
                 }
                 Err(outcome) => {
                     receipts.push((ticket, outcome));
@@ -522,16 +543,20 @@
                 }
                 Ok(mut one) => {
                     self.orders.take(&key, unnamed_since, self.now);
-                    one.together = made.len() as u32;
+                    one.batched_before = made.len() as u32;
                     let encoded = one.encode();
                     bytes += encoded.len();
                     meta.revision = one.revision;
                     meta.digest = crate::protocol::digest_of(&encoded);
-                    let (revision, setup_revision) = (one.revision, one.setup_revision);
+                    let (revision, setup_revision) = (one.revision, one.config_revision);
                     // A setup that was overtaken is noted; the one in force stays.
-                    let repeat =
-                        matches!(change, Change::Setup { .. }) && setup_revision != revision;
-                    let outcome = Outcome::Accepted { revision, setup_revision, repeat };
+                    let repeat = matches!(change, Change::ReplaceConfig { .. })
+                        && setup_revision != revision;
+                    let outcome = Outcome::Accepted {
+                        revision,
+                        config_revision: setup_revision,
+                        is_repeat: repeat,
+                    };
                     receipts.push((ticket, outcome));
                     last = Arc::new(one);
                     made.push(last.clone());
@@ -562,7 +587,7 @@
     /// Copies that a sweep found behind get the chosen version, under its own ballot.
     pub(super) fn mend_copies(
         &mut self,
-        meta: Meta,
+        meta: AcceptedProposal,
         states: &BTreeMap<u64, Copy>,
         effects: &mut Vec<Effect>,
     ) {
@@ -572,11 +597,11 @@
         let from = self.own();
         for (who, copy) in states {
             if *who != from
-                && seat_of(&value.seats, *who).is_some()
+                && slot_of(&value.members, *who).is_some()
                 && copy.accepted.is_none_or(|theirs| theirs.rank() < meta.rank())
             {
                 let (value, before) = ((*value).clone(), owned(&self.before));
-                let ask = Ask::Accept { from, ballot: meta.ballot, value, before };
+                let ask = Request::Accept { from, ballot: meta.ballot, value, batch: before };
                 let call = self.call(*who, ask, effects);
                 self.aside.insert(call, Aside::Mend);
             }
@@ -589,7 +614,7 @@
         let outcome = if is_writing {
             Outcome::Unknown
         } else {
-            Outcome::NothingDone { why: why.to_string() }
+            Outcome::NotApplied { reason: why.to_string() }
         };
         self.answer(&job.op, outcome, effects);
     }
--- a/store/src/consensus/reader.rs
+++ b/store/src/consensus/reader.rs
@@ -1,21 +1,23 @@
 //! Reads: rounds that ask what is chosen, and what is told of them (design 6.2).
 
-use super::{Copy, Effect, Job, Op, Phase, Register};
-use crate::protocol::{Ask, Outcome, Tell, holders};
+use super::{Copy, Effect, Job, Op, Phase, Replica};
+use crate::protocol::{Outcome, Request, Response, member_incarnations};
 use std::collections::BTreeMap;
 
-impl Register {
+impl Replica {
     pub(super) fn query(&mut self, job: &mut Job, effects: &mut Vec<Effect>) {
         job.open.clear();
         let (accepted, blank) = (self.state.accepted, self.is_blank());
-        let own = Copy { accepted, blank, founders: self.identity.founders };
+        let own = Copy { accepted, blank, founders: self.identity.bootstrap_size };
         let states = BTreeMap::from([(self.own(), own)]);
         let others = match &job.op {
-            Op::Genesis { seats } => holders(seats).filter(|one| *one != self.own()).collect(),
+            Op::Genesis { seats } => {
+                member_incarnations(seats).filter(|one| *one != self.own()).collect()
+            }
             _ => self.others(),
         };
         for incarnation in others {
-            let call = self.call(incarnation, Ask::Query, effects);
+            let call = self.call(incarnation, Request::QueryStatus, effects);
             job.open.insert(call, incarnation);
         }
         job.phase = Phase::Querying { states };
@@ -27,7 +29,8 @@
                 if let Some(value) = &self.value {
                     for ticket in tickets {
                         let outcome = Outcome::Value { value: (**value).clone() };
-                        effects.push(Effect::Answer { ticket, tell: Tell::Outcome(outcome) });
+                        effects
+                            .push(Effect::Reply { ticket, response: Response::Outcome(outcome) });
                     }
                 }
             }
@@ -35,7 +38,7 @@
                 // What was just seen as chosen is what this copy holds.
                 let revision = self.value.as_ref().map(|value| value.revision);
                 for ticket in tickets {
-                    effects.push(Effect::Answer { ticket, tell: Tell::Floor(revision) });
+                    effects.push(Effect::Reply { ticket, response: Response::ReadIndex(revision) });
                 }
             }
             Op::History { ticket, revision } => self.answer_history(ticket, revision, effects),
@@ -48,28 +51,28 @@
         let latest = self.chosen.map_or(0, |meta| meta.revision);
         if let Some((revision, digest)) = chain.iter().find(|(one, _)| *one == revision) {
             let versions = vec![(*revision, *digest)];
-            effects.push(Effect::AnswerFromFile { ticket, versions, as_outcome: true });
+            effects.push(Effect::ReplyFromDisk { ticket, versions, as_outcome: true });
             return;
         }
         let outcome = match missing {
             Some((at, _)) if revision <= at => {
-                Outcome::NothingDone { why: "this copy is still catching up".to_string() }
+                Outcome::NotApplied { reason: "this copy is still catching up".to_string() }
             }
             _ => Outcome::NoSuchRevision { latest },
         };
-        effects.push(Effect::Answer { ticket, tell: Tell::Outcome(outcome) });
+        effects.push(Effect::Reply { ticket, response: Response::Outcome(outcome) });
     }
 
     pub(super) fn answer(&self, op: &Op, outcome: Outcome, effects: &mut Vec<Effect>) {
         match op {
             Op::Change { ticket, .. } | Op::History { ticket, .. } => {
-                let tell = Tell::Outcome(outcome);
-                effects.push(Effect::Answer { ticket: *ticket, tell });
+                let tell = Response::Outcome(outcome);
+                effects.push(Effect::Reply { ticket: *ticket, response: tell });
             }
             Op::Read { tickets } => {
                 for ticket in tickets {
-                    let tell = Tell::Outcome(outcome.clone());
-                    effects.push(Effect::Answer { ticket: *ticket, tell });
+                    let tell = Response::Outcome(outcome.clone());
+                    effects.push(Effect::Reply { ticket: *ticket, response: tell });
                 }
             }
             Op::Batch { receipts } => {
@@ -80,20 +83,23 @@
                         Outcome::Conflict { .. }
                             | Outcome::KeyReused { .. }
                             | Outcome::VersionTaken { .. }
-                            | Outcome::NothingDone { .. }
+                            | Outcome::NotApplied { .. }
                     );
                     let why = "another change was in the way".to_string();
                     let outcome = match &outcome {
-                        Outcome::Unknown if is_refused => Outcome::NothingDone { why },
+                        Outcome::Unknown if is_refused => Outcome::NotApplied { reason: why },
                         other => other.clone(),
                     };
-                    let tell = Tell::Outcome(outcome);
-                    effects.push(Effect::Answer { ticket: *ticket, tell });
+                    let tell = Response::Outcome(outcome);
+                    effects.push(Effect::Reply { ticket: *ticket, response: tell });
                 }
             }
             Op::Floor { tickets } => {
                 for ticket in tickets {
-                    effects.push(Effect::Answer { ticket: *ticket, tell: Tell::Floor(None) });
+                    effects.push(Effect::Reply {
+                        ticket: *ticket,
+                        response: Response::ReadIndex(None),
+                    });
                 }
             }
             Op::Sweep | Op::Seat(_) | Op::Genesis { .. } => {}
--- a/store/src/disk.rs
+++ b/store/src/disk.rs
@@ -1,7 +1,7 @@
 //! The one data folder: a file for each version and one for the state, each written aside,
 //! synced, renamed, and the folder synced after it (design 6.1).
 
-use crate::consensus::{Found, Kept, State, Write};
+use crate::consensus::{DiskWrite, HardState, RecoveredState, StoredVersion};
 use crate::protocol::{Digest, Value};
 use std::io::Write as _;
 
@@ -68,7 +68,7 @@
 
     /// What is there. A state file that is missing or damaged makes the disk an empty one with a
     /// new incarnation: it has forgotten its promises and must not vote on them.
-    pub fn load(&self, random: u64) -> Result<Found, miette::Report> {
+    pub fn load(&self, random: u64) -> Result<RecoveredState, miette::Report> {
         let _ = &self.lock;
         let fault = |error: std::io::Error| {
             miette::miette!("$.dataFolder: cannot read {}: {error}", self.folder.display())
@@ -86,7 +86,7 @@
                     Some((value, digest)) if name == version_name(value.revision, &digest) => {
                         let (parent_revision, parent) = (value.parent_revision, value.parent);
                         let bytes = value.encode().len();
-                        let one = Kept { digest, parent_revision, parent, bytes };
+                        let one = StoredVersion { digest, parent_revision, parent, bytes };
                         kept.push((value.revision, one));
                     }
                     _ => {
@@ -102,7 +102,7 @@
             // Not the same as absent: a disk that cannot be read now may be readable later.
             Err(error) => return Err(fault(error)),
         };
-        let state: Option<State> = read
+        let state: Option<HardState> = read
             .as_ref()
             .and_then(|bytes| unframe(bytes))
             .and_then(|body| vanepath_cluster::wire::decode(&body));
@@ -113,8 +113,8 @@
             Some(state) => state,
             None => {
                 let state =
-                    State { incarnation: random, promised: Default::default(), accepted: None };
-                self.save(&[Write::State(state.clone())]).map_err(fault)?;
+                    HardState { incarnation: random, promised: Default::default(), accepted: None };
+                self.save(&[DiskWrite::State(state.clone())]).map_err(fault)?;
                 state
             }
         };
@@ -126,13 +126,13 @@
         let mut before = Vec::new();
         if let Some(value) = &value {
             let mut at = (value.parent_revision, value.parent);
-            for _ in 0..value.together {
+            for _ in 0..value.batched_before {
                 let Some(one) = self.version(at.0, &at.1) else { break };
                 at = (one.parent_revision, one.parent);
                 before.insert(0, std::sync::Arc::new(one));
             }
         }
-        Ok(Found { state, value, before, kept })
+        Ok(RecoveredState { state, value, batch: before, versions: kept })
     }
 
     /// Whole versions that lie in a spare get their names; then one spare is there, by a name that
@@ -159,28 +159,28 @@
     ///
     /// # Errors
     /// The disk still refuses something.
-    pub fn recover(&self, random: u64) -> Result<Found, miette::Report> {
+    pub fn recover(&self, random: u64) -> Result<RecoveredState, miette::Report> {
         let fault = |error: std::io::Error| miette::miette!("cannot write: {error}");
         // Whether it takes anything, before all of it is read.
         self.put(PROBE, b"").map_err(fault)?;
         std::fs::remove_file(self.folder.join(PROBE)).map_err(fault)?;
         self.sync_folder().map_err(fault)?;
         let found = self.load(random)?;
-        let versions = found.before.iter().chain(&found.value);
+        let versions = found.batch.iter().chain(&found.value);
         for value in versions {
             let bytes = value.encode();
             let name = version_name(value.revision, &crate::protocol::digest_of(&bytes));
             self.put(&name, &bytes).map_err(fault)?;
         }
         self.sync_folder().map_err(fault)?;
-        self.save(&[Write::State(found.state.clone())]).map_err(fault)?;
+        self.save(&[DiskWrite::State(found.state.clone())]).map_err(fault)?;
         Ok(found)
     }
 
     /// Makes this an empty disk under a new incarnation: its state first, then the old versions go.
-    pub fn reset(&self, random: u64) -> std::io::Result<Found> {
-        let state = State { incarnation: random, promised: Default::default(), accepted: None };
-        self.save(&[Write::State(state.clone())])?;
+    pub fn reset(&self, random: u64) -> std::io::Result<RecoveredState> {
+        let state = HardState { incarnation: random, promised: Default::default(), accepted: None };
+        self.save(&[DiskWrite::State(state.clone())])?;
         for entry in std::fs::read_dir(&self.folder)? {
             let path = entry?.path();
             let name = path.file_name().and_then(|name| name.to_str()).unwrap_or_default();
@@ -188,7 +188,7 @@
                 std::fs::remove_file(&path)?;
             }
         }
-        Ok(Found { state, value: None, before: Vec::new(), kept: Vec::new() })
+        Ok(RecoveredState { state, value: None, batch: Vec::new(), versions: Vec::new() })
     }
 
     /// The hints, if their file is whole.
@@ -218,16 +218,17 @@
     /// All or an error; after an error nobody knows what of it lasts. Says how often it synced. The
     /// state is renamed last, and one sync of the folder is enough for all names: the one version that
     /// fits the spare lies there until its own name lasts (design 6.1).
-    pub fn save(&self, writes: &[Write]) -> std::io::Result<u64> {
+    pub fn save(&self, writes: &[DiskWrite]) -> std::io::Result<u64> {
         let mut syncs = 0;
         let mut spare = self.spare.lock().expect("no panic under this lock");
-        let has_state = writes.iter().any(|write| matches!(write, Write::State(_)));
-        let versions = writes.iter().filter(|write| matches!(write, Write::Version { .. })).count();
+        let has_state = writes.iter().any(|write| matches!(write, DiskWrite::State(_)));
+        let versions =
+            writes.iter().filter(|write| matches!(write, DiskWrite::Version { .. })).count();
         // Several at one time go by their own names, which must last before the state does.
         let mut used = spare.filter(|_| has_state && versions == 1);
         for write in writes {
             match write {
-                Write::Version { revision, digest, bytes } => {
+                DiskWrite::Version { revision, digest, bytes } => {
                     let path = self.folder.join(version_name(*revision, digest));
                     if let Some(number) = used {
                         let spare_path = self.folder.join(SPARES[number]);
@@ -241,7 +242,7 @@
                     }
                     syncs += 1;
                 }
-                Write::State(state) => {
+                DiskWrite::State(state) => {
                     if versions > 0 && used.take().is_none() {
                         self.sync_folder()?;
                         syncs += 1;
@@ -249,7 +250,7 @@
                     self.put(STATE, &vanepath_cluster::wire::encode(state))?;
                     syncs += 1;
                 }
-                Write::Remove { revision, digest } => {
+                DiskWrite::Remove { revision, digest } => {
                     match std::fs::remove_file(self.folder.join(version_name(*revision, digest))) {
                         Err(error) if error.kind() != std::io::ErrorKind::NotFound => {
                             return Err(error);
--- a/store/src/hints.rs
+++ b/store/src/hints.rs
@@ -10,7 +10,8 @@
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Hints {
     /// Where live siblings were: asked at the start, beside the seeds of the settings.
-    pub siblings: BTreeSet<SocketAddr>,
+    #[serde(rename = "siblings")]
+    pub nodes: BTreeSet<SocketAddr>,
     /// The last plan, for what it says of servers that are away or came back lately. Its ages stand
     /// still while nobody runs, so that a cold server gets its modest rate rather too long.
     pub plan: wire::TrafficShiftPlan,
@@ -21,16 +22,16 @@
 const PAUSE: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Default)]
-pub struct Keeper {
+pub struct HintWriter {
     kept: Hints,
     /// When the last files were written, oldest first.
     written: std::collections::VecDeque<Duration>,
 }
 
-impl Keeper {
+impl HintWriter {
     /// Goes on from what the disk holds.
-    pub fn new(kept: Hints) -> Keeper {
-        Keeper { kept, written: Default::default() }
+    pub fn new(kept: Hints) -> HintWriter {
+        HintWriter { kept, written: Default::default() }
     }
 
     /// What to write now, if anything.
@@ -51,12 +52,12 @@
             || (last.unreachable == view.plan.unreachable
                 && last.warming_up.keys().eq(view.plan.warming_up.keys()));
         // Nobody in sight is no reason to forget where the others were.
-        let is_same = siblings.is_empty() || siblings == self.kept.siblings;
+        let is_same = siblings.is_empty() || siblings == self.kept.nodes;
         if is_same && is_same_plan {
             return None;
         }
         if !is_same {
-            self.kept.siblings = siblings;
+            self.kept.nodes = siblings;
         }
         if !is_same_plan {
             self.kept.plan = (*view.plan).clone();
--- a/store/src/hints/tests.rs
+++ b/store/src/hints/tests.rs
@@ -1,4 +1,4 @@
-use super::{Hints, Keeper};
+use super::{HintWriter, Hints};
 use std::sync::Arc;
 use std::time::Duration;
 use vanepath_cluster::{node::ClusterView, wire};
@@ -29,9 +29,9 @@
 /// forgotten when nobody is in sight.
 #[test]
 fn hints_are_written_seldom_and_kept() {
-    let mut keeper = Keeper::new(Hints::default());
+    let mut keeper = HintWriter::new(Hints::default());
     let first = keeper.step(Duration::ZERO, &view(1, "s1")).expect("all of it is new");
-    assert_eq!(first.siblings.len(), 2);
+    assert_eq!(first.nodes.len(), 2);
     assert_eq!(keeper.step(Duration::from_secs(1), &view(1, "s1")), None);
     let mut written = 0;
     for step in 0..600_u64 {
@@ -42,5 +42,5 @@
     let mut alone = view(9000, "s9");
     alone.live.truncate(1);
     let last = keeper.step(Duration::from_secs(200), &alone).expect("another plan");
-    assert_eq!((last.siblings.len(), last.plan.counter), (2, 9000));
+    assert_eq!((last.nodes.len(), last.plan.counter), (2, 9000));
 }
--- a/store/src/idempotency.rs
+++ b/store/src/idempotency.rs
@@ -1,31 +1,31 @@
 //! Submissions under their callers' keys, in short, for as long as a repeat of them has to be known as
 //! one (design 6.2): a record of twenty-four bytes each.
 
-use crate::protocol::Submission;
+use crate::protocol::IdempotencyRecord;
 
 /// Together with the last writes (`talk::KEYS_MOST`) more than a day of the design size has (2,400).
-pub const OLDER_KEYS_MOST: usize = 2304;
+pub const MAX_OLDER_WRITES: usize = 2304;
 
 /// What is known of a write by its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Known {
+pub struct KnownWrite {
     /// What `Change::matter` told.
     matter: u64,
     pub revision: u64,
     pub setup_revision: u64,
 }
 
-impl Known {
-    pub fn of(submission: &Submission) -> Known {
-        Known {
-            matter: submission.matter,
+impl KnownWrite {
+    pub fn of(submission: &IdempotencyRecord) -> KnownWrite {
+        KnownWrite {
+            matter: submission.content_hash,
             revision: submission.revision,
-            setup_revision: submission.setup_revision,
+            setup_revision: submission.config_revision,
         }
     }
 
     /// Whether that write asked for the same.
-    pub fn is_of(&self, matter: u64) -> bool {
+    pub fn has_content(&self, matter: u64) -> bool {
         self.matter == matter
     }
 }
@@ -34,23 +34,23 @@
 /// for, four each of the revision and the setup's revision, big end first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(transparent)]
-pub struct OlderKeys(#[serde(with = "serde_bytes")] Vec<u8>);
+pub struct OlderWrites(#[serde(with = "serde_bytes")] Vec<u8>);
 
 const RECORD: usize = 24;
 const KEY: usize = 8;
 const MATTER: usize = 16;
 const REVISION: usize = 20;
 
-impl OlderKeys {
+impl OlderWrites {
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    pub fn push(&mut self, submission: &Submission) {
-        if self.0.len() >= RECORD * OLDER_KEYS_MOST {
+    pub fn push(&mut self, submission: &IdempotencyRecord) {
+        if self.0.len() >= RECORD * MAX_OLDER_WRITES {
             self.0.drain(..RECORD);
         }
-        let known = Known::of(submission);
+        let known = KnownWrite::of(submission);
         self.0.extend(fingerprint(&submission.key));
         self.0.extend(known.matter.to_be_bytes());
         for revision in [known.revision, known.setup_revision] {
@@ -58,13 +58,13 @@
         }
     }
 
-    pub fn find(&self, key: &str) -> Option<Known> {
+    pub fn find(&self, key: &str) -> Option<KnownWrite> {
         let wanted = fingerprint(key);
         let record = self.0.chunks_exact(RECORD).rfind(|record| record[..KEY] == wanted)?;
         let matter = u64::from_be_bytes(record[KEY..MATTER].try_into().expect("eight bytes"));
         let revision_of =
             |bytes: &[u8]| u64::from(u32::from_be_bytes(bytes.try_into().expect("four bytes")));
-        Some(Known {
+        Some(KnownWrite {
             matter,
             revision: revision_of(&record[MATTER..REVISION]),
             setup_revision: revision_of(&record[REVISION..]),
--- a/store/src/retransmission.rs
+++ b/store/src/retransmission.rs
@@ -8,13 +8,13 @@
 
 /// A caller without a key sends an order again for at most 8 s after its first sending (docs/platform.md), and
 /// half a second for the way.
-pub const SENT_AGAIN_WITHIN: Duration = Duration::from_millis(8500);
+pub const RETRANSMISSION_WINDOW: Duration = Duration::from_millis(8500);
 /// Of these sendings none is heard of for so long at the most: each is given up after a second, and with
 /// any registry to choose from three in a row reach no store.
 const SILENT_WITHIN: Duration = Duration::from_secs(4);
 /// Such a caller waits a second for the answer to one sending (docs/platform.md). An answer that leaves
 /// the registry by then surely comes within it, so it isn't sent again.
-pub const SURE_WITHIN: Duration = Duration::from_millis(800);
+pub const OVERTAKEN_AFTER: Duration = Duration::from_millis(800);
 /// By then its registry has told that it answered, unless it died or was slow.
 const TOLD_WITHIN: Duration = Duration::from_millis(450);
 
@@ -35,62 +35,64 @@
 impl Seen {
     /// Its caller may send it again.
     fn is_open(&self, at: Duration) -> bool {
-        !self.is_sure && at <= self.came + SENT_AGAIN_WITHIN && at <= self.heard + SILENT_WITHIN
+        !self.is_sure && at <= self.came + RETRANSMISSION_WINDOW && at <= self.heard + SILENT_WITHIN
     }
 }
 
 /// What an order is beside the ones before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    Another,
+pub enum Judgement {
+    New,
     /// The one that made this revision.
-    SentAgain {
+    Retransmission {
         revision: u64,
         setup_revision: u64,
     },
     /// The one before may yet turn out to be answered: to be looked at again a little later.
-    TooSoon,
+    Undecided,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Orders {
+pub struct RetransmissionFilter {
     /// By the keys of the last writes.
     seen: BTreeMap<String, Seen>,
 }
 
-impl Orders {
+impl RetransmissionFilter {
     /// A value that this copy holds from now on. Of what it did not see come it knows nothing: it takes it
     /// as just come and unanswered.
-    pub fn see(&mut self, value: &Value, now: Duration) {
-        for known in &value.keys {
+    pub fn observe(&mut self, value: &Value, now: Duration) {
+        for known in &value.recent_writes {
             if !self.seen.contains_key(&known.key) {
                 let seen = Seen { came: now, heard: now, is_sure: false };
                 self.seen.insert(known.key.clone(), seen);
             }
         }
-        if self.seen.len() > 2 * value.keys.len() + SEEN_LEAST {
-            let keys: BTreeSet<&str> = value.keys.iter().map(|known| known.key.as_str()).collect();
+        if self.seen.len() > 2 * value.recent_writes.len() + SEEN_LEAST {
+            let keys: BTreeSet<&str> =
+                value.recent_writes.iter().map(|known| known.key.as_str()).collect();
             self.seen.retain(|key, _| keys.contains(key.as_str()));
         }
     }
 
     /// The writes whose callers may send them again, each with its age in ms: what a promise tells beside
     /// the value, so that a proposer knows what any of a majority knows.
-    pub fn open(&self, value: &Value, now: Duration) -> Vec<(String, u32)> {
+    pub fn unacknowledged(&self, value: &Value, now: Duration) -> Vec<(String, u32)> {
         // Not by when it was last heard of: that may have been elsewhere.
-        let is_open = |seen: &&Seen| !seen.is_sure && now <= seen.came + SENT_AGAIN_WITHIN;
+        let is_open = |seen: &&Seen| !seen.is_sure && now <= seen.came + RETRANSMISSION_WINDOW;
         let seen = |key: &String| self.seen.get(key).filter(is_open);
-        let open = value.keys.iter().filter_map(|known| Some((&known.key, seen(&known.key)?)));
+        let open =
+            value.recent_writes.iter().filter_map(|known| Some((&known.key, seen(&known.key)?)));
         let age = |seen: &Seen| now.saturating_sub(seen.came).as_millis() as u32;
         open.map(|(key, seen)| (key.clone(), age(seen))).collect()
     }
 
     /// Another copy holds this value, and has only these for open.
-    pub fn told(&mut self, value: &Value, open: &[(String, u32)], now: Duration) {
-        for known in &value.keys {
+    pub fn merge(&mut self, value: &Value, open: &[(String, u32)], now: Duration) {
+        for known in &value.recent_writes {
             let age = open.iter().find(|(key, _)| *key == known.key).map(|(_, age)| *age);
             let age = age.map(|age| Duration::from_millis(u64::from(age)));
-            let came = now.saturating_sub(age.unwrap_or(SENT_AGAIN_WITHIN));
+            let came = now.saturating_sub(age.unwrap_or(RETRANSMISSION_WINDOW));
             let fresh = Seen { came, heard: now, is_sure: false };
             let seen = self.seen.entry(known.key.clone()).or_insert(fresh);
             seen.came = seen.came.min(came);
@@ -105,10 +107,11 @@
         self.seen.insert(key.to_string(), seen);
     }
 
-    pub fn answered(&mut self, value: &Value, matter: u64, revision: u64, now: Duration) {
-        let is_it =
-            |one: &&crate::protocol::Submission| (one.matter, one.revision) == (matter, revision);
-        let known = value.keys.iter().find(is_it);
+    pub fn acknowledge(&mut self, value: &Value, matter: u64, revision: u64, now: Duration) {
+        let is_it = |one: &&crate::protocol::IdempotencyRecord| {
+            (one.content_hash, one.revision) == (matter, revision)
+        };
+        let known = value.recent_writes.iter().find(is_it);
         if let Some(seen) = known.and_then(|known| self.seen.get_mut(&known.key)) {
             (seen.is_sure, seen.heard) = (true, now);
         }
@@ -122,29 +125,29 @@
         change: &Change,
         unnamed_since: Option<Duration>,
         now: Duration,
-    ) -> Verdict {
-        let Some(since) = unnamed_since else { return Verdict::Another };
+    ) -> Judgement {
+        let Some(since) = unnamed_since else { return Judgement::New };
         let is_in_force = match change {
-            Change::Setup { .. } => return Verdict::Another,
-            Change::Empty { zone } => value.orders(zone) > 0,
+            Change::ReplaceConfig { .. } => return Judgement::New,
+            Change::DrainZone { zone } => value.drain_orders(zone) > 0,
             // Where none stands there is nothing to withdraw twice.
-            Change::Return { .. } => true,
+            Change::RestoreZone { .. } => true,
         };
-        let matter = change.matter();
-        for known in value.keys.iter().rev().filter(|known| known.matter == matter) {
+        let matter = change.content_hash();
+        for known in value.recent_writes.iter().rev().filter(|known| known.content_hash == matter) {
             let Some(seen) = self.seen.get_mut(&known.key) else { continue };
             // It was held up for so long that its caller may have sent it again, and that came first.
-            let is_overtaken = now.saturating_sub(since) >= SURE_WITHIN && seen.heard >= since;
+            let is_overtaken = now.saturating_sub(since) >= OVERTAKEN_AFTER && seen.heard >= since;
             let is_open = is_in_force && seen.is_open(since);
             if !is_overtaken && is_open && now < seen.came + TOLD_WITHIN {
-                return Verdict::TooSoon;
+                return Judgement::Undecided;
             }
             if is_overtaken || is_open {
                 seen.heard = now;
-                let (revision, setup_revision) = (known.revision, known.setup_revision);
-                return Verdict::SentAgain { revision, setup_revision };
+                let (revision, setup_revision) = (known.revision, known.config_revision);
+                return Judgement::Retransmission { revision, setup_revision };
             }
         }
-        Verdict::Another
+        Judgement::New
     }
 }
--- a/store/src/shell.rs
+++ b/store/src/shell.rs
@@ -1,7 +1,7 @@
 //! The shell round the register: an actor that carries out its effects in order (design 6.7).
 
-use crate::consensus::{Effect, Event, Register};
-use crate::protocol::{Ask, Tell};
+use crate::consensus::{Effect, Event, Replica};
+use crate::protocol::{Request, Response};
 use std::sync::Arc;
 use std::time::Duration;
 use vanepath_cluster::{gossip, node, wire};
@@ -26,14 +26,14 @@
 
 #[derive(xtra::Actor)]
 struct StoreActor {
-    core: Register,
+    core: Replica,
     disk: Arc<crate::disk::Disk>,
     daemon: Arc<node::Node>,
     tally: Arc<Counters>,
     summary: Arc<arc_swap::ArcSwap<crate::consensus::Summary>>,
-    waiting: std::collections::HashMap<u64, tokio::sync::oneshot::Sender<Tell>>,
+    waiting: std::collections::HashMap<u64, tokio::sync::oneshot::Sender<Response>>,
     next_ticket: u64,
-    claims: Arc<arc_swap::ArcSwap<Claims>>,
+    claims: Arc<arc_swap::ArcSwap<StoreDirectory>>,
     /// The disk refused something and is tried again a little later.
     awaits_disk: bool,
 }
@@ -43,7 +43,7 @@
 
 struct Happened(Event);
 struct TryDisk;
-struct Asked(Ask, tokio::sync::oneshot::Sender<Tell>);
+struct Asked(Request, tokio::sync::oneshot::Sender<Response>);
 
 impl StoreActor {
     async fn step(&mut self, event: Event, own: &xtra::Address<StoreActor>) {
@@ -70,7 +70,7 @@
         events: &mut std::collections::VecDeque<Event>,
     ) -> bool {
         match effect {
-            Effect::Save(writes) => {
+            Effect::Persist(writes) => {
                 self.tally.increment(Counter::StoreSaves);
                 let disk = self.disk.clone();
                 let saved = tokio::task::spawn_blocking(move || disk.save(&writes)).await;
@@ -101,7 +101,7 @@
                     Err(_) => events.push_back(Event::DiskFailed),
                 }
             }
-            Effect::Call { call, incarnation, ask } => {
+            Effect::Send { call, incarnation, request: ask } => {
                 self.tally.increment(Counter::StoreCalls);
                 let address = self.claims.load().address_of(incarnation, &ask);
                 let own = own.clone();
@@ -120,34 +120,37 @@
                     if tell.is_none() {
                         tally.increment(Counter::StoreCallsFailed);
                     }
-                    let _ = own.send(Happened(Event::Told { call, tell })).await;
+                    let _ =
+                        own.send(Happened(Event::ResponseReceived { call, response: tell })).await;
                 });
             }
-            Effect::Answer { ticket, tell } => self.answer(ticket, tell),
-            Effect::AnswerFromFile { ticket, versions, as_outcome } => {
+            Effect::Reply { ticket, response: tell } => self.answer(ticket, tell),
+            Effect::ReplyFromDisk { ticket, versions, as_outcome } => {
                 let disk = self.disk.clone();
                 let read = tokio::task::spawn_blocking(move || {
-                    crate::consensus::from_files(&versions, as_outcome, |(revision, digest)| {
-                        disk.version(*revision, digest)
-                    })
+                    crate::consensus::response_from_disk(
+                        &versions,
+                        as_outcome,
+                        |(revision, digest)| disk.version(*revision, digest),
+                    )
                 });
                 let Ok((tell, damaged)) = read.await else { return true };
                 if let Some((revision, digest)) = damaged {
                     self.tally.increment(Counter::StoreFilesDamaged);
-                    events.push_back(Event::Damaged { revision, digest });
+                    events.push_back(Event::VersionDamaged { revision, digest });
                 }
                 self.answer(ticket, tell);
             }
-            Effect::Chosen(value) => {
+            Effect::Committed(value) => {
                 self.tally.increment(Counter::StoreVersionsChosen);
-                let word = Arc::new(value.word());
+                let word = Arc::new(value.committed_config());
                 let _ = self
                     .daemon
                     .gossip
                     .send(node::Deliver(gossip::Event::ConfigCommitted(word)))
                     .await;
             }
-            Effect::Noted(text) => log::info!("store: {text}"),
+            Effect::Log(text) => log::info!("store: {text}"),
         }
         true
     }
@@ -163,7 +166,7 @@
         });
     }
 
-    fn answer(&mut self, ticket: u64, tell: Tell) {
+    fn answer(&mut self, ticket: u64, tell: Response) {
         if let Some(waiting) = self.waiting.remove(&ticket) {
             let _ = waiting.send(tell);
         }
@@ -190,7 +193,7 @@
         match tokio::task::spawn_blocking(move || disk.recover(node::random())).await {
             Ok(Ok(found)) => {
                 self.tally.increment(Counter::StoreDisksRecovered);
-                self.step(Event::DiskWorks(found), &own).await;
+                self.step(Event::DiskRecovered(found), &own).await;
             }
             _ => self.try_disk_later(&own),
         }
@@ -207,7 +210,7 @@
         self.tally.increment(Counter::StoreAsks);
         self.next_ticket += 1;
         self.waiting.insert(self.next_ticket, reply);
-        self.step(Event::Asked { ticket: self.next_ticket, ask }, &own).await;
+        self.step(Event::RequestReceived { ticket: self.next_ticket, request: ask }, &own).await;
     }
 }
 
@@ -215,7 +218,8 @@
 pub async fn run(settings: vanepath_config::settings::Settings) -> Result<(), miette::Report> {
     let folder = settings.data_folder.clone().expect("checked with the settings");
     let founders = if settings.may_bootstrap { settings.bootstrap_size } else { 0 };
-    let identity = crate::consensus::Identity { name: settings.name.clone(), founders };
+    let identity =
+        crate::consensus::Identity { name: settings.name.clone(), bootstrap_size: founders };
     let disk = Arc::new(crate::disk::Disk::open(&folder)?);
     let found = disk.load(node::random())?;
     if settings.rescue {
@@ -230,8 +234,8 @@
         let slot = handler_slot.clone();
         Box::pin(async move {
             let ask = match request {
-                wire::Request::Store(bytes) => wire::decode::<Ask>(&bytes),
-                wire::Request::Floor => Some(Ask::Floor),
+                wire::Request::Store(bytes) => wire::decode::<Request>(&bytes),
+                wire::Request::Floor => Some(Request::ReadIndex),
                 wire::Request::Pull(_) => None,
             };
             let Some(ask) = ask else {
@@ -243,7 +247,7 @@
             let (sender, receiver) = tokio::sync::oneshot::channel();
             let _ = actor.send(Asked(ask, sender)).await;
             match receiver.await {
-                Ok(Tell::Floor(revision)) => wire::Reply::Floor(revision),
+                Ok(Response::ReadIndex(revision)) => wire::Reply::Floor(revision),
                 Ok(tell) => wire::Reply::Store(wire::encode(&tell).into()),
                 Err(_) => wire::Reply::NoDuty,
             }
@@ -252,14 +256,14 @@
     // Where siblings were when this store last ran, beside the seeds of the settings.
     let hints = disk.hints();
     let mut started = settings.clone();
-    started.seeds.extend(&hints.siblings);
+    started.seeds.extend(&hints.nodes);
     let daemon = node::Node::start(started, Some(handler)).await?;
     let plan = Arc::new(hints.plan.clone());
     let _ = daemon.gossip.send(node::Deliver(gossip::Event::PlanReceived(plan))).await;
     let tally: Arc<Counters> = Arc::default();
-    let core = Register::new(identity, found, daemon.clock.now());
+    let core = Replica::new(identity, found, daemon.clock.now());
     let summary = Arc::new(arc_swap::ArcSwap::from_pointee(core.summary()));
-    let claims = Arc::new(arc_swap::ArcSwap::from_pointee(Claims::default()));
+    let claims = Arc::new(arc_swap::ArcSwap::from_pointee(StoreDirectory::default()));
     let actor = StoreActor {
         core,
         disk: disk.clone(),
@@ -276,7 +280,7 @@
 
     let hints_disk = disk.clone();
     let hints_tally = tally.clone();
-    let mut keeper = crate::hints::Keeper::new(hints);
+    let mut keeper = crate::hints::HintWriter::new(hints);
     let pulsed = actor.clone();
     let pulse_daemon = daemon.clone();
     let pulse_summary = summary.clone();
@@ -295,22 +299,22 @@
                     Err(error) => log::warn!("cannot save hints to the data folder: {error}"),
                 });
             }
-            let found = Claims::of(&view);
+            let found = StoreDirectory::of(&view);
             let live = found.live.clone();
             claims.store(Arc::new(found));
             let revision = view.committed.revision;
-            for event in [Event::Live(live), Event::Heard { revision }, Event::Pulse] {
+            for event in [Event::LiveStores(live), Event::RevisionHeard { revision }, Event::Tick] {
                 if pulsed.send(Happened(event)).await.is_err() {
                     return;
                 }
             }
             let summary = pulse_summary.load();
             let report = wire::NodeStatus {
-                ready: summary.votes,
+                ready: summary.is_voting,
                 draining: pulse_daemon.is_shutting_down(),
                 revision: view.committed.revision,
-                empty_disk: summary.blank,
-                synced: summary.settled,
+                empty_disk: summary.is_empty,
+                synced: summary.synced,
                 disk: Some(summary.disk()),
                 ..wire::NodeStatus::default()
             };
@@ -334,24 +338,24 @@
 
 /// Live stores by what they claim, and where each disk is.
 #[derive(Clone, Debug, Default)]
-pub struct Claims {
-    pub live: Vec<crate::consensus::Claim>,
+pub struct StoreDirectory {
+    pub live: Vec<crate::consensus::LiveStore>,
     addresses: std::collections::BTreeMap<u64, std::net::SocketAddr>,
     /// Where those were that are not heard of any more.
     lost: std::collections::BTreeMap<u64, std::net::SocketAddr>,
 }
 
-impl Claims {
-    pub fn of(view: &node::ClusterView) -> Claims {
-        let mut claims = Claims::default();
+impl StoreDirectory {
+    pub fn of(view: &node::ClusterView) -> StoreDirectory {
+        let mut claims = StoreDirectory::default();
         for (card, report) in &view.live {
             let Some(disk) = report.disk else { continue };
             claims.addresses.insert(disk.incarnation, card.cluster_address);
-            claims.live.push(crate::consensus::Claim {
+            claims.live.push(crate::consensus::LiveStore {
                 name: card.name.clone(),
                 incarnation: disk.incarnation,
-                blank: report.empty_disk,
-                founds: report.empty_disk && disk.may_bootstrap,
+                is_empty: report.empty_disk,
+                may_bootstrap: report.empty_disk && disk.may_bootstrap,
             });
         }
         let lost = view.unreachable.iter().filter_map(|(card, report)| Some((card, report.disk?)));
@@ -360,8 +364,8 @@
     }
 
     /// Where to ask; one that is not heard of is asked for nothing but whether it is there.
-    pub fn address_of(&self, incarnation: u64, ask: &Ask) -> Option<std::net::SocketAddr> {
-        let lost = self.lost.get(&incarnation).filter(|_| matches!(ask, Ask::Alive));
+    pub fn address_of(&self, incarnation: u64, ask: &Request) -> Option<std::net::SocketAddr> {
+        let lost = self.lost.get(&incarnation).filter(|_| matches!(ask, Request::Ping));
         self.addresses.get(&incarnation).or(lost).copied()
     }
 }
@@ -373,7 +377,7 @@
     request: &hyper::Request<hyper::body::Incoming>,
 ) -> hyper::Response<node::Body> {
     let path = request.uri().path();
-    let ready = summary.votes && !daemon.is_shutting_down();
+    let ready = summary.is_voting && !daemon.is_shutting_down();
     if let Some(receipt) = node::common_pages(daemon, path, ready, |all| tally.write_json(all)) {
         return receipt;
     }
@@ -382,7 +386,7 @@
         return node::json_response(hyper::StatusCode::NOT_FOUND, &error);
     }
     let seats: Vec<jzon::JsonValue> = summary
-        .seats
+        .members
         .iter()
         .map(|holder| match holder {
             Some(holder) => jzon::object! {
@@ -397,13 +401,13 @@
         "name": daemon.settings.name.as_str(),
         "revision": view.active_revision(),
         "floor": view.read_index_json(),
-        "seat": summary.seat,
+        "seat": summary.slot,
         "incarnation": format!("{:016x}", summary.incarnation),
-        "votes": summary.votes,
-        "why": summary.why,
+        "votes": summary.is_voting,
+        "why": summary.reason,
         "promised": summary.promised,
         "acceptedRevision": summary.accepted,
-        "chosenRevision": summary.chosen,
+        "chosenRevision": summary.committed,
         "versions": summary.versions,
         "seats": seats,
     };
@@ -412,7 +416,7 @@
 
 fn rescue(
     disk: &crate::disk::Disk,
-    found: &crate::consensus::Found,
+    found: &crate::consensus::RecoveredState,
     name: &str,
 ) -> Result<(), miette::Report> {
     let Some(value) = found.value.as_ref().filter(|_| found.state.accepted.is_some()) else {
@@ -425,8 +429,8 @@
     let digest = crate::protocol::digest_of(&bytes);
     let revision = next.revision;
     let writes = [
-        crate::consensus::Write::Version { revision, digest, bytes },
-        crate::consensus::Write::State(state),
+        crate::consensus::DiskWrite::Version { revision, digest, bytes },
+        crate::consensus::DiskWrite::State(state),
     ];
     disk.save(&writes).map_err(|error| miette::miette!("cannot save: {error}"))?;
     println!(
--- a/store/tests/disk.rs
+++ b/store/tests/disk.rs
@@ -1,9 +1,9 @@
 //! The data folder step by step: what a loss of power leaves, and how often it is synced.
 
 use std::path::{Path, PathBuf};
-use vanepath_store::consensus::{Found, State, Write};
+use vanepath_store::consensus::{DiskWrite, HardState, RecoveredState};
 use vanepath_store::disk::Disk;
-use vanepath_store::protocol::{Ballot, Meta, Value, digest_of};
+use vanepath_store::protocol::{AcceptedProposal, Ballot, Value, digest_of};
 
 fn folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("vanepath-disk-{name}-{}", std::process::id()));
@@ -16,29 +16,29 @@
         revision,
         parent_revision: revision.saturating_sub(1),
         parent: parent.map(|value| digest_of(&value.encode())).unwrap_or_default(),
-        setup_revision: revision,
-        setup_version: 0,
-        setup: format!("setup {revision}").into_bytes(),
-        emptied: Default::default(),
-        further_orders: Default::default(),
-        seats: Vec::new(),
-        together,
-        keys: Default::default(),
-        older_keys: Default::default(),
-        versions: Default::default(),
+        config_revision: revision,
+        config_version: 0,
+        document: format!("setup {revision}").into_bytes(),
+        drained_zones: Default::default(),
+        extra_drain_orders: Default::default(),
+        members: Vec::new(),
+        batched_before: together,
+        recent_writes: Default::default(),
+        older_writes: Default::default(),
+        version_hashes: Default::default(),
     }
 }
 
-fn version(value: &Value) -> Write {
+fn version(value: &Value) -> DiskWrite {
     let bytes = value.encode();
-    Write::Version { revision: value.revision, digest: digest_of(&bytes), bytes }
+    DiskWrite::Version { revision: value.revision, digest: digest_of(&bytes), bytes }
 }
 
-fn state(incarnation: u64, value: &Value) -> State {
+fn state(incarnation: u64, value: &Value) -> HardState {
     let ballot = Ballot { number: value.revision + 1, incarnation };
     let digest = digest_of(&value.encode());
-    let accepted = Some(Meta { ballot, revision: value.revision, digest });
-    State { incarnation, promised: ballot, accepted }
+    let accepted = Some(AcceptedProposal { ballot, revision: value.revision, digest });
+    HardState { incarnation, promised: ballot, accepted }
 }
 
 fn files(folder: &Path) -> Vec<(PathBuf, Vec<u8>)> {
@@ -51,7 +51,7 @@
     all
 }
 
-fn load(folder: &Path) -> Found {
+fn load(folder: &Path) -> RecoveredState {
     Disk::open(folder).unwrap().load(77).unwrap()
 }
 
@@ -67,20 +67,20 @@
     let folder = folder("syncs");
     let disk = Disk::open(&folder).unwrap();
     let found = disk.load(7).unwrap();
-    assert_eq!(disk.save(&[Write::State(found.state)]).unwrap(), 2);
+    assert_eq!(disk.save(&[DiskWrite::State(found.state)]).unwrap(), 2);
     let mut last = value(0, None, 0);
     for revision in 1..6 {
-        assert_eq!(disk.save(&[version(&last), Write::State(state(7, &last))]).unwrap(), 3);
+        assert_eq!(disk.save(&[version(&last), DiskWrite::State(state(7, &last))]).unwrap(), 3);
         last = value(revision, Some(&last), 0);
     }
     let next = value(last.revision + 1, Some(&last), 1);
-    let writes = [version(&last), version(&next), Write::State(state(7, &next))];
+    let writes = [version(&last), version(&next), DiskWrite::State(state(7, &next))];
     assert_eq!(disk.save(&writes).unwrap(), 5);
     drop(disk);
     let found = load(&folder);
     assert_eq!(found.value.as_deref(), Some(&next));
-    assert_eq!(found.before.iter().map(|one| one.revision).collect::<Vec<u64>>(), [last.revision]);
-    assert_eq!(found.kept.len(), 7);
+    assert_eq!(found.batch.iter().map(|one| one.revision).collect::<Vec<u64>>(), [last.revision]);
+    assert_eq!(found.versions.len(), 7);
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
@@ -94,15 +94,15 @@
         let disk = Disk::open(&folder).unwrap();
         disk.load(7).unwrap();
         let old = value(10 * turn, None, 0);
-        disk.save(&[version(&old), Write::State(state(7, &old))]).unwrap();
+        disk.save(&[version(&old), DiskWrite::State(state(7, &old))]).unwrap();
         if turn == 1 {
             let again = value(5, None, 0);
-            disk.save(&[version(&again), Write::State(state(7, &again))]).unwrap();
-            disk.save(&[Write::State(state(7, &old))]).unwrap();
+            disk.save(&[version(&again), DiskWrite::State(state(7, &again))]).unwrap();
+            disk.save(&[DiskWrite::State(state(7, &old))]).unwrap();
         }
         let before = files(&folder);
         let new = value(10 * turn + 1, Some(&old), 0);
-        disk.save(&[version(&new), Write::State(state(7, &new))]).unwrap();
+        disk.save(&[version(&new), DiskWrite::State(state(7, &new))]).unwrap();
         drop(disk);
         let after = files(&folder);
         // The spare that was there holds the version's bytes as far as its own name was not lost.
@@ -135,7 +135,7 @@
             let disk = Disk::open(&folder).unwrap();
             disk.load(7).unwrap();
             let next = value(10 * turn + 2, Some(wanted), 0);
-            disk.save(&[version(&next), Write::State(state(7, &next))]).unwrap();
+            disk.save(&[version(&next), DiskWrite::State(state(7, &next))]).unwrap();
             drop(disk);
             assert_eq!(load(&folder).value.as_deref(), Some(&next));
         }
@@ -150,12 +150,12 @@
     let disk = Disk::open(&folder).unwrap();
     disk.load(7).unwrap();
     let old = value(1, None, 0);
-    disk.save(&[version(&old), Write::State(state(7, &old))]).unwrap();
+    disk.save(&[version(&old), DiskWrite::State(state(7, &old))]).unwrap();
     drop(disk);
     let whole = std::fs::read(named(&folder, "version-")).unwrap();
     std::fs::write(named(&folder, "spare-"), &whole[..whole.len() / 2]).unwrap();
     let found = load(&folder);
-    assert_eq!((found.value.as_deref(), found.kept.len()), (Some(&old), 1));
+    assert_eq!((found.value.as_deref(), found.versions.len()), (Some(&old), 1));
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
@@ -166,13 +166,13 @@
     let disk = Disk::open(&folder).unwrap();
     disk.load(7).unwrap();
     let old = value(1, None, 0);
-    disk.save(&[version(&old), Write::State(state(7, &old))]).unwrap();
+    disk.save(&[version(&old), DiskWrite::State(state(7, &old))]).unwrap();
     let found = disk.reset(8).unwrap();
     assert_eq!((found.state.incarnation, found.state.accepted), (8, None));
     drop(disk);
     let found = load(&folder);
     assert_eq!((found.state.incarnation, found.state.accepted), (8, None));
-    assert!(found.kept.is_empty() && found.value.is_none());
+    assert!(found.versions.is_empty() && found.value.is_none());
     assert!(!files(&folder).iter().any(|(path, _)| path.to_str().unwrap().contains("version-")));
     std::fs::remove_dir_all(&folder).unwrap();
 }
@@ -186,19 +186,19 @@
     disk.load(7).unwrap();
     let old = value(1, None, 0);
     let new = value(2, Some(&old), 1);
-    disk.save(&[version(&old), version(&new), Write::State(state(7, &new))]).unwrap();
+    disk.save(&[version(&old), version(&new), DiskWrite::State(state(7, &new))]).unwrap();
     // No space: a file in the place of the folder's next aside file is a folder, which cannot be written.
     let blocked = folder.join("state.cbor.aside");
     std::fs::create_dir(&blocked).unwrap();
     let next = value(3, Some(&new), 0);
-    assert!(disk.save(&[version(&next), Write::State(state(7, &next))]).is_err());
+    assert!(disk.save(&[version(&next), DiskWrite::State(state(7, &next))]).is_err());
     assert!(disk.recover(9).is_err(), "it still refuses");
     std::fs::remove_dir(&blocked).unwrap();
     let found = disk.recover(9).unwrap();
     assert_eq!(found.state, state(7, &new), "what was not saved was told to nobody");
     assert_eq!(found.value.as_deref(), Some(&new));
-    assert_eq!(found.before.iter().map(|one| one.revision).collect::<Vec<u64>>(), [1]);
-    disk.save(&[version(&next), Write::State(state(7, &next))]).unwrap();
+    assert_eq!(found.batch.iter().map(|one| one.revision).collect::<Vec<u64>>(), [1]);
+    disk.save(&[version(&next), DiskWrite::State(state(7, &next))]).unwrap();
     drop(disk);
     assert_eq!(load(&folder).value.as_deref(), Some(&next));
     std::fs::remove_dir_all(&folder).unwrap();
--- a/store/tests/frames.rs
+++ b/store/tests/frames.rs
@@ -4,9 +4,10 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 use vanepath_cluster::wire::{decode, encode};
-use vanepath_store::idempotency::OlderKeys;
+use vanepath_store::idempotency::OlderWrites;
 use vanepath_store::protocol::{
-    Ask, Ballot, Change, Holder, Membership, Meta, Outcome, Refusal, Submission, Tell, Value,
+    AcceptedProposal, Ballot, Change, IdempotencyRecord, Member, MembershipSnapshot, Outcome,
+    Rejection, Request, Response, Value,
 };
 
 #[derive(Default)]
@@ -32,39 +33,39 @@
     Ballot { number, incarnation: 8 }
 }
 
-fn meta(revision: u64) -> Meta {
-    Meta { ballot: ballot(revision + 1), revision, digest: [revision as u8; 32] }
+fn meta(revision: u64) -> AcceptedProposal {
+    AcceptedProposal { ballot: ballot(revision + 1), revision, digest: [revision as u8; 32] }
 }
 
 /// With the fields that are left out where there is nothing in them.
 fn full_value() -> Value {
-    let submission = |number: u64, is_made: bool| Submission {
+    let submission = |number: u64, is_made: bool| IdempotencyRecord {
         key: format!("key-{number}"),
-        matter: 1000 + number,
+        content_hash: 1000 + number,
         revision: number,
-        setup_revision: number - 1,
-        is_made,
+        config_revision: number - 1,
+        is_generated: is_made,
     };
-    let mut older_keys = OlderKeys::default();
+    let mut older_keys = OlderWrites::default();
     older_keys.push(&submission(1, false));
     Value {
         revision: 5,
         parent_revision: 4,
         parent: [4; 32],
-        setup_revision: 3,
-        setup_version: 2,
-        setup: b"setup".to_vec(),
-        emptied: ["north-1".to_string()].into(),
-        further_orders: [("north-1".to_string(), 2)].into(),
-        seats: vec![
-            Some(Holder { name: "store-0".to_string(), incarnation: 7, admitted: false }),
-            Some(Holder { name: "store-9".to_string(), incarnation: 70, admitted: true }),
+        config_revision: 3,
+        config_version: 2,
+        document: b"setup".to_vec(),
+        drained_zones: ["north-1".to_string()].into(),
+        extra_drain_orders: [("north-1".to_string(), 2)].into(),
+        members: vec![
+            Some(Member { name: "store-0".to_string(), incarnation: 7, joined_later: false }),
+            Some(Member { name: "store-9".to_string(), incarnation: 70, joined_later: true }),
             None,
         ],
-        together: 1,
-        keys: [submission(4, false), submission(5, true)].into(),
-        older_keys,
-        versions: [(2, 22)].into(),
+        batched_before: 1,
+        recent_writes: [submission(4, false), submission(5, true)].into(),
+        older_writes: older_keys,
+        version_hashes: [(2, 22)].into(),
     }
 }
 
@@ -73,55 +74,57 @@
         revision: 0,
         parent_revision: 0,
         parent: [0; 32],
-        setup_revision: 0,
-        setup_version: 0,
-        setup: Vec::new(),
-        emptied: Default::default(),
-        further_orders: Default::default(),
-        seats: Vec::new(),
-        together: 0,
-        keys: Default::default(),
-        older_keys: Default::default(),
-        versions: Default::default(),
+        config_revision: 0,
+        config_version: 0,
+        document: Vec::new(),
+        drained_zones: Default::default(),
+        extra_drain_orders: Default::default(),
+        members: Vec::new(),
+        batched_before: 0,
+        recent_writes: Default::default(),
+        older_writes: Default::default(),
+        version_hashes: Default::default(),
     }
 }
 
 fn changes() -> Vec<(&'static str, Change)> {
-    let setup = |if_revision, version| Change::Setup { bytes: b"s".to_vec(), if_revision, version };
+    let setup =
+        |if_revision, version| Change::ReplaceConfig { bytes: b"s".to_vec(), if_revision, version };
     vec![
         ("setup-bare", setup(None, None)),
         ("setup-conditional", setup(Some(4), Some(9))),
-        ("empty", Change::Empty { zone: "north-1".to_string() }),
-        ("return", Change::Return { zone: "north-1".to_string() }),
+        ("empty", Change::DrainZone { zone: "north-1".to_string() }),
+        ("return", Change::RestoreZone { zone: "north-1".to_string() }),
     ]
 }
 
 #[test]
 fn requests_keep_their_bytes() {
     let mut frames = Frames::default();
-    frames.add("prepare", &Ask::Prepare { from: 7, ballot: ballot(3), has: None });
+    frames.add("prepare", &Request::Prepare { from: 7, ballot: ballot(3), known_digest: None });
     let has = Some([9; 32]);
-    frames.add("prepare-has", &Ask::Prepare { from: 7, ballot: ballot(3), has });
+    frames.add("prepare-has", &Request::Prepare { from: 7, ballot: ballot(3), known_digest: has });
     let (from, value) = (7, bare_value());
-    frames.add("accept-bare", &Ask::Accept { from, ballot: ballot(3), value, before: Vec::new() });
+    frames
+        .add("accept-bare", &Request::Accept { from, ballot: ballot(3), value, batch: Vec::new() });
     let (value, before) = (full_value(), vec![bare_value()]);
-    frames.add("accept-full", &Ask::Accept { from, ballot: ballot(3), value, before });
-    frames.add("query", &Ask::Query);
-    frames.add("alive", &Ask::Alive);
-    frames.add("fetch", &Ask::Fetch { revision: 3, digest: [3; 32] });
-    frames.add("membership", &Ask::Membership { from: 7, wants_value: false });
-    frames.add("membership-value", &Ask::Membership { from: 7, wants_value: true });
+    frames.add("accept-full", &Request::Accept { from, ballot: ballot(3), value, batch: before });
+    frames.add("query", &Request::QueryStatus);
+    frames.add("alive", &Request::Ping);
+    frames.add("fetch", &Request::Fetch { revision: 3, digest: [3; 32] });
+    frames.add("membership", &Request::Membership { from: 7, wants_value: false });
+    frames.add("membership-value", &Request::Membership { from: 7, wants_value: true });
     for (label, change) in changes() {
         let key = "key".to_string();
-        frames.add(&format!("change-{label}"), &Ask::Change { key, change, unnamed_for: None });
+        frames.add(&format!("change-{label}"), &Request::Change { key, change, keyless_for: None });
     }
     let (key, change) = ("key".to_string(), changes().remove(0).1);
     let unnamed_for = Some(Duration::from_millis(1500));
-    frames.add("change-unnamed", &Ask::Change { key, change, unnamed_for });
-    frames.add("read", &Ask::Read);
-    frames.add("history", &Ask::History { revision: 3 });
-    frames.add("answered", &Ask::Answered { matter: 4, revision: 3 });
-    frames.add("floor", &Ask::Floor);
+    frames.add("change-unnamed", &Request::Change { key, change, keyless_for: unnamed_for });
+    frames.add("read", &Request::Read);
+    frames.add("history", &Request::History { revision: 3 });
+    frames.add("answered", &Request::Acknowledge { content_hash: 4, revision: 3 });
+    frames.add("floor", &Request::ReadIndex);
     expect_test::expect_file!["fixtures/requests.txt"].assert_eq(&frames.text);
 }
 
@@ -129,51 +132,62 @@
 fn replies_keep_their_bytes() {
     let mut frames = Frames::default();
     let (from, accepted) = (7, meta(5));
-    let bare = Tell::Promise { from, accepted, value: None, before: Vec::new(), open: None };
+    let bare =
+        Response::Promise { from, accepted, value: None, batch: Vec::new(), unacknowledged: None };
     frames.add("promise-bare", &bare);
-    let full = Tell::Promise {
+    let full = Response::Promise {
         from,
         accepted,
         value: Some(full_value()),
-        before: vec![bare_value()],
-        open: Some(vec![("key-5".to_string(), 1200)]),
+        batch: vec![bare_value()],
+        unacknowledged: Some(vec![("key-5".to_string(), 1200)]),
     };
     frames.add("promise-full", &full);
-    frames.add("accepted", &Tell::Accepted { from });
-    for why in [Refusal::Outbid, Refusal::NoVote, Refusal::Unseated] {
-        let label = format!("refused-{why}");
-        frames.add(&label, &Tell::Refused { why, promised: ballot(9) });
+    frames.add("accepted", &Response::Accepted { from });
+    for (label, reason) in [
+        ("refused-outbid", Rejection::Preempted),
+        ("refused-no-vote", Rejection::NotVoting),
+        ("refused-unseated", Rejection::NotAMember),
+    ] {
+        frames.add(label, &Response::Rejected { reason, promised: ballot(9) });
     }
-    let blank = Tell::State { from, blank: true, founders: 3, votes: false, accepted: None };
+    let blank = Response::Status {
+        from,
+        is_empty: true,
+        bootstrap_size: 3,
+        is_voting: false,
+        accepted: None,
+    };
     frames.add("state-blank", &blank);
     let accepted = Some(meta(5));
-    let holds = Tell::State { from, blank: false, founders: 0, votes: true, accepted };
+    let holds =
+        Response::Status { from, is_empty: false, bootstrap_size: 0, is_voting: true, accepted };
     frames.add("state", &holds);
-    frames.add("alive", &Tell::Alive { from, is_sound: true });
-    frames.add("fetched", &Tell::Fetched(vec![bare_value(), full_value()]));
+    frames.add("alive", &Response::Pong { from, is_healthy: true });
+    frames.add("fetched", &Response::Fetched(vec![bare_value(), full_value()]));
     let shown = |value: Option<Value>, before: Vec<Value>| {
-        let (promised, accepted, seats) = (ballot(9), meta(5), full_value().seats);
-        let shown = Membership { promised, accepted, seats, value, before };
-        Tell::Membership { from, shown: Box::new(shown) }
+        let (promised, accepted, seats) = (ballot(9), meta(5), full_value().members);
+        let shown = MembershipSnapshot { promised, accepted, members: seats, value, batch: before };
+        Response::Membership { from, shown: Box::new(shown) }
     };
     frames.add("membership-bare", &shown(None, Vec::new()));
     frames.add("membership-full", &shown(Some(full_value()), vec![bare_value()]));
-    frames.add("noted", &Tell::Noted);
-    frames.add("floor-none", &Tell::Floor(None));
-    frames.add("floor", &Tell::Floor(Some(12)));
-    let accepted = Outcome::Accepted { revision: 5, setup_revision: 4, repeat: true };
-    frames.add("outcome-accepted", &Tell::Outcome(accepted));
-    let conflict = Outcome::Conflict { revision: 5, setup_revision: 4 };
-    frames.add("outcome-conflict", &Tell::Outcome(conflict));
-    frames.add("outcome-key-reused", &Tell::Outcome(Outcome::KeyReused { revision: 5 }));
-    let taken = Outcome::VersionTaken { version: 5, held: 6 };
-    frames.add("outcome-version-taken", &Tell::Outcome(taken));
-    let nothing = Outcome::NothingDone { why: "no majority".to_string() };
-    frames.add("outcome-nothing-done", &Tell::Outcome(nothing));
-    frames.add("outcome-unknown", &Tell::Outcome(Outcome::Unknown));
-    frames.add("outcome-value", &Tell::Outcome(Outcome::Value { value: full_value() }));
+    frames.add("noted", &Response::Acknowledged);
+    frames.add("floor-none", &Response::ReadIndex(None));
+    frames.add("floor", &Response::ReadIndex(Some(12)));
+    let accepted = Outcome::Accepted { revision: 5, config_revision: 4, is_repeat: true };
+    frames.add("outcome-accepted", &Response::Outcome(accepted));
+    let conflict = Outcome::Conflict { revision: 5, config_revision: 4 };
+    frames.add("outcome-conflict", &Response::Outcome(conflict));
+    frames.add("outcome-key-reused", &Response::Outcome(Outcome::KeyReused { revision: 5 }));
+    let taken = Outcome::VersionTaken { version: 5, highest: 6 };
+    frames.add("outcome-version-taken", &Response::Outcome(taken));
+    let nothing = Outcome::NotApplied { reason: "no majority".to_string() };
+    frames.add("outcome-nothing-done", &Response::Outcome(nothing));
+    frames.add("outcome-unknown", &Response::Outcome(Outcome::Unknown));
+    frames.add("outcome-value", &Response::Outcome(Outcome::Value { value: full_value() }));
     let missing = Outcome::NoSuchRevision { latest: 5 };
-    frames.add("outcome-no-such-revision", &Tell::Outcome(missing));
+    frames.add("outcome-no-such-revision", &Response::Outcome(missing));
     expect_test::expect_file!["fixtures/replies.txt"].assert_eq(&frames.text);
 }
 
@@ -195,11 +209,12 @@
 #[test]
 fn messages_without_the_later_fields_are_read() {
     let (key, change) = ("key".to_string(), changes().remove(0).1);
-    let change = Ask::Change { key, change, unnamed_for: None };
-    let read: Ask = decode(&without(&encode(&change), "Change", "unnamed_for")).unwrap();
+    let change = Request::Change { key, change, keyless_for: None };
+    let read: Request = decode(&without(&encode(&change), "Change", "unnamed_for")).unwrap();
     assert_eq!(encode(&read), encode(&change));
     let (from, accepted) = (7, meta(5));
-    let promise = Tell::Promise { from, accepted, value: None, before: Vec::new(), open: None };
-    let read: Tell = decode(&without(&encode(&promise), "Promise", "open")).unwrap();
+    let promise =
+        Response::Promise { from, accepted, value: None, batch: Vec::new(), unacknowledged: None };
+    let read: Response = decode(&without(&encode(&promise), "Promise", "open")).unwrap();
     assert_eq!(read, promise);
 }
--- a/store/tests/growth.rs
+++ b/store/tests/growth.rs
@@ -3,14 +3,14 @@
 //! `--nocapture`; ten thousand changes with `VANEPATH_CHANGES=10000`.
 
 use std::time::{Duration, Instant};
-use vanepath_store::consensus::{Claim, Effect, Event, Identity, Register};
+use vanepath_store::consensus::{Effect, Event, Identity, LiveStore, Replica};
 use vanepath_store::disk::Disk;
-use vanepath_store::protocol::{Ask, Change, Outcome, Tell};
+use vanepath_store::protocol::{Change, Outcome, Request, Response};
 
 /// A store on a real folder.
 struct Store {
     name: String,
-    core: Register,
+    core: Replica,
     disk: Disk,
     folder: std::path::PathBuf,
 }
@@ -25,8 +25,8 @@
 fn start(name: &str, folder: &std::path::Path, random: u64, now: Duration) -> Store {
     let disk = Disk::open(folder).unwrap();
     let found = disk.load(random).unwrap();
-    let identity = Identity { name: name.to_string(), founders: 3 };
-    let core = Register::new(identity, found, now);
+    let identity = Identity { name: name.to_string(), bootstrap_size: 3 };
+    let core = Replica::new(identity, found, now);
     Store { name: name.to_string(), core, disk, folder: folder.to_path_buf() }
 }
 
@@ -49,7 +49,7 @@
     fn run(&mut self) {
         while let Some((to, event)) = self.events.pop_front() {
             let Some(store) = &mut self.stores[to] else {
-                if let Event::Asked { ticket, .. } = event {
+                if let Event::RequestReceived { ticket, .. } = event {
                     self.answer(ticket, None);
                 }
                 continue;
@@ -62,10 +62,10 @@
 
     fn perform(&mut self, who: usize, effect: Effect) {
         match effect {
-            Effect::Save(writes) => {
+            Effect::Persist(writes) => {
                 self.stores[who].as_ref().unwrap().disk.save(&writes).unwrap();
             }
-            Effect::Call { call, incarnation, ask } => {
+            Effect::Send { call, incarnation, request: ask } => {
                 self.tickets.push(Some((who, call)));
                 let ticket = self.tickets.len() as u64 - 1;
                 let is_it = |store: &Option<Store>| {
@@ -74,20 +74,21 @@
                 match self.stores.iter().position(is_it) {
                     Some(to) => {
                         self.count(to, vanepath_cluster::wire::encode(&ask).len());
-                        self.send(to, Event::Asked { ticket, ask });
+                        self.send(to, Event::RequestReceived { ticket, request: ask });
                     }
                     None => self.answer(ticket, None),
                 }
             }
-            Effect::Answer { ticket, tell } => self.answer(ticket, Some(tell)),
-            Effect::AnswerFromFile { ticket, versions, as_outcome } => {
+            Effect::Reply { ticket, response: tell } => self.answer(ticket, Some(tell)),
+            Effect::ReplyFromDisk { ticket, versions, as_outcome } => {
                 let disk = &self.stores[who].as_ref().unwrap().disk;
                 let load = |at: &vanepath_store::consensus::At| disk.version(at.0, &at.1);
-                let (tell, _) = vanepath_store::consensus::from_files(&versions, as_outcome, load);
+                let (tell, _) =
+                    vanepath_store::consensus::response_from_disk(&versions, as_outcome, load);
                 self.answer(ticket, Some(tell));
             }
             Effect::Reset => panic!("nobody loses a seat here"),
-            Effect::Chosen(_) | Effect::Noted(_) => {}
+            Effect::Committed(_) | Effect::Log(_) => {}
         }
     }
 
@@ -97,16 +98,16 @@
         }
     }
 
-    fn answer(&mut self, ticket: u64, tell: Option<Tell>) {
+    fn answer(&mut self, ticket: u64, tell: Option<Response>) {
         match self.tickets[ticket as usize] {
             Some((to, call)) => {
                 let bytes =
                     tell.as_ref().map_or(0, |tell| vanepath_cluster::wire::encode(tell).len());
                 self.count(to, bytes);
-                self.send(to, Event::Told { call, tell });
+                self.send(to, Event::ResponseReceived { call, response: tell });
             }
             None => {
-                if let Some(Tell::Outcome(outcome)) = tell {
+                if let Some(Response::Outcome(outcome)) = tell {
                     self.outcomes.push(outcome);
                 }
             }
@@ -117,11 +118,11 @@
         let until = self.now + time;
         while self.now < until {
             self.now += Duration::from_millis(50);
-            let live: Vec<Claim> = self.stores.iter().flatten().map(claim_of).collect();
+            let live: Vec<LiveStore> = self.stores.iter().flatten().map(claim_of).collect();
             for index in 0..self.stores.len() {
                 if self.stores[index].is_some() {
-                    self.send(index, Event::Live(live.clone()));
-                    self.send(index, Event::Pulse);
+                    self.send(index, Event::LiveStores(live.clone()));
+                    self.send(index, Event::Tick);
                 }
             }
             self.run();
@@ -133,19 +134,20 @@
         let ticket = self.tickets.len() as u64 - 1;
         let bytes =
             format!("{{\"setup\": {number}, \"text\": \"{}\"}}", "x".repeat(4000)).into_bytes();
-        let change = Change::Setup { bytes, if_revision: None, version: Some(number) };
+        let change = Change::ReplaceConfig { bytes, if_revision: None, version: Some(number) };
         let unnamed_for = Some(Duration::ZERO);
-        let ask = Ask::Change { key: format!("made-{number:016}"), change, unnamed_for };
-        self.send(0, Event::Asked { ticket, ask });
+        let ask =
+            Request::Change { key: format!("made-{number:016}"), change, keyless_for: unnamed_for };
+        self.send(0, Event::RequestReceived { ticket, request: ask });
         self.run();
     }
 }
 
-fn claim_of(store: &Store) -> Claim {
+fn claim_of(store: &Store) -> LiveStore {
     let summary = store.core.summary();
-    let (incarnation, blank) = (summary.incarnation, summary.blank);
-    let (name, founds) = (store.name.clone(), blank && summary.founds);
-    Claim { name, incarnation, blank, founds }
+    let (incarnation, blank) = (summary.incarnation, summary.is_empty);
+    let (name, founds) = (store.name.clone(), blank && summary.may_bootstrap);
+    LiveStore { name, incarnation, is_empty: blank, may_bootstrap: founds }
 }
 
 fn bytes_in(folder: &std::path::Path) -> u64 {
--- a/store/tests/model/history.rs
+++ b/store/tests/model/history.rs
@@ -137,15 +137,15 @@
         }
         let lacks = |one: &Acknowledged| match one {
             Acknowledged::Version { version, text } => {
-                let change = Change::Setup {
+                let change = Change::ReplaceConfig {
                     bytes: text.as_bytes().to_vec(),
                     if_revision: None,
                     version: None,
                 };
-                value.versions.get(version) != Some(&change.matter())
+                value.version_hashes.get(version) != Some(&change.content_hash())
             }
             Acknowledged::Submission { key, revision } => {
-                value.submission(key).is_none_or(|known| known.revision != *revision)
+                value.known_write(key).is_none_or(|known| known.revision != *revision)
             }
         };
         let lost: Vec<String> = self.acknowledged[..begun.acknowledged]
--- a/store/tests/model/world.rs
+++ b/store/tests/model/world.rs
@@ -8,9 +8,12 @@
 use std::time::Duration;
 use vanepath_cluster::wire;
 use vanepath_store::consensus::{
-    At, Claim, Effect, Event, Found, Identity, Kept, Register, State, Write,
+    At, DiskWrite, Effect, Event, HardState, Identity, LiveStore, RecoveredState, Replica,
+    StoredVersion,
+};
+use vanepath_store::protocol::{
+    AcceptedProposal, BOOTSTRAP_BALLOT, Change, Outcome, Request, Response, Value,
 };
-use vanepath_store::protocol::{Ask, Change, GENESIS, Meta, Outcome, Tell, Value};
 
 /// Ways to break the shell round the cores, to show that the checks see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,14 +52,14 @@
 
 #[derive(Clone, Default)]
 struct Disk {
-    state: Option<State>,
+    state: Option<HardState>,
     versions: BTreeMap<At, Arc<Value>>,
 }
 
 #[derive(Clone)]
 pub struct Store {
     name: String,
-    pub core: Register,
+    pub core: Replica,
     disk: Disk,
     /// What is left of the disk if the process dies now.
     durable: Disk,
@@ -80,8 +83,8 @@
 
 #[derive(Clone)]
 pub enum Message {
-    Ask { to: usize, incarnation: u64, ticket: u64, ask: Arc<Ask> },
-    Tell { to: usize, life: u32, call: u64, tell: Option<Arc<Tell>> },
+    Ask { to: usize, incarnation: u64, ticket: u64, ask: Arc<Request> },
+    Tell { to: usize, life: u32, call: u64, tell: Option<Arc<Response>> },
 }
 
 #[derive(Clone)]
@@ -103,25 +106,25 @@
 
 const PULSE: Duration = Duration::from_millis(50);
 
-fn found(disk: &Disk) -> Found {
+fn found(disk: &Disk) -> RecoveredState {
     let state = disk.state.clone().expect("a disk has a state");
     let at = state.accepted.map(|meta| (meta.revision, meta.digest));
     let value = at.and_then(|at| disk.versions.get(&at).cloned());
     let kept = disk.versions.iter().map(|((revision, digest), value)| {
         let (parent_revision, parent) = (value.parent_revision, value.parent);
         let bytes = value.encode().len();
-        (*revision, Kept { digest: *digest, parent_revision, parent, bytes })
+        (*revision, StoredVersion { digest: *digest, parent_revision, parent, bytes })
     });
     let mut before = Vec::new();
     if let Some(value) = &value {
         let mut at = (value.parent_revision, value.parent);
-        for _ in 0..value.together {
+        for _ in 0..value.batched_before {
             let Some(one) = disk.versions.get(&at) else { break };
             before.insert(0, one.clone());
             at = (one.parent_revision, one.parent);
         }
     }
-    Found { kept: kept.collect(), state, value, before }
+    RecoveredState { versions: kept.collect(), state, value, batch: before }
 }
 
 impl World {
@@ -143,8 +146,8 @@
         for number in 0..seats {
             let disk = world.empty_disk();
             let name = format!("s{number}");
-            let identity = Identity { name: name.clone(), founders: seats };
-            let core = Register::new(identity, found(&disk), world.now);
+            let identity = Identity { name: name.clone(), bootstrap_size: seats };
+            let core = Replica::new(identity, found(&disk), world.now);
             let durable = disk.clone();
             world.stores.push(Store { name, core, disk, durable, life: 0 });
         }
@@ -162,12 +165,12 @@
     fn empty_disk(&mut self) -> Disk {
         self.next_incarnation += 1;
         let incarnation = self.next_incarnation;
-        let state = State { incarnation, promised: Default::default(), accepted: None };
+        let state = HardState { incarnation, promised: Default::default(), accepted: None };
         Disk { state: Some(state), versions: BTreeMap::new() }
     }
 
     pub fn votes(&self) -> usize {
-        self.stores.iter().filter(|store| store.core.summary().votes).count()
+        self.stores.iter().filter(|store| store.core.summary().is_voting).count()
     }
 
     /// Steps of cores so far.
@@ -197,12 +200,12 @@
                 if self.stores[to].core.summary().incarnation != incarnation {
                     return self.answer(ticket, None);
                 }
-                self.step(to, Event::Asked { ticket, ask: (*ask).clone() });
+                self.step(to, Event::RequestReceived { ticket, request: (*ask).clone() });
             }
             Message::Tell { to, life, call, tell } => {
                 if self.stores[to].life == life {
                     let tell = tell.map(|tell| (*tell).clone());
-                    self.step(to, Event::Told { call, tell });
+                    self.step(to, Event::ResponseReceived { call, response: tell });
                 }
             }
         }
@@ -252,8 +255,8 @@
         let store = &mut self.stores[index];
         store.disk = store.durable.clone();
         store.life += 1;
-        let identity = Identity { name: store.name.clone(), founders: self.founders };
-        store.core = Register::new(identity, found(&store.disk), self.now);
+        let identity = Identity { name: store.name.clone(), bootstrap_size: self.founders };
+        store.core = Replica::new(identity, found(&store.disk), self.now);
         self.close_tickets(index);
     }
 
@@ -274,10 +277,10 @@
         let disk = &self.stores[index].disk;
         let first = disk.versions.iter().find(|(at, _)| at.0 == 0);
         let (at, value) = first.expect("the beginning is kept");
-        let ballot = vanepath_store::protocol::Ballot { number: 2, ..GENESIS };
-        let accepted = Some(Meta { ballot, revision: 0, digest: at.1 });
+        let ballot = vanepath_store::protocol::Ballot { number: 2, ..BOOTSTRAP_BALLOT };
+        let accepted = Some(AcceptedProposal { ballot, revision: 0, digest: at.1 });
         let incarnation = self.stores[index].core.summary().incarnation;
-        let state = State { incarnation, promised: ballot, accepted };
+        let state = HardState { incarnation, promised: ballot, accepted };
         Disk { state: Some(state), versions: BTreeMap::from([(*at, value.clone())]) }
     }
 
@@ -299,21 +302,26 @@
         self.now += PULSE;
         let claim = |store: &Store| {
             let summary = store.core.summary();
-            let (incarnation, blank) = (summary.incarnation, summary.blank);
-            let founds = blank && summary.founds;
-            Claim { name: store.name.clone(), incarnation, blank, founds }
+            let (incarnation, blank) = (summary.incarnation, summary.is_empty);
+            let founds = blank && summary.may_bootstrap;
+            LiveStore {
+                name: store.name.clone(),
+                incarnation,
+                is_empty: blank,
+                may_bootstrap: founds,
+            }
         };
         let live = (0..self.stores.len()).filter(|index| !self.is_frozen(*index));
-        let live: Vec<Claim> = live.map(|index| claim(&self.stores[index])).collect();
-        let summaries = self.stores.iter().map(|store| store.core.summary().chosen);
+        let live: Vec<LiveStore> = live.map(|index| claim(&self.stores[index])).collect();
+        let summaries = self.stores.iter().map(|store| store.core.summary().committed);
         let revision = summaries.max().unwrap_or(0);
         for index in 0..self.stores.len() {
             if self.is_frozen(index) {
                 continue;
             }
-            self.step(index, Event::Live(live.clone()));
-            self.step(index, Event::Heard { revision });
-            self.step(index, Event::Pulse);
+            self.step(index, Event::LiveStores(live.clone()));
+            self.step(index, Event::RevisionHeard { revision });
+            self.step(index, Event::Tick);
         }
     }
 
@@ -321,13 +329,13 @@
         let number = self.history.begin(call.clone());
         let store = call.store();
         let ask = match call {
-            Call::Read { .. } => Ask::Read,
+            Call::Read { .. } => Request::Read,
             Call::Setup { version, text, .. } => {
                 let is_kept = self.broken != Some(Broken::ForgetsVersions);
                 let version = is_kept.then_some(*version);
                 let bytes = text.as_bytes().to_vec();
-                let change = Change::Setup { bytes, if_revision: None, version };
-                Ask::Change { key: format!("made-{number}"), change, unnamed_for: None }
+                let change = Change::ReplaceConfig { bytes, if_revision: None, version };
+                Request::Change { key: format!("made-{number}"), change, keyless_for: None }
             }
             Call::Submission { key, text, .. } => {
                 let key = match self.broken {
@@ -335,11 +343,11 @@
                     _ => key.to_string(),
                 };
                 let bytes = text.as_bytes().to_vec();
-                let change = Change::Setup { bytes, if_revision: None, version: None };
-                Ask::Change { key, change, unnamed_for: None }
+                let change = Change::ReplaceConfig { bytes, if_revision: None, version: None };
+                Request::Change { key, change, keyless_for: None }
             }
         };
-        if self.broken == Some(Broken::ReadsWithoutRound) && matches!(ask, Ask::Read) {
+        if self.broken == Some(Broken::ReadsWithoutRound) && matches!(ask, Request::Read) {
             let disk = &self.stores[store].disk;
             let meta = disk.state.as_ref().and_then(|state| state.accepted);
             let held = meta.and_then(|meta| disk.versions.get(&(meta.revision, meta.digest)));
@@ -349,7 +357,7 @@
         let ticket = self.ticket(Asker::Operator { number }, store);
         // Who wakes finds the call before the replies of its own last round.
         let is_frozen = self.is_frozen(store);
-        self.step(store, Event::Asked { ticket, ask });
+        self.step(store, Event::RequestReceived { ticket, request: ask });
         if is_frozen {
             self.thaw();
         }
@@ -370,14 +378,14 @@
 
     fn perform(&mut self, index: usize, effect: Effect) {
         match effect {
-            Effect::Save(writes) => self.save(index, writes),
-            Effect::Call { call, incarnation, ask } => {
+            Effect::Persist(writes) => self.save(index, writes),
+            Effect::Send { call, incarnation, request: ask } => {
                 let asker = Asker::Store { index, life: self.stores[index].life, call };
                 let is_it = |store: &Store| store.core.summary().incarnation == incarnation;
                 match self.stores.iter().position(is_it) {
                     Some(_) if self.counts_unasked(&ask) => {
                         let life = self.stores[index].life;
-                        let tell = Some(Arc::new(Tell::Accepted { from: incarnation }));
+                        let tell = Some(Arc::new(Response::Accepted { from: incarnation }));
                         self.messages.push_back(Message::Tell { to: index, life, call, tell });
                     }
                     Some(to) => {
@@ -396,14 +404,15 @@
                     }
                 }
             }
-            Effect::Answer { ticket, tell } => self.answer(ticket, Some(tell)),
-            Effect::AnswerFromFile { ticket, versions, as_outcome } => {
+            Effect::Reply { ticket, response: tell } => self.answer(ticket, Some(tell)),
+            Effect::ReplyFromDisk { ticket, versions, as_outcome } => {
                 let disk = &self.stores[index].disk;
                 let load = |at: &At| disk.versions.get(at).map(|value| (**value).clone());
-                let (tell, _) = vanepath_store::consensus::from_files(&versions, as_outcome, load);
+                let (tell, _) =
+                    vanepath_store::consensus::response_from_disk(&versions, as_outcome, load);
                 self.answer(ticket, Some(tell));
             }
-            Effect::Chosen(value) => self.history.chosen(&value),
+            Effect::Committed(value) => self.history.chosen(&value),
             Effect::Reset => {
                 let disk = self.empty_disk();
                 let store = &mut self.stores[index];
@@ -412,7 +421,7 @@
                 let found = found(&store.disk);
                 self.step(index, Event::Reset(found));
             }
-            Effect::Noted(text) => {
+            Effect::Log(text) => {
                 if text.contains("never happen") {
                     self.history.fault(text);
                 }
@@ -420,24 +429,24 @@
         }
     }
 
-    fn counts_unasked(&self, ask: &Ask) -> bool {
+    fn counts_unasked(&self, ask: &Request) -> bool {
         let is_broken = self.broken == Some(Broken::CountsUnaskedVotes);
-        is_broken && matches!(ask, Ask::Accept { .. })
+        is_broken && matches!(ask, Request::Accept { .. })
     }
 
-    fn save(&mut self, index: usize, writes: Vec<Write>) {
+    fn save(&mut self, index: usize, writes: Vec<DiskWrite>) {
         let store = &mut self.stores[index];
         if self.broken == Some(Broken::NoSync) {
             store.durable = store.disk.clone();
         }
         for write in writes {
             match write {
-                Write::Version { revision, digest, bytes } => {
+                DiskWrite::Version { revision, digest, bytes } => {
                     let value: Value = wire::decode(&bytes).expect("own bytes");
                     store.disk.versions.insert((revision, digest), Arc::new(value));
                 }
-                Write::State(state) => store.disk.state = Some(state),
-                Write::Remove { revision, digest } => {
+                DiskWrite::State(state) => store.disk.state = Some(state),
+                DiskWrite::Remove { revision, digest } => {
                     store.disk.versions.remove(&(revision, digest));
                 }
             }
@@ -447,7 +456,7 @@
         }
     }
 
-    fn answer(&mut self, ticket: u64, tell: Option<Tell>) {
+    fn answer(&mut self, ticket: u64, tell: Option<Response>) {
         let ticket = &mut self.tickets[ticket as usize];
         if !std::mem::replace(&mut ticket.is_open, false) {
             return;
@@ -459,7 +468,7 @@
             }
             Asker::Operator { number } => {
                 let outcome = match tell {
-                    Some(Tell::Outcome(outcome)) => Some(outcome),
+                    Some(Response::Outcome(outcome)) => Some(outcome),
                     _ => None,
                 };
                 self.history.end(number, outcome);
