--- a/store/tests/register.rs
+++ b/store/tests/register.rs
@@ -5,19 +5,22 @@
 use std::time::Duration;
 use vanepath_cluster::wire;
 use vanepath_store::consensus::{
-    Claim, Effect, Event, Found, Identity, Kept, Register, State, Write,
+    DiskWrite, Effect, Event, HardState, Identity, LiveStore, RecoveredState, Replica,
+    StoredVersion,
+};
+use vanepath_store::protocol::{
+    Ballot, Change, Digest, Outcome, Rejection, Request, Response, Value,
 };
-use vanepath_store::protocol::{Ask, Ballot, Change, Digest, Outcome, Refusal, Tell, Value};
 
 #[derive(Default)]
 struct Disk {
-    state: Option<State>,
+    state: Option<HardState>,
     versions: BTreeMap<(u64, Digest), Value>,
 }
 
 struct Store {
     identity: Identity,
-    core: Register,
+    core: Replica,
     disk: Disk,
     is_up: bool,
 }
@@ -38,37 +41,37 @@
     tickets: Vec<Asker>,
     events: VecDeque<(usize, Event)>,
     told: Vec<Outcome>,
-    said: Vec<Tell>,
+    said: Vec<Response>,
     /// Loses what one store asks another.
-    loses: Loses<Ask>,
+    loses: Loses<Request>,
     /// Loses what one store tells another.
-    mutes: Loses<Tell>,
+    mutes: Loses<Response>,
     /// Keeps what one store tells another until a test lets it go.
-    delays: Loses<Tell>,
+    delays: Loses<Response>,
     late: Vec<(usize, Event)>,
 }
 
-fn found(disk: &mut Disk, random: u64) -> Found {
-    let fresh = State { incarnation: random, promised: Default::default(), accepted: None };
+fn found(disk: &mut Disk, random: u64) -> RecoveredState {
+    let fresh = HardState { incarnation: random, promised: Default::default(), accepted: None };
     let state = disk.state.get_or_insert(fresh).clone();
     let at = state.accepted.map(|meta| (meta.revision, meta.digest));
     let value = at.and_then(|at| disk.versions.get(&at).cloned()).map(Arc::new);
     let kept = disk.versions.iter().map(|((revision, digest), value)| {
         let (parent_revision, parent) = (value.parent_revision, value.parent);
         let bytes = value.encode().len();
-        (*revision, Kept { digest: *digest, parent_revision, parent, bytes })
+        (*revision, StoredVersion { digest: *digest, parent_revision, parent, bytes })
     });
     let kept = kept.collect();
     let mut before = Vec::new();
     if let Some(value) = &value {
         let mut at = (value.parent_revision, value.parent);
-        for _ in 0..value.together {
+        for _ in 0..value.batched_before {
             let one = disk.versions.get(&at).expect("what was accepted together is there");
             at = (one.parent_revision, one.parent);
             before.insert(0, Arc::new(one.clone()));
         }
     }
-    Found { state, value, before, kept }
+    RecoveredState { state, value, batch: before, versions: kept }
 }
 
 impl Fleet {
@@ -98,8 +101,8 @@
 
     fn add(&mut self, name: &str, founders: usize, random: u64) {
         let mut disk = Disk::default();
-        let identity = Identity { name: name.to_string(), founders };
-        let core = Register::new(identity.clone(), found(&mut disk, random), self.now);
+        let identity = Identity { name: name.to_string(), bootstrap_size: founders };
+        let core = Replica::new(identity.clone(), found(&mut disk, random), self.now);
         self.stores.push(Store { identity, core, disk, is_up: true });
     }
 
@@ -109,13 +112,13 @@
         let store = &mut self.stores[index];
         store.disk = Disk::default();
         let found = found(&mut store.disk, random);
-        store.core = Register::new(store.identity.clone(), found, now);
+        store.core = Replica::new(store.identity.clone(), found, now);
         store.is_up = true;
     }
 
     fn votes(&self) -> usize {
         let up = self.stores.iter().filter(|store| store.is_up);
-        up.filter(|store| store.core.summary().votes).count()
+        up.filter(|store| store.core.summary().is_voting).count()
     }
 
     fn value(&self, index: usize) -> &Value {
@@ -127,14 +130,14 @@
     fn restart(&mut self, index: usize) {
         let now = self.now;
         let store = &mut self.stores[index];
-        store.core = Register::new(store.identity.clone(), found(&mut store.disk, 7), now);
+        store.core = Replica::new(store.identity.clone(), found(&mut store.disk, 7), now);
         store.is_up = true;
     }
 
-    fn ask(&mut self, index: usize, ask: Ask) {
+    fn ask(&mut self, index: usize, ask: Request) {
         self.tickets.push(Asker::Operator);
         let ticket = self.tickets.len() as u64 - 1;
-        self.events.push_back((index, Event::Asked { ticket, ask }));
+        self.events.push_back((index, Event::RequestReceived { ticket, request: ask }));
         self.run();
     }
 
@@ -142,8 +145,8 @@
     fn put(&mut self, index: usize, key: &str) -> Option<Outcome> {
         let before = self.told.len();
         let bytes = key.as_bytes().to_vec();
-        let change = Change::Setup { bytes, if_revision: None, version: None };
-        self.ask(index, Ask::Change { key: key.to_string(), change, unnamed_for: None });
+        let change = Change::ReplaceConfig { bytes, if_revision: None, version: None };
+        self.ask(index, Request::Change { key: key.to_string(), change, keyless_for: None });
         self.passes(Duration::from_secs(2));
         self.told.get(before).cloned()
     }
@@ -153,20 +156,25 @@
         let until = self.now + time;
         while self.now < until {
             self.now += Duration::from_millis(50);
-            let live: Vec<Claim> = self
+            let live: Vec<LiveStore> = self
                 .stores
                 .iter()
                 .filter(|store| store.is_up)
                 .map(|store| {
                     let summary = store.core.summary();
-                    let (incarnation, blank) = (summary.incarnation, summary.blank);
+                    let (incarnation, blank) = (summary.incarnation, summary.is_empty);
                     let name = store.identity.name.clone();
-                    Claim { name, incarnation, blank, founds: blank && summary.founds }
+                    LiveStore {
+                        name,
+                        incarnation,
+                        is_empty: blank,
+                        may_bootstrap: blank && summary.may_bootstrap,
+                    }
                 })
                 .collect();
             for index in 0..self.stores.len() {
-                self.events.push_back((index, Event::Live(live.clone())));
-                self.events.push_back((index, Event::Pulse));
+                self.events.push_back((index, Event::LiveStores(live.clone())));
+                self.events.push_back((index, Event::Tick));
             }
             self.run();
         }
@@ -175,7 +183,7 @@
     fn run(&mut self) {
         while let Some((index, event)) = self.events.pop_front() {
             if !self.stores[index].is_up {
-                if let Event::Asked { ticket, .. } = event {
+                if let Event::RequestReceived { ticket, .. } = event {
                     self.silent(ticket);
                 }
                 continue;
@@ -188,28 +196,28 @@
 
     fn silent(&mut self, ticket: u64) {
         if let Asker::Store(asker, call) = self.tickets[ticket as usize] {
-            self.events.push_back((asker, Event::Told { call, tell: None }));
+            self.events.push_back((asker, Event::ResponseReceived { call, response: None }));
         }
     }
 
     fn perform(&mut self, index: usize, effect: Effect) {
         match effect {
-            Effect::Save(writes) => {
+            Effect::Persist(writes) => {
                 let disk = &mut self.stores[index].disk;
                 for write in writes {
                     match write {
-                        Write::Version { revision, digest, bytes } => {
+                        DiskWrite::Version { revision, digest, bytes } => {
                             let value = wire::decode(&bytes).expect("own bytes");
                             disk.versions.insert((revision, digest), value);
                         }
-                        Write::State(state) => disk.state = Some(state),
-                        Write::Remove { revision, digest } => {
+                        DiskWrite::State(state) => disk.state = Some(state),
+                        DiskWrite::Remove { revision, digest } => {
                             disk.versions.remove(&(revision, digest));
                         }
                     }
                 }
             }
-            Effect::Call { call, incarnation, ask } => {
+            Effect::Send { call, incarnation, request: ask } => {
                 let target = self
                     .stores
                     .iter()
@@ -219,33 +227,35 @@
                 let ticket = self.tickets.len() as u64 - 1;
                 match target {
                     Some(target) => {
-                        self.events.push_back((target, Event::Asked { ticket, ask }));
+                        self.events
+                            .push_back((target, Event::RequestReceived { ticket, request: ask }));
                     }
                     None => self.silent(ticket),
                 }
             }
-            Effect::Answer { ticket, tell } => match self.tickets[ticket as usize] {
+            Effect::Reply { ticket, response: tell } => match self.tickets[ticket as usize] {
                 Asker::Store(asker, call) => {
                     let is_late = (self.delays)(index, asker, &tell);
                     let tell = (!(self.mutes)(index, asker, &tell)).then_some(tell);
-                    let told = (asker, Event::Told { call, tell });
+                    let told = (asker, Event::ResponseReceived { call, response: tell });
                     match is_late {
                         true => self.late.push(told),
                         false => self.events.push_back(told),
                     }
                 }
                 Asker::Operator => {
-                    if let Tell::Outcome(outcome) = &tell {
+                    if let Response::Outcome(outcome) = &tell {
                         self.told.push(outcome.clone());
                     }
                     self.said.push(tell);
                 }
             },
-            Effect::AnswerFromFile { ticket, versions, as_outcome } => {
+            Effect::ReplyFromDisk { ticket, versions, as_outcome } => {
                 let disk = &self.stores[index].disk;
                 let load = |at: &(u64, Digest)| disk.versions.get(at).cloned();
-                let (tell, _) = vanepath_store::consensus::from_files(&versions, as_outcome, load);
-                self.perform(index, Effect::Answer { ticket, tell });
+                let (tell, _) =
+                    vanepath_store::consensus::response_from_disk(&versions, as_outcome, load);
+                self.perform(index, Effect::Reply { ticket, response: tell });
             }
             Effect::Reset => {
                 let random = 9000 + self.tickets.len() as u64;
@@ -254,8 +264,8 @@
                 let found = found(disk, random);
                 self.events.push_front((index, Event::Reset(found)));
             }
-            Effect::Chosen(_) => {}
-            Effect::Noted(text) => assert!(!text.contains("never happen"), "{text}"),
+            Effect::Committed(_) => {}
+            Effect::Log(text) => assert!(!text.contains("never happen"), "{text}"),
         }
     }
 
@@ -301,9 +311,10 @@
         fleet.passes(Duration::from_secs(3));
         assert_eq!(revision(fleet.put(0, "a")), 1);
         // The proposer dies right after; of the others at the most one has it, and no reply is heard.
-        fleet.loses =
-            Box::new(move |_, target, ask| matches!(ask, Ask::Accept { .. }) && target != reached);
-        fleet.mutes = Box::new(|_, _, tell| matches!(tell, Tell::Accepted { .. }));
+        fleet.loses = Box::new(move |_, target, ask| {
+            matches!(ask, Request::Accept { .. }) && target != reached
+        });
+        fleet.mutes = Box::new(|_, _, tell| matches!(tell, Response::Accepted { .. }));
         assert_eq!(fleet.put(0, "b"), Some(Outcome::Unknown));
         fleet.stores[0].is_up = false;
         fleet.loses = Box::new(|_, _, _| false);
@@ -315,8 +326,8 @@
         assert_eq!(fleet.accepted(), [next; 3]);
         // The same key again: known as done where it was, done now where it was not.
         match fleet.put(2, "b") {
-            Some(Outcome::Accepted { revision: 2, repeat: true, .. }) => assert_eq!(reached, 1),
-            Some(Outcome::Accepted { revision: 3, repeat: false, .. }) => assert_eq!(reached, 9),
+            Some(Outcome::Accepted { revision: 2, is_repeat: true, .. }) => assert_eq!(reached, 1),
+            Some(Outcome::Accepted { revision: 3, is_repeat: false, .. }) => assert_eq!(reached, 9),
             other => panic!("reached {reached}: {other:?}"),
         }
     }
@@ -338,18 +349,18 @@
     fleet.stores[0].is_up = false;
     // One of the two others does not tell the new disk that it is admitted.
     fleet.mutes =
-        Box::new(|teller, _, tell| teller == 2 && matches!(tell, Tell::Membership { .. }));
+        Box::new(|teller, _, tell| teller == 2 && matches!(tell, Response::Membership { .. }));
     fleet.passes(Duration::from_secs(5));
-    assert!(!fleet.stores[3].core.summary().votes, "one of two has not shown it yet");
+    assert!(!fleet.stores[3].core.summary().is_voting, "one of two has not shown it yet");
     fleet.mutes = Box::new(|_, _, _| false);
     fleet.passes(Duration::from_secs(5));
-    assert!(fleet.stores[3].core.summary().votes);
+    assert!(fleet.stores[3].core.summary().is_voting);
     fleet.passes(Duration::from_secs(5));
     let kept = fleet.stores[3].disk.versions.len();
     assert_eq!(kept, fleet.stores[1].disk.versions.len(), "the history too");
     fleet.restart(0);
     fleet.passes(Duration::from_secs(5));
-    assert!(!fleet.stores[0].core.summary().votes, "its seat went to another disk");
+    assert!(!fleet.stores[0].core.summary().is_voting, "its seat went to another disk");
     assert!(fleet.stores[0].disk.versions.is_empty(), "it is a spare with an empty disk");
     fleet.stores[1].is_up = false;
     assert!(matches!(fleet.put(2, "d"), Some(Outcome::Accepted { .. })), "with the new disk");
@@ -363,34 +374,45 @@
     fleet.passes(Duration::from_secs(3));
     fleet.put(0, "a");
     let latest = fleet.stores[1].disk.versions.values().max_by_key(|value| value.revision);
-    let value = Value { revision: 2, setup: b"x".to_vec(), ..latest.unwrap().clone() };
+    let value = Value { revision: 2, document: b"x".to_vec(), ..latest.unwrap().clone() };
     let ballot = |number: u64| Ballot { number, incarnation: 100 };
-    let say = |fleet: &mut Fleet, ask: Ask| {
+    let say = |fleet: &mut Fleet, ask: Request| {
         let before = fleet.said.len();
         fleet.ask(1, ask);
         fleet.said[before].clone()
     };
     let from = 100;
-    let promised = say(&mut fleet, Ask::Prepare { from, ballot: ballot(50), has: None });
-    assert!(matches!(promised, Tell::Promise { .. }));
+    let promised =
+        say(&mut fleet, Request::Prepare { from, ballot: ballot(50), known_digest: None });
+    assert!(matches!(promised, Response::Promise { .. }));
     for _ in 0..2 {
         let (value, before) = (value.clone(), Vec::new());
-        let low = Ask::Accept { from, ballot: ballot(40), value, before };
+        let low = Request::Accept { from, ballot: ballot(40), value, batch: before };
         let refused = say(&mut fleet, low);
-        assert!(matches!(refused, Tell::Refused { why: Refusal::Outbid, .. }), "{refused:?}");
-        let refused = say(&mut fleet, Ask::Prepare { from, ballot: ballot(49), has: None });
-        assert!(matches!(refused, Tell::Refused { why: Refusal::Outbid, .. }), "{refused:?}");
+        assert!(
+            matches!(refused, Response::Rejected { reason: Rejection::Preempted, .. }),
+            "{refused:?}"
+        );
+        let refused =
+            say(&mut fleet, Request::Prepare { from, ballot: ballot(49), known_digest: None });
+        assert!(
+            matches!(refused, Response::Rejected { reason: Rejection::Preempted, .. }),
+            "{refused:?}"
+        );
         fleet.restart(1);
     }
     let accept = |from: u64, number: u64| {
         let (value, before) = (value.clone(), Vec::new());
-        Ask::Accept { from, ballot: ballot(number), value, before }
+        Request::Accept { from, ballot: ballot(number), value, batch: before }
     };
     let stranger = accept(999, 60);
     let refused = say(&mut fleet, stranger);
-    assert!(matches!(refused, Tell::Refused { why: Refusal::Unseated, .. }), "{refused:?}");
+    assert!(
+        matches!(refused, Response::Rejected { reason: Rejection::NotAMember, .. }),
+        "{refused:?}"
+    );
     let taken = say(&mut fleet, accept(from, 50));
-    assert!(matches!(taken, Tell::Accepted { .. }), "{taken:?}");
+    assert!(matches!(taken, Response::Accepted { .. }), "{taken:?}");
 }
 
 /// Whether nobody of these holds anything.
@@ -406,10 +428,10 @@
         let mut fleet = Fleet::of(stores);
         fleet.passes(Duration::from_millis(600));
         assert_eq!(fleet.votes(), stores, "all of {stores} vote soon");
-        let seats = fleet.value(0).seats.clone();
+        let seats = fleet.value(0).members.clone();
         let names: Vec<&str> = seats.iter().flatten().map(|one| one.name.as_str()).collect();
         assert!(names.is_sorted() && names.len() == stores, "{names:?}");
-        assert!((0..stores).all(|index| fleet.value(index).seats == seats));
+        assert!((0..stores).all(|index| fleet.value(index).members == seats));
         assert_eq!(revision(fleet.put(0, "a")), 1);
     }
     let mut one_missing = Fleet::of(5);
@@ -417,13 +439,14 @@
     let mut one_more = Fleet::of(3);
     one_more.add("s3", 3, 500);
     let mut another_number = Fleet::of(3);
-    another_number.stores[1].identity.founders = 5;
+    another_number.stores[1].identity.bootstrap_size = 5;
     another_number.restart(1);
     let mut not_the_first_start = Fleet::of(3);
-    not_the_first_start.stores[1].identity.founders = 0;
+    not_the_first_start.stores[1].identity.bootstrap_size = 0;
     not_the_first_start.restart(1);
     let mut one_silent = Fleet::of(3);
-    one_silent.loses = Box::new(|_, target, ask| target == 2 && matches!(ask, Ask::Query));
+    one_silent.loses =
+        Box::new(|_, target, ask| target == 2 && matches!(ask, Request::QueryStatus));
     for mut fleet in [one_missing, one_more, another_number, not_the_first_start, one_silent] {
         fleet.passes(Duration::from_secs(10));
         assert!(all_blank(&fleet));
@@ -447,17 +470,20 @@
 #[test]
 fn a_beginning_counts_only_once_all_hold_it() {
     let mut fleet = Fleet::of(5);
-    fleet.loses = Box::new(|_, target, ask| target == 4 && matches!(ask, Ask::Accept { .. }));
+    fleet.loses = Box::new(|_, target, ask| target == 4 && matches!(ask, Request::Accept { .. }));
     fleet.passes(Duration::from_secs(5));
     assert!(fleet.stores[4].core.is_blank());
     assert_eq!(fleet.votes(), 0);
     assert!(!matches!(fleet.put(1, "a"), Some(Outcome::Accepted { .. })));
-    let other = Value { seats: fleet.value(1).seats[..3].to_vec(), ..fleet.value(1).clone() };
+    let other = Value { members: fleet.value(1).members[..3].to_vec(), ..fleet.value(1).clone() };
     let before = fleet.said.len();
-    let ballot = vanepath_store::protocol::GENESIS;
-    fleet.ask(1, Ask::Accept { from: 100, ballot, value: other, before: Vec::new() });
+    let ballot = vanepath_store::protocol::BOOTSTRAP_BALLOT;
+    fleet.ask(1, Request::Accept { from: 100, ballot, value: other, batch: Vec::new() });
     let refused = &fleet.said[before];
-    assert!(matches!(refused, Tell::Refused { why: Refusal::NoVote, .. }), "{refused:?}");
+    assert!(
+        matches!(refused, Response::Rejected { reason: Rejection::NotVoting, .. }),
+        "{refused:?}"
+    );
     // The maker is away: the others cannot know whether it went on.
     fleet.stores[0].is_up = false;
     fleet.loses = Box::new(|_, _, _| false);
@@ -506,21 +532,21 @@
                     let holder = fleet
                         .stores
                         .iter()
-                        .position(|store| store.is_up && store.core.summary().seat == Some(seat));
+                        .position(|store| store.is_up && store.core.summary().slot == Some(seat));
                     fleet.stores[holder.expect("somebody holds it")].is_up = false;
                     fleet.add(&format!("new-{incarnation}"), 5, incarnation);
                 }
             }
             let up: Vec<usize> =
                 (0..fleet.stores.len()).filter(|index| fleet.stores[*index].is_up).collect();
-            let voter = up.iter().find(|index| fleet.stores[**index].core.summary().votes);
+            let voter = up.iter().find(|index| fleet.stores[**index].core.summary().is_voting);
             let during = fleet.put(*voter.unwrap(), &format!("during-{turn}"));
             last += 1;
             assert!(revision(during) >= last, "three of five go on");
             fleet.passes(Duration::from_secs(8));
             assert_eq!(fleet.votes(), 5, "turn {turn}, wiped {is_wiped}");
             if is_wiped {
-                let holders = fleet.value(0).seats.clone();
+                let holders = fleet.value(0).members.clone();
                 let names: Vec<String> =
                     holders.into_iter().flatten().map(|one| one.name).collect();
                 assert_eq!(names, ["s0", "s1", "s2", "s3", "s4"], "each has its own seat again");
@@ -543,17 +569,19 @@
     fleet.add("s5", 5, 500);
     // Two of the four others take the change; the third does not hear of it.
     fleet.loses = Box::new(|_, target, ask| {
-        matches!(ask, Ask::Accept { value, .. } if value.revision > 1) && [2, 3].contains(&target)
+        matches!(ask, Request::Accept { value, .. } if value.revision > 1)
+            && [2, 3].contains(&target)
     });
     fleet.passes(Duration::from_secs(8));
     assert!(fleet.stores[5].core.is_blank(), "two of five are no majority");
     fleet.loses = Box::new(|_, _, _| false);
-    fleet.mutes = Box::new(|teller, _, tell| teller > 1 && matches!(tell, Tell::Membership { .. }));
+    fleet.mutes =
+        Box::new(|teller, _, tell| teller > 1 && matches!(tell, Response::Membership { .. }));
     fleet.passes(Duration::from_secs(8));
     assert!(fleet.stores[5].core.is_blank(), "two of four have shown it");
     fleet.mutes = Box::new(|_, _, _| false);
     fleet.passes(Duration::from_secs(3));
-    assert!(fleet.stores[5].core.summary().votes);
+    assert!(fleet.stores[5].core.summary().is_voting);
 }
 
 /// Two copies that show a table with the new disk in it, under ballots of which another came between,
@@ -568,23 +596,25 @@
     let mut value = fleet.value(0).clone();
     value.revision += 1;
     (value.parent_revision, value.parent) = (parent.revision, parent.digest);
-    value.seats[2].as_mut().unwrap().incarnation = 500;
-    value.seats[2].as_mut().unwrap().admitted = true;
+    value.members[2].as_mut().unwrap().incarnation = 500;
+    value.members[2].as_mut().unwrap().joined_later = true;
     fleet.stores[2].is_up = false;
     // What two proposers that died got to one copy each.
     for (index, number) in [(0, 50), (1, 60)] {
         let ballot = Ballot { number, incarnation: 101 - index as u64 };
         let (value, before) = (value.clone(), Vec::new());
-        fleet.ask(index, Ask::Accept { from: 101 - index as u64, ballot, value, before });
+        fleet
+            .ask(index, Request::Accept { from: 101 - index as u64, ballot, value, batch: before });
     }
     // Nobody settles it meanwhile.
-    fleet.loses =
-        Box::new(|_, _, ask| matches!(ask, Ask::Accept { .. } | Ask::Prepare { .. } | Ask::Query));
+    fleet.loses = Box::new(|_, _, ask| {
+        matches!(ask, Request::Accept { .. } | Request::Prepare { .. } | Request::QueryStatus)
+    });
     fleet.passes(Duration::from_secs(3));
     assert!(fleet.stores[3].core.is_blank());
     fleet.loses = Box::new(|_, _, _| false);
     fleet.passes(Duration::from_secs(8));
-    assert!(fleet.stores[3].core.summary().votes, "settled, it is admitted");
+    assert!(fleet.stores[3].core.summary().is_voting, "settled, it is admitted");
 }
 
 /// Of several lost seats the one that is lost the longest is given first, also where it was lost long
@@ -601,7 +631,7 @@
         fleet.add("s5", 5, 500);
         fleet.passes(Duration::from_secs(5));
         let summary = fleet.stores[5].core.summary();
-        assert_eq!((summary.votes, summary.seat), (true, Some(first)));
+        assert_eq!((summary.is_voting, summary.slot), (true, Some(first)));
     }
 }
 
@@ -618,7 +648,7 @@
     fleet.wipe(0, 500);
     fleet.wipe(3, 600);
     fleet.passes(Duration::from_secs(6));
-    let seats = [0, 3, 5].map(|index| fleet.stores[index].core.summary().seat);
+    let seats = [0, 3, 5].map(|index| fleet.stores[index].core.summary().slot);
     assert_eq!(seats, [Some(0), Some(3), None]);
     assert_eq!(fleet.votes(), 5);
 }
@@ -633,15 +663,15 @@
     fleet.stores[1].is_up = false;
     fleet.add("s5", 5, 500);
     fleet.passes(Duration::from_secs(6));
-    assert_eq!(fleet.stores[5].core.summary().seat, Some(1));
+    assert_eq!(fleet.stores[5].core.summary().slot, Some(1));
     // Back, as a process or after a cut: it was never told anything.
     fleet.restart(1);
     let heard = fleet.accepted()[0];
-    fleet.events.push_back((1, Event::Heard { revision: heard }));
+    fleet.events.push_back((1, Event::RevisionHeard { revision: heard }));
     fleet.passes(Duration::from_secs(4));
     let summary = fleet.stores[1].core.summary();
     assert_ne!(summary.incarnation, 101);
-    assert!(summary.blank && fleet.stores[1].disk.versions.is_empty(), "all of the old is gone");
+    assert!(summary.is_empty && fleet.stores[1].disk.versions.is_empty(), "all of the old is gone");
     let state = fleet.stores[1].disk.state.clone().unwrap();
     assert_eq!((state.incarnation, state.accepted), (summary.incarnation, None));
     fleet.passes(Duration::from_secs(4));
@@ -649,7 +679,7 @@
     fleet.stores[2].is_up = false;
     fleet.passes(Duration::from_secs(6));
     let summary = fleet.stores[1].core.summary();
-    assert_eq!((summary.votes, summary.seat), (true, Some(2)));
+    assert_eq!((summary.is_voting, summary.slot), (true, Some(2)));
     assert!(matches!(fleet.put(0, "b"), Some(Outcome::Accepted { .. })));
 }
 
@@ -663,13 +693,13 @@
     // The change of the seat reaches its proposer's own disk only.
     fleet.stores[0].is_up = false;
     fleet.loses = Box::new(|_, target, ask| {
-        matches!(ask, Ask::Accept { value, .. } if value.revision > 1) && target == 2
+        matches!(ask, Request::Accept { value, .. } if value.revision > 1) && target == 2
     });
     fleet.passes(Duration::from_secs(4));
     assert_eq!(fleet.accepted()[1..3], [2, 1], "one of two has it");
     fleet.stores[2].is_up = false;
     fleet.restart(0);
-    fleet.events.push_back((0, Event::Heard { revision: 2 }));
+    fleet.events.push_back((0, Event::RevisionHeard { revision: 2 }));
     fleet.passes(Duration::from_secs(4));
     assert_eq!(fleet.stores[0].core.summary().incarnation, 100);
     assert_eq!(fleet.accepted()[0], 1, "its disk is as it was");
@@ -684,10 +714,10 @@
     fleet.stores[0].is_up = false;
     fleet.add("a-name-before-all", 3, 500);
     fleet.passes(Duration::from_secs(6));
-    assert_eq!(fleet.stores[3].core.summary().seat, Some(0), "the first seat, by its place");
+    assert_eq!(fleet.stores[3].core.summary().slot, Some(0), "the first seat, by its place");
     // Loses whatever the others would give away.
     fleet.loses = Box::new(|asker, _, ask| {
-        matches!(ask, Ask::Accept { .. } | Ask::Prepare { .. }) && asker != 3
+        matches!(ask, Request::Accept { .. } | Request::Prepare { .. }) && asker != 3
     });
     fleet.wipe(2, 600);
     fleet.passes(Duration::from_secs(6));
@@ -697,8 +727,8 @@
 fn versioned(fleet: &mut Fleet, key: &str, bytes: &str, version: Option<u64>) -> Outcome {
     let before = fleet.told.len();
     let bytes = bytes.as_bytes().to_vec();
-    let change = Change::Setup { bytes, if_revision: None, version };
-    fleet.ask(0, Ask::Change { key: key.to_string(), change, unnamed_for: None });
+    let change = Change::ReplaceConfig { bytes, if_revision: None, version };
+    fleet.ask(0, Request::Change { key: key.to_string(), change, keyless_for: None });
     fleet.passes(Duration::from_secs(1));
     fleet.told[before].clone()
 }
@@ -709,25 +739,25 @@
 fn a_setup_of_an_old_version_changes_nothing() {
     let mut fleet = Fleet::of(3);
     fleet.passes(Duration::from_secs(2));
-    let change = Change::Empty { zone: "a1".to_string() };
-    fleet.ask(0, Ask::Change { key: "zone".to_string(), change, unnamed_for: None });
+    let change = Change::DrainZone { zone: "a1".to_string() };
+    fleet.ask(0, Request::Change { key: "zone".to_string(), change, keyless_for: None });
     let accepted = |outcome: Outcome| match outcome {
-        Outcome::Accepted { revision, repeat, .. } => (revision, repeat),
+        Outcome::Accepted { revision, is_repeat: repeat, .. } => (revision, repeat),
         other => panic!("{other:?}"),
     };
     assert_eq!(accepted(versioned(&mut fleet, "k5", "five", Some(5))), (2, false));
     assert_eq!(accepted(versioned(&mut fleet, "l", "five", Some(5))), (2, true));
     // Nobody took it: it is noted as overtaken, under a revision of its own.
     assert_eq!(accepted(versioned(&mut fleet, "n", "four", Some(4))), (3, true));
-    assert_eq!(fleet.value(1).setup_revision, 2);
+    assert_eq!(fleet.value(1).config_revision, 2);
     let other = versioned(&mut fleet, "m", "other", Some(5));
-    assert_eq!(other, Outcome::VersionTaken { version: 5, held: 5 });
-    assert_eq!(fleet.value(1).setup, b"five");
+    assert_eq!(other, Outcome::VersionTaken { version: 5, highest: 5 });
+    assert_eq!(fleet.value(1).document, b"five");
     assert_eq!(accepted(versioned(&mut fleet, "k9", "nine", Some(9))), (4, false));
     let value = fleet.value(1);
-    assert_eq!((&value.setup[..], value.setup_version), (&b"nine"[..], 9));
-    assert_eq!(value.word().config_version, 9);
-    assert!(value.emptied.contains("a1"));
+    assert_eq!((&value.document[..], value.config_version), (&b"nine"[..], 9));
+    assert_eq!(value.committed_config().config_version, 9);
+    assert!(value.drained_zones.contains("a1"));
     // Without a version as ever; an old version is not brought back by it.
     assert_eq!(accepted(versioned(&mut fleet, "k", "by hand", None)), (5, false));
     assert_eq!(accepted(versioned(&mut fleet, "k8", "eight", Some(8))), (6, true));
@@ -737,16 +767,16 @@
         fleet.tickets.push(Asker::Operator);
         let ticket = fleet.tickets.len() as u64 - 1;
         let bytes = format!("{version}").into_bytes();
-        let change = Change::Setup { bytes, if_revision: None, version: Some(version) };
-        let ask = Ask::Change { key: format!("s{version}"), change, unnamed_for: None };
-        fleet.events.push_back((0, Event::Asked { ticket, ask }));
+        let change = Change::ReplaceConfig { bytes, if_revision: None, version: Some(version) };
+        let ask = Request::Change { key: format!("s{version}"), change, keyless_for: None };
+        fleet.events.push_back((0, Event::RequestReceived { ticket, request: ask }));
     }
     let before = fleet.told.len();
     fleet.run();
     fleet.passes(Duration::from_secs(1));
     let told: Vec<(u64, bool)> = fleet.told[before..].iter().cloned().map(accepted).collect();
     assert_eq!(told, [(8, false), (9, true), (10, false)]);
-    assert_eq!(fleet.value(2).setup, b"13");
+    assert_eq!(fleet.value(2).document, b"13");
 }
 
 /// Changes that wait are taken together in one round; each has a receipt and a revision of its own, that
@@ -758,16 +788,16 @@
     let rounds = std::rc::Rc::new(std::cell::Cell::new(0));
     let counted = rounds.clone();
     fleet.loses = Box::new(move |_, _, ask| {
-        counted.set(counted.get() + u32::from(matches!(ask, Ask::Accept { .. })));
+        counted.set(counted.get() + u32::from(matches!(ask, Request::Accept { .. })));
         false
     });
     let wait = |fleet: &mut Fleet, key: &str, bytes: &str, if_revision: Option<u64>| {
         fleet.tickets.push(Asker::Operator);
         let ticket = fleet.tickets.len() as u64 - 1;
         let bytes = bytes.as_bytes().to_vec();
-        let change = Change::Setup { bytes, if_revision, version: None };
-        let ask = Ask::Change { key: key.to_string(), change, unnamed_for: None };
-        fleet.events.push_back((0, Event::Asked { ticket, ask }));
+        let change = Change::ReplaceConfig { bytes, if_revision, version: None };
+        let ask = Request::Change { key: key.to_string(), change, keyless_for: None };
+        fleet.events.push_back((0, Event::RequestReceived { ticket, request: ask }));
     };
     for number in 0..20 {
         wait(&mut fleet, &format!("k{number}"), &format!("{number}"), None);
@@ -780,24 +810,26 @@
     let told: Vec<Outcome> = fleet.told.clone();
     let mut revisions = std::collections::BTreeSet::new();
     for (number, outcome) in told.iter().take(20).enumerate() {
-        let Outcome::Accepted { revision, setup_revision, repeat: false } = outcome else {
+        let Outcome::Accepted { revision, config_revision: setup_revision, is_repeat: false } =
+            outcome
+        else {
             panic!("{outcome:?}");
         };
         assert_eq!(revision, setup_revision);
         assert!(revisions.insert(*revision));
         for store in &fleet.stores {
             let mut of = store.disk.versions.values().filter(|one| one.revision == *revision);
-            assert_eq!(of.next().unwrap().setup, format!("{number}").into_bytes());
+            assert_eq!(of.next().unwrap().document, format!("{number}").into_bytes());
         }
     }
     assert!(matches!(told[20], Outcome::Conflict { .. }), "{:?}", told[20]);
     assert!(matches!(told[21], Outcome::KeyReused { .. }), "{:?}", told[21]);
-    assert!(matches!(told[22], Outcome::Accepted { repeat: true, .. }), "{:?}", told[22]);
+    assert!(matches!(told[22], Outcome::Accepted { is_repeat: true, .. }), "{:?}", told[22]);
     assert!(rounds.get() <= 8, "{} accepts sent to two copies", rounds.get());
     fleet.passes(Duration::from_secs(4));
     for revision in 1..=20 {
         let before = fleet.told.len();
-        fleet.ask(1, Ask::History { revision });
+        fleet.ask(1, Request::History { revision });
         assert!(
             matches!(&fleet.told[before], Outcome::Value { value } if value.revision == revision)
         );
@@ -812,16 +844,16 @@
         let mut fleet = Fleet::of(3);
         fleet.passes(Duration::from_secs(2));
         fleet.loses = Box::new(|_, target, ask| {
-            matches!(ask, Ask::Accept { value, .. } if value.revision > 1) && target != 1
+            matches!(ask, Request::Accept { value, .. } if value.revision > 1) && target != 1
         });
-        fleet.mutes = Box::new(|_, _, tell| matches!(tell, Tell::Accepted { .. }));
+        fleet.mutes = Box::new(|_, _, tell| matches!(tell, Response::Accepted { .. }));
         for key in ["a", "b", "c"] {
             fleet.tickets.push(Asker::Operator);
             let ticket = fleet.tickets.len() as u64 - 1;
             let bytes = key.as_bytes().to_vec();
-            let change = Change::Setup { bytes, if_revision: None, version: None };
-            let ask = Ask::Change { key: key.to_string(), change, unnamed_for: None };
-            fleet.events.push_back((0, Event::Asked { ticket, ask }));
+            let change = Change::ReplaceConfig { bytes, if_revision: None, version: None };
+            let ask = Request::Change { key: key.to_string(), change, keyless_for: None };
+            fleet.events.push_back((0, Event::RequestReceived { ticket, request: ask }));
         }
         fleet.run();
         fleet.passes(Duration::from_secs(1));
@@ -829,13 +861,13 @@
         assert_eq!(fleet.told.len(), 3);
         fleet.stores[0].is_up = false;
         fleet.mutes = Box::new(|_, _, _| false);
-        fleet.loses = Box::new(|_, _, ask| matches!(ask, Ask::Fetch { .. }));
+        fleet.loses = Box::new(|_, _, ask| matches!(ask, Request::Fetch { .. }));
         if is_restarted {
             fleet.restart(1);
         }
         assert!(matches!(fleet.put(2, "d"), Some(Outcome::Accepted { .. })));
         let held: Vec<&[u8]> =
-            fleet.stores[2].disk.versions.values().map(|value| &value.setup[..]).collect();
+            fleet.stores[2].disk.versions.values().map(|value| &value.document[..]).collect();
         for key in [b"a", b"b", b"c", b"d"] {
             assert!(held.contains(&&key[..]), "{held:?} without any fetch");
         }
@@ -848,13 +880,13 @@
 fn large_setups_do_not_fill_a_disk() {
     let mut fleet = Fleet::of(3);
     fleet.passes(Duration::from_secs(2));
-    let most = vanepath_store::protocol::HISTORY_BYTES_MOST;
+    let most = vanepath_store::protocol::MAX_HISTORY_BYTES;
     let size = 700_000;
     for number in 0..120_u32 {
         let mut bytes = vec![b'x'; size];
         bytes[..4].copy_from_slice(&number.to_be_bytes());
-        let change = Change::Setup { bytes, if_revision: None, version: None };
-        fleet.ask(0, Ask::Change { key: format!("k{number}"), change, unnamed_for: None });
+        let change = Change::ReplaceConfig { bytes, if_revision: None, version: None };
+        fleet.ask(0, Request::Change { key: format!("k{number}"), change, keyless_for: None });
         for store in &fleet.stores {
             let held: usize = store.disk.versions.values().map(|value| value.encode().len()).sum();
             assert!(held <= most + size, "{held} bytes at revision {number}");
@@ -871,7 +903,7 @@
     let latest = fleet.accepted()[0];
     let before = fleet.told.len();
     for revision in latest - 20..=latest {
-        fleet.ask(2, Ask::History { revision });
+        fleet.ask(2, Request::History { revision });
     }
     assert!(fleet.told[before..].iter().all(|one| matches!(one, Outcome::Value { .. })));
 }
@@ -898,7 +930,7 @@
         fleet.restart(0);
         fleet.passes(Duration::from_secs(12));
         assert_eq!(fleet.votes(), stores);
-        assert_eq!(fleet.value(0).seats.iter().flatten().count(), stores);
+        assert_eq!(fleet.value(0).members.iter().flatten().count(), stores);
         assert!(matches!(fleet.put(0, "c"), Some(Outcome::Accepted { .. })));
     }
 }
@@ -911,8 +943,9 @@
     fleet.passes(Duration::from_secs(2));
     fleet.put(0, "a");
     fleet.add("s3", 3, 500);
-    fleet.loses = Box::new(|_, target, ask| target == 2 && matches!(ask, Ask::Alive));
-    fleet.mutes = Box::new(|teller, _, tell| teller == 1 && matches!(tell, Tell::Promise { .. }));
+    fleet.loses = Box::new(|_, target, ask| target == 2 && matches!(ask, Request::Ping));
+    fleet.mutes =
+        Box::new(|teller, _, tell| teller == 1 && matches!(tell, Response::Promise { .. }));
     fleet.passes(Duration::from_secs(8));
     assert!(fleet.stores[3].core.is_blank());
     assert_eq!(fleet.stores[2].core.summary().incarnation, 102);
@@ -931,7 +964,7 @@
     fleet.put(0, "a");
     fleet.stores[2].is_up = false;
     fleet.add("s3", 3, 500);
-    fleet.mutes = Box::new(|_, _, tell| matches!(tell, Tell::Membership { .. }));
+    fleet.mutes = Box::new(|_, _, tell| matches!(tell, Response::Membership { .. }));
     fleet.passes(Duration::from_secs(5));
     assert_eq!(fleet.accepted()[..2], [2, 2], "the seat is given");
     fleet.stores[1].is_up = false;
@@ -941,7 +974,7 @@
     assert_eq!(fleet.accepted()[0], 2, "one of two is no majority");
     fleet.restart(1);
     fleet.passes(Duration::from_secs(8));
-    assert!(fleet.stores[3].core.summary().votes);
+    assert!(fleet.stores[3].core.summary().is_voting);
     assert!(matches!(fleet.put(0, "b"), Some(Outcome::Accepted { .. })));
 }
 
@@ -957,23 +990,23 @@
         let mut value = fleet.value(index).clone();
         value.revision += 1;
         (value.parent_revision, value.parent) = (parent.revision, parent.digest);
-        value.setup = setup.as_bytes().to_vec();
+        value.document = setup.as_bytes().to_vec();
         value
     };
     let accept = |value: Value, number: u64| {
         let ballot = Ballot { number, incarnation: 101 };
-        Ask::Accept { from: 101, ballot, value, before: Vec::new() }
+        Request::Accept { from: 101, ballot, value, batch: Vec::new() }
     };
     let half = child(&fleet, 0, "half");
     fleet.ask(0, accept(half, 50));
-    fleet.delays = Box::new(|_, _, tell| matches!(tell, Tell::Accepted { .. }));
-    let change = Change::Empty { zone: "a1".to_string() };
+    fleet.delays = Box::new(|_, _, tell| matches!(tell, Response::Accepted { .. }));
+    let change = Change::DrainZone { zone: "a1".to_string() };
     let told = fleet.told.len();
-    fleet.ask(0, Ask::Change { key: "k".to_string(), change, unnamed_for: None });
+    fleet.ask(0, Request::Change { key: "k".to_string(), change, keyless_for: None });
     assert_eq!(fleet.late.len(), 2, "two have accepted what was half done");
     let other = child(&fleet, 0, "other");
     fleet.ask(0, accept(other, 1000));
-    fleet.loses = Box::new(|_, _, ask| matches!(ask, Ask::Prepare { .. }));
+    fleet.loses = Box::new(|_, _, ask| matches!(ask, Request::Prepare { .. }));
     fleet.delays = Box::new(|_, _, _| false);
     let late = std::mem::take(&mut fleet.late);
     fleet.events.extend(late);
@@ -998,7 +1031,7 @@
     fleet.wipe(2, 502);
     fleet.add("s3", 3, 503);
     for index in 1..4 {
-        fleet.events.push_back((index, Event::Heard { revision: 1 }));
+        fleet.events.push_back((index, Event::RevisionHeard { revision: 1 }));
     }
     fleet.passes(Duration::from_secs(10));
     assert!(fleet.stores[1..].iter().all(|store| store.core.is_blank()));
@@ -1010,35 +1043,35 @@
         let key = format!("made-{}", self.tickets.len());
         let unnamed_for = Some(Duration::from_millis(waited));
         let before = self.told.len();
-        self.ask(index, Ask::Change { key, change, unnamed_for });
+        self.ask(index, Request::Change { key, change, keyless_for: unnamed_for });
         self.told[before].clone()
     }
 
     /// Its registry answered in time, and says so to all stores.
     fn answered(&mut self, change: &Change, outcome: &Outcome) {
         let Outcome::Accepted { revision, .. } = outcome else { panic!("{outcome:?}") };
-        let (matter, revision) = (change.matter(), *revision);
+        let (matter, revision) = (change.content_hash(), *revision);
         for index in 0..self.stores.len() {
-            self.ask(index, Ask::Answered { matter, revision });
+            self.ask(index, Request::Acknowledge { content_hash: matter, revision });
         }
     }
 
     fn orders(&self, index: usize) -> u32 {
-        self.value(index).orders("a1")
+        self.value(index).drain_orders("a1")
     }
 }
 
 fn empty() -> Change {
-    Change::Empty { zone: "a1".to_string() }
+    Change::DrainZone { zone: "a1".to_string() }
 }
 
 fn give_back() -> Change {
-    Change::Return { zone: "a1".to_string() }
+    Change::RestoreZone { zone: "a1".to_string() }
 }
 
 fn is_repeat(outcome: &Outcome) -> bool {
     match outcome {
-        Outcome::Accepted { repeat, .. } => *repeat,
+        Outcome::Accepted { is_repeat: repeat, .. } => *repeat,
         other => panic!("{other:?}"),
     }
 }
@@ -1048,7 +1081,7 @@
 fn a_zone_is_emptied_until_every_order_is_withdrawn() {
     let mut fleet = Fleet::of(3);
     fleet.passes(Duration::from_secs(2));
-    let is_emptied = |fleet: &Fleet| fleet.value(1).word().drained_zones.contains("a1");
+    let is_emptied = |fleet: &Fleet| fleet.value(1).committed_config().drained_zones.contains("a1");
     for (change, orders) in [
         (empty(), 1),
         (empty(), 2),
@@ -1074,7 +1107,7 @@
         ("c", give_back(), 2),
         ("d", give_back(), 1),
     ] {
-        fleet.ask(0, Ask::Change { key: key.to_string(), change, unnamed_for: None });
+        fleet.ask(0, Request::Change { key: key.to_string(), change, keyless_for: None });
         assert_eq!(fleet.orders(0), orders, "{key}");
     }
 }
@@ -1084,13 +1117,13 @@
 fn orders_for_one_zone_are_bounded() {
     let mut fleet = Fleet::of(3);
     fleet.passes(Duration::from_secs(2));
-    let most = vanepath_store::protocol::ORDERS_MOST;
+    let most = vanepath_store::protocol::MAX_DRAIN_ORDERS;
     for number in 0..=most {
         let (key, change) = (format!("k{number}"), empty());
-        fleet.ask(0, Ask::Change { key, change, unnamed_for: None });
+        fleet.ask(0, Request::Change { key, change, keyless_for: None });
     }
     assert_eq!(fleet.orders(0), most);
-    assert!(matches!(fleet.told.last(), Some(Outcome::NothingDone { .. })));
+    assert!(matches!(fleet.told.last(), Some(Outcome::NotApplied { .. })));
 }
 
 /// Without a clear answer an order is sent again, to whichever store: it counts once. One that never came
@@ -1128,9 +1161,10 @@
     assert_eq!(fleet.orders(0), 2);
     // The first sending finds no majority.
     fleet.passes(9 * second);
-    fleet.loses = Box::new(|_, _, ask| matches!(ask, Ask::Prepare { .. } | Ask::Accept { .. }));
+    fleet.loses =
+        Box::new(|_, _, ask| matches!(ask, Request::Prepare { .. } | Request::Accept { .. }));
     let told = fleet.order(0, give_back(), 0);
-    assert!(matches!(told, Outcome::NothingDone { .. }), "{told:?}");
+    assert!(matches!(told, Outcome::NotApplied { .. }), "{told:?}");
     fleet.loses = Box::new(|_, _, _| false);
     fleet.passes(second);
     assert!(!is_repeat(&fleet.order(1, give_back(), 0)));
@@ -1147,8 +1181,8 @@
         fleet.tickets.push(Asker::Operator);
         let ticket = fleet.tickets.len() as u64 - 1;
         let (key, unnamed_for) = (format!("made-{ticket}"), Some(Duration::ZERO));
-        let ask = Ask::Change { key, change: empty(), unnamed_for };
-        fleet.events.push_back((store, Event::Asked { ticket, ask }));
+        let ask = Request::Change { key, change: empty(), keyless_for: unnamed_for };
+        fleet.events.push_back((store, Event::RequestReceived { ticket, request: ask }));
     };
     let first = fleet.order(0, empty(), 0);
     fleet.passes(Duration::from_millis(200));
@@ -1156,7 +1190,7 @@
     fleet.passes(Duration::from_millis(200));
     assert_eq!((fleet.told.len(), fleet.orders(0)), (1, 1), "nobody can tell yet");
     fleet.answered(&empty(), &first);
-    let asks_anew = |outcome: &Outcome| matches!(outcome, Outcome::NothingDone { .. });
+    let asks_anew = |outcome: &Outcome| matches!(outcome, Outcome::NotApplied { .. });
     assert!(asks_anew(&fleet.told[1]), "a registry that died does not: {:?}", fleet.told[1]);
     assert_eq!(fleet.orders(0), 1);
     assert!(!is_repeat(&fleet.order(0, empty(), 100)));
@@ -1219,16 +1253,16 @@
     fleet.passes(Duration::from_secs(2));
     let name = b"further_orders";
     let has_it = |bytes: &[u8]| bytes.windows(name.len()).any(|part| part == name);
-    fleet.ask(0, Ask::Change { key: "a".to_string(), change: empty(), unnamed_for: None });
+    fleet.ask(0, Request::Change { key: "a".to_string(), change: empty(), keyless_for: None });
     let bytes = fleet.value(0).encode();
     assert!(!has_it(&bytes));
     let read: Value = wire::decode(&bytes).unwrap();
-    assert_eq!((read.orders("a1"), read.orders("b1"), read.encode()), (1, 0, bytes));
-    fleet.ask(0, Ask::Change { key: "b".to_string(), change: empty(), unnamed_for: None });
+    assert_eq!((read.drain_orders("a1"), read.drain_orders("b1"), read.encode()), (1, 0, bytes));
+    fleet.ask(0, Request::Change { key: "b".to_string(), change: empty(), keyless_for: None });
     let bytes = fleet.value(0).encode();
     assert!(has_it(&bytes));
-    assert_eq!(wire::decode::<Value>(&bytes).unwrap().orders("a1"), 2);
-    let ask = Ask::Change { key: "c".to_string(), change: give_back(), unnamed_for: None };
+    assert_eq!(wire::decode::<Value>(&bytes).unwrap().drain_orders("a1"), 2);
+    let ask = Request::Change { key: "c".to_string(), change: give_back(), keyless_for: None };
     fleet.ask(0, ask);
     assert!(!has_it(&fleet.value(0).encode()));
 }
@@ -1236,7 +1270,7 @@
 /// What stores said of the floor, in order.
 fn floors(fleet: &Fleet) -> Vec<Option<u64>> {
     let told = fleet.said.iter().filter_map(|tell| match tell {
-        Tell::Floor(revision) => Some(*revision),
+        Response::ReadIndex(revision) => Some(*revision),
         _ => None,
     });
     told.collect()
@@ -1250,15 +1284,15 @@
     assert_eq!(revision(fleet.put(0, "a")), 1);
     fleet.stores[0].is_up = false;
     assert_eq!(revision(fleet.put(1, "b")), 2);
-    fleet.ask(1, Ask::Floor);
-    fleet.ask(2, Ask::Floor);
+    fleet.ask(1, Request::ReadIndex);
+    fleet.ask(2, Request::ReadIndex);
     fleet.stores[1].is_up = false;
-    fleet.ask(2, Ask::Floor);
+    fleet.ask(2, Request::ReadIndex);
     assert_eq!(floors(&fleet), [Some(2), Some(2), None]);
     // Its disk holds 1; it asks, and brings itself up before it tells.
     fleet.restart(0);
     fleet.passes(Duration::from_millis(50));
-    fleet.ask(0, Ask::Floor);
+    fleet.ask(0, Request::ReadIndex);
     // Its own first sweep is under way, and a floor takes a round that begins after it was asked for.
     fleet.passes(Duration::from_millis(50));
     assert_eq!(floors(&fleet)[3..], [Some(2)]);
@@ -1273,14 +1307,14 @@
     let queries = std::rc::Rc::new(std::cell::Cell::new(0));
     let counted = queries.clone();
     fleet.loses = Box::new(move |_, _, ask| {
-        assert!(matches!(ask, Ask::Query | Ask::Alive), "{ask:?}");
-        counted.set(counted.get() + u32::from(matches!(ask, Ask::Query)));
+        assert!(matches!(ask, Request::QueryStatus | Request::Ping), "{ask:?}");
+        counted.set(counted.get() + u32::from(matches!(ask, Request::QueryStatus)));
         false
     });
     for _ in 0..640 {
         fleet.tickets.push(Asker::Operator);
         let ticket = fleet.tickets.len() as u64 - 1;
-        fleet.events.push_back((0, Event::Asked { ticket, ask: Ask::Floor }));
+        fleet.events.push_back((0, Event::RequestReceived { ticket, request: Request::ReadIndex }));
     }
     fleet.run();
     assert_eq!(floors(&fleet), [Some(1); 640]);
@@ -1291,8 +1325,9 @@
 /// that was asked for after that is not what the old round shows.
 #[test]
 fn a_floor_does_not_ride_on_an_older_round() {
-    let meanwhile = Change::Setup { bytes: b"c".to_vec(), if_revision: None, version: None };
-    let (_, fleet) = asked_of_a_store_that_was_cut_off(meanwhile, Ask::Floor);
+    let meanwhile =
+        Change::ReplaceConfig { bytes: b"c".to_vec(), if_revision: None, version: None };
+    let (_, fleet) = asked_of_a_store_that_was_cut_off(meanwhile, Request::ReadIndex);
     let told = floors(&fleet);
     assert!(told.iter().all(|one| one.is_none_or(|one| one >= 3)), "{told:?}");
     assert_eq!(told.last(), Some(&Some(3)));
@@ -1306,34 +1341,39 @@
     assert_eq!(revision(fleet.put(0, "a")), 1);
     // Half done: only the third copy has it.
     fleet.loses =
-        Box::new(|from, to, ask| matches!(ask, Ask::Accept { .. }) && !(from == 0 && to == 2));
-    fleet.mutes = Box::new(|_, asker, tell| asker == 0 && matches!(tell, Tell::Accepted { .. }));
-    let change = Change::Setup { bytes: b"b".to_vec(), if_revision: None, version: None };
-    fleet.ask(0, Ask::Change { key: "b".into(), change, unnamed_for: None });
+        Box::new(|from, to, ask| matches!(ask, Request::Accept { .. }) && !(from == 0 && to == 2));
+    fleet.mutes =
+        Box::new(|_, asker, tell| asker == 0 && matches!(tell, Response::Accepted { .. }));
+    let change = Change::ReplaceConfig { bytes: b"b".to_vec(), if_revision: None, version: None };
+    fleet.ask(0, Request::Change { key: "b".into(), change, keyless_for: None });
     fleet.mutes = Box::new(|_, _, _| false);
     fleet.loses = Box::new(|from, _, ask| {
-        assert!(from == 0 || matches!(ask, Ask::Query | Ask::Alive), "{from}: {ask:?}");
+        assert!(
+            from == 0 || matches!(ask, Request::QueryStatus | Request::Ping),
+            "{from}: {ask:?}"
+        );
         false
     });
-    fleet.ask(1, Ask::Floor);
-    fleet.ask(0, Ask::Floor);
+    fleet.ask(1, Request::ReadIndex);
+    fleet.ask(0, Request::ReadIndex);
     assert_eq!(floors(&fleet), [None, Some(2)]);
 }
 
 /// A store that is not heard of for a while, with what it proposed accepted and the replies still on
 /// their way, while another store chooses more. What is asked of the first one after that goes before
 /// the late replies.
-fn asked_of_a_store_that_was_cut_off(meanwhile: Change, ask: Ask) -> (Vec<Outcome>, Fleet) {
+fn asked_of_a_store_that_was_cut_off(meanwhile: Change, ask: Request) -> (Vec<Outcome>, Fleet) {
     let mut fleet = Fleet::of(3);
     fleet.passes(Duration::from_secs(2));
     assert_eq!(revision(fleet.put(0, "a")), 1);
-    fleet.delays = Box::new(|_, asker, tell| asker == 0 && matches!(tell, Tell::Accepted { .. }));
-    let change = Change::Setup { bytes: b"b".to_vec(), if_revision: None, version: None };
-    fleet.ask(0, Ask::Change { key: "b".into(), change, unnamed_for: None });
+    fleet.delays =
+        Box::new(|_, asker, tell| asker == 0 && matches!(tell, Response::Accepted { .. }));
+    let change = Change::ReplaceConfig { bytes: b"b".to_vec(), if_revision: None, version: None };
+    fleet.ask(0, Request::Change { key: "b".into(), change, keyless_for: None });
     assert!(!fleet.late.is_empty());
     fleet.loses = Box::new(|from, to, _| from == 0 || to == 0);
     let before = fleet.told.len();
-    fleet.ask(1, Ask::Change { key: "c".into(), change: meanwhile, unnamed_for: None });
+    fleet.ask(1, Request::Change { key: "c".into(), change: meanwhile, keyless_for: None });
     fleet.passes(Duration::from_secs(2));
     assert_eq!(revision(fleet.told.get(before).cloned()), 3, "it builds on what the others hold");
     fleet.loses = Box::new(|_, _, _| false);
@@ -1350,8 +1390,9 @@
 /// Incident 0011: a read takes a round that begins after it was asked for.
 #[test]
 fn a_read_does_not_ride_on_an_older_round() {
-    let meanwhile = Change::Setup { bytes: b"c".to_vec(), if_revision: None, version: None };
-    let (told, _) = asked_of_a_store_that_was_cut_off(meanwhile, Ask::Read);
+    let meanwhile =
+        Change::ReplaceConfig { bytes: b"c".to_vec(), if_revision: None, version: None };
+    let (told, _) = asked_of_a_store_that_was_cut_off(meanwhile, Request::Read);
     let read = told.iter().filter_map(|outcome| match outcome {
         Outcome::Value { value } => Some(value.revision),
         _ => None,
@@ -1363,11 +1404,11 @@
 /// accepted on the word of a store that does not know yet that the zone was emptied.
 #[test]
 fn a_change_without_effect_is_not_judged_by_an_older_round() {
-    let ask = Ask::Change { key: "d".into(), change: give_back(), unnamed_for: None };
+    let ask = Request::Change { key: "d".into(), change: give_back(), keyless_for: None };
     let (told, fleet) = asked_of_a_store_that_was_cut_off(empty(), ask);
     let accepted = told.iter().filter(|outcome| matches!(outcome, Outcome::Accepted { .. }));
     assert!(accepted.count() >= 1, "{told:?}");
-    assert_eq!(fleet.value(1).orders("a1"), 0, "what was told as accepted is in force");
+    assert_eq!(fleet.value(1).drain_orders("a1"), 0, "what was told as accepted is in force");
 }
 
 /// Incident 0012: of two contents under one version one is taken. The other one is refused, whichever
@@ -1377,7 +1418,7 @@
     let mut fleet = Fleet::of(3);
     fleet.passes(Duration::from_secs(2));
     let accepted = |outcome: &Outcome| match outcome {
-        Outcome::Accepted { revision, repeat, .. } => (*revision, *repeat),
+        Outcome::Accepted { revision, is_repeat: repeat, .. } => (*revision, *repeat),
         other => panic!("{other:?}"),
     };
     let refused = |outcome: Outcome| assert!(matches!(outcome, Outcome::VersionTaken { .. }));
@@ -1405,8 +1446,8 @@
     assert_eq!(accepted(&versioned(&mut fleet, "j", "four", Some(4))), (303, true));
     assert_eq!(accepted(&versioned(&mut fleet, "k", "four", Some(4))), (303, true));
     refused(versioned(&mut fleet, "l", "other four", Some(4)));
-    assert_eq!(fleet.value(0).setup, b"of 305");
-    assert_eq!(fleet.value(0).setup_revision, 302);
+    assert_eq!(fleet.value(0).document, b"of 305");
+    assert_eq!(fleet.value(0).config_revision, 302);
 }
 
 /// Two operators at two stores at one moment, one version: one of them is told that it was taken.
@@ -1418,9 +1459,9 @@
         fleet.tickets.push(Asker::Operator);
         let ticket = fleet.tickets.len() as u64 - 1;
         let bytes = text.as_bytes().to_vec();
-        let change = Change::Setup { bytes, if_revision: None, version: Some(7) };
-        let ask = Ask::Change { key: text.to_string(), change, unnamed_for: None };
-        fleet.events.push_back((index, Event::Asked { ticket, ask }));
+        let change = Change::ReplaceConfig { bytes, if_revision: None, version: Some(7) };
+        let ask = Request::Change { key: text.to_string(), change, keyless_for: None };
+        fleet.events.push_back((index, Event::RequestReceived { ticket, request: ask }));
     }
     fleet.run();
     fleet.passes(Duration::from_secs(4));
@@ -1440,10 +1481,10 @@
         fleet.tickets.push(Asker::Operator);
         let ticket = fleet.tickets.len() as u64 - 1;
         let bytes = format!("content of {key}").into_bytes();
-        let change = Change::Setup { bytes, if_revision: None, version: None };
+        let change = Change::ReplaceConfig { bytes, if_revision: None, version: None };
         let unnamed_for = is_made.then_some(Duration::ZERO);
-        let ask = Ask::Change { key, change, unnamed_for };
-        fleet.events.push_back((0, Event::Asked { ticket, ask }));
+        let ask = Request::Change { key, change, keyless_for: unnamed_for };
+        fleet.events.push_back((0, Event::RequestReceived { ticket, request: ask }));
     };
     for number in 0..2400 {
         send(&mut fleet, format!("named-{number}"), false);
@@ -1455,7 +1496,7 @@
     fleet.run();
     fleet.passes(Duration::from_secs(1));
     let last = fleet.told.len();
-    assert!(fleet.told.iter().all(|one| matches!(one, Outcome::Accepted { repeat: false, .. })));
+    assert!(fleet.told.iter().all(|one| matches!(one, Outcome::Accepted { is_repeat: false, .. })));
     fleet.restart(0);
     fleet.passes(Duration::from_secs(3));
     for number in [0, 1, 1200, 2399] {
@@ -1464,14 +1505,15 @@
         fleet.passes(Duration::from_millis(100));
     }
     let told = &fleet.told[last..];
-    assert!(told.iter().all(|one| matches!(one, Outcome::Accepted { repeat: true, .. })));
+    assert!(told.iter().all(|one| matches!(one, Outcome::Accepted { is_repeat: true, .. })));
     assert_eq!(told.len(), 4, "{told:?}");
     // Under a key that was used for something else nothing is done.
     fleet.tickets.push(Asker::Operator);
     let ticket = fleet.tickets.len() as u64 - 1;
-    let change = Change::Setup { bytes: b"other".to_vec(), if_revision: None, version: None };
-    let ask = Ask::Change { key: "named-1".into(), change, unnamed_for: None };
-    fleet.events.push_back((0, Event::Asked { ticket, ask }));
+    let change =
+        Change::ReplaceConfig { bytes: b"other".to_vec(), if_revision: None, version: None };
+    let ask = Request::Change { key: "named-1".into(), change, keyless_for: None };
+    fleet.events.push_back((0, Event::RequestReceived { ticket, request: ask }));
     fleet.run();
     assert!(matches!(fleet.told.last(), Some(Outcome::KeyReused { .. })));
     let bytes = fleet.value(0).encode().len();
@@ -1490,7 +1532,7 @@
     assert_eq!(fleet.votes(), 2);
     assert_eq!(revision(fleet.put(1, "b")), 2);
     let found = found(&mut fleet.stores[0].disk, 7);
-    fleet.events.push_back((0, Event::DiskWorks(found)));
+    fleet.events.push_back((0, Event::DiskRecovered(found)));
     fleet.passes(Duration::from_secs(4));
     assert_eq!(fleet.votes(), 3);
     // It bears the next loss.
@@ -1504,18 +1546,21 @@
     let mut fleet = Fleet::of(3);
     fleet.passes(Duration::from_secs(2));
     let ask = |key: &str| {
-        let change =
-            Change::Setup { bytes: key.as_bytes().to_vec(), if_revision: None, version: None };
-        Ask::Change { key: key.to_string(), change, unnamed_for: None }
+        let change = Change::ReplaceConfig {
+            bytes: key.as_bytes().to_vec(),
+            if_revision: None,
+            version: None,
+        };
+        Request::Change { key: key.to_string(), change, keyless_for: None }
     };
     for key in ["a", "b"] {
         fleet.tickets.push(Asker::Operator);
         let ticket = fleet.tickets.len() as u64 - 1;
-        fleet.events.push_back((0, Event::Asked { ticket, ask: ask(key) }));
+        fleet.events.push_back((0, Event::RequestReceived { ticket, request: ask(key) }));
     }
     fleet.events.push_back((0, Event::DiskFailed));
     fleet.run();
     let told = &fleet.told;
     assert_eq!(told.len(), 2, "{told:?}");
-    assert!(told.iter().all(|one| matches!(one, Outcome::NothingDone { .. })), "{told:?}");
+    assert!(told.iter().all(|one| matches!(one, Outcome::NotApplied { .. })), "{told:?}");
 }
--- a/store/tests/stored_data.rs
+++ b/store/tests/stored_data.rs
@@ -3,9 +3,9 @@
 
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
-use vanepath_store::consensus::{Found, Write};
+use vanepath_store::consensus::{DiskWrite, RecoveredState};
 use vanepath_store::disk::Disk;
-use vanepath_store::protocol::{Ballot, Seats, Value, digest_of};
+use vanepath_store::protocol::{Ballot, MemberTable, Value, digest_of};
 
 /// What a folder's state gets as incarnation where its file counts as absent.
 const NEW_INCARNATION: u64 = 4242;
@@ -35,11 +35,11 @@
     format!("{}.{}", ballot.number, ballot.incarnation)
 }
 
-fn show_seats(seats: &Seats) -> String {
+fn show_seats(seats: &MemberTable) -> String {
     let shown: Vec<String> = seats
         .iter()
         .map(|seat| match seat {
-            Some(one) => format!("{}/{}/{}", one.name, one.incarnation, one.admitted),
+            Some(one) => format!("{}/{}/{}", one.name, one.incarnation, one.joined_later),
             None => "vacant".to_string(),
         })
         .collect();
@@ -49,30 +49,31 @@
 fn show_value(value: &Value) -> String {
     let mut text = format!("version {} {}\n", value.revision, hex(&digest_of(&value.encode())));
     let _ = writeln!(text, "  parent {} {}", value.parent_revision, hex(&value.parent));
-    let _ = writeln!(text, "  setup {} {}", value.setup_revision, value.setup_version);
-    let _ = writeln!(text, "  bytes {}", String::from_utf8_lossy(&value.setup));
-    let _ = writeln!(text, "  emptied {:?} {:?}", value.emptied, value.further_orders);
-    let _ = writeln!(text, "  seats {} together {}", show_seats(&value.seats), value.together);
-    for key in &value.keys {
+    let _ = writeln!(text, "  setup {} {}", value.config_revision, value.config_version);
+    let _ = writeln!(text, "  bytes {}", String::from_utf8_lossy(&value.document));
+    let _ = writeln!(text, "  emptied {:?} {:?}", value.drained_zones, value.extra_drain_orders);
+    let _ =
+        writeln!(text, "  seats {} together {}", show_seats(&value.members), value.batched_before);
+    for key in &value.recent_writes {
         let _ = writeln!(
             text,
             "  key {} {:x} {} {} {}",
-            key.key, key.matter, key.revision, key.setup_revision, key.is_made
+            key.key, key.content_hash, key.revision, key.config_revision, key.is_generated
         );
     }
     for number in 1..=60 {
         let key = format!("operator-{number}");
-        if let Some(known) = value.older_keys.find(&key) {
-            let is_same = known.is_of(0x1111_0000_0000_0000 + number);
+        if let Some(known) = value.older_writes.find(&key) {
+            let is_same = known.has_content(0x1111_0000_0000_0000 + number);
             let (revision, setup_revision) = (known.revision, known.setup_revision);
             let _ = writeln!(text, "  older {key} {is_same} {revision} {setup_revision}");
         }
     }
-    let _ = writeln!(text, "  versions {:x?}", value.versions);
+    let _ = writeln!(text, "  versions {:x?}", value.version_hashes);
     text
 }
 
-fn show(found: &Found) -> String {
+fn show(found: &RecoveredState) -> String {
     let mut text = format!(
         "incarnation {} promised {}\n",
         found.state.incarnation,
@@ -89,10 +90,10 @@
         Some(value) => text += &show_value(value),
         None => text += "no value\n",
     }
-    for value in &found.before {
+    for value in &found.batch {
         let _ = writeln!(text, "together with {}", value.revision);
     }
-    let mut kept: Vec<_> = found.kept.iter().collect();
+    let mut kept: Vec<_> = found.versions.iter().collect();
     kept.sort_by_key(|(revision, one)| (*revision, one.digest));
     for (revision, one) in kept {
         let (parent, digest) = (hex(&one.parent), hex(&one.digest));
@@ -136,16 +137,16 @@
     let target = Disk::open(&target_folder).unwrap();
     target.load(NEW_INCARNATION).unwrap();
     let mut versions = 0;
-    for (revision, one) in &found.kept {
+    for (revision, one) in &found.versions {
         let Some(value) = source.version(*revision, &one.digest) else { continue };
         let bytes = value.encode();
         let digest = digest_of(&bytes);
         assert_eq!(digest, one.digest, "{kind}: revision {revision} digests otherwise now");
-        target.save(&[Write::Version { revision: *revision, digest, bytes }]).unwrap();
+        target.save(&[DiskWrite::Version { revision: *revision, digest, bytes }]).unwrap();
         versions += 1;
     }
-    assert_eq!(versions, found.kept.len(), "{kind}");
-    target.save(&[Write::State(found.state)]).unwrap();
+    assert_eq!(versions, found.versions.len(), "{kind}");
+    target.save(&[DiskWrite::State(found.state)]).unwrap();
     let written = files(&target_folder, "version-");
     let was: Vec<(String, Vec<u8>)> = files(&folder, "version-")
         .into_iter()
@@ -223,7 +224,7 @@
     disk.load(NEW_INCARNATION).unwrap();
     let hints = disk.hints();
     let plan = &hints.plan;
-    let mut text = format!("siblings {:?}\n", hints.siblings);
+    let mut text = format!("siblings {:?}\n", hints.nodes);
     let _ =
         writeln!(text, "plan {} {} {} {}", plan.epoch, plan.counter, plan.leader, plan.revision);
     let _ = writeln!(text, "moved {:?}", plan.shifted);
--- a/testbed/src/sim/control.rs
+++ b/testbed/src/sim/control.rs
@@ -16,22 +16,22 @@
 use vanepath_cluster::{gossip, wire};
 use vanepath_registry::list_sequencer::{Effect as Reads, ListReader, READ_MOST};
 use vanepath_registry::store_client::{Step, StoreCall};
-use vanepath_store::consensus::{self, Register};
-use vanepath_store::protocol::{Ask, Change, Digest, Outcome, Tell, Value};
+use vanepath_store::consensus::{self, Replica};
+use vanepath_store::protocol::{Change, Digest, Outcome, Request, Response, Value};
 
 pub const PULSE: Duration = Duration::from_millis(50);
 
 pub struct Store {
     pub identity: consensus::Identity,
-    pub core: Register,
+    pub core: Replica,
     pub disk: Disk,
     inbox: VecDeque<consensus::Event>,
     pending: VecDeque<consensus::Effect>,
     busy: bool,
     /// A save failed, and the disk was not read anew since.
     disk_failed: bool,
-    claims: vanepath_store::shell::Claims,
-    keeper: vanepath_store::hints::Keeper,
+    claims: vanepath_store::shell::StoreDirectory,
+    keeper: vanepath_store::hints::HintWriter,
 }
 
 #[derive(Default)]
@@ -99,7 +99,7 @@
     /// The version that its setup names.
     pub fn version(&self) -> Option<u64> {
         match self {
-            What::Change { change: Change::Setup { version, .. }, .. } => *version,
+            What::Change { change: Change::ReplaceConfig { version, .. }, .. } => *version,
             _ => None,
         }
     }
@@ -246,9 +246,10 @@
             wire::Role::Store => {
                 let mut disk = Disk::default();
                 let found = disk.found(self.net.random.draw());
-                let identity = consensus::Identity { name: name.to_string(), founders };
+                let identity =
+                    consensus::Identity { name: name.to_string(), bootstrap_size: founders };
                 Duty::Store(Box::new(Store {
-                    core: Register::new(identity.clone(), found, Duration::ZERO),
+                    core: Replica::new(identity.clone(), found, Duration::ZERO),
                     identity,
                     disk,
                     inbox: VecDeque::new(),
@@ -300,19 +301,19 @@
         match &mut daemon.duty {
             Duty::Store(store) => {
                 let found = store.disk.found(random);
-                store.core = Register::new(store.identity.clone(), found, now);
+                store.core = Replica::new(store.identity.clone(), found, now);
                 store.inbox.clear();
                 store.pending.clear();
                 store.busy = false;
                 store.disk_failed = false;
                 hints = store.disk.hints.clone();
-                store.keeper = vanepath_store::hints::Keeper::new(hints.clone());
+                store.keeper = vanepath_store::hints::HintWriter::new(hints.clone());
             }
             Duty::Registry(registry) => **registry = Registry::default(),
             Duty::Proxy(proxy) => **proxy = super::data::Proxy::default(),
         }
         let mut seeds = daemon.seeds.clone();
-        seeds.extend(&hints.siblings);
+        seeds.extend(&hints.nodes);
         daemon.news = gossip::Gossip::new(daemon.card.clone(), seeds, life, now);
         daemon.news.step(now, gossip::Event::PlanReceived(Arc::new(hints.plan)));
         daemon.view = Arc::default();
@@ -460,11 +461,11 @@
                 }
                 self.step_news(index, gossip::Event::PullReceived { ticket: call, pull });
             }
-            Body::Ask(Ask::Floor) if self.daemons[index].card.role != wire::Role::Store => {
+            Body::Ask(Request::ReadIndex) if self.daemons[index].card.role != wire::Role::Store => {
                 self.net.reply(call, Body::Reset);
             }
             Body::Ask(ask) => {
-                let event = consensus::Event::Asked { ticket: call, ask };
+                let event = consensus::Event::RequestReceived { ticket: call, request: ask };
                 self.store_event(index, event);
             }
             Body::Operate(operation) => self.start_store_call(index, operation, call),
@@ -497,11 +498,14 @@
                     Some(Body::Tell(tell)) => Some(tell),
                     _ => None,
                 };
-                self.store_event(index, consensus::Event::Told { call, tell });
+                self.store_event(
+                    index,
+                    consensus::Event::ResponseReceived { call, response: tell },
+                );
             }
             (Purpose::Floor { address }, Some(index)) => {
                 let revision = match body {
-                    Some(Body::Tell(Tell::Floor(revision))) => revision,
+                    Some(Body::Tell(Response::ReadIndex(revision))) => revision,
                     _ => None,
                 };
                 self.step_news(index, gossip::Event::Floor { address, revision });
@@ -566,7 +570,7 @@
                 gossip::Effect::RequestReadIndex { address } => {
                     let limit = vanepath_cluster::read_index::LIMIT;
                     let purpose = Purpose::Floor { address };
-                    let body = Body::Ask(Ask::Floor);
+                    let body = Body::Ask(Request::ReadIndex);
                     self.net.ask(host, Net::host_at(address), limit, body, purpose);
                 }
                 gossip::Effect::ViewChanged => changed = true,
--- a/testbed/src/sim/control/registries.rs
+++ b/testbed/src/sim/control/registries.rs
@@ -145,7 +145,7 @@
     }
 
     pub(super) fn start_store_call(&mut self, index: usize, operation: usize, call: CallId) {
-        if let What::Change { change: Change::Setup { bytes, version, .. }, .. } =
+        if let What::Change { change: Change::ReplaceConfig { bytes, version, .. }, .. } =
             &mut self.operations[operation].what
         {
             match vanepath_config::model::parse(bytes) {
@@ -153,7 +153,9 @@
                 Err(faults) if self.breaks != Some(Break::TakesInvalid) => {
                     let why: Vec<&str> = faults.iter().map(|fault| fault.path.as_str()).collect();
                     let why = why.join(", ");
-                    return self.net.reply(call, Body::Operated(Outcome::NothingDone { why }));
+                    return self
+                        .net
+                        .reply(call, Body::Operated(Outcome::NotApplied { reason: why }));
                 }
                 Err(_) => {}
             }
@@ -161,28 +163,36 @@
         let mut question = match &self.operations[operation].what {
             What::Change { key, change } => {
                 let unnamed_for = self.operations[operation].what.order().map(|_| Duration::ZERO);
-                Ask::Change { key: key.clone(), change: change.clone(), unnamed_for }
+                Request::Change {
+                    key: key.clone(),
+                    change: change.clone(),
+                    keyless_for: unnamed_for,
+                }
             }
-            What::Read => Ask::Read,
-            What::History { revision } => Ask::History { revision: *revision },
+            What::Read => Request::Read,
+            What::History { revision } => Request::History { revision: *revision },
         };
-        if let Ask::Change { unnamed_for, change, .. } = &mut question {
+        if let Request::Change { keyless_for: unnamed_for, change, .. } = &mut question {
             if self.has(Break::CountsSentAgain) {
                 *unnamed_for = None;
             }
             let word = &self.daemons[index].view.committed;
-            if let Change::Empty { zone } = change
+            if let Change::DrainZone { zone } = change
                 && self.has(Break::OneOrderForAll)
                 && word.drained_zones.contains(zone)
             {
                 let (revision, setup_revision) = (word.revision, word.config_revision);
-                let told = Outcome::Accepted { revision, setup_revision, repeat: true };
+                let told = Outcome::Accepted {
+                    revision,
+                    config_revision: setup_revision,
+                    is_repeat: true,
+                };
                 return self.net.reply(call, Body::Operated(told));
             }
         }
         if self.has(Break::RefusesOperators) && operation.is_multiple_of(9) {
             let why = "broken on purpose".to_string();
-            return self.net.reply(call, Body::Operated(Outcome::NothingDone { why }));
+            return self.net.reply(call, Body::Operated(Outcome::NotApplied { reason: why }));
         }
         let now = self.net.local(self.daemons[index].host);
         let Duty::Registry(registry) = &mut self.daemons[index].duty else { return };
@@ -206,12 +216,13 @@
                     return;
                 }
                 if self.has(Break::ForgetsVersions)
-                    && let Ask::Change { change: Change::Setup { version, .. }, .. } = &mut question
+                    && let Request::Change { change: Change::ReplaceConfig { version, .. }, .. } =
+                        &mut question
                 {
                     *version = None;
                 }
                 if self.has(Break::ForgetsKeys)
-                    && let Ask::Change { key, .. } = &mut question
+                    && let Request::Change { key, .. } = &mut question
                 {
                     *key = format!("{key}-{}", self.net.random.draw());
                 }
@@ -229,7 +240,7 @@
         }
     }
 
-    pub(super) fn store_call_told(&mut self, index: usize, number: usize, tell: Option<Tell>) {
+    pub(super) fn store_call_told(&mut self, index: usize, number: usize, tell: Option<Response>) {
         let host = self.daemons[index].host;
         let now = self.net.local(host);
         let Duty::Registry(registry) = &mut self.daemons[index].duty else { return };
@@ -278,19 +289,25 @@
     }
 
     /// What a store tells, where it is broken on purpose.
-    pub(super) fn spoilt(&self, tell: Tell) -> Tell {
+    pub(super) fn spoilt(&self, tell: Response) -> Response {
         match tell {
-            Tell::Outcome(Outcome::Value { mut value }) if self.has(Break::AltersReads) => {
-                if let Some(byte) = value.setup.last_mut() {
+            Response::Outcome(Outcome::Value { mut value }) if self.has(Break::AltersReads) => {
+                if let Some(byte) = value.document.last_mut() {
                     *byte = b' ';
                 }
-                Tell::Outcome(Outcome::Value { value })
+                Response::Outcome(Outcome::Value { value })
             }
-            Tell::Outcome(Outcome::Accepted { revision, setup_revision, repeat })
-                if self.has(Break::WrongRevisions) =>
-            {
+            Response::Outcome(Outcome::Accepted {
+                revision,
+                config_revision: setup_revision,
+                is_repeat: repeat,
+            }) if self.has(Break::WrongRevisions) => {
                 let revision = revision.saturating_sub(revision % 3);
-                Tell::Outcome(Outcome::Accepted { revision, setup_revision, repeat })
+                Response::Outcome(Outcome::Accepted {
+                    revision,
+                    config_revision: setup_revision,
+                    is_repeat: repeat,
+                })
             }
             tell => tell,
         }
--- a/testbed/src/sim/control/stores.rs
+++ b/testbed/src/sim/control/stores.rs
@@ -5,7 +5,7 @@
 impl Sim {
     pub(super) fn pulse_store(&mut self, index: usize) {
         let view = self.daemons[index].view.clone();
-        let claims = vanepath_store::shell::Claims::of(&view);
+        let claims = vanepath_store::shell::StoreDirectory::of(&view);
         let live = claims.live.clone();
         let now = self.net.local(self.daemons[index].host);
         if let Duty::Store(store) = &mut self.daemons[index].duty {
@@ -19,23 +19,23 @@
         self.try_disk(index);
         let revision = view.committed.revision;
         for event in [
-            consensus::Event::Live(live),
-            consensus::Event::Heard { revision },
-            consensus::Event::Pulse,
+            consensus::Event::LiveStores(live),
+            consensus::Event::RevisionHeard { revision },
+            consensus::Event::Tick,
         ] {
             self.store_event(index, event);
         }
         let Duty::Store(store) = &self.daemons[index].duty else { return };
         let summary = store.core.summary();
         let report = wire::NodeStatus {
-            ready: summary.votes,
+            ready: summary.is_voting,
             revision,
-            empty_disk: summary.blank,
-            synced: summary.settled,
+            empty_disk: summary.is_empty,
+            synced: summary.synced,
             disk: Some(summary.disk()),
             ..wire::NodeStatus::default()
         };
-        self.daemons[index].is_well = summary.votes;
+        self.daemons[index].is_well = summary.is_voting;
         self.step_news(index, gossip::Event::StatusChanged(report));
     }
 
@@ -55,7 +55,7 @@
         store.disk_failed = false;
         let random = self.net.random.draw();
         let found = store.disk.found(random);
-        store.inbox.push_back(consensus::Event::DiskWorks(found));
+        store.inbox.push_back(consensus::Event::DiskRecovered(found));
     }
 
     pub(super) fn disk_done(&mut self, index: usize) {
@@ -98,7 +98,7 @@
                 continue;
             };
             match effect {
-                consensus::Effect::Save(writes) => {
+                consensus::Effect::Persist(writes) => {
                     if self.passes(index, Point::BeforeSave) {
                         return;
                     }
@@ -112,7 +112,7 @@
                     let life = self.net.hosts[host].life;
                     self.net.at(self.net.now + took, Event::DiskDone { host, life });
                 }
-                consensus::Effect::Call { call, incarnation, ask } => {
+                consensus::Effect::Send { call, incarnation, request: ask } => {
                     if self.passes(index, Point::BeforeCall) {
                         return;
                     }
@@ -131,7 +131,10 @@
                         }
                         None => {
                             // Nobody to ask: as good as no reply.
-                            store.inbox.push_back(consensus::Event::Told { call, tell: None });
+                            store.inbox.push_back(consensus::Event::ResponseReceived {
+                                call,
+                                response: None,
+                            });
                         }
                     }
                 }
@@ -142,7 +145,7 @@
                     let found = store.disk.found(random);
                     store.inbox.push_front(consensus::Event::Reset(found));
                 }
-                consensus::Effect::Answer { ticket, tell } => {
+                consensus::Effect::Reply { ticket, response: tell } => {
                     if self.passes(index, Point::BeforeAnswer) {
                         return;
                     }
@@ -152,24 +155,27 @@
                         return;
                     }
                 }
-                consensus::Effect::AnswerFromFile { ticket, versions, as_outcome } => {
+                consensus::Effect::ReplyFromDisk { ticket, versions, as_outcome } => {
                     let load = |at: &(u64, Digest)| {
                         store.disk.versions.get(at).map(|value| (**value).clone())
                     };
-                    let (tell, damaged) = consensus::from_files(&versions, as_outcome, load);
+                    let (tell, damaged) =
+                        consensus::response_from_disk(&versions, as_outcome, load);
                     if let Some((revision, digest)) = damaged {
-                        store.inbox.push_back(consensus::Event::Damaged { revision, digest });
+                        store
+                            .inbox
+                            .push_back(consensus::Event::VersionDamaged { revision, digest });
                     }
                     self.net.reply(ticket, Body::Tell(tell));
                 }
-                consensus::Effect::Chosen(value) => {
+                consensus::Effect::Committed(value) => {
                     if self.passes(index, Point::BeforeChosen) {
                         return;
                     }
-                    let word = Arc::new(value.word());
+                    let word = Arc::new(value.committed_config());
                     self.step_news(index, gossip::Event::ConfigCommitted(word));
                 }
-                consensus::Effect::Noted(text) => {
+                consensus::Effect::Log(text) => {
                     if text.contains("never happen") {
                         self.faults.push(text.clone());
                     }
--- a/testbed/src/sim/day.rs
+++ b/testbed/src/sim/day.rs
@@ -330,7 +330,7 @@
     let tag = sim.operations.len();
     let bytes = tagged(&sim.world.setup_text.clone(), tag);
     let key = format!("key-{tag}");
-    let change = Change::Setup { bytes, if_revision, version: None };
+    let change = Change::ReplaceConfig { bytes, if_revision, version: None };
     let registry = any_registry(sim);
     sim.operate(Operate::Change { key, change }, registry)
 }
@@ -359,7 +359,7 @@
         .operations
         .iter()
         .filter_map(|operation| match operation.outcome {
-            Some(Outcome::Accepted { revision, setup_revision, .. }) => {
+            Some(Outcome::Accepted { revision, config_revision: setup_revision, .. }) => {
                 Some((revision, setup_revision))
             }
             _ => None,
@@ -395,7 +395,7 @@
                 let way = sim.operations.len();
                 let bytes = spoilt(&sim.world.setup_text.clone(), way);
                 let key = format!("invalid-{way}");
-                let change = Change::Setup { bytes, if_revision: None, version: None };
+                let change = Change::ReplaceConfig { bytes, if_revision: None, version: None };
                 sim.operate(Operate::Change { key, change }, registry);
             }
         }
--- a/testbed/src/sim/day/act.rs
+++ b/testbed/src/sim/day/act.rs
@@ -180,7 +180,7 @@
                 sim.world.retired.insert(old);
                 let card = sim.daemons[old].card.clone();
                 let founders = match &sim.daemons[old].duty {
-                    Duty::Store(store) => store.identity.founders,
+                    Duty::Store(store) => store.identity.bootstrap_size,
                     _ => 0,
                 };
                 let name = format!("{}x", card.name);
@@ -220,8 +220,8 @@
         }
         Act::Empty(zone) | Act::Return(zone) => {
             let change = match act {
-                Act::Empty(_) => Change::Empty { zone: zone.to_string() },
-                _ => Change::Return { zone: zone.to_string() },
+                Act::Empty(_) => Change::DrainZone { zone: zone.to_string() },
+                _ => Change::RestoreZone { zone: zone.to_string() },
             };
             let key = format!("zone-{}", sim.operations.len());
             let registry = any_registry(sim);
@@ -237,7 +237,8 @@
                 return;
             }
             let zone = one.zone.to_string();
-            let change = if order == 0 { Change::Empty { zone } } else { Change::Return { zone } };
+            let change =
+                if order == 0 { Change::DrainZone { zone } } else { Change::RestoreZone { zone } };
             let key = format!("order-{evacuation}-{order}-{}", sim.operations.len());
             let registry = any_registry(sim);
             sim.operate(Operate::Change { key, change }, registry);
@@ -264,7 +265,7 @@
     let ended = &sim.operations[operation];
     let Some(evacuation) = ended.what.order() else { return };
     let Operate::Change { change, .. } = &ended.what else { return };
-    let order = usize::from(matches!(change, Change::Return { .. }));
+    let order = usize::from(matches!(change, Change::RestoreZone { .. }));
     let (outcome, from) = (ended.outcome.clone(), ended.started_at);
     sim.note(|| format!("order {order} of evacuation {evacuation} of {from:?}: {outcome:?}"));
     let ended = &sim.operations[operation];
--- a/testbed/src/sim/judge.rs
+++ b/testbed/src/sim/judge.rs
@@ -259,7 +259,7 @@
             Some(Outcome::Value { value }) => Some((*revision, value)),
             _ => None,
         })
-        .filter(|(_, value)| String::from_utf8_lossy(&value.setup).contains(super::day::MOVED))
+        .filter(|(_, value)| String::from_utf8_lossy(&value.document).contains(super::day::MOVED))
         .map(|(revision, _)| revision)
         .collect();
     // A proxy goes by what was in force on it when it chose: up to a connection and a greeting ago.
@@ -427,7 +427,7 @@
     }
     // How long setups took, for the record; whether too long, `reach` judges.
     for operation in &sim.operations {
-        let (Some(Outcome::Accepted { revision, repeat: false, .. }), Some(ended_at)) =
+        let (Some(Outcome::Accepted { revision, is_repeat: false, .. }), Some(ended_at)) =
             (&operation.outcome, operation.ended_at)
         else {
             continue;
@@ -459,9 +459,14 @@
     for (revision, outcome) in &sim.world.history {
         match outcome {
             Some(Outcome::Value { value }) => {
-                see(value.revision, value.setup_revision, &value.setup, "the end of the day");
+                see(value.revision, value.config_revision, &value.document, "the end of the day");
                 if value.revision != *revision {
-                    see(*revision, value.setup_revision, &value.setup, "another revision's reply");
+                    see(
+                        *revision,
+                        value.config_revision,
+                        &value.document,
+                        "another revision's reply",
+                    );
                 }
             }
             // Leaps of a rescue and changes of seats have no setup of their own to miss.
@@ -472,7 +477,7 @@
     }
     for operation in &sim.operations {
         if let Some(Outcome::Value { value }) = &operation.outcome {
-            see(value.revision, value.setup_revision, &value.setup, "a read");
+            see(value.revision, value.config_revision, &value.document, "a read");
         }
     }
     // Tags and where they came into force at the end.
@@ -487,7 +492,9 @@
             .operations
             .iter()
             .filter_map(|operation| match &operation.what {
-                Operate::Change { key, change: Change::Setup { bytes, .. } } if bytes == setup => {
+                Operate::Change { key, change: Change::ReplaceConfig { bytes, .. } }
+                    if bytes == setup =>
+                {
                     Some(key.as_str())
                 }
                 _ => None,
@@ -503,7 +510,11 @@
         match (&operation.what, &operation.outcome) {
             (
                 Operate::Change { change, .. },
-                Some(Outcome::Accepted { revision, setup_revision, repeat }),
+                Some(Outcome::Accepted {
+                    revision,
+                    config_revision: setup_revision,
+                    is_repeat: repeat,
+                }),
             ) => {
                 judgement.accepted += usize::from(!repeat);
                 if operation.what.is_invalid() {
@@ -511,7 +522,7 @@
                 }
                 done.push((operation.started_at, ended_at, *revision, !repeat, number));
                 // A version that was overtaken changes nothing; what it may be told `versions` judges.
-                if let Change::Setup { bytes, version, .. } = change
+                if let Change::ReplaceConfig { bytes, version, .. } = change
                     && !(version.is_some() && *repeat)
                     && held.get(setup_revision).is_some_and(|(_, setup)| setup != bytes)
                 {
@@ -521,10 +532,13 @@
                     ));
                 }
             }
-            (Operate::Change { change: Change::Setup { bytes, .. }, key }, Some(outcome)) => {
+            (
+                Operate::Change { change: Change::ReplaceConfig { bytes, .. }, key },
+                Some(outcome),
+            ) => {
                 let is_denied = matches!(
                     outcome,
-                    Outcome::NothingDone { .. }
+                    Outcome::NotApplied { .. }
                         | Outcome::Conflict { .. }
                         | Outcome::VersionTaken { .. }
                 );
@@ -557,7 +571,7 @@
                 let is_older = later.2 < earlier.2 || (later.3 && later.2 <= earlier.2);
                 let is_repeat = matches!(
                     sim.operations[later.4].outcome,
-                    Some(Outcome::Accepted { repeat: true, .. })
+                    Some(Outcome::Accepted { is_repeat: true, .. })
                 );
                 if is_older && !is_repeat {
                     faults.push(format!(
@@ -583,13 +597,13 @@
         let of_zone = || sim.evacuations.iter().filter(|one| one.zone == zone);
         // Emptied by a key as well: that one's own business.
         let is_other = sim.operations.iter().any(|one| {
-            matches!(&one.what, Operate::Change { change: Change::Empty { zone: other }, .. }
+            matches!(&one.what, Operate::Change { change: Change::DrainZone { zone: other }, .. }
                 if other == zone && one.what.order().is_none())
         });
         let stand = of_zone().filter(|one| {
             one.acknowledged_at[0].is_some() && one.asked_at[1].is_none_or(|at| at > run.end)
         });
-        let is_emptied = value.emptied.contains(zone);
+        let is_emptied = value.drained_zones.contains(zone);
         let is_over = of_zone().all(|one| one.acknowledged_at[1].is_some());
         if is_over && is_emptied && !is_other {
             let text = format!("{zone} is emptied still, and every order was withdrawn");
@@ -625,7 +639,7 @@
             .filter(move |one| matches!(one.what, Operate::Change { .. }) == is_write);
         let told = of_kind.map(|one| {
             let is_good = match &one.outcome {
-                Some(Outcome::NothingDone { .. } | Outcome::Unknown) | None => false,
+                Some(Outcome::NotApplied { .. } | Outcome::Unknown) | None => false,
                 Some(_) => true,
             };
             (one.started_at, is_good)
--- a/testbed/src/sim/net.rs
+++ b/testbed/src/sim/net.rs
@@ -32,8 +32,8 @@
 pub enum Body {
     Pull(vanepath_cluster::wire::PullRequest),
     News(vanepath_cluster::wire::PullResponse),
-    Ask(vanepath_store::protocol::Ask),
-    Tell(vanepath_store::protocol::Tell),
+    Ask(vanepath_store::protocol::Request),
+    Tell(vanepath_store::protocol::Response),
     /// An operator's call, by its number in the history.
     Operate(usize),
     Operated(vanepath_store::protocol::Outcome),
--- a/testbed/src/sim/reach.rs
+++ b/testbed/src/sim/reach.rs
@@ -165,7 +165,7 @@
         }
         let holders: Vec<usize> = of(Role::Store)
             .filter(|index| match &self.daemons[*index].duty {
-                Duty::Store(store) => store.core.summary().votes,
+                Duty::Store(store) => store.core.summary().is_voting,
                 _ => false,
             })
             .collect();
@@ -349,7 +349,7 @@
         let is_undecided = operation.ended_at.is_some()
             && matches!(
                 operation.outcome,
-                None | Some(Outcome::NothingDone { .. } | Outcome::Unknown)
+                None | Some(Outcome::NotApplied { .. } | Outcome::Unknown)
             );
         let majority_since = self.reach.majority_since.get(operation.registry).copied().flatten();
         // An order is sent again after a second; whether it comes into force, the day's end shows.
@@ -375,11 +375,11 @@
             self.reach.receipted = self.reach.receipted.max(revision);
         }
         match (&operation.what, revision) {
-            (What::Change { change: Change::Empty { zone }, .. }, Some(revision)) => {
+            (What::Change { change: Change::DrainZone { zone }, .. }, Some(revision)) => {
                 let zone = zone.clone();
                 self.reach.emptyings.push(Emptying { zone, order, revision, from: now, to: None });
             }
-            (What::Change { change: Change::Return { zone }, .. }, _) => {
+            (What::Change { change: Change::RestoreZone { zone }, .. }, _) => {
                 let is_own = |one: &&mut Emptying| one.zone == *zone && one.order == order;
                 for one in self.reach.emptyings.iter_mut().filter(is_own) {
                     one.to.get_or_insert(now);
--- a/testbed/src/sim/starts.rs
+++ b/testbed/src/sim/starts.rs
@@ -129,7 +129,7 @@
     match &daemon.duty {
         Duty::Proxy(_) => sim.is_fit(index),
         Duty::Registry(_) => daemon.view.committed.revision > 0 && daemon.view.is_fresh,
-        Duty::Store(store) => store.core.summary().votes,
+        Duty::Store(store) => store.core.summary().is_voting,
     }
 }
 
--- a/testbed/src/sim/worst.rs
+++ b/testbed/src/sim/worst.rs
@@ -203,7 +203,7 @@
         let tag = sim.operations.len();
         let text = String::from_utf8(tagged(&sim.world.setup_text.clone(), tag)).expect("text");
         let bytes = text.replacen('{', &format!("{{\"version\": {version},"), 1).into_bytes();
-        let change = Change::Setup { bytes, if_revision: None, version: Some(version) };
+        let change = Change::ReplaceConfig { bytes, if_revision: None, version: Some(version) };
         let registry = any_registry(sim);
         sim.operate(Operate::Change { key: format!("raced-{tag}"), change }, registry);
         for turn in 1..=2 {
@@ -236,7 +236,7 @@
         classes.rotate_left(turn);
     }
     let bytes = document.dump().into_bytes();
-    let change = Change::Setup { bytes, if_revision: None, version: None };
+    let change = Change::ReplaceConfig { bytes, if_revision: None, version: None };
     let registry = any_registry(sim);
     sim.operate(Operate::Change { key: format!("turned-{tag}"), change }, registry);
 }
@@ -249,7 +249,7 @@
     let mut faults = Vec::new();
     let named: Vec<(usize, u64, &[u8])> = (0..sim.operations.len())
         .filter_map(|number| {
-            let Operate::Change { change: Change::Setup { bytes, version, .. }, .. } =
+            let Operate::Change { change: Change::ReplaceConfig { bytes, version, .. }, .. } =
                 &sim.operations[number].what
             else {
                 return None;
--- a/testbed/tests/days.rs
+++ b/testbed/tests/days.rs
@@ -358,7 +358,7 @@
         let mut voting = 0;
         for (index, daemon) in day.sim.daemons.iter().enumerate() {
             let Duty::Store(store) = &daemon.duty else { continue };
-            if day.sim.is_up(index) && store.core.summary().votes {
+            if day.sim.is_up(index) && store.core.summary().is_voting {
                 voting += 1;
                 let is_taken = daemon.card.name.starts_with("spare");
                 taken.fetch_add(usize::from(is_taken), std::sync::atomic::Ordering::Relaxed);
@@ -431,7 +431,7 @@
             }
             sim.run_until(Duration::from_secs(3));
             let votes = sim.daemons.iter().filter(|daemon| match &daemon.duty {
-                Duty::Store(store) => store.core.summary().votes,
+                Duty::Store(store) => store.core.summary().is_voting,
                 _ => false,
             });
             let votes = votes.count();
