--- a/client/src/client.rs
+++ b/client/src/client.rs
@@ -22,13 +22,13 @@
 
 /// A request that is out at an address; over, without a sign, if the caller drops it.
 struct Owed<'c> {
-    caller: &'c Caller,
+    caller: &'c Client,
     address: SocketAddr,
     is_sign: bool,
 }
 
 impl<'c> Owed<'c> {
-    fn new(caller: &'c Caller, address: SocketAddr) -> Owed<'c> {
+    fn new(caller: &'c Client, address: SocketAddr) -> Owed<'c> {
         let now = caller.now();
         caller.steering.lock().expect("no panic under this lock").sent(now, address);
         Owed { caller, address, is_sign: false }
@@ -106,7 +106,7 @@
     places.filter_map(|place| place["address"].as_str()?.parse().ok()).collect()
 }
 
-pub struct Caller {
+pub struct Client {
     start: std::time::Instant,
     pub steering: Mutex<Steering>,
     idle: Mutex<std::collections::HashMap<SocketAddr, Vec<Sender>>>,
@@ -114,11 +114,11 @@
     host: String,
 }
 
-impl Caller {
+impl Client {
     /// `query` says who and where the caller is: `caller=clerk-7&zone=a1&region=a`.
-    pub fn new(directories: Vec<SocketAddr>, query: &str, spread: u64, host: &str) -> Arc<Caller> {
+    pub fn new(directories: Vec<SocketAddr>, query: &str, spread: u64, host: &str) -> Arc<Client> {
         let first = format!("/v1/steer?{query}");
-        Arc::new(Caller {
+        Arc::new(Client {
             start: std::time::Instant::now(),
             steering: Mutex::new(Steering::new(directories, first, spread)),
             idle: Default::default(),
@@ -132,7 +132,7 @@
     }
 
     /// Polls on the side for as long as the returned handle is not aborted.
-    pub fn keep_polling(self: &Arc<Caller>) -> tokio::task::JoinHandle<()> {
+    pub fn keep_polling(self: &Arc<Client>) -> tokio::task::JoinHandle<()> {
         let own = self.clone();
         tokio::spawn(async move {
             loop {
--- a/client/src/lib.rs
+++ b/client/src/lib.rs
@@ -4,4 +4,4 @@
 pub mod client;
 pub mod steering;
 
-pub use client::{Caller, Outcome};
+pub use client::{Client, Outcome};
--- a/client/src/steering.rs
+++ b/client/src/steering.rs
@@ -34,7 +34,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Receipt {
+pub struct SteeringResponse {
     pub ttl: Duration,
     pub reload: String,
     pub revision: u64,
@@ -46,19 +46,19 @@
 }
 
 /// Reads a directory's receipt; anything that does not fit makes it no receipt.
-pub fn parse(text: &str) -> Option<Receipt> {
+pub fn parse(text: &str) -> Option<SteeringResponse> {
     let value = jzon::parse(text).ok()?;
     let object = value.as_object()?;
     let names = |value: Option<&jzon::JsonValue>| -> Option<Vec<String>> {
         value?.as_array()?.iter().map(|one| Some(one.as_str()?.to_string())).collect()
     };
     let ttl_s = object.get("TTL")?.as_f64().filter(|ttl| ttl.is_finite() && *ttl >= 0.0)?;
-    let mut receipt = Receipt {
+    let mut receipt = SteeringResponse {
         ttl: Duration::from_secs_f64(ttl_s.min(TTL_MOST.as_secs_f64())),
         reload: object.get("RELOAD-URI")?.as_str()?.to_string(),
         revision: object.get("REVISION")?.as_u64()?,
         priority: names(object.get("PATHWAY-PRIORITY"))?,
-        ..Receipt::default()
+        ..SteeringResponse::default()
     };
     for directory in names(object.get("DIRECTORIES")).unwrap_or_default() {
         receipt.directories.push(directory.parse().ok()?);
@@ -88,7 +88,7 @@
     first_directories: Vec<SocketAddr>,
     turn: usize,
     first: String,
-    receipt: Option<Receipt>,
+    receipt: Option<SteeringResponse>,
     poll_at: Duration,
     polling: bool,
     penalties: std::collections::HashMap<SocketAddr, Duration>,
@@ -139,7 +139,7 @@
         }
     }
 
-    pub fn receipt(&self) -> Option<&Receipt> {
+    pub fn receipt(&self) -> Option<&SteeringResponse> {
         self.receipt.as_ref()
     }
 
@@ -158,9 +158,9 @@
         Some((self.directories[self.turn % self.directories.len()], uri.clone()))
     }
 
-    pub fn polled(&mut self, now: Duration, receipt: Option<Receipt>) {
+    pub fn polled(&mut self, now: Duration, receipt: Option<SteeringResponse>) {
         self.polling = false;
-        let is_older = |receipt: &Receipt| {
+        let is_older = |receipt: &SteeringResponse| {
             self.receipt.as_ref().is_some_and(|last| receipt.revision < last.revision)
         };
         match receipt {
--- a/client/src/steering/tests.rs
+++ b/client/src/steering/tests.rs
@@ -1,9 +1,9 @@
-use super::{Receipt, RuleOrder, Steering};
+use super::{RuleOrder, Steering, SteeringResponse};
 use std::time::Duration;
 
-fn receipt(revision: u64) -> Receipt {
+fn receipt(revision: u64) -> SteeringResponse {
     let address = |port: u16| std::net::SocketAddr::from(([127, 0, 0, 1], port));
-    Receipt {
+    SteeringResponse {
         ttl: Duration::from_secs(2),
         reload: format!("/v1/steer?state={revision}"),
         revision,
--- a/proxy/src/admission.rs
+++ b/proxy/src/admission.rs
@@ -7,7 +7,7 @@
 
 /// A taken place in a class's room; `lender` is the class whose room it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Slot {
+pub struct AdmissionSlot {
     pub class: usize,
     pub lender: usize,
 }
@@ -49,7 +49,7 @@
 
 /// Waiting requests by number; the shell wakes whom `release` names.
 #[derive(Default)]
-pub struct Classes {
+pub struct AdmissionControl {
     /// A slot names rooms by their places here, which never move.
     rooms: Vec<Room>,
     /// The rooms of the setup's classes, in its order.
@@ -59,15 +59,15 @@
 }
 
 #[derive(Debug, PartialEq, Eq)]
-pub enum Entry {
-    Taken(Slot),
+pub enum Admission {
+    Taken(AdmissionSlot),
     /// Waits under this number until it is woken, leaves, or its deadline passes.
     Waits(u64),
     /// The queue is full.
     Dropped,
 }
 
-impl Classes {
+impl AdmissionControl {
     /// Goes over to a new setup. A class keeps its place among the rooms for as long as anything of
     /// it is in hand or waiting, whatever the order of the setup's classes: slots that are out name
     /// places. A class that is gone keeps its room until it is empty.
@@ -111,40 +111,40 @@
         self.rooms.iter().position(|room| room.name == name)
     }
 
-    fn free(&self, class: usize) -> Option<Slot> {
+    fn free(&self, class: usize) -> Option<AdmissionSlot> {
         let room = &self.rooms[class];
         if room.used < room.room {
-            return Some(Slot { class, lender: class });
+            return Some(AdmissionSlot { class, lender: class });
         }
         room.borrows.iter().find_map(|(lender, most)| {
             let other = &self.rooms[*lender];
             let lent = room.loans.get(lender).copied().unwrap_or_default();
             let spare = other.room - other.room / KEPT_PART;
-            (lent < *most && other.used < spare).then_some(Slot { class, lender: *lender })
+            (lent < *most && other.used < spare).then_some(AdmissionSlot { class, lender: *lender })
         })
     }
 
-    fn take(&mut self, slot: Slot) {
+    fn take(&mut self, slot: AdmissionSlot) {
         self.rooms[slot.lender].used += 1;
         if slot.lender != slot.class {
             *self.rooms[slot.class].loans.entry(slot.lender).or_default() += 1;
         }
     }
 
-    pub fn enter(&mut self, class: usize, deadline: Duration) -> Entry {
+    pub fn enter(&mut self, class: usize, deadline: Duration) -> Admission {
         if let Some(slot) = self.free(class) {
             self.take(slot);
-            return Entry::Taken(slot);
+            return Admission::Taken(slot);
         }
         let room = &mut self.rooms[class];
         if room.waiting >= room.queue {
-            return Entry::Dropped;
+            return Admission::Dropped;
         }
         room.waiting += 1;
         self.next_number += 1;
         let place = Place { urgency: room.urgency, deadline, number: self.next_number };
         self.queue.insert(place, class);
-        Entry::Waits(self.next_number)
+        Admission::Waits(self.next_number)
     }
 
     /// A waiting request whose caller left or whose deadline passed.
@@ -157,7 +157,7 @@
     }
 
     /// Gives a slot back. The most urgent request that can go now gets one: its number.
-    pub fn release(&mut self, slot: Slot) -> Vec<(u64, Slot)> {
+    pub fn release(&mut self, slot: AdmissionSlot) -> Vec<(u64, AdmissionSlot)> {
         self.rooms[slot.lender].used -= 1;
         if slot.lender != slot.class
             && let Some(loans) = self.rooms[slot.class].loans.get_mut(&slot.lender)
@@ -168,7 +168,7 @@
     }
 
     /// Whoever of the waiting can go now.
-    pub fn wake(&mut self) -> Vec<(u64, Slot)> {
+    pub fn wake(&mut self) -> Vec<(u64, AdmissionSlot)> {
         let mut woken = Vec::new();
         let waiting: Vec<(Place, usize)> =
             self.queue.iter().map(|(place, class)| (*place, *class)).collect();
--- a/proxy/src/admission/tests.rs
+++ b/proxy/src/admission/tests.rs
@@ -1,7 +1,7 @@
-use super::{Classes, Entry};
+use super::{Admission, AdmissionControl};
 use std::time::Duration;
 
-fn classes() -> Classes {
+fn classes() -> AdmissionControl {
     let setup = vanepath_config::model::parse(
         br#"{"classes": [
             {"name": "lookup", "urgency": 1, "kind": "repeatable", "room": 16, "queue": 2},
@@ -10,7 +10,7 @@
           "services": [{"name": "s", "selector": "all", "livenessPath": "/"}],
           "rules": [{"name": "r", "class": "lookup", "service": "s"}]}"#,
     );
-    let mut classes = Classes::default();
+    let mut classes = AdmissionControl::default();
     classes.adopt(&setup.unwrap());
     classes
 }
@@ -19,16 +19,16 @@
 fn bulk_borrows_spare_room_and_never_the_last() {
     let mut classes = classes();
     let soon = Duration::from_secs(1);
-    let taken: Vec<Entry> = (0..5).map(|_| classes.enter(1, soon)).collect();
+    let taken: Vec<Admission> = (0..5).map(|_| classes.enter(1, soon)).collect();
     let lenders: Vec<Option<usize>> = taken
         .iter()
         .map(|entry| match entry {
-            Entry::Taken(slot) => Some(slot.lender),
+            Admission::Taken(slot) => Some(slot.lender),
             _ => None,
         })
         .collect();
     assert_eq!(lenders, [Some(1), Some(0), Some(0), Some(0), None]);
-    let lookups = (0..20).filter(|_| matches!(classes.enter(0, soon), Entry::Taken(_)));
+    let lookups = (0..20).filter(|_| matches!(classes.enter(0, soon), Admission::Taken(_)));
     assert_eq!(lookups.count(), 13);
 }
 
@@ -39,15 +39,15 @@
     let mut slots = Vec::new();
     for _ in 0..16 {
         match classes.enter(0, second(1)) {
-            Entry::Taken(slot) => slots.push(slot),
+            Admission::Taken(slot) => slots.push(slot),
             other => panic!("{other:?}"),
         }
     }
-    let Entry::Taken(bulk) = classes.enter(1, second(1)) else { panic!() };
-    let Entry::Waits(bulk_waits) = classes.enter(1, second(1)) else { panic!() };
-    let Entry::Waits(late) = classes.enter(0, second(9)) else { panic!() };
-    let Entry::Waits(early) = classes.enter(0, second(5)) else { panic!() };
-    assert_eq!(classes.enter(0, second(5)), Entry::Dropped);
+    let Admission::Taken(bulk) = classes.enter(1, second(1)) else { panic!() };
+    let Admission::Waits(bulk_waits) = classes.enter(1, second(1)) else { panic!() };
+    let Admission::Waits(late) = classes.enter(0, second(9)) else { panic!() };
+    let Admission::Waits(early) = classes.enter(0, second(5)) else { panic!() };
+    assert_eq!(classes.enter(0, second(5)), Admission::Dropped);
     let first = classes.release(slots[0]);
     assert_eq!(first.iter().map(|one| one.0).collect::<Vec<_>>(), [early]);
     // Who left is never woken.
@@ -74,22 +74,22 @@
     vanepath_config::model::parse(setup.as_bytes()).unwrap()
 }
 
-fn taken(classes: &mut Classes, name: &str) -> Option<super::Slot> {
+fn taken(classes: &mut AdmissionControl, name: &str) -> Option<super::AdmissionSlot> {
     let index = classes.index(name)?;
     match classes.enter(index, Duration::from_secs(1)) {
-        Entry::Taken(slot) => Some(slot),
-        Entry::Waits(number) => {
+        Admission::Taken(slot) => Some(slot),
+        Admission::Waits(number) => {
             classes.leave(number);
             None
         }
-        Entry::Dropped => None,
+        Admission::Dropped => None,
     }
 }
 
 /// Incident 0010: a slot was given back to whichever class stood at its place by then.
 #[test]
 fn a_slot_goes_back_to_its_own_class_whatever_the_order_by_then() {
-    let mut classes = Classes::default();
+    let mut classes = AdmissionControl::default();
     classes.adopt(&of_order(&["lookup", "filing"]));
     let lookup = taken(&mut classes, "lookup").unwrap();
     let filing = taken(&mut classes, "filing").unwrap();
@@ -105,7 +105,7 @@
 
 #[test]
 fn counts_stand_in_the_order_of_the_setup() {
-    let mut classes = Classes::default();
+    let mut classes = AdmissionControl::default();
     classes.adopt(&of_order(&["lookup", "filing"]));
     let _slot = taken(&mut classes, "filing").unwrap();
     classes.adopt(&of_order(&["filing", "added"]));
@@ -127,7 +127,7 @@
             state ^= state << 17;
             state % most
         };
-        let mut classes = Classes::default();
+        let mut classes = AdmissionControl::default();
         let mut slots = Vec::new();
         for _ in 0..60 {
             match draw(3) {
--- a/proxy/src/bandwidth_limiter.rs
+++ b/proxy/src/bandwidth_limiter.rs
@@ -12,16 +12,16 @@
 
 /// Shared by all large answers of one proxy.
 #[derive(Debug)]
-pub struct Gate {
+pub struct BandwidthLimiter {
     bytes_per_s: f64,
     /// When all that was let through will be written.
     free_at: Duration,
 }
 
-impl Gate {
+impl BandwidthLimiter {
     /// `link_mbps`: millions of bits a second, as the settings have it.
-    pub fn new(link_mbps: f64) -> Gate {
-        Gate { bytes_per_s: link_mbps * 1e6 / 8.0 * PART, free_at: Duration::ZERO }
+    pub fn new(link_mbps: f64) -> BandwidthLimiter {
+        BandwidthLimiter { bytes_per_s: link_mbps * 1e6 / 8.0 * PART, free_at: Duration::ZERO }
     }
 
     /// Lets a piece of so many bytes through, or says when to come back.
--- a/proxy/src/bandwidth_limiter/tests.rs
+++ b/proxy/src/bandwidth_limiter/tests.rs
@@ -1,11 +1,11 @@
-use super::{Gate, PIECE};
+use super::{BandwidthLimiter, PIECE};
 use std::time::Duration;
 
 /// However many large answers there are, they take their part of the link and no more, and what was
 /// let through ahead is never more than a small answer may wait for.
 #[test]
 fn large_answers_take_their_part_of_the_link() {
-    let mut gate = Gate::new(5.2);
+    let mut gate = BandwidthLimiter::new(5.2);
     let rate = 5.2e6 / 8.0;
     let mut now = Duration::ZERO;
     let mut bytes = 0;
--- a/proxy/src/client_deadlines.rs
+++ b/proxy/src/client_deadlines.rs
@@ -17,11 +17,11 @@
 
 /// The longest that callers of each rule, by its name, said lately that they wait.
 #[derive(Debug, Default)]
-pub struct Longest {
+pub struct ClientDeadlines {
     by_rule: std::collections::HashMap<String, Said>,
 }
 
-impl Longest {
+impl ClientDeadlines {
     /// A request of this rule came, whose caller waits for `left` more: whether it is late already, that
     /// is, has used up its aim with earlier tries as far as is known.
     pub fn is_past_aim(
--- a/proxy/src/client_deadlines/tests.rs
+++ b/proxy/src/client_deadlines/tests.rs
@@ -1,4 +1,4 @@
-use super::{Longest, RULES_MOST};
+use super::{ClientDeadlines, RULES_MOST};
 use std::time::Duration;
 
 const fn ms(count: u64) -> Duration {
@@ -10,7 +10,7 @@
 /// Who has used up its aim is late, by what the same rule's callers said at the most; each rule for itself.
 #[test]
 fn who_comes_back_after_its_aim_is_late() {
-    let mut longest = Longest::default();
+    let mut longest = ClientDeadlines::default();
     let mut is_past_aim = |rule, left, aim| longest.is_past_aim(ms(20), rule, ms(left), aim);
     assert!(!is_past_aim("r", 3000, AIM), "nothing longer is known");
     assert!(!is_past_aim("r", 4000, AIM) && !is_past_aim("r", 3401, AIM));
@@ -23,7 +23,7 @@
 /// fill the memory.
 #[test]
 fn what_was_said_is_forgotten() {
-    let mut longest = Longest::default();
+    let mut longest = ClientDeadlines::default();
     longest.is_past_aim(ms(0), "r", ms(9000), AIM);
     let mut late = 0;
     for second in 1..60 {
--- a/proxy/src/connector.rs
+++ b/proxy/src/connector.rs
@@ -1,7 +1,7 @@
 //! Connections to servers: the first exchange of each is a liveness check in which the server
 //! names itself, and the connection is that server's for life (design 8.6).
 
-use crate::endpoints::{Entry, Idle};
+use crate::endpoints::{Entry, IdleConnection};
 use crate::health::Failure;
 use http_body_util::BodyExt;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use vanepath_config::wire_format::SelectedFormat;
 
 pub type Sender = hyper::client::conn::http1::SendRequest<node::Body>;
-pub type Resting = Idle<Sender>;
+pub type Resting = IdleConnection<Sender>;
 
 /// For a connection and for a greeting: many times what the farthest region takes.
 pub const LIMIT: Duration = Duration::from_millis(600);
@@ -19,7 +19,7 @@
 
 /// What a liveness check found.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Greeted {
+pub struct HandshakeResponse {
     pub says_cold: bool,
     pub demand_milli: Option<u32>,
 }
@@ -30,7 +30,7 @@
     entry: &Entry,
     service: &vanepath_config::model::Service,
     untidy: impl FnOnce() + Send + 'static,
-) -> Result<(Sender, Greeted), Failure> {
+) -> Result<(Sender, HandshakeResponse), Failure> {
     let mut sender = open(entry, true, false, untidy).await?;
     let greeted = greet(dialect, &mut sender, entry, service).await?;
     Ok((sender, greeted))
@@ -105,7 +105,7 @@
     sender: &mut Sender,
     entry: &Entry,
     service: &vanepath_config::model::Service,
-) -> Result<Greeted, Failure> {
+) -> Result<HandshakeResponse, Failure> {
     match tokio::time::timeout(LIMIT, greet_unbounded(dialect, sender, entry, service)).await {
         Ok(outcome) => outcome,
         Err(_) => Err(Failure::Silent),
@@ -117,7 +117,7 @@
     sender: &mut Sender,
     entry: &Entry,
     service: &vanepath_config::model::Service,
-) -> Result<Greeted, Failure> {
+) -> Result<HandshakeResponse, Failure> {
     sender.ready().await.map_err(|_| Failure::Broken)?;
     let request = hyper::Request::builder()
         .method("GET")
@@ -147,7 +147,7 @@
     let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
     let cold_left = dialect.headers().warm_up_left.and_then(text);
     let is_cold = cold_left.is_some_and(|left| left.trim().parse::<f64>().is_ok_and(|ms| ms > 0.0));
-    Ok(Greeted {
+    Ok(HandshakeResponse {
         says_cold: is_cold || text("server-state") == Some("cold"),
         demand_milli: text(dialect.headers().load).and_then(|load| dialect.load(load)),
     })
--- a/proxy/src/endpoints.rs
+++ b/proxy/src/endpoints.rs
@@ -1,10 +1,10 @@
 //! The servers as this proxy knows them: a table by read-copy-update, what changes quickly in
 //! shards under their own locks, and the choice among them (design 8.6, 8.7).
 
-use crate::health::{ColdRate, Failure, Liveness, Phase};
-use crate::latency_model::{Pace, Pools, Usuals};
-use crate::load_balancing::{Candidate, Distance, Job};
-use crate::retry_budget::Need;
+use crate::health::{Failure, Phase, ServerHealth, SlowStartRate};
+use crate::latency_model::{RelativeLatency, RequestProfiles, ZonePools};
+use crate::load_balancing::{Candidate, Distance, RequestCost};
+use crate::retry_budget::RetryReason;
 use std::sync::Arc;
 use std::time::Duration;
 use vanepath_cluster::node::ClusterView;
@@ -22,7 +22,7 @@
 
 /// One consistent whole: the setup in force here and the servers as it sorts them.
 #[derive(Debug, Default)]
-pub struct Table {
+pub struct RoutingTable {
     /// The revisions of the setup and of the platform list that it was made from.
     pub revision: (u64, u64),
     pub setup: Arc<vanepath_config::model::Config>,
@@ -33,7 +33,7 @@
 }
 
 /// A connection that rests, greeted by the server it belongs to for life.
-pub struct Idle<C> {
+pub struct IdleConnection<C> {
     pub connection: C,
     pub greeted_at: Duration,
     /// When its last receipt was whole; it rests a little after that, so that surplus bytes show
@@ -45,7 +45,7 @@
     pub is_used: bool,
 }
 
-impl<C> Idle<C> {
+impl<C> IdleConnection<C> {
     fn rested(&self, now: Duration) -> Duration {
         now.saturating_sub(self.quiet_since)
     }
@@ -63,8 +63,8 @@
 }
 
 /// What changes with every request.
-pub struct Quick<C> {
-    pub liveness: Liveness,
+pub struct EndpointState<C> {
+    pub liveness: ServerHealth,
     pub in_hand: u64,
     pub demand_milli: u32,
     demand_at: Duration,
@@ -72,7 +72,7 @@
     slots: u32,
     /// Requests of other proxies that are with it, by what it told lately.
     others: f64,
-    pub pace: Pace,
+    pub pace: RelativeLatency,
     /// Since when it owes answers and sent none.
     owes_since: Duration,
     /// When the last answer of it was whole.
@@ -83,7 +83,7 @@
     is_own: bool,
     /// Connections that may rest here, so that all proxies together stay below what it takes.
     idle_most: usize,
-    pub idle: Vec<Idle<C>>,
+    pub idle: Vec<IdleConnection<C>>,
     pub probing: bool,
     /// It sent bytes that nobody had asked for: each connection carries one request at most.
     is_untidy: bool,
@@ -122,9 +122,9 @@
 
 /// What is reckoned for each server of the table from who is live: now and then, for it is much.
 #[derive(Debug, Default)]
-pub struct Paces {
+pub struct ProbeSchedule {
     pauses: Vec<Duration>,
-    colds: Vec<ColdRate>,
+    colds: Vec<SlowStartRate>,
     at: Duration,
     /// Those that it was reckoned from.
     proxies: Option<Vec<wire::NodeInfo>>,
@@ -132,7 +132,7 @@
 
 const PACES_EVERY: Duration = Duration::from_millis(1000);
 
-impl Paces {
+impl ProbeSchedule {
     /// The table or the setup is another one.
     pub fn renew(&mut self) {
         self.at = Duration::ZERO;
@@ -144,7 +144,7 @@
         now: Duration,
         view: &ClusterView,
         own: &wire::NodeInfo,
-        table: &Table,
+        table: &RoutingTable,
     ) {
         if now >= self.at {
             self.at = now + PACES_EVERY;
@@ -163,7 +163,7 @@
 }
 
 /// How often this proxy probes each server of its table.
-fn probe_pauses(view: &ClusterView, own: &wire::NodeInfo, table: &Table) -> Vec<Duration> {
+fn probe_pauses(view: &ClusterView, own: &wire::NodeInfo, table: &RoutingTable) -> Vec<Duration> {
     let pause = |entry: &Entry| {
         let server = &entry.server;
         let is_near = server.region == own.region;
@@ -187,11 +187,11 @@
 
 /// When to tell it.
 #[derive(Debug, Default)]
-pub struct Telling {
+pub struct ObservationReporter {
     at: Duration,
 }
 
-impl Telling {
+impl ObservationReporter {
     pub fn is_due(&mut self, now: Duration, is_news: bool) -> bool {
         let is_due = now >= self.at || (is_news && now + TELL_EVERY >= self.at + TELL_PAUSE);
         if is_due {
@@ -203,7 +203,7 @@
 
 /// What a pulse found to do and to tell.
 #[derive(Debug, Default)]
-pub struct Pulsed {
+pub struct TickOutcome {
     /// Entries of the table that want a probe now; each is marked as being probed.
     pub probes: Vec<usize>,
     pub notes: Vec<String>,
@@ -243,7 +243,7 @@
     own: &str,
     server: &vanepath_config::endpoint_list::Server,
     services: &[usize],
-) -> ColdRate {
+) -> SlowStartRate {
     let place = |card: &wire::NodeInfo| (card.region != server.region, card.zone != server.zone);
     let draw =
         |card: &wire::NodeInfo| vanepath_config::stable_hash(&["cold", &card.name, &server.id]);
@@ -265,11 +265,11 @@
         .min_by(|left, right| left.slow_start_rate.total_cmp(&right.slow_start_rate));
     let per_second = service.map_or(1.0, |service| service.slow_start_rate);
     let period = service.map_or(Duration::from_secs(10), |service| service.slow_start_period);
-    ColdRate::of(per_second, period, rank, proxies)
+    SlowStartRate::of(per_second, period, rank, proxies)
 }
 
 /// Of each server of the table.
-fn cold_rates(view: &ClusterView, own: &str, table: &Table) -> Vec<ColdRate> {
+fn cold_rates(view: &ClusterView, own: &str, table: &RoutingTable) -> Vec<SlowStartRate> {
     let rate = |entry: &Entry| cold_rate(view, own, &entry.server, &entry.services);
     table.entries.iter().map(rate).collect()
 }
@@ -307,22 +307,22 @@
 /// A proxy that starts waits so long for word from the servers, and no longer for those that are dead.
 const FIRST_LOOK: Duration = Duration::from_millis(300);
 
-pub struct Servers<C> {
-    pub table: arc_swap::ArcSwap<Table>,
-    shards: Vec<std::sync::Mutex<std::collections::HashMap<usize, Quick<C>>>>,
+pub struct Endpoints<C> {
+    pub table: arc_swap::ArcSwap<RoutingTable>,
+    shards: Vec<std::sync::Mutex<std::collections::HashMap<usize, EndpointState<C>>>>,
     next_slot: std::sync::atomic::AtomicUsize,
     /// An answer is told from another request's by its id, so that a server which sent surplus bytes
     /// may go on with the connections on which it did not.
     pub proves_answers: bool,
     /// By service and zone.
-    pools: std::sync::Mutex<Pools>,
+    pools: std::sync::Mutex<ZonePools>,
     /// By class and service.
-    usual: std::sync::Mutex<Usuals>,
+    usual: std::sync::Mutex<RequestProfiles>,
 }
 
-impl<C> Default for Servers<C> {
-    fn default() -> Servers<C> {
-        Servers {
+impl<C> Default for Endpoints<C> {
+    fn default() -> Endpoints<C> {
+        Endpoints {
             table: arc_swap::ArcSwap::default(),
             shards: (0..SHARDS).map(|_| Default::default()).collect(),
             next_slot: std::sync::atomic::AtomicUsize::new(0),
@@ -334,7 +334,7 @@
 }
 
 /// Where to look for a server, and where not.
-pub struct Want<'w> {
+pub struct SelectionContext<'w> {
     pub rule: usize,
     /// The service that was drawn, of those that the rule has.
     pub service: usize,
@@ -345,7 +345,7 @@
     pub tried: &'w [usize],
     /// Only look whether one is there: with room, if the one that has the request is only slow; one that
     /// does not look dead, if nothing comes from that one.
-    pub looks: Option<Need>,
+    pub looks: Option<RetryReason>,
     /// It cannot be answered within its aim any more: earlier tries took that.
     pub is_past_aim: bool,
 }
@@ -361,7 +361,7 @@
 }
 
 #[derive(Debug)]
-pub enum Choice {
+pub enum Selection {
     /// An index into the table that was given, and the service it was chosen for.
     Server(usize, usize),
     /// Only cold servers have room, the first of them from then on.
@@ -371,8 +371,8 @@
     None,
 }
 
-impl<C> Servers<C> {
-    pub fn with<R>(&self, slot: usize, act: impl FnOnce(&mut Quick<C>) -> R) -> Option<R> {
+impl<C> Endpoints<C> {
+    pub fn with<R>(&self, slot: usize, act: impl FnOnce(&mut EndpointState<C>) -> R) -> Option<R> {
         let mut shard = self.shards[slot % SHARDS].lock().expect("no panic under this lock");
         shard.get_mut(&slot).map(act)
     }
@@ -385,12 +385,12 @@
         revision: (u64, u64),
         setup: &Arc<vanepath_config::model::Config>,
         list: &vanepath_config::endpoint_list::EndpointList,
-        rate: impl Fn(&vanepath_config::endpoint_list::Server, &[usize]) -> ColdRate,
+        rate: impl Fn(&vanepath_config::endpoint_list::Server, &[usize]) -> SlowStartRate,
     ) -> Vec<String> {
         let mut notes = Vec::new();
         let before = self.table.load_full();
         let is_first = before.entries.is_empty();
-        let mut table = Table { revision, setup: setup.clone(), ..Table::default() };
+        let mut table = RoutingTable { revision, setup: setup.clone(), ..RoutingTable::default() };
         table.by_service.resize(setup.services.len(), Vec::new());
         let by_id: std::collections::HashMap<&str, &Entry> =
             before.entries.iter().map(|entry| (entry.server.id.as_str(), entry)).collect();
@@ -408,20 +408,20 @@
                 Some(entry) => entry.slot,
                 None => {
                     let slot = self.next_slot.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-                    let mut liveness = Liveness::new(now);
+                    let mut liveness = ServerHealth::new(now);
                     liveness.pulse(now, rate(server, &services));
                     if !is_first {
                         liveness.chill(now, Duration::ZERO);
                         notes.push(format!("server {} is new", server.id));
                     }
-                    let quick = Quick {
+                    let quick = EndpointState {
                         liveness,
                         in_hand: 0,
                         demand_milli: 0,
                         demand_at: Duration::ZERO,
                         slots: server.concurrency,
                         others: 0.0,
-                        pace: Pace::default(),
+                        pace: RelativeLatency::default(),
                         owes_since: now,
                         answered_at: Duration::ZERO,
                         pool: self.pool(setup, &services, &server.zone),
@@ -486,7 +486,7 @@
         is_fresh && is_there && self.has_looked(now, &table)
     }
 
-    fn has_looked(&self, now: Duration, table: &Table) -> bool {
+    fn has_looked(&self, now: Duration, table: &RoutingTable) -> bool {
         let relaxed = std::sync::atomic::Ordering::Relaxed;
         if table.has_looked.load(relaxed) {
             return true;
@@ -559,9 +559,9 @@
     }
 
     /// Moves each server's liveness on and finds those that want a probe.
-    pub fn pulse(&self, now: Duration, paces: &Paces) -> Pulsed {
+    pub fn pulse(&self, now: Duration, paces: &ProbeSchedule) -> TickOutcome {
         let table = self.table.load();
-        let mut pulsed = Pulsed::default();
+        let mut pulsed = TickOutcome::default();
         for (index, entry) in table.entries.iter().enumerate() {
             if entry.services.is_empty() {
                 continue;
@@ -640,7 +640,13 @@
     /// Own zone first, then the region, then other services that may take it, then elsewhere
     /// within bounds; within a step the better of two by demand and requests in hand. What looks
     /// dead is tried only when nothing else is there.
-    pub fn choose(&self, now: Duration, table: &Table, want: &Want<'_>, random: u64) -> Choice {
+    pub fn choose(
+        &self,
+        now: Duration,
+        table: &RoutingTable,
+        want: &SelectionContext<'_>,
+        random: u64,
+    ) -> Selection {
         let setup = &table.setup;
         let rule = &setup.rules[want.rule];
         let own = &table.by_service[want.service];
@@ -742,42 +748,42 @@
                     continue;
                 }
                 if want.looks.is_some() || self.take(now, table, index, *service, false) {
-                    return Choice::Server(index, *service);
+                    return Selection::Server(index, *service);
                 }
             }
             if let Some((_, index, service)) = piled
                 && self.take(now, table, index, service, false)
             {
-                return Choice::Server(index, service);
+                return Selection::Server(index, service);
             }
             // Of equal ones the first, which is the nearest.
             if let Some((_, index, service)) = resorts.into_iter().min_by_key(|one| one.0)
                 && (want.looks.is_some() || self.take(now, table, index, service, true))
             {
-                return Choice::Server(index, service);
+                return Selection::Server(index, service);
             }
-            if want.looks == Some(Need::Slow) && pass == Pass::Later {
-                return Choice::None;
+            if want.looks == Some(RetryReason::Slow) && pass == Pass::Later {
+                return Selection::None;
             }
             if pass == Pass::Later
                 && want.looks.is_none()
                 && let Some(cold_at) = cold_at
             {
                 // A cold server that may be asked soon is better than a dead one.
-                return Choice::Wait(cold_at);
+                return Selection::Wait(cold_at);
             }
         }
-        Choice::None
+        Selection::None
     }
 
     /// Among servers that say how many requests each works on at one time.
     fn choose_by_slots(
         &self,
         now: Duration,
-        table: &Table,
-        want: &Want<'_>,
+        table: &RoutingTable,
+        want: &SelectionContext<'_>,
         random: u64,
-    ) -> Choice {
+    ) -> Selection {
         let rule = &table.setup.rules[want.rule];
         let class = &table.setup.classes[rule.class];
         let is_lookup = class.idempotency == vanepath_config::model::Idempotency::Idempotent;
@@ -841,7 +847,7 @@
         drop(pools);
         // A request that a server may have had goes on; one that is new can come back.
         let may_be_late = match want.looks {
-            Some(need) => need == Need::Lost,
+            Some(need) => need == RetryReason::Lost,
             None => !want.tried.is_empty(),
         };
         let limit_ms = rule.latency_target.filter(|_| !may_be_late);
@@ -872,7 +878,7 @@
                     break;
                 };
                 if want.looks.is_some() || self.take(now, table, index, want.service, tier == 2) {
-                    return Choice::Server(index, want.service);
+                    return Selection::Server(index, want.service);
                 }
                 candidates.retain(|one| one.index != index);
             }
@@ -881,17 +887,17 @@
                 && want.looks.is_none()
                 && !is_crowded
             {
-                return Choice::Wait(cold_at);
+                return Selection::Wait(cold_at);
             }
         }
-        if is_crowded { Choice::Crowded } else { Choice::None }
+        if is_crowded { Selection::Crowded } else { Selection::None }
     }
 
     /// Looked at without holding all locks: looks again while taking it.
     fn take(
         &self,
         now: Duration,
-        table: &Table,
+        table: &RoutingTable,
         index: usize,
         service: usize,
         is_resort: bool,
@@ -920,23 +926,34 @@
     }
 
     /// What a request that was sent at that time, and has no answer yet, would need a further go for.
-    pub fn need(&self, slot: usize, sent_at: Duration) -> Need {
+    pub fn need(&self, slot: usize, sent_at: Duration) -> RetryReason {
         let answers_others = self.with(slot, |quick| quick.answered_at > sent_at);
-        if answers_others == Some(true) { Need::Slow } else { Need::Lost }
+        if answers_others == Some(true) { RetryReason::Slow } else { RetryReason::Lost }
     }
 
     /// The same once it missed. Only silence may be slowness; of every other miss nothing comes any more.
-    pub fn need_after(&self, miss: crate::lifecycle::Miss, slot: usize, sent_at: Duration) -> Need {
+    pub fn need_after(
+        &self,
+        miss: crate::lifecycle::AttemptError,
+        slot: usize,
+        sent_at: Duration,
+    ) -> RetryReason {
         match miss {
-            crate::lifecycle::Miss::Silent => self.need(slot, sent_at),
-            _ => Need::Lost,
+            crate::lifecycle::AttemptError::Silent => self.need(slot, sent_at),
+            _ => RetryReason::Lost,
         }
     }
 
     /// Whether there is another server for a request of this need.
-    pub fn has_other(&self, now: Duration, table: &Table, want: &Want<'_>, need: Need) -> bool {
-        let want = Want { looks: Some(need), ..*want };
-        matches!(self.choose(now, table, &want, 0), Choice::Server(..))
+    pub fn has_other(
+        &self,
+        now: Duration,
+        table: &RoutingTable,
+        want: &SelectionContext<'_>,
+        need: RetryReason,
+    ) -> bool {
+        let want = SelectionContext { looks: Some(need), ..*want };
+        matches!(self.choose(now, table, &want, 0), Selection::Server(..))
     }
 
     /// Whether a lookup leaves a server that has had it for long, where there is another one: for that,
@@ -945,14 +962,14 @@
     pub fn leaves(
         &self,
         now: Duration,
-        table: &Table,
-        want: &Want<'_>,
+        table: &RoutingTable,
+        want: &SelectionContext<'_>,
         (slot, sent_at): (usize, Duration),
-        may_go: impl FnOnce(Need) -> bool,
+        may_go: impl FnOnce(RetryReason) -> bool,
     ) -> bool {
         let need = self.need(slot, sent_at);
         let is_suspect = self.with(slot, |quick| quick.liveness.phase == Phase::Suspect);
-        let is_in_vain = is_suspect != Some(false) && need == Need::Lost;
+        let is_in_vain = is_suspect != Some(false) && need == RetryReason::Lost;
         self.has_other(now, table, want, need) && (is_in_vain || may_go(need))
     }
 
@@ -960,7 +977,7 @@
     /// it is leaving, or gone, or its zone was emptied.
     pub fn is_withdrawn(
         &self,
-        chosen_from: &Table,
+        chosen_from: &RoutingTable,
         entry: &Entry,
         emptied: &std::collections::BTreeSet<String>,
     ) -> bool {
@@ -984,8 +1001,8 @@
         &self,
         now: Duration,
         slot: usize,
-        is_usable: impl Fn(&Idle<C>) -> bool,
-    ) -> Option<Idle<C>> {
+        is_usable: impl Fn(&IdleConnection<C>) -> bool,
+    ) -> Option<IdleConnection<C>> {
         self.with(slot, |quick| {
             quick.idle.retain(|idle| idle.is_kept(now));
             let found = quick
@@ -996,7 +1013,7 @@
         })?
     }
 
-    pub fn put_idle(&self, slot: usize, idle: Idle<C>) {
+    pub fn put_idle(&self, slot: usize, idle: IdleConnection<C>) {
         self.with(slot, |quick| {
             let may_rest = self.proves_answers || !(quick.is_untidy && idle.is_used);
             if may_rest && quick.idle.len() < quick.idle_most {
@@ -1037,18 +1054,20 @@
         &self,
         now: Duration,
         slot: usize,
-        outcome: Result<(), crate::lifecycle::Miss>,
+        outcome: Result<(), crate::lifecycle::AttemptError>,
     ) -> Option<Phase> {
-        use crate::lifecycle::Miss;
+        use crate::lifecycle::AttemptError;
         let phase = match outcome {
             Ok(()) => self.good(now, slot),
-            Err(Miss::Truncated) => self.bad(now, slot, Failure::Unwell),
-            Err(Miss::NotSent | Miss::LostAfterSend | Miss::Misanswered) => {
-                self.bad(now, slot, Failure::Broken)
-            }
+            Err(AttemptError::Truncated) => self.bad(now, slot, Failure::Unwell),
+            Err(
+                AttemptError::NotSent | AttemptError::LostAfterSend | AttemptError::Misanswered,
+            ) => self.bad(now, slot, Failure::Broken),
             // No proof against it: it may just have much to do. A probe will tell.
-            Err(Miss::Silent) => self.moved(slot, Liveness::doubt),
-            Err(Miss::NotConnected | Miss::Withdrawn | Miss::TurnedAway) => None,
+            Err(AttemptError::Silent) => self.moved(slot, ServerHealth::doubt),
+            Err(
+                AttemptError::NotConnected | AttemptError::Withdrawn | AttemptError::TurnedAway,
+            ) => None,
         };
         self.with(slot, |quick| {
             let is_busy = quick.demand(now) >= BUSY;
@@ -1057,18 +1076,28 @@
                     quick.answered_at = now;
                     quick.liveness.worked(now, true);
                 }
-                Err(Miss::Silent) if is_busy => {}
-                Err(Miss::Silent | Miss::Truncated | Miss::LostAfterSend | Miss::Misanswered) => {
+                Err(AttemptError::Silent) if is_busy => {}
+                Err(
+                    AttemptError::Silent
+                    | AttemptError::Truncated
+                    | AttemptError::LostAfterSend
+                    | AttemptError::Misanswered,
+                ) => {
                     quick.liveness.worked(now, false);
                 }
-                Err(Miss::NotSent | Miss::NotConnected | Miss::Withdrawn | Miss::TurnedAway) => {}
+                Err(
+                    AttemptError::NotSent
+                    | AttemptError::NotConnected
+                    | AttemptError::Withdrawn
+                    | AttemptError::TurnedAway,
+                ) => {}
             }
         });
         phase
     }
 
     /// Acts on the liveness; tells the new phase where it changed.
-    pub fn moved(&self, slot: usize, act: impl FnOnce(&mut Liveness)) -> Option<Phase> {
+    pub fn moved(&self, slot: usize, act: impl FnOnce(&mut ServerHealth)) -> Option<Phase> {
         self.with(slot, |quick| {
             let before = quick.liveness.phase;
             act(&mut quick.liveness);
@@ -1106,7 +1135,7 @@
     }
 
     /// What requests of this class usually are at this service.
-    fn job(&self, class: &str, service: &str, is_bulk: bool) -> Job {
+    fn job(&self, class: &str, service: &str, is_bulk: bool) -> RequestCost {
         self.usual.lock().expect("no panic under this lock").job(class, service, is_bulk)
     }
 
@@ -1131,8 +1160,8 @@
     }
 
     /// A request was served so long after it was sent, at a server with this `lateness`.
-    pub fn answered(&self, now: Duration, answered: Answered<'_>) {
-        let Answered { slot, class, service, is_bulk, took, lateness, kilobytes } = answered;
+    pub fn answered(&self, now: Duration, answered: ServedRequest<'_>) {
+        let ServedRequest { slot, class, service, is_bulk, took, lateness, kilobytes } = answered;
         let Some(pool) = self.with(slot, |quick| quick.pool) else { return };
         let way_ms = {
             let pools = self.pools.lock().expect("no panic under this lock");
@@ -1150,7 +1179,7 @@
 }
 
 /// A request that was served, for what is usual.
-pub struct Answered<'a> {
+pub struct ServedRequest<'a> {
     pub slot: usize,
     pub class: &'a str,
     pub service: &'a str,
@@ -1161,7 +1190,7 @@
     pub kilobytes: Option<f64>,
 }
 
-impl<C> Quick<C> {
+impl<C> EndpointState<C> {
     /// What it told of its demand is old, and nothing of ours is there to tell more: one request
     /// will find out.
     fn is_stale(&self, now: Duration) -> bool {
--- a/proxy/src/endpoints/tests.rs
+++ b/proxy/src/endpoints/tests.rs
@@ -1,6 +1,6 @@
-use super::{Choice, Servers, Want};
-use crate::health::{ColdRate, Failure};
-use crate::retry_budget::Need;
+use super::{Endpoints, Selection, SelectionContext};
+use crate::health::{Failure, SlowStartRate};
+use crate::retry_budget::RetryReason;
 use std::time::Duration;
 
 const SETUP: &str = r#"{"classes": [{"name": "c", "urgency": 1, "kind": "repeatable"}],
@@ -36,15 +36,15 @@
 }
 
 struct Case {
-    servers: Servers<()>,
+    servers: Endpoints<()>,
     setup: std::sync::Arc<vanepath_config::model::Config>,
     emptied: std::collections::BTreeSet<String>,
 }
 
 fn case() -> Case {
-    let servers: Servers<()> = Servers::default();
+    let servers: Endpoints<()> = Endpoints::default();
     let setup = setup();
-    servers.adopt(Duration::ZERO, (1, 1), &setup, &list(), |_, _| ColdRate::default());
+    servers.adopt(Duration::ZERO, (1, 1), &setup, &list(), |_, _| SlowStartRate::default());
     for entry in &servers.table.load().entries {
         servers.good(Duration::ZERO, entry.slot);
     }
@@ -56,10 +56,10 @@
         self.look(rule, now_s, None)
     }
 
-    fn look(&self, rule: usize, now_s: u64, looks: Option<Need>) -> String {
+    fn look(&self, rule: usize, now_s: u64, looks: Option<RetryReason>) -> String {
         let table = self.servers.table.load_full();
         let service = table.setup.rules[rule].service;
-        let want = Want {
+        let want = SelectionContext {
             rule,
             service,
             emptied: &self.emptied,
@@ -70,10 +70,10 @@
             is_past_aim: false,
         };
         match self.servers.choose(Duration::from_secs(now_s), &table, &want, 5) {
-            Choice::Server(index, _) => table.entries[index].server.id.clone(),
-            Choice::Wait(at) => format!("wait until {:.1} s", at.as_secs_f64()),
-            Choice::Crowded => "crowded".to_string(),
-            Choice::None => "none".to_string(),
+            Selection::Server(index, _) => table.entries[index].server.id.clone(),
+            Selection::Wait(at) => format!("wait until {:.1} s", at.as_secs_f64()),
+            Selection::Crowded => "crowded".to_string(),
+            Selection::None => "none".to_string(),
         }
     }
 
@@ -82,7 +82,7 @@
     fn leaves(&self, id: &str, sent_s: u64) -> (bool, bool) {
         let table = self.servers.table.load_full();
         let slot = self.slot(id);
-        let want = Want {
+        let want = SelectionContext {
             rule: 1,
             service: table.setup.rules[1].service,
             emptied: &self.emptied,
@@ -131,7 +131,7 @@
         server.draining = true;
     }
     let now = Duration::ZERO;
-    case.servers.adopt(now, (1, 2), &case.setup, &leaving, |_, _| ColdRate::default());
+    case.servers.adopt(now, (1, 2), &case.setup, &leaving, |_, _| SlowStartRate::default());
     assert_eq!(case.pick(1, 0), "none");
 }
 
@@ -160,7 +160,7 @@
     let mut case = case();
     let text = SETUP.replace(r#""serverRoom": 2"#, r#""serverRoom": 100"#);
     let setup = std::sync::Arc::new(vanepath_config::model::parse(text.as_bytes()).unwrap());
-    case.servers.adopt(Duration::ZERO, (1, 1), &setup, &list(), |_, _| ColdRate::default());
+    case.servers.adopt(Duration::ZERO, (1, 1), &setup, &list(), |_, _| SlowStartRate::default());
     case.setup = setup;
     let mut counts = std::collections::BTreeMap::<String, u32>::new();
     for _ in 0..16 {
@@ -178,10 +178,10 @@
 /// comes after all that has, wherever it is.
 #[test]
 fn what_was_not_heard_of_yet_comes_after_what_is_there() {
-    let servers: Servers<()> = Servers::default();
+    let servers: Endpoints<()> = Endpoints::default();
     let ms = Duration::from_millis;
     let case = Case { servers, setup: setup(), emptied: Default::default() };
-    case.servers.adopt(ms(1000), (1, 1), &case.setup, &list(), |_, _| ColdRate::default());
+    case.servers.adopt(ms(1000), (1, 1), &case.setup, &list(), |_, _| SlowStartRate::default());
     assert!(!case.servers.is_fit(ms(1000), true, (1, 1)));
     for id in ["s-b1", "t-a1", "t-b1"] {
         case.servers.good(ms(1010), case.slot(id));
@@ -200,10 +200,10 @@
 /// A cold server in whose rate this proxy has no part is not waited for, and hides no last resort.
 #[test]
 fn a_cold_server_of_others_hides_no_resort() {
-    let servers: Servers<()> = Servers::default();
+    let servers: Endpoints<()> = Endpoints::default();
     let case = Case { servers, setup: setup(), emptied: Default::default() };
     let no_part = |_: &vanepath_config::endpoint_list::Server, _: &[usize]| {
-        ColdRate::of(1.0, Duration::from_secs(10), 1, 2)
+        SlowStartRate::of(1.0, Duration::from_secs(10), 1, 2)
     };
     case.servers.adopt(Duration::ZERO, (1, 1), &case.setup, &list(), no_part);
     for entry in &case.servers.table.load().entries {
@@ -225,7 +225,7 @@
     moved.servers[0].address = "127.0.0.1:9999".parse().unwrap();
     let before = case.slot("s-b1");
     let rate = |_: &vanepath_config::endpoint_list::Server, _: &[usize]| {
-        ColdRate::of(2.0, Duration::from_secs(10), 0, 1)
+        SlowStartRate::of(2.0, Duration::from_secs(10), 0, 1)
     };
     case.servers.adopt(Duration::from_secs(1), (1, 2), &case.setup, &moved, rate);
     assert_ne!(case.slot("s-b1"), before);
@@ -246,21 +246,21 @@
     for id in ["s-a1", "s-a2", "t-a1", "t-b1", "s-b1"] {
         case.servers.told(now(10), case.slot(id), 1500);
     }
-    assert_eq!(case.servers.need(own, now(10)), Need::Lost);
+    assert_eq!(case.servers.need(own, now(10)), RetryReason::Lost);
     case.servers.worked(now(9), own, Ok(()));
-    assert_eq!(case.servers.need(own, now(10)), Need::Lost, "that was before");
-    assert_eq!(case.look(1, 10, Some(Need::Slow)), "none");
-    assert_eq!(case.look(1, 10, Some(Need::Lost)), "s-a1");
+    assert_eq!(case.servers.need(own, now(10)), RetryReason::Lost, "that was before");
+    assert_eq!(case.look(1, 10, Some(RetryReason::Slow)), "none");
+    assert_eq!(case.look(1, 10, Some(RetryReason::Lost)), "s-a1");
     assert_eq!(case.leaves("s-b1", 10), (true, false), "it may still answer");
     for id in ["s-a1", "s-a2", "t-a1", "t-b1", "s-b1"] {
         case.servers.bad(now(10), case.slot(id), Failure::Refused);
     }
-    assert_eq!(case.look(1, 10, Some(Need::Lost)), "none");
+    assert_eq!(case.look(1, 10, Some(RetryReason::Lost)), "none");
     assert_eq!(case.leaves("s-b1", 10), (false, false), "nowhere else is better");
     case.servers.moved(case.slot("s-a1"), |live| live.trust(now(10)));
     assert_eq!(case.leaves("s-b1", 10), (true, true), "in vain");
     case.servers.worked(now(11), own, Ok(()));
-    assert_eq!(case.servers.need(own, now(10)), Need::Slow);
+    assert_eq!(case.servers.need(own, now(10)), RetryReason::Slow);
     assert!(!case.leaves("s-b1", 10).1);
 }
 
@@ -281,7 +281,8 @@
             let mut list = list();
             change(&mut list);
             let now = Duration::from_secs(1);
-            case.servers.adopt(now, (1, revision), &case.setup, &list, |_, _| ColdRate::default());
+            case.servers
+                .adopt(now, (1, revision), &case.setup, &list, |_, _| SlowStartRate::default());
         };
     adopt(2, &|list| list.servers[0].draining = true);
     assert!(!is_withdrawn(&case.emptied), "it is another one that leaves");
--- a/proxy/src/forward.rs
+++ b/proxy/src/forward.rs
@@ -1,11 +1,11 @@
 //! Carries one request along the chart (design 8.1). The shell round `chart`, `classes`,
 //! `servers` and `budget`.
 
-use crate::admission::{Classes, Entry as Entered, Slot};
-use crate::endpoints::{Choice, Idle, Servers, Want};
+use crate::admission::{Admission as Entered, AdmissionControl, AdmissionSlot};
+use crate::endpoints::{Endpoints, IdleConnection, Selection, SelectionContext};
 use crate::health::Failure;
-use crate::lifecycle::{Chart, Miss, Next, Refusal, State};
-use crate::retry_budget::Need;
+use crate::lifecycle::{AfterFailure, AttemptError, Rejection, RequestLifecycle, RequestState};
+use crate::retry_budget::RetryReason;
 use http_body_util::BodyExt;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use std::sync::Arc;
@@ -75,41 +75,45 @@
 
 pub struct Proxy {
     pub daemon: Arc<Node>,
-    pub servers: Servers<crate::connector::Sender>,
-    pub classes: std::sync::Mutex<Classes>,
-    waiting:
-        std::sync::Mutex<std::collections::HashMap<u64, tokio::sync::oneshot::Sender<(Slot, ())>>>,
-    pub budget: std::sync::Mutex<crate::retry_budget::Budgets>,
+    pub servers: Endpoints<crate::connector::Sender>,
+    pub classes: std::sync::Mutex<AdmissionControl>,
+    waiting: std::sync::Mutex<
+        std::collections::HashMap<u64, tokio::sync::oneshot::Sender<(AdmissionSlot, ())>>,
+    >,
+    pub budget: std::sync::Mutex<crate::retry_budget::RetryBudgets>,
     pub tally: Arc<Counters>,
     pub is_ready: AtomicBool,
     pub is_leaving: AtomicBool,
     /// A server's phase changed: registries hear of it soon.
     pub is_news: AtomicBool,
     pub live_proxies: std::sync::atomic::AtomicUsize,
-    pub request_counts: std::sync::Mutex<crate::request_rates::RequestCounts>,
-    longest: std::sync::Mutex<crate::client_deadlines::Longest>,
+    pub request_counts: std::sync::Mutex<crate::request_rates::RequestRates>,
+    longest: std::sync::Mutex<crate::client_deadlines::ClientDeadlines>,
     /// For large answers, where the link is narrow.
-    gate: Option<std::sync::Mutex<crate::bandwidth_limiter::Gate>>,
+    gate: Option<std::sync::Mutex<crate::bandwidth_limiter::BandwidthLimiter>>,
     /// The same for what is read of them.
-    gate_in: Option<std::sync::Mutex<crate::bandwidth_limiter::Gate>>,
+    gate_in: Option<std::sync::Mutex<crate::bandwidth_limiter::BandwidthLimiter>>,
     random: AtomicU64,
 }
 
 impl Proxy {
     pub fn new(daemon: Arc<Node>) -> Proxy {
         let proves_answers = daemon.settings.wire_format.headers().request_id.is_some();
-        let mut servers = Servers::default();
+        let mut servers = Endpoints::default();
         servers.proves_answers = proves_answers;
         let retries = daemon.settings.retry_budget;
         let narrow = daemon.settings.link_megabits.filter(|mbps| *mbps < WIDE_MBPS);
-        let gate =
-            || narrow.map(|mbps| std::sync::Mutex::new(crate::bandwidth_limiter::Gate::new(mbps)));
+        let gate = || {
+            narrow.map(|mbps| {
+                std::sync::Mutex::new(crate::bandwidth_limiter::BandwidthLimiter::new(mbps))
+            })
+        };
         Proxy {
             daemon,
             servers,
             classes: Default::default(),
             waiting: Default::default(),
-            budget: std::sync::Mutex::new(crate::retry_budget::Budgets::new(retries)),
+            budget: std::sync::Mutex::new(crate::retry_budget::RetryBudgets::new(retries)),
             tally: Default::default(),
             is_ready: AtomicBool::new(false),
             is_leaving: AtomicBool::new(false),
@@ -135,7 +139,7 @@
     }
 
     /// Hands slots to those that `classes` woke. One whose caller left meanwhile gives it back.
-    pub fn wake(&self, mut woken: Vec<(u64, Slot)>) {
+    pub fn wake(&self, mut woken: Vec<(u64, AdmissionSlot)>) {
         while let Some((number, slot)) = woken.pop() {
             let waiting = self.waiting.lock().expect("no panic under this lock").remove(&number);
             let is_lost = waiting.is_none_or(|waiting| waiting.send((slot, ())).is_err());
@@ -146,7 +150,7 @@
         }
     }
 
-    fn release(&self, slot: Slot) {
+    fn release(&self, slot: AdmissionSlot) {
         let woken = self.classes.lock().expect("no panic under this lock").release(slot);
         self.wake(woken);
     }
@@ -179,7 +183,7 @@
     }
 
     /// What became of a request that a server was given.
-    fn note_worked(&self, slot: usize, id: &str, outcome: Result<(), Miss>) {
+    fn note_worked(&self, slot: usize, id: &str, outcome: Result<(), AttemptError>) {
         if let Some(phase) = self.servers.worked(self.now(), slot, outcome) {
             self.is_news.store(true, Ordering::Relaxed);
             match outcome {
@@ -193,7 +197,7 @@
 /// A class's slot in use; given back when dropped, however the request ends.
 struct Held {
     proxy: Arc<Proxy>,
-    slot: Slot,
+    slot: AdmissionSlot,
 }
 
 impl Drop for Held {
@@ -251,7 +255,7 @@
     tally.increment(Counter::Requests);
     let guard = proxy.clone();
     let mut leave = Leave { proxy: &guard, is_answered: false };
-    let mut chart = Chart::new();
+    let mut chart = RequestLifecycle::new();
     let mut more = More::default();
     let outcome = walk(&proxy, request, &mut chart, &mut more).await;
     leave.is_answered = true;
@@ -280,24 +284,24 @@
 
 fn refuse(
     proxy: &Proxy,
-    refusal: Refusal,
+    refusal: Rejection,
     verdict: ExecutionStatus,
     more: &More,
 ) -> hyper::Response<Body> {
     proxy.tally.increment(match refusal {
-        Refusal::Malformed => Counter::RefusedMalformed,
-        Refusal::Unmatched => Counter::RefusedUnmatched,
-        Refusal::HeadTooLarge => Counter::RefusedHeadTooLarge,
-        Refusal::TooLarge => Counter::RefusedTooLarge,
-        Refusal::Misplaced => Counter::RefusedMisplaced,
-        Refusal::NotReady => Counter::RefusedNotReady,
-        Refusal::BelowFloor => Counter::RefusedBelowFloor,
-        Refusal::NoRoom => Counter::RefusedNoRoom,
-        Refusal::NoServer => Counter::RefusedNoServer,
-        Refusal::Crowded => Counter::RefusedCrowded,
-        Refusal::NoBudget => Counter::RefusedNoBudget,
-        Refusal::Late => Counter::RefusedLate,
-        Refusal::Lost => Counter::RefusedLost,
+        Rejection::Malformed => Counter::RefusedMalformed,
+        Rejection::Unmatched => Counter::RefusedUnmatched,
+        Rejection::HeadTooLarge => Counter::RefusedHeadTooLarge,
+        Rejection::TooLarge => Counter::RefusedTooLarge,
+        Rejection::Misplaced => Counter::RefusedMisplaced,
+        Rejection::NotReady => Counter::RefusedNotReady,
+        Rejection::BelowFloor => Counter::RefusedBelowFloor,
+        Rejection::NoRoom => Counter::RefusedNoRoom,
+        Rejection::NoServer => Counter::RefusedNoServer,
+        Rejection::Crowded => Counter::RefusedCrowded,
+        Rejection::NoBudget => Counter::RefusedNoBudget,
+        Rejection::Late => Counter::RefusedLate,
+        Rejection::Lost => Counter::RefusedLost,
     });
     proxy.tally.increment(match verdict {
         ExecutionStatus::MayHaveRun => Counter::VerdictMayHaveRun,
@@ -324,7 +328,7 @@
     {
         headers.insert(header::RETRY_AFTER, after);
     }
-    if more.closes || refusal == Refusal::Malformed {
+    if more.closes || refusal == Rejection::Malformed {
         headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     receipt
@@ -348,9 +352,9 @@
 async fn walk(
     proxy: &Arc<Proxy>,
     request: hyper::Request<Body>,
-    chart: &mut Chart,
+    chart: &mut RequestLifecycle,
     more: &mut More,
-) -> Result<hyper::Response<Body>, Refusal> {
+) -> Result<hyper::Response<Body>, Rejection> {
     let received_at = proxy.now();
     let (mut head, incoming) = request.into_parts();
     let host = check(&mut head).inspect_err(|_| more.closes = true)?;
@@ -361,7 +365,7 @@
     let method = head.method.clone();
     let mut rule = matched(proxy, &table, method.as_str(), &host, &path, more)?;
     let class = table.setup.classes[table.setup.rules[rule].class].clone();
-    chart.state = State::Matched;
+    chart.state = RequestState::Matched;
     chart.kind = class.idempotency;
     proxy
         .request_counts
@@ -385,10 +389,10 @@
     let length = hyper::body::Body::size_hint(&incoming).exact();
     if length.is_some_and(|length| length > class.max_body_bytes) {
         more.closes = true;
-        return Err(Refusal::TooLarge);
+        return Err(Rejection::TooLarge);
     }
 
-    chart.state = State::Queued;
+    chart.state = RequestState::Queued;
     let held = enter(proxy, &class.name, deadline).await?;
     let drawn = table.setup.rules[rule].pick_service(proxy.random());
     let drawn = table.setup.services[drawn].name.clone();
@@ -398,18 +402,18 @@
     let read_body = read_body(incoming, class.max_body_bytes);
     let body = tokio::time::timeout_at(until_late(), read_body)
         .await
-        .map_err(|_| Refusal::Late)?
+        .map_err(|_| Rejection::Late)?
         .inspect_err(|_| more.closes = true)?;
     chart.is_replayable = matches!(body, TellBody::Whole(_));
     let mut told = tell(proxy, head, body);
     let mut tried: Vec<usize> = Vec::new();
     let mut held = Some(held);
     loop {
-        chart.state = State::Choosing;
+        chart.state = RequestState::Choosing;
         if chart.goes > 0 {
             // It may have stood still since the first go.
             let ready = await_ready(proxy, proxy.now());
-            tokio::time::timeout_at(until_late(), ready).await.map_err(|_| Refusal::Late)??;
+            tokio::time::timeout_at(until_late(), ready).await.map_err(|_| Rejection::Late)??;
         }
         let (index, service) = loop {
             let latest = proxy.servers.table.load_full();
@@ -461,11 +465,11 @@
                     && reply.head.status.is_server_error()
                     && chart.may_go_on();
                 // A server that is busy or failed did not serve the lookup; another one may.
-                if may_repeat && go.has_other() && may_go(proxy, &drawn, Need::Lost) {
+                if may_repeat && go.has_other() && may_go(proxy, &drawn, RetryReason::Lost) {
                     chart.may_sent = true;
                     continue;
                 }
-                chart.state = State::Answering;
+                chart.state = RequestState::Answering;
                 proxy.tally.increment(Counter::Done);
                 let gated = class.bulk && proxy.gate.is_some();
                 return Ok(pass(proxy, reply, in_hand, held.take(), gated));
@@ -476,21 +480,21 @@
         let is_late = proxy.now() >= deadline;
         let need = proxy.servers.need_after(miss, entry.slot, chart.sent_at);
         let may_go = || may_go(proxy, &drawn, need);
-        if let Next::End(refusal) = chart.missed(miss, is_late, may_go) {
+        if let AfterFailure::End(refusal) = chart.missed(miss, is_late, may_go) {
             more.detail = format!("{miss} after {} goes", chart.goes);
             return Err(refusal);
         }
     }
 }
 
-fn may_go(proxy: &Proxy, service: &str, need: Need) -> bool {
+fn may_go(proxy: &Proxy, service: &str, need: RetryReason) -> bool {
     let live = proxy.live_proxies.load(Ordering::Relaxed);
     let mut budgets = proxy.budget.lock().expect("no panic under this lock");
     budgets.take_go(proxy.now(), service, live, need)
 }
 
 /// The drawn service in the setup in force, or what the rule has by now.
-fn service_of(table: &crate::endpoints::Table, rule: usize, drawn: &str) -> usize {
+fn service_of(table: &crate::endpoints::RoutingTable, rule: usize, drawn: &str) -> usize {
     let facts = &table.setup.rules[rule];
     let split = facts.weighted_services.iter().map(|one| one.0);
     let mut allowed = split.filter(|index| table.setup.services[*index].name == drawn);
@@ -521,37 +525,37 @@
 
 /// What the library lets through and yet could be read in two ways is refused (design 8.3).
 /// Gives the host that the request is for.
-fn check(head: &mut hyper::http::request::Parts) -> Result<String, Refusal> {
+fn check(head: &mut hyper::http::request::Parts) -> Result<String, Rejection> {
     if head.method == hyper::Method::CONNECT {
-        return Err(Refusal::Malformed);
+        return Err(Rejection::Malformed);
     }
     let fields = head.headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4);
     if fields.sum::<usize>() + head.uri.path().len() > HEAD_MOST {
-        return Err(Refusal::HeadTooLarge);
+        return Err(Rejection::HeadTooLarge);
     }
     let hosts = head.headers.get_all(header::HOST).iter().count();
     if hosts > 1 || (hosts == 0 && head.version == hyper::Version::HTTP_11) {
-        return Err(Refusal::Malformed);
+        return Err(Rejection::Malformed);
     }
     let lengths = head.headers.get_all(header::CONTENT_LENGTH).iter().count();
     let codings = head.headers.get_all(header::TRANSFER_ENCODING).iter().count();
     if lengths > 1 || codings > 1 || (lengths > 0 && codings > 0) {
-        return Err(Refusal::Malformed);
+        return Err(Rejection::Malformed);
     }
     if let Some(coding) = head.headers.get(header::TRANSFER_ENCODING)
         && !coding.as_bytes().eq_ignore_ascii_case(b"chunked")
     {
-        return Err(Refusal::Malformed);
+        return Err(Rejection::Malformed);
     }
     if let Some(authority) = head.uri.authority() {
         // The absolute form: its authority is the host (the published protocol says so).
-        let host = HeaderValue::from_str(authority.as_str()).map_err(|_| Refusal::Malformed)?;
+        let host = HeaderValue::from_str(authority.as_str()).map_err(|_| Rejection::Malformed)?;
         head.headers.insert(header::HOST, host);
         let path = head.uri.path_and_query().map_or("/", |path| path.as_str()).to_string();
-        head.uri = path.parse().map_err(|_| Refusal::Malformed)?;
+        head.uri = path.parse().map_err(|_| Rejection::Malformed)?;
     }
     let host = head.headers.get(header::HOST).map_or(Ok(""), |host| host.to_str());
-    let host = host.map_err(|_| Refusal::Malformed)?;
+    let host = host.map_err(|_| Rejection::Malformed)?;
     let name = match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
         _ => host,
@@ -560,7 +564,7 @@
 }
 
 /// Until this daemon has what it needs: the setup, and after a freeze fresh news (design 5.5).
-async fn await_ready(proxy: &Proxy, received_at: Duration) -> Result<(), Refusal> {
+async fn await_ready(proxy: &Proxy, received_at: Duration) -> Result<(), Rejection> {
     let is_fit = || {
         let view = proxy.daemon.table.load();
         proxy.daemon.is_awake()
@@ -572,10 +576,10 @@
     };
     while !is_fit() {
         if proxy.daemon.table.load().is_stalled {
-            return Err(Refusal::BelowFloor);
+            return Err(Rejection::BelowFloor);
         }
         if proxy.now().saturating_sub(received_at) >= vanepath_cluster::gossip::READINESS_TIMEOUT {
-            return Err(Refusal::NotReady);
+            return Err(Rejection::NotReady);
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -593,12 +597,12 @@
     crate::endpoints::carriers(view, rule).map(place).collect()
 }
 
-async fn enter(proxy: &Arc<Proxy>, class: &str, deadline: Duration) -> Result<Held, Refusal> {
+async fn enter(proxy: &Arc<Proxy>, class: &str, deadline: Duration) -> Result<Held, Rejection> {
     let (sender, receiver) = tokio::sync::oneshot::channel();
     let number = {
         let mut classes = proxy.classes.lock().expect("no panic under this lock");
         let Some(index) = classes.index(class) else {
-            return Err(Refusal::NotReady);
+            return Err(Rejection::NotReady);
         };
         match classes.enter(index, deadline) {
             Entered::Taken(slot) => {
@@ -607,7 +611,7 @@
                 }
                 return Ok(Held { proxy: proxy.clone(), slot });
             }
-            Entered::Dropped => return Err(Refusal::NoRoom),
+            Entered::Dropped => return Err(Rejection::NoRoom),
             Entered::Waits(number) => {
                 // Under the same lock: nobody is woken before they can be reached.
                 let mut waiting = proxy.waiting.lock().expect("no panic under this lock");
@@ -627,10 +631,10 @@
         Ok(Ok((slot, ()))) => Some(slot),
         _ => receiver.try_recv().ok().map(|(slot, ())| slot),
     };
-    slot.map(|slot| Held { proxy: proxy.clone(), slot }).ok_or(Refusal::Late)
+    slot.map(|slot| Held { proxy: proxy.clone(), slot }).ok_or(Rejection::Late)
 }
 
-async fn read_body(mut incoming: Body, most: u64) -> Result<TellBody, Refusal> {
+async fn read_body(mut incoming: Body, most: u64) -> Result<TellBody, Rejection> {
     if hyper::body::Body::is_end_stream(&incoming) {
         return Ok(TellBody::Whole(bytes::Bytes::new()));
     }
@@ -639,7 +643,7 @@
         match incoming.frame().await {
             None => return Ok(TellBody::Whole(read.freeze())),
             // The caller broke off, or its chunks make no sense: nobody was told of it.
-            Some(Err(_)) => return Err(Refusal::Malformed),
+            Some(Err(_)) => return Err(Rejection::Malformed),
             Some(Ok(frame)) => {
                 if let Ok(data) = frame.into_data() {
                     read.extend_from_slice(&data);
@@ -647,7 +651,7 @@
             }
         }
         if read.len() as u64 > most {
-            return Err(Refusal::TooLarge);
+            return Err(Rejection::TooLarge);
         }
         if read.len() > REPLAY_MOST {
             return Ok(TellBody::Stream(Some((read.freeze(), incoming, most))));
@@ -701,17 +705,17 @@
 /// The rule of a request, where this proxy may carry it at all.
 fn matched(
     proxy: &Proxy,
-    table: &crate::endpoints::Table,
+    table: &crate::endpoints::RoutingTable,
     method: &str,
     host: &str,
     path: &str,
     more: &mut More,
-) -> Result<usize, Refusal> {
-    let rule = table.setup.rule_for(method, host, path).ok_or(Refusal::Unmatched)?;
+) -> Result<usize, Rejection> {
+    let rule = table.setup.rule_for(method, host, path).ok_or(Rejection::Unmatched)?;
     let facts = &table.setup.rules[rule];
     if !facts.may_forward_from(&proxy.daemon.settings.region) {
         more.places = places_for(&proxy.daemon.table.load(), facts);
-        return Err(Refusal::Misplaced);
+        return Err(Rejection::Misplaced);
     }
     Ok(rule)
 }
@@ -720,21 +724,21 @@
 /// cold one's turn where only cold ones are left: look again.
 async fn choose(
     proxy: &Proxy,
-    table: &crate::endpoints::Table,
+    table: &crate::endpoints::RoutingTable,
     rule: usize,
     service: usize,
     tried: &[usize],
     deadline: Duration,
     is_past_aim: bool,
-) -> Result<Option<(usize, usize)>, Refusal> {
+) -> Result<Option<(usize, usize)>, Rejection> {
     let now = proxy.now();
     if now >= deadline {
-        return Err(Refusal::Late);
+        return Err(Rejection::Late);
     }
     let choice = {
         // What was emptied since the request came counts too.
         let latest = proxy.daemon.table.load();
-        let want = Want {
+        let want = SelectionContext {
             rule,
             service,
             emptied: &latest.committed.drained_zones,
@@ -747,15 +751,15 @@
         proxy.servers.choose(now, table, &want, proxy.random())
     };
     match choice {
-        Choice::Server(index, service) => Ok(Some((index, service))),
-        Choice::Wait(until) if until < deadline => {
+        Selection::Server(index, service) => Ok(Some((index, service))),
+        Selection::Wait(until) if until < deadline => {
             let pause = until.saturating_sub(now).max(Duration::from_millis(1));
             tokio::time::sleep(pause.min(Duration::from_millis(50))).await;
             Ok(None)
         }
-        Choice::Crowded => Err(Refusal::Crowded),
+        Selection::Crowded => Err(Rejection::Crowded),
         // All that are left were tried, or none is there, or none has its turn in time.
-        Choice::Wait(_) | Choice::None => Err(Refusal::NoServer),
+        Selection::Wait(_) | Selection::None => Err(Rejection::NoServer),
     }
 }
 
@@ -777,7 +781,7 @@
     service: &'g vanepath_config::model::Service,
     deadline: Duration,
     is_other_zone: bool,
-    table: &'g crate::endpoints::Table,
+    table: &'g crate::endpoints::RoutingTable,
     rule: usize,
     /// The service that was drawn for this request.
     drawn: &'g str,
@@ -786,11 +790,14 @@
 
 impl Go<'_> {
     /// Asks the servers about a further go, with the budget.
-    fn look<R>(&self, ask: impl FnOnce(Duration, &Want<'_>, &dyn Fn(Need) -> bool) -> R) -> R {
+    fn look<R>(
+        &self,
+        ask: impl FnOnce(Duration, &SelectionContext<'_>, &dyn Fn(RetryReason) -> bool) -> R,
+    ) -> R {
         let proxy = self.proxy;
         let now = proxy.now();
         let latest = proxy.daemon.table.load();
-        let want = Want {
+        let want = SelectionContext {
             rule: self.rule,
             service: service_of(self.table, self.rule, self.drawn),
             emptied: &latest.committed.drained_zones,
@@ -812,7 +819,7 @@
     fn has_other(&self) -> bool {
         let servers = &self.proxy.servers;
         self.look(|now, want, may_go| {
-            servers.has_other(now, self.table, want, Need::Lost) && may_go(Need::Lost)
+            servers.has_other(now, self.table, want, RetryReason::Lost) && may_go(RetryReason::Lost)
         })
     }
 
@@ -837,22 +844,26 @@
         self.proxy.note_bad(self.entry.slot, &self.entry.server.id, failure);
     }
 
-    async fn run(&self, chart: &mut Chart, told: &mut Told) -> Result<Reply, Miss> {
+    async fn run(
+        &self,
+        chart: &mut RequestLifecycle,
+        told: &mut Told,
+    ) -> Result<Reply, AttemptError> {
         let left = self.deadline.saturating_sub(self.proxy.now());
         let until = tokio::time::Instant::now() + left;
-        chart.state = State::Connecting;
+        chart.state = RequestState::Connecting;
         let connected = tokio::time::timeout_at(until, self.connection(chart.kind)).await;
-        let (mut sender, greeted_at) = connected.unwrap_or(Err(Miss::NotConnected))?;
-        chart.state = State::Greeted;
+        let (mut sender, greeted_at) = connected.unwrap_or(Err(AttemptError::NotConnected))?;
+        chart.state = RequestState::Greeted;
         if self.is_withdrawn() {
             self.proxy.tally.increment(Counter::GoesWithdrawn);
-            return Err(Miss::Withdrawn);
+            return Err(AttemptError::Withdrawn);
         }
 
         let body = match &mut told.body {
             TellBody::Whole(bytes) => node::body(bytes.clone()),
             TellBody::Stream(rest) => {
-                let (read, incoming, most) = rest.take().ok_or(Miss::NotSent)?;
+                let (read, incoming, most) = rest.take().ok_or(AttemptError::NotSent)?;
                 streamed(read, incoming, most)
             }
         };
@@ -861,7 +872,7 @@
         *request.uri_mut() = told.uri.clone();
         *request.headers_mut() = told.headers.clone();
         self.address(request.headers_mut());
-        chart.state = State::Sent;
+        chart.state = RequestState::Sent;
         chart.sends += 1;
         let sent_at = self.proxy.now();
         chart.sent_at = sent_at;
@@ -883,12 +894,12 @@
             }
         };
         let receipt = match sent {
-            Err(()) => return Err(Miss::Silent),
+            Err(()) => return Err(AttemptError::Silent),
             // Given back whole: the library had not begun to write it.
             Ok(Err(mut error)) => {
                 return Err(match error.take_message() {
-                    Some(_) => Miss::NotSent,
-                    None => Miss::LostAfterSend,
+                    Some(_) => AttemptError::NotSent,
+                    None => AttemptError::LostAfterSend,
                 });
             }
             Ok(Ok(receipt)) => receipt,
@@ -900,10 +911,10 @@
         let may_close = self.proxy.daemon.settings.wire_format.headers().close_ends_response;
         if !is_bodiless && !may_close && !crate::connector::is_framed(&head) {
             self.proxy.tally.increment(Counter::ReceiptsTruncated);
-            return Err(Miss::Truncated);
+            return Err(AttemptError::Truncated);
         }
         if head.status == hyper::StatusCode::SWITCHING_PROTOCOLS {
-            return Err(Miss::Truncated);
+            return Err(AttemptError::Truncated);
         }
         if !head.status.is_server_error() {
             self.hear_time(&head.headers, told, sent_at, lateness);
@@ -926,7 +937,7 @@
             Ok(Ok(())) => {}
             Ok(Err(())) => {
                 self.proxy.tally.increment(Counter::ReceiptsTruncated);
-                return Err(Miss::Truncated);
+                return Err(AttemptError::Truncated);
             }
             // Slow, but under way: a filing's is passed on as it comes, a lookup is given the
             // rest of its time too.
@@ -950,12 +961,16 @@
     }
 
     /// Whether this is an answer to this request, and what it says of having run (design 8.2).
-    fn prove(&self, head: &hyper::http::response::Parts, asked: &HeaderMap) -> Result<(), Miss> {
+    fn prove(
+        &self,
+        head: &hyper::http::response::Parts,
+        asked: &HeaderMap,
+    ) -> Result<(), AttemptError> {
         let names = self.proxy.daemon.settings.wire_format.headers();
         let id = |headers: &HeaderMap| names.request_id.and_then(|name| headers.get(name).cloned());
         let (own, theirs) = (id(asked), id(&head.headers));
         if own.is_some() && theirs.is_some() && own != theirs {
-            return Err(Miss::Misanswered);
+            return Err(AttemptError::Misanswered);
         }
         let is_misdirected =
             names.target.is_some() && head.status == hyper::StatusCode::MISDIRECTED_REQUEST;
@@ -965,12 +980,12 @@
             } else if !head.headers.contains_key(names.load) {
                 self.proxy.servers.told(self.proxy.now(), self.entry.slot, 1000);
             }
-            return Err(Miss::TurnedAway);
+            return Err(AttemptError::TurnedAway);
         }
         // Without its id it may be another request's, and without its seal it is no success.
         let has_seal = names.response_seal.is_none_or(|seal| head.headers.contains_key(seal));
         if (own.is_some() && theirs.is_none()) || (head.status.is_success() && !has_seal) {
-            return Err(Miss::Misanswered);
+            return Err(AttemptError::Misanswered);
         }
         Ok(())
     }
@@ -983,7 +998,7 @@
         let asked = length(&told.headers).unwrap_or(0.0);
         let class = &self.table.setup.classes[self.table.setup.rules[self.rule].class];
         let now = self.proxy.now();
-        let answered = crate::endpoints::Answered {
+        let answered = crate::endpoints::ServedRequest {
             slot: self.entry.slot,
             class: &class.name,
             service: &self.service.name,
@@ -1012,10 +1027,10 @@
     async fn connection(
         &self,
         kind: Idempotency,
-    ) -> Result<(crate::connector::Sender, Duration), Miss> {
+    ) -> Result<(crate::connector::Sender, Duration), AttemptError> {
         let now = self.proxy.now();
         let slot = self.entry.slot;
-        let fit = |idle: &Idle<crate::connector::Sender>| idle.connection.is_ready();
+        let fit = |idle: &IdleConnection<crate::connector::Sender>| idle.connection.is_ready();
         let dialect = self.proxy.daemon.settings.wire_format;
         let is_greeted = dialect.headers().target.is_none();
         // What runs once takes no connection on which a late answer may be lying.
@@ -1046,7 +1061,7 @@
                     Err(Failure::Broken) => continue,
                     Err(failure) => {
                         self.bad(failure);
-                        return Err(Miss::NotConnected);
+                        return Err(AttemptError::NotConnected);
                     }
                 }
             }
@@ -1072,7 +1087,7 @@
                     // What the greeting may bring on top shows first.
                     tokio::time::sleep(crate::endpoints::QUIET).await;
                     if !sender.is_ready() {
-                        return Err(Miss::NotConnected);
+                        return Err(AttemptError::NotConnected);
                     }
                 }
                 if greeted.says_cold {
@@ -1087,7 +1102,7 @@
             Err(failure) => {
                 self.proxy.tally.increment(Counter::ConnectionsFailed);
                 self.bad(failure);
-                Err(Miss::NotConnected)
+                Err(AttemptError::NotConnected)
             }
         }
     }
@@ -1120,7 +1135,7 @@
 /// Waits until so many bytes of large answers may go through, where there is a gate.
 async fn pass_gate(
     proxy: &Proxy,
-    gate: &Option<std::sync::Mutex<crate::bandwidth_limiter::Gate>>,
+    gate: &Option<std::sync::Mutex<crate::bandwidth_limiter::BandwidthLimiter>>,
     bytes: usize,
 ) {
     let Some(gate) = gate else { return };
@@ -1224,7 +1239,7 @@
                 let proxy = proxy.clone();
                 Box::pin(async move { pass_gate(&proxy, &proxy.gate, bytes).await })
             };
-            crate::throttled_body::Paced::new(tail, pass).boxed_unsync()
+            crate::throttled_body::ThrottledBody::new(tail, pass).boxed_unsync()
         }
     };
     hyper::Response::from_parts(head, body)
@@ -1255,7 +1270,8 @@
         if let Some(connection) = self.sender.take() {
             let (greeted_at, quiet_since) = (self.greeted_at, self.proxy.now());
             let kept_for = self.kept_for;
-            let idle = Idle { connection, greeted_at, quiet_since, kept_for, is_used: true };
+            let idle =
+                IdleConnection { connection, greeted_at, quiet_since, kept_for, is_used: true };
             self.proxy.servers.put_idle(self.slot, idle);
         }
         self.slots = None;
--- a/proxy/src/health.rs
+++ b/proxy/src/health.rs
@@ -54,7 +54,7 @@
 const FORGIVEN_AFTER: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Debug)]
-pub struct Liveness {
+pub struct ServerHealth {
     pub phase: Phase,
     /// When the phase began.
     pub since: Duration,
@@ -73,7 +73,7 @@
     is_doubted: bool,
     /// When the next request may go under the cold rate.
     next_cold_at: Duration,
-    cold: ColdRate,
+    cold: SlowStartRate,
     /// Judged by the traffic that it gets; a probe only settles a doubt.
     pub by_traffic: bool,
     strikes: u32,
@@ -90,7 +90,7 @@
 /// requests a second, so that no second, wherever it begins, holds more than the rate; the others
 /// send it nothing while it is cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ColdRate {
+pub struct SlowStartRate {
     /// One request each so long; `None`: no part.
     pub every: Option<Duration>,
     /// When the first may go.
@@ -98,34 +98,34 @@
     pub period: Duration,
 }
 
-impl ColdRate {
+impl SlowStartRate {
     /// Of so many proxies this one is at this rank for that server.
-    pub fn of(per_second: f64, period: Duration, rank: usize, proxies: usize) -> ColdRate {
+    pub fn of(per_second: f64, period: Duration, rank: usize, proxies: usize) -> SlowStartRate {
         let whole = per_second.floor() as usize;
         if whole == 0 {
             // Less than one a second: one proxy alone has it all.
             let every = (per_second > 0.0).then(|| Duration::from_secs_f64(1.0 / per_second));
             let every = every.filter(|_| rank == 0);
-            return ColdRate { every, turn: every.unwrap_or_default(), period };
+            return SlowStartRate { every, turn: every.unwrap_or_default(), period };
         }
         // As many as lose the least of it to whole numbers, and of equal ones the most.
         let parts = 1..=proxies.clamp(1, whole);
         let parts = parts.max_by_key(|parts| (whole / parts * parts, *parts)).unwrap_or(1);
         let every = (Duration::from_secs(1) + JITTER) / (whole / parts) as u32;
         let turn = every.mul_f64((rank + 1) as f64 / parts as f64);
-        ColdRate { every: (rank < parts).then_some(every), turn, period }
+        SlowStartRate { every: (rank < parts).then_some(every), turn, period }
     }
 }
 
-impl Default for ColdRate {
-    fn default() -> ColdRate {
-        ColdRate::of(1.0, Duration::from_secs(10), 0, 1)
+impl Default for SlowStartRate {
+    fn default() -> SlowStartRate {
+        SlowStartRate::of(1.0, Duration::from_secs(10), 0, 1)
     }
 }
 
-impl Liveness {
-    pub fn new(now: Duration) -> Liveness {
-        Liveness {
+impl ServerHealth {
+    pub fn new(now: Duration) -> ServerHealth {
+        ServerHealth {
             phase: Phase::Unknown,
             since: now,
             good: 0,
@@ -138,7 +138,7 @@
             steady_since: None,
             is_doubted: false,
             next_cold_at: now,
-            cold: ColdRate::default(),
+            cold: SlowStartRate::default(),
             by_traffic: false,
             strikes: 0,
             limps: false,
@@ -307,7 +307,7 @@
         self.is_doubted = true;
     }
 
-    pub fn pulse(&mut self, now: Duration, cold: ColdRate) {
+    pub fn pulse(&mut self, now: Duration, cold: SlowStartRate) {
         if self.cold.every.is_none() && cold.every.is_some() {
             // A part that was another's: whoever had it may not know yet.
             self.next_cold_at = self.next_cold_at.max(now + HANDOVER + cold.turn);
--- a/proxy/src/health/tests.rs
+++ b/proxy/src/health/tests.rs
@@ -1,4 +1,4 @@
-use super::{ColdRate, Failure, Liveness, Phase};
+use super::{Failure, Phase, ServerHealth, SlowStartRate};
 use std::time::Duration;
 
 fn second(seconds: f64) -> Duration {
@@ -7,7 +7,7 @@
 
 #[test]
 fn gone_comes_back_cold_and_a_freeze_does_not() {
-    let mut server = Liveness::new(second(0.0));
+    let mut server = ServerHealth::new(second(0.0));
     server.good(second(0.0));
     assert_eq!(server.phase, Phase::Live);
     server.bad(second(1.0), Failure::Silent);
@@ -37,7 +37,7 @@
 fn who_loses_its_work_limps_though_its_probes_are_good() {
     let mut limping = [0, 0];
     for (index, every) in [3, 10].into_iter().enumerate() {
-        let mut server = Liveness::new(second(0.0));
+        let mut server = ServerHealth::new(second(0.0));
         for turn in 1..=200 {
             let now = second(f64::from(turn) * 0.01);
             server.good(now);
@@ -46,7 +46,7 @@
         }
     }
     assert!(limping[0] > 150 && limping[1] == 0, "{limping:?}");
-    let mut server = Liveness::new(second(0.0));
+    let mut server = ServerHealth::new(second(0.0));
     for _ in 0..3 {
         server.worked(second(1.0), false);
     }
@@ -63,7 +63,7 @@
     for _ in 0..3 {
         server.worked(second(6.0), false);
     }
-    server.pulse(second(39.0), super::ColdRate::default());
+    server.pulse(second(39.0), super::SlowStartRate::default());
     assert!(!server.is_limping(second(39.0), false), "nobody tried it: taken for well");
 }
 
@@ -74,9 +74,10 @@
     let mut shown = String::new();
     for (per_second, proxies) in [(10.0, 8), (10.0, 12), (5.0, 8), (2.5, 8), (0.5, 8), (40.0, 3)] {
         let period = second(8.0);
-        let mut all: Vec<Liveness> = (0..proxies).map(|_| Liveness::new(second(0.0))).collect();
+        let mut all: Vec<ServerHealth> =
+            (0..proxies).map(|_| ServerHealth::new(second(0.0))).collect();
         for (rank, proxy) in all.iter_mut().enumerate() {
-            let cold = super::ColdRate::of(per_second, period, rank, proxies);
+            let cold = super::SlowStartRate::of(per_second, period, rank, proxies);
             // Each saw it come back at another moment.
             let seen_at = second(0.37 * rank as f64);
             proxy.pulse(seen_at, cold);
@@ -86,7 +87,7 @@
         for tick in 0..3200 {
             let now = second(f64::from(tick) * 0.005);
             for (rank, proxy) in all.iter_mut().enumerate() {
-                proxy.pulse(now, super::ColdRate::of(per_second, period, rank, proxies));
+                proxy.pulse(now, super::SlowStartRate::of(per_second, period, rank, proxies));
                 if proxy.may_take(now) {
                     proxy.take(now);
                     taken.push(now.as_secs_f64());
@@ -121,7 +122,7 @@
 #[test]
 fn by_traffic_one_good_answer_ends_a_doubt() {
     for by_traffic in [false, true] {
-        let mut server = Liveness::new(second(0.0));
+        let mut server = ServerHealth::new(second(0.0));
         server.by_traffic = by_traffic;
         server.trust(second(0.0));
         assert_eq!(server.phase, Phase::Live);
@@ -143,7 +144,7 @@
 /// One that was away comes back cold all the same, also with the first good answer.
 #[test]
 fn by_traffic_too_who_was_away_comes_back_cold() {
-    let mut server = Liveness::new(second(0.0));
+    let mut server = ServerHealth::new(second(0.0));
     server.by_traffic = true;
     server.trust(second(0.0));
     server.bad(second(1.0), Failure::Refused);
@@ -161,7 +162,7 @@
 /// Silence alone is a doubt and no more, and the next good answer ends it.
 #[test]
 fn a_doubt_asks_for_a_probe_and_takes_no_work_away() {
-    let mut server = Liveness::new(second(0.0));
+    let mut server = ServerHealth::new(second(0.0));
     server.by_traffic = true;
     server.trust(second(0.0));
     server.doubt();
@@ -176,7 +177,7 @@
 #[test]
 fn a_suspect_that_others_probe_is_tried_after_a_rest() {
     let ms = Duration::from_millis;
-    let mut server = Liveness::new(ms(0));
+    let mut server = ServerHealth::new(ms(0));
     server.trust(ms(0));
     server.bad(ms(1000), Failure::Refused);
     assert_eq!(server.phase, Phase::Suspect);
@@ -192,10 +193,10 @@
 /// not probe it, and got whatever came; as a last resort it got that at once.
 #[test]
 fn a_cold_server_that_failed_is_tried_again_at_its_modest_rate() {
-    let rate = ColdRate::of(5.1, second(3.0), 0, 72);
+    let rate = SlowStartRate::of(5.1, second(3.0), 0, 72);
     let every = rate.every.expect("the first has a part");
     for fails in [true, false] {
-        let mut server = Liveness::new(second(0.0));
+        let mut server = ServerHealth::new(second(0.0));
         server.by_traffic = true;
         server.pulse(second(0.0), rate);
         server.chill(second(0.0), Duration::ZERO);
@@ -225,9 +226,9 @@
         assert_eq!((server.phase, server.next_at()), (Phase::Live, None));
     }
     // Without a part it gets nothing from here.
-    let mut server = Liveness::new(second(0.0));
+    let mut server = ServerHealth::new(second(0.0));
     server.by_traffic = true;
-    let none = ColdRate::of(5.1, second(3.0), 30, 72);
+    let none = SlowStartRate::of(5.1, second(3.0), 30, 72);
     server.pulse(second(0.0), none);
     server.chill(second(0.0), Duration::ZERO);
     server.hear(second(0.5), true, None);
@@ -239,8 +240,8 @@
 /// One that is a suspect for longer than it would have been cold is an ordinary suspect.
 #[test]
 fn a_suspect_is_bound_to_its_rate_no_longer_than_it_would_have_been_cold() {
-    let rate = ColdRate::of(5.1, second(3.0), 0, 72);
-    let mut server = Liveness::new(second(0.0));
+    let rate = SlowStartRate::of(5.1, second(3.0), 0, 72);
+    let mut server = ServerHealth::new(second(0.0));
     server.pulse(second(0.0), rate);
     server.chill(second(0.0), Duration::ZERO);
     server.bad(second(0.5), Failure::Refused);
--- a/proxy/src/latency_model.rs
+++ b/proxy/src/latency_model.rs
@@ -1,7 +1,7 @@
 //! What is usual, learned from answers (design 8.7): how long a class's requests take at a service and
 //! how large they are, how full a zone's servers are with others' requests, how far a zone is. Pure.
 
-use crate::load_balancing::{Distance, Job};
+use crate::load_balancing::{Distance, RequestCost};
 use std::time::Duration;
 
 /// Before the first answer.
@@ -17,20 +17,24 @@
 
 /// Of the requests of one class at one service.
 #[derive(Clone, Copy, Debug)]
-pub struct Usual {
-    job: Job,
+pub struct RequestProfile {
+    job: RequestCost,
     answers: f64,
     /// The part of the latest requests that found a crowd at every server.
     crowd: f64,
 }
 
-impl Usual {
-    pub fn new(is_bulk: bool) -> Usual {
+impl RequestProfile {
+    pub fn new(is_bulk: bool) -> RequestProfile {
         let kilobytes = if is_bulk { KILOBYTES_BULK } else { KILOBYTES };
-        Usual { job: Job { work_ms: WORK_MS, kilobytes }, answers: 0.0, crowd: 0.0 }
+        RequestProfile {
+            job: RequestCost { work_ms: WORK_MS, kilobytes },
+            answers: 0.0,
+            crowd: 0.0,
+        }
     }
 
-    pub fn job(&self) -> Job {
+    pub fn job(&self) -> RequestCost {
         self.job
     }
 
@@ -71,13 +75,13 @@
 /// How fast a server is beside the others of its service. The mean of logarithms, so that a slow
 /// answer does not outweigh many.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
+pub struct RelativeLatency {
     log: f64,
     answers: f64,
     at: Duration,
 }
 
-impl Pace {
+impl RelativeLatency {
     /// An answer that took so many times as long as is usual.
     pub fn answered(&mut self, now: Duration, times: f64) {
         self.log = self.faded(now);
@@ -113,19 +117,19 @@
 
 /// The servers of one service in one zone.
 #[derive(Clone, Debug)]
-pub struct Pool {
+pub struct ZonePool {
     fill: f64,
     fill_at: Duration,
     way_ms: Option<f64>,
 }
 
-impl Default for Pool {
-    fn default() -> Pool {
-        Pool { fill: FILL, fill_at: Duration::ZERO, way_ms: None }
+impl Default for ZonePool {
+    fn default() -> ZonePool {
+        ZonePool { fill: FILL, fill_at: Duration::ZERO, way_ms: None }
     }
 }
 
-impl Pool {
+impl ZonePool {
     /// One of them told of so many requests of others for each of its slots.
     pub fn told(&mut self, now: Duration, others: f64) {
         self.fill = self.fill(now, FILL);
@@ -164,13 +168,13 @@
 
 /// All pools of a proxy, found by service and zone.
 #[derive(Debug, Default)]
-pub struct Pools {
+pub struct ZonePools {
     /// With the names of their services.
-    all: Vec<(String, Pool)>,
+    all: Vec<(String, ZonePool)>,
     by_service: std::collections::HashMap<String, std::collections::HashMap<String, usize>>,
 }
 
-impl Pools {
+impl ZonePools {
     /// The pool of these servers; a new one if it is the first.
     pub fn index(&mut self, service: &str, zone: &str) -> usize {
         if let Some(index) = self.by_service.get(service).and_then(|zones| zones.get(zone)) {
@@ -178,15 +182,15 @@
         }
         let zones = self.by_service.entry(service.to_string()).or_default();
         zones.insert(zone.to_string(), self.all.len());
-        self.all.push((service.to_string(), Pool::default()));
+        self.all.push((service.to_string(), ZonePool::default()));
         self.all.len() - 1
     }
 
-    pub fn at(&self, index: usize) -> &Pool {
+    pub fn at(&self, index: usize) -> &ZonePool {
         &self.all[index].1
     }
 
-    pub fn at_mut(&mut self, index: usize) -> &mut Pool {
+    pub fn at_mut(&mut self, index: usize) -> &mut ZonePool {
         &mut self.all[index].1
     }
 
@@ -207,18 +211,19 @@
 const USUAL_MOST: usize = 4096;
 
 #[derive(Debug, Default)]
-pub struct Usuals {
-    by_service: std::collections::HashMap<String, std::collections::HashMap<String, Usual>>,
+pub struct RequestProfiles {
+    by_service:
+        std::collections::HashMap<String, std::collections::HashMap<String, RequestProfile>>,
 }
 
-impl Usuals {
+impl RequestProfiles {
     /// What requests of this class usually are at this service.
-    pub fn job(&self, class: &str, service: &str, is_bulk: bool) -> Job {
+    pub fn job(&self, class: &str, service: &str, is_bulk: bool) -> RequestCost {
         let known = self.by_service.get(service).and_then(|classes| classes.get(class));
-        known.copied().unwrap_or_else(|| Usual::new(is_bulk)).job()
+        known.copied().unwrap_or_else(|| RequestProfile::new(is_bulk)).job()
     }
 
-    pub fn of(&mut self, class: &str, service: &str, is_bulk: bool) -> &mut Usual {
+    pub fn of(&mut self, class: &str, service: &str, is_bulk: bool) -> &mut RequestProfile {
         if !self.by_service.contains_key(service) {
             if self.by_service.len() >= USUAL_MOST {
                 self.by_service.clear();
@@ -230,7 +235,7 @@
             if classes.len() >= USUAL_MOST {
                 classes.clear();
             }
-            classes.insert(class.to_string(), Usual::new(is_bulk));
+            classes.insert(class.to_string(), RequestProfile::new(is_bulk));
         }
         classes.get_mut(class).expect("just put there")
     }
@@ -238,7 +243,7 @@
 
 /// How full a service's servers are in the mean of the zones that told lately: what is to be expected
 /// of one that did not. A zone that comes back would draw everybody at once if it were taken for empty.
-pub fn usual_fill<'p>(now: Duration, pools: impl Iterator<Item = &'p Pool>) -> f64 {
+pub fn usual_fill<'p>(now: Duration, pools: impl Iterator<Item = &'p ZonePool>) -> f64 {
     // One guess beside them, of little weight.
     let (sum, weight) = pools.fold((FILL * 0.2, 0.2), |(sum, weight), pool| {
         let fresh = pool.freshness(now);
--- a/proxy/src/latency_model/tests.rs
+++ b/proxy/src/latency_model/tests.rs
@@ -1,4 +1,4 @@
-use super::{Pace, Pool, Pools, Usual, Usuals};
+use super::{RelativeLatency, RequestProfile, RequestProfiles, ZonePool, ZonePools};
 use crate::load_balancing::Distance;
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 
 #[test]
 fn what_is_usual_follows_answers() {
-    let mut usual = Usual::new(true);
-    assert!(usual.job().kilobytes > Usual::new(false).job().kilobytes);
+    let mut usual = RequestProfile::new(true);
+    assert!(usual.job().kilobytes > RequestProfile::new(false).job().kilobytes);
     for _ in 0..200 {
         usual.answered(170.0, Some(90.0));
     }
@@ -24,7 +24,7 @@
 /// A few who find a crowd change little; where half of all find one it stands, until it is gone.
 #[test]
 fn a_crowd_stands_where_half_of_all_find_one() {
-    let mut usual = Usual::new(false);
+    let mut usual = RequestProfile::new(false);
     assert_eq!(usual.calm(), 1.0);
     (0..200).for_each(|count| usual.looked(count % 5 == 0));
     assert!((0.4..0.8).contains(&usual.calm()), "{}", usual.calm());
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_slow_server_is_known_after_a_few_answers_and_forgotten_when_it_gets_none() {
-    let mut pace = Pace::default();
+    let mut pace = RelativeLatency::default();
     assert_eq!(pace.times(ms(0)), 1.0);
     for count in 1..=6 {
         pace.answered(ms(count * 100), 5.0);
@@ -56,7 +56,7 @@
 
 #[test]
 fn a_server_that_owes_answers_is_slow_before_they_come_and_well_soon_after() {
-    let mut pace = Pace::default();
+    let mut pace = RelativeLatency::default();
     for count in 1..=20 {
         pace.answered(ms(count * 100), 1.0);
     }
@@ -73,7 +73,7 @@
 
 #[test]
 fn a_zone_is_as_full_as_its_servers_told_until_that_is_old() {
-    let mut pool = Pool::default();
+    let mut pool = ZonePool::default();
     for count in 0..30 {
         pool.told(ms(count * 10), 0.9);
     }
@@ -85,7 +85,7 @@
 #[test]
 fn a_zone_that_comes_back_is_as_full_as_the_others() {
     let unknown = super::usual_fill(ms(0), [].iter());
-    let mut pools = vec![Pool::default(); 3];
+    let mut pools = vec![ZonePool::default(); 3];
     for pool in &mut pools[..2] {
         (0..30).for_each(|count| pool.told(ms(5000 + count * 10), 1.2));
     }
@@ -98,7 +98,7 @@
 
 #[test]
 fn the_way_is_the_least_that_a_connection_took() {
-    let mut pool = Pool::default();
+    let mut pool = ZonePool::default();
     assert!(pool.way_ms(Distance::Far) > pool.way_ms(Distance::Zone));
     for took in [40, 24, 90, 30] {
         pool.connected(ms(took));
@@ -108,7 +108,7 @@
 
 #[test]
 fn pools_and_classes_are_found_by_their_names() {
-    let mut pools = Pools::default();
+    let mut pools = ZonePools::default();
     let first = pools.index("s", "a1");
     assert_ne!(pools.index("s", "b1"), first);
     assert_ne!(pools.index("t", "a1"), first);
@@ -120,7 +120,7 @@
     let other = pools.index("s", "b1");
     assert!(pools.fill(ms(9030), other) > 0.9 && pools.fill(ms(90_000), other) < 0.4);
 
-    let mut usuals = Usuals::default();
+    let mut usuals = RequestProfiles::default();
     usuals.of("c", "s", false).answered(40.0, None);
     let work_ms = |class, service| usuals.job(class, service, false).work_ms;
     assert_eq!((work_ms("c", "s"), work_ms("c", "t"), work_ms("d", "s")), (40.0, 100.0, 100.0));
--- a/proxy/src/lifecycle.rs
+++ b/proxy/src/lifecycle.rs
@@ -6,7 +6,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
-pub enum State {
+pub enum RequestState {
     Received,
     Matched,
     Queued,
@@ -16,13 +16,13 @@
     Sent,
     Answering,
     Done,
-    Refused(Refusal),
+    Refused(Rejection),
 }
 
 /// Why a request ends here.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Refusal {
+pub enum Rejection {
     #[default]
     Malformed,
     Unmatched,
@@ -44,7 +44,7 @@
 /// How one go ended without a receipt that can be passed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumIter)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Miss {
+pub enum AttemptError {
     /// No connection, or not to the server that was meant.
     NotConnected,
     /// The server is not to be used any more: it was marked as leaving, or its zone was emptied, while the
@@ -64,22 +64,28 @@
     Truncated,
 }
 
-impl Miss {
+impl AttemptError {
     /// Whether the server has surely not run it, and never will.
     pub fn is_untouched(self) -> bool {
-        matches!(self, Miss::NotConnected | Miss::Withdrawn | Miss::NotSent | Miss::TurnedAway)
+        matches!(
+            self,
+            AttemptError::NotConnected
+                | AttemptError::Withdrawn
+                | AttemptError::NotSent
+                | AttemptError::TurnedAway
+        )
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum AfterFailure {
     Again,
-    End(Refusal),
+    End(Rejection),
 }
 
 #[derive(Debug)]
-pub struct Chart {
-    pub state: State,
+pub struct RequestLifecycle {
+    pub state: RequestState,
     pub kind: Idempotency,
     /// Whether the request can be told a second time word for word.
     pub is_replayable: bool,
@@ -98,10 +104,10 @@
 /// No server is left for being slow sooner than that.
 const LEAVE_AFTER: std::time::Duration = std::time::Duration::from_millis(300);
 
-impl Chart {
-    pub fn new() -> Chart {
-        Chart {
-            state: State::Received,
+impl RequestLifecycle {
+    pub fn new() -> RequestLifecycle {
+        RequestLifecycle {
+            state: RequestState::Received,
             kind: Idempotency::NonIdempotent,
             is_replayable: false,
             goes: 0,
@@ -119,7 +125,7 @@
 
     pub fn verdict(&self) -> ExecutionStatus {
         match self.state {
-            State::Answering | State::Done => ExecutionStatus::Ran,
+            RequestState::Answering | RequestState::Done => ExecutionStatus::Ran,
             _ if self.may_sent => ExecutionStatus::MayHaveRun,
             _ => ExecutionStatus::NotRun,
         }
@@ -135,16 +141,21 @@
 
     /// After a go that missed. `may_go` takes one from the retry budget; it is asked last, and not at all where
     /// this proxy itself let go of a server that nothing was sent to.
-    pub fn missed(&mut self, miss: Miss, is_late: bool, may_go: impl FnOnce() -> bool) -> Next {
+    pub fn missed(
+        &mut self,
+        miss: AttemptError,
+        is_late: bool,
+        may_go: impl FnOnce() -> bool,
+    ) -> AfterFailure {
         let untouched = miss.is_untouched();
         if !untouched {
             self.may_sent = true;
         }
         let refusal = match miss {
-            _ if is_late => Refusal::Late,
-            _ if untouched => Refusal::NoServer,
-            Miss::Silent => Refusal::Late,
-            _ => Refusal::Lost,
+            _ if is_late => Rejection::Late,
+            _ if untouched => Rejection::NoServer,
+            AttemptError::Silent => Rejection::Late,
+            _ => Rejection::Lost,
         };
         let may_repeat = match self.kind {
             Idempotency::Idempotent => self.is_replayable || untouched,
@@ -152,32 +163,32 @@
             Idempotency::NonIdempotent => untouched && !self.may_sent,
         };
         if is_late || !may_repeat || !self.may_go_on() {
-            return Next::End(refusal);
+            return AfterFailure::End(refusal);
         }
-        if miss != Miss::Withdrawn && !may_go() {
-            return Next::End(if self.may_sent { refusal } else { Refusal::NoBudget });
+        if miss != AttemptError::Withdrawn && !may_go() {
+            return AfterFailure::End(if self.may_sent { refusal } else { Rejection::NoBudget });
         }
-        Next::Again
+        AfterFailure::Again
     }
 }
 
-impl Default for Chart {
-    fn default() -> Chart {
-        Chart::new()
+impl Default for RequestLifecycle {
+    fn default() -> RequestLifecycle {
+        RequestLifecycle::new()
     }
 }
 
-impl Refusal {
+impl Rejection {
     /// The status for it, given whether the request may have run (design 8.3).
     pub fn status(self, verdict: ExecutionStatus) -> hyper::StatusCode {
         match self {
-            Refusal::Malformed => hyper::StatusCode::BAD_REQUEST,
-            Refusal::Unmatched => hyper::StatusCode::NOT_FOUND,
-            Refusal::HeadTooLarge => hyper::StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
-            Refusal::TooLarge => hyper::StatusCode::PAYLOAD_TOO_LARGE,
-            Refusal::Misplaced | Refusal::BelowFloor => hyper::StatusCode::MISDIRECTED_REQUEST,
+            Rejection::Malformed => hyper::StatusCode::BAD_REQUEST,
+            Rejection::Unmatched => hyper::StatusCode::NOT_FOUND,
+            Rejection::HeadTooLarge => hyper::StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
+            Rejection::TooLarge => hyper::StatusCode::PAYLOAD_TOO_LARGE,
+            Rejection::Misplaced | Rejection::BelowFloor => hyper::StatusCode::MISDIRECTED_REQUEST,
             _ if verdict == ExecutionStatus::NotRun => hyper::StatusCode::SERVICE_UNAVAILABLE,
-            Refusal::Late => hyper::StatusCode::GATEWAY_TIMEOUT,
+            Rejection::Late => hyper::StatusCode::GATEWAY_TIMEOUT,
             _ => hyper::StatusCode::BAD_GATEWAY,
         }
     }
@@ -186,14 +197,14 @@
     /// come back by and by, as the draw has it, and in time to be served.
     pub fn retry_after(self, left: std::time::Duration, draw: u64) -> Option<std::time::Duration> {
         let after_ms = match self {
-            Refusal::Crowded => {
+            Rejection::Crowded => {
                 let drawn_ms = 600 + draw % 401;
                 drawn_ms.min(left.as_millis() as u64 / 4)
             }
-            Refusal::NoServer | Refusal::NoRoom => 100,
-            Refusal::NotReady | Refusal::BelowFloor => 300,
-            Refusal::NoBudget => 500,
-            Refusal::Late => 1000,
+            Rejection::NoServer | Rejection::NoRoom => 100,
+            Rejection::NotReady | Rejection::BelowFloor => 300,
+            Rejection::NoBudget => 500,
+            Rejection::Late => 1000,
             _ => return None,
         };
         Some(std::time::Duration::from_millis(after_ms))
--- a/proxy/src/lifecycle/tests.rs
+++ b/proxy/src/lifecycle/tests.rs
@@ -1,4 +1,4 @@
-use super::{Chart, Miss, Next, Refusal};
+use super::{AfterFailure, AttemptError, Rejection, RequestLifecycle};
 use strum::IntoEnumIterator;
 use vanepath_config::model::Idempotency;
 
@@ -6,10 +6,10 @@
 #[test]
 fn a_crowd_comes_back_by_and_by() {
     let ms = std::time::Duration::from_millis;
-    let after = |left, draw| Refusal::Crowded.retry_after(ms(left), draw).unwrap();
+    let after = |left, draw| Rejection::Crowded.retry_after(ms(left), draw).unwrap();
     assert_eq!((after(5000, 0), after(5000, 400)), (ms(600), ms(1000)));
     assert!((0..1000).all(|draw| after(1200, draw) <= ms(300)));
-    assert_eq!(Refusal::NoServer.retry_after(ms(10), 7), Some(ms(100)));
+    assert_eq!(Rejection::NoServer.retry_after(ms(10), 7), Some(ms(100)));
 }
 
 /// A slow server is left after a third of what remains, then a third of the rest; a filing and the
@@ -17,15 +17,20 @@
 #[test]
 fn a_lookup_looks_for_another_server_again_and_again() {
     let ms = std::time::Duration::from_millis;
-    let mut chart =
-        Chart { kind: Idempotency::Idempotent, is_replayable: true, goes: 1, ..Chart::new() };
+    let mut chart = RequestLifecycle {
+        kind: Idempotency::Idempotent,
+        is_replayable: true,
+        goes: 1,
+        ..RequestLifecycle::new()
+    };
     assert_eq!(chart.leave_after(ms(6000)), Some(ms(2000)));
     assert_eq!(chart.leave_after(ms(4000)), Some(ms(4000) / 3));
     assert_eq!(chart.leave_after(ms(600)), Some(ms(300)));
     assert_eq!(chart.leave_after(ms(300)), None);
     chart.sends = chart.sends_most;
     assert_eq!(chart.leave_after(ms(6000)), None);
-    let filing = Chart { kind: Idempotency::NonIdempotent, goes: 1, ..Chart::new() };
+    let filing =
+        RequestLifecycle { kind: Idempotency::NonIdempotent, goes: 1, ..RequestLifecycle::new() };
     assert_eq!(filing.leave_after(ms(6000)), None);
 }
 
@@ -34,13 +39,18 @@
 fn what_follows_from_each_miss() {
     let mut shown = String::new();
     for kind in [Idempotency::Idempotent, Idempotency::NonIdempotent] {
-        for first in Miss::iter() {
+        for first in AttemptError::iter() {
             for budget in [true, false] {
-                let mut chart = Chart { kind, is_replayable: true, goes: 1, ..Chart::new() };
+                let mut chart = RequestLifecycle {
+                    kind,
+                    is_replayable: true,
+                    goes: 1,
+                    ..RequestLifecycle::new()
+                };
                 let next = chart.missed(first, false, || budget);
                 let told = match next {
-                    Next::Again => "goes again".to_string(),
-                    Next::End(refusal) => {
+                    AfterFailure::Again => "goes again".to_string(),
+                    AfterFailure::End(refusal) => {
                         format!("{refusal} {}", refusal.status(chart.verdict()).as_u16())
                     }
                 };
@@ -52,9 +62,10 @@
         }
     }
     // A filing that was once sent is never sent again, whatever comes after.
-    let mut chart = Chart { kind: Idempotency::NonIdempotent, goes: 1, ..Chart::new() };
-    chart.missed(Miss::Silent, false, || true);
-    assert_ne!(chart.missed(Miss::NotConnected, false, || true), Next::Again);
+    let mut chart =
+        RequestLifecycle { kind: Idempotency::NonIdempotent, goes: 1, ..RequestLifecycle::new() };
+    chart.missed(AttemptError::Silent, false, || true);
+    assert_ne!(chart.missed(AttemptError::NotConnected, false, || true), AfterFailure::Again);
     expect_test::expect![[r#"
         repeatable not-connected   budget true   goes again, not-run
         repeatable not-connected   budget false  no-budget 503, not-run
@@ -97,29 +108,31 @@
 /// server; a promise that it did not run is made only where that is so; a streamed body is not told twice.
 #[test]
 fn no_sequence_of_misses_sends_a_filing_twice_or_promises_wrongly() {
-    let misses: Vec<Miss> = Miss::iter().collect();
+    let misses: Vec<AttemptError> = AttemptError::iter().collect();
     let count = misses.len().pow(4);
     let mut ended = 0;
     for number in 0..count {
         for options in 0..16 {
             let is = |bit: u32| options & (1 << bit) != 0;
             let kind = if is(0) { Idempotency::NonIdempotent } else { Idempotency::Idempotent };
-            let mut chart = Chart { kind, is_replayable: is(1), goes: 0, ..Chart::new() };
+            let mut chart =
+                RequestLifecycle { kind, is_replayable: is(1), goes: 0, ..RequestLifecycle::new() };
             let mut has_touched = false;
             let mut rest = number;
             for turn in 0..4 {
                 let miss = misses[rest % misses.len()];
                 rest /= misses.len();
                 chart.goes += 1;
-                let is_sent = !matches!(miss, Miss::NotConnected | Miss::Withdrawn);
+                let is_sent = !matches!(miss, AttemptError::NotConnected | AttemptError::Withdrawn);
                 chart.sends += u32::from(is_sent);
-                let is_untouched = !is_sent || matches!(miss, Miss::NotSent | Miss::TurnedAway);
+                let is_untouched =
+                    !is_sent || matches!(miss, AttemptError::NotSent | AttemptError::TurnedAway);
                 has_touched |= !is_untouched;
                 let is_late = is(2) && turn == 2;
                 let next = chart.missed(miss, is_late, || !is(3) || turn < 1);
-                let status = |refusal: Refusal| refusal.status(chart.verdict()).as_u16();
+                let status = |refusal: Rejection| refusal.status(chart.verdict()).as_u16();
                 match next {
-                    Next::Again => {
+                    AfterFailure::Again => {
                         assert!(
                             kind == Idempotency::Idempotent || !has_touched,
                             "{miss} sent again"
@@ -127,7 +140,7 @@
                         assert!(chart.is_replayable || is_untouched, "{miss} told twice");
                         assert!(!is_late);
                     }
-                    Next::End(refusal) => {
+                    AfterFailure::End(refusal) => {
                         let is_promise = [408, 421, 429, 503].contains(&status(refusal));
                         assert_eq!(is_promise, !has_touched, "{kind} {miss}: {refusal}");
                         ended += 1;
--- a/proxy/src/load_balancing.rs
+++ b/proxy/src/load_balancing.rs
@@ -31,7 +31,7 @@
 
 /// What is known of a request before it is sent, by those like it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Job {
+pub struct RequestCost {
     /// What a server of usual pace takes that has room.
     pub work_ms: f64,
     /// Request and answer together.
@@ -66,7 +66,7 @@
     }
 
     /// When its answer can be expected, in milliseconds.
-    fn expected_ms(&self, job: &Job) -> f64 {
+    fn expected_ms(&self, job: &RequestCost) -> f64 {
         let opened = if self.is_connected { 0.0 } else { self.way_ms };
         let takes = job.work_ms * self.pace * lateness(self.load + 1.0, self.slots);
         self.way_ms + opened + takes
@@ -74,12 +74,12 @@
 
     /// It would stand in a queue here, and its answer come later than `limit_ms`. What finds a free
     /// slot is never that: it shows how long requests take by now.
-    pub fn is_too_crowded(&self, job: &Job, limit_ms: f64) -> bool {
+    pub fn is_too_crowded(&self, job: &RequestCost, limit_ms: f64) -> bool {
         self.load + 1.0 > self.slots && self.expected_ms(job) > limit_ms
     }
 
     /// What the request costs here, in milliseconds: to itself, to others, and for its bytes.
-    pub fn cost(&self, job: &Job) -> f64 {
+    pub fn cost(&self, job: &RequestCost) -> f64 {
         let carried = match self.distance {
             Distance::Own | Distance::Zone => 0.0,
             Distance::Region | Distance::Far => KILOBYTE_MS * job.kilobytes,
@@ -136,7 +136,7 @@
 
 /// The server for a request; `None` where all are full. Of those that cost the same the nearest one,
 /// and of equal ones the one that the draw falls on.
-pub fn choose(candidates: &[Candidate], job: &Job, random: u64) -> Option<usize> {
+pub fn choose(candidates: &[Candidate], job: &RequestCost, random: u64) -> Option<usize> {
     let turn = random as usize % candidates.len().max(1);
     let mut best: Option<(f64, Distance, usize)> = None;
     for offset in 0..candidates.len() {
--- a/proxy/src/load_balancing/tests.rs
+++ b/proxy/src/load_balancing/tests.rs
@@ -1,4 +1,4 @@
-use super::{Candidate, Distance, FILL_MOST, Job, choose};
+use super::{Candidate, Distance, FILL_MOST, RequestCost, choose};
 
 /// Numbers that are the same in each run.
 struct Draw(u64);
@@ -32,10 +32,10 @@
 }
 
 const CASES: usize = 4000;
-const SMALL: Job = Job { work_ms: 150.0, kilobytes: 4.0 };
-const LARGE: Job = Job { work_ms: 130.0, kilobytes: 90.0 };
+const SMALL: RequestCost = RequestCost { work_ms: 150.0, kilobytes: 4.0 };
+const LARGE: RequestCost = RequestCost { work_ms: 130.0, kilobytes: 90.0 };
 
-fn each_case(mut check: impl FnMut(&[Candidate], &Job, u64, Option<&Candidate>)) {
+fn each_case(mut check: impl FnMut(&[Candidate], &RequestCost, u64, Option<&Candidate>)) {
     let mut draw = Draw(11);
     for case in 0..CASES {
         let candidates = draw.candidates();
@@ -142,7 +142,7 @@
     let (once, repeatable) = (patience(true, 0.0), patience(false, 0.0));
     assert!(repeatable < once && once < 600.0);
     assert_eq!((patience(true, 1.0), patience(false, 1.0)), (600.0, 600.0));
-    let slow = Job { work_ms: 5000.0, ..SMALL };
+    let slow = RequestCost { work_ms: 5000.0, ..SMALL };
     assert!(!candidate(0, 3.0).is_too_crowded(&slow, repeatable));
     assert!(candidate(0, 4.0).is_too_crowded(&slow, repeatable));
     assert!(!candidate(0, 4.0).is_too_crowded(&SMALL, repeatable));
--- a/proxy/src/pipelining.rs
+++ b/proxy/src/pipelining.rs
@@ -154,11 +154,11 @@
 
 /// One client's connection, read ahead of the library.
 #[derive(Clone)]
-pub struct Ahead(Arc<Mutex<Inner>>);
+pub struct Pipeline(Arc<Mutex<Inner>>);
 
-impl Ahead {
-    pub fn new(stream: tokio::net::TcpStream) -> Ahead {
-        Ahead(Arc::new(Mutex::new(Inner {
+impl Pipeline {
+    pub fn new(stream: tokio::net::TcpStream) -> Pipeline {
+        Pipeline(Arc::new(Mutex::new(Inner {
             stream,
             unread: BytesMut::new(),
             is_over: false,
@@ -244,7 +244,7 @@
 
 /// The connection as the library reads and writes it.
 pub struct Io {
-    pub ahead: Ahead,
+    pub ahead: Pipeline,
     pub begin: Box<Begin>,
 }
 
@@ -305,7 +305,7 @@
 /// An answer's body that tells when it is written or given up.
 pub struct Watched {
     pub body: vanepath_cluster::node::Body,
-    pub ahead: Ahead,
+    pub ahead: Pipeline,
 }
 
 impl Drop for Watched {
--- a/proxy/src/request_rates.rs
+++ b/proxy/src/request_rates.rs
@@ -6,7 +6,7 @@
 const SPAN_S: f64 = 4.0;
 
 #[derive(Debug, Default)]
-pub struct RequestCounts {
+pub struct RequestRates {
     /// By service, as the setup has them.
     services: Vec<ServiceCount>,
     told_at: Option<Duration>,
@@ -20,7 +20,7 @@
     rate: f64,
 }
 
-impl RequestCounts {
+impl RequestRates {
     /// Another setup: services of the same name go on with what they have.
     pub fn adopt<'n>(&mut self, names: impl Iterator<Item = &'n str>) {
         let before = std::mem::take(&mut self.services);
--- a/proxy/src/request_rates/tests.rs
+++ b/proxy/src/request_rates/tests.rs
@@ -1,11 +1,11 @@
-use super::RequestCounts;
+use super::RequestRates;
 use std::time::Duration;
 
 /// The same pace shows the same, however seldom or often it is told, and through a change of the
 /// setup; a service that is new begins with nothing.
 #[test]
 fn the_pace_is_told_whatever_the_span() {
-    let mut request_counts = RequestCounts::default();
+    let mut request_counts = RequestRates::default();
     request_counts.adopt(["a", "b"].into_iter());
     assert_eq!(request_counts.tell(Duration::ZERO)["b"], 0);
     let mut now_ms = 0;
--- a/proxy/src/retry_budget.rs
+++ b/proxy/src/retry_budget.rs
@@ -12,7 +12,7 @@
 
 /// What a further go is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum RetryReason {
     /// The server takes long and answers others meanwhile: it may still answer this one.
     Slow,
     /// Nothing comes of the last go.
@@ -20,19 +20,19 @@
 }
 
 /// A budget for each service, by name: names outlive a change of the setup.
-pub struct Budgets {
+pub struct RetryBudgets {
     retries: vanepath_config::settings::RetryBudgetSettings,
-    services: std::collections::HashMap<String, Budget>,
+    services: std::collections::HashMap<String, RetryBudget>,
 }
 
-impl Budgets {
-    pub fn new(retries: vanepath_config::settings::RetryBudgetSettings) -> Budgets {
-        Budgets { retries, services: Default::default() }
+impl RetryBudgets {
+    pub fn new(retries: vanepath_config::settings::RetryBudgetSettings) -> RetryBudgets {
+        RetryBudgets { retries, services: Default::default() }
     }
 
-    fn of(&mut self, service: &str) -> &mut Budget {
+    fn of(&mut self, service: &str) -> &mut RetryBudget {
         if !self.services.contains_key(service) {
-            self.services.insert(service.to_string(), Budget::new(self.retries));
+            self.services.insert(service.to_string(), RetryBudget::new(self.retries));
         }
         self.services.get_mut(service).expect("just put in")
     }
@@ -43,19 +43,25 @@
     }
 
     /// Whether one more further go may be made; if so it is counted.
-    pub fn take_go(&mut self, now: Duration, service: &str, live: usize, need: Need) -> bool {
+    pub fn take_go(
+        &mut self,
+        now: Duration,
+        service: &str,
+        live: usize,
+        need: RetryReason,
+    ) -> bool {
         self.of(service).take_go(now, live, need)
     }
 
     /// Whether one more would be within the budget.
-    pub fn may_go(&mut self, now: Duration, service: &str, live: usize, need: Need) -> bool {
+    pub fn may_go(&mut self, now: Duration, service: &str, live: usize, need: RetryReason) -> bool {
         self.of(service).may_go(now, live, need)
     }
 }
 
 /// Counts by second. They are of one second more than the window, so that no window, wherever it
 /// begins, holds more further goes than allowed.
-pub struct Budget {
+pub struct RetryBudget {
     /// Of the requests that this proxy took within the window.
     part: f64,
     /// Fleet-wide, on top, within the window; divided among the live proxies.
@@ -64,16 +70,16 @@
     slots: Vec<(u64, u64, u64)>,
 }
 
-impl Default for Budget {
-    fn default() -> Budget {
-        Budget::new(Default::default())
+impl Default for RetryBudget {
+    fn default() -> RetryBudget {
+        RetryBudget::new(Default::default())
     }
 }
 
-impl Budget {
-    pub fn new(retries: vanepath_config::settings::RetryBudgetSettings) -> Budget {
+impl RetryBudget {
+    pub fn new(retries: vanepath_config::settings::RetryBudgetSettings) -> RetryBudget {
         let window_s = (retries.window.as_millis() as u64).div_ceil(1000).max(1);
-        Budget {
+        RetryBudget {
             part: retries.ratio * MARGIN,
             floor: retries.extra * MARGIN,
             window_s,
@@ -96,14 +102,14 @@
     }
 
     /// Whether one more further go may be made; if so it is counted.
-    pub fn take_go(&mut self, now: Duration, live_proxies: usize, need: Need) -> bool {
+    pub fn take_go(&mut self, now: Duration, live_proxies: usize, need: RetryReason) -> bool {
         let may = self.may_go(now, live_proxies, need);
         self.slot(now).2 += u64::from(may);
         may
     }
 
     /// Whether one more would be within the budget.
-    pub fn may_go(&mut self, now: Duration, live_proxies: usize, need: Need) -> bool {
+    pub fn may_go(&mut self, now: Duration, live_proxies: usize, need: RetryReason) -> bool {
         self.slot(now);
         let second = now.as_secs();
         let within = self.slots.iter().filter(|slot| slot.0 + self.window_s >= second);
@@ -114,8 +120,8 @@
         let floor = (self.floor / live_proxies.max(1) as f64).max(1.0);
         let all = self.part * taken as f64 + floor;
         let most = match need {
-            Need::Lost => all,
-            Need::Slow => SLOW_PART * all,
+            RetryReason::Lost => all,
+            RetryReason::Slow => SLOW_PART * all,
         };
         (goes as f64) + 1.0 <= most
     }
--- a/proxy/src/retry_budget/tests.rs
+++ b/proxy/src/retry_budget/tests.rs
@@ -1,11 +1,11 @@
-use super::Need;
+use super::RetryReason;
 use std::time::Duration;
 
 /// Whatever the load does, no ten seconds hold more further goes than a fifth of the
 /// requests and the floor.
 #[test]
 fn further_goes_stay_a_part_of_any_ten_seconds() {
-    let mut budget = super::Budget::default();
+    let mut budget = super::RetryBudget::default();
     let mut seed = 7_u64;
     let mut history: Vec<(u64, u64, u64)> = Vec::new();
     for step in 0..2000_u64 {
@@ -18,7 +18,7 @@
         for _ in 0..requests {
             budget.took(now);
             // Every request wants three more goes.
-            goes += (0..3).filter(|_| budget.take_go(now, 8, Need::Lost)).count() as u64;
+            goes += (0..3).filter(|_| budget.take_go(now, 8, RetryReason::Lost)).count() as u64;
         }
         history.push((now_ms, requests, goes));
     }
@@ -46,7 +46,7 @@
 /// much less either.
 #[test]
 fn any_window_of_the_settings_holds() {
-    let mut budget = super::Budget::new(SETTINGS);
+    let mut budget = super::RetryBudget::new(SETTINGS);
     let mut events: Vec<(u64, bool)> = Vec::new();
     let mut seed = 3_u64;
     for step in 0..4000_u64 {
@@ -56,7 +56,7 @@
         for _ in 0..(seed >> 33) % surge {
             budget.took(Duration::from_millis(now_ms));
             events.push((now_ms, false));
-            while budget.take_go(Duration::from_millis(now_ms), 4, Need::Lost) {
+            while budget.take_go(Duration::from_millis(now_ms), 4, RetryReason::Lost) {
                 events.push((now_ms, true));
             }
         }
@@ -77,13 +77,16 @@
 /// Each service has a budget of its own, and it outlives a change of the setup in which it stands.
 #[test]
 fn services_have_budgets_of_their_own() {
-    let mut budgets = super::Budgets::new(SETTINGS);
+    let mut budgets = super::RetryBudgets::new(SETTINGS);
     let now = Duration::from_secs(100);
-    let spend = |budgets: &mut super::Budgets, service: &str, now| {
-        (0..1000).take_while(|_| budgets.take_go(now, service, 1, Need::Lost)).count()
+    let spend = |budgets: &mut super::RetryBudgets, service: &str, now| {
+        (0..1000).take_while(|_| budgets.take_go(now, service, 1, RetryReason::Lost)).count()
     };
     assert_eq!(spend(&mut budgets, "a", now), 30);
-    assert!(!budgets.may_go(now, "a", 1, Need::Lost) && budgets.may_go(now, "b", 1, Need::Lost));
+    assert!(
+        !budgets.may_go(now, "a", 1, RetryReason::Lost)
+            && budgets.may_go(now, "b", 1, RetryReason::Lost)
+    );
     for _ in 0..100 {
         budgets.took(now, "b");
     }
@@ -98,9 +101,11 @@
 fn proxies_divide_the_floor() {
     let mut shown = Vec::new();
     for live in [0, 1, 3, 10, 1000] {
-        let mut budgets = super::Budgets::new(SETTINGS);
+        let mut budgets = super::RetryBudgets::new(SETTINGS);
         let now = Duration::from_secs(7);
-        shown.push((0..1000).take_while(|_| budgets.take_go(now, "a", live, Need::Lost)).count());
+        shown.push(
+            (0..1000).take_while(|_| budgets.take_go(now, "a", live, RetryReason::Lost)).count(),
+        );
     }
     assert_eq!(shown, [30, 30, 10, 3, 1]);
 }
@@ -108,10 +113,10 @@
 /// Asking whether one may go takes nothing.
 #[test]
 fn asking_costs_nothing() {
-    let mut budgets = super::Budgets::new(SETTINGS);
+    let mut budgets = super::RetryBudgets::new(SETTINGS);
     let now = Duration::from_secs(7);
-    assert!((0..500).all(|_| budgets.may_go(now, "a", 10, Need::Lost)));
-    assert_eq!((0..500).filter(|_| budgets.take_go(now, "a", 10, Need::Lost)).count(), 3);
+    assert!((0..500).all(|_| budgets.may_go(now, "a", 10, RetryReason::Lost)));
+    assert_eq!((0..500).filter(|_| budgets.take_go(now, "a", 10, RetryReason::Lost)).count(), 3);
 }
 
 /// Requests whose servers are only slow leave a part of the budget to those whose servers are gone; what
@@ -119,11 +124,16 @@
 #[test]
 fn slow_servers_leave_a_part_to_those_that_are_gone() {
     let now = Duration::from_secs(3);
-    let mut budget = super::Budget::new(SETTINGS);
+    let mut budget = super::RetryBudget::new(SETTINGS);
     (0..100).for_each(|_| budget.took(now));
     let mut all = |need| (0..500).filter(|_| budget.take_go(now, 1, need)).count();
-    assert_eq!((all(Need::Slow), all(Need::Lost), all(Need::Slow)), (30, 30, 0));
+    assert_eq!(
+        (all(RetryReason::Slow), all(RetryReason::Lost), all(RetryReason::Slow)),
+        (30, 30, 0)
+    );
     // One that is due to a small proxy is not taken for slowness.
-    let mut budget = super::Budget::new(SETTINGS);
-    assert!(!budget.take_go(now, 100, Need::Slow) && budget.take_go(now, 100, Need::Lost));
+    let mut budget = super::RetryBudget::new(SETTINGS);
+    assert!(
+        !budget.take_go(now, 100, RetryReason::Slow) && budget.take_go(now, 100, RetryReason::Lost)
+    );
 }
--- a/proxy/src/shell.rs
+++ b/proxy/src/shell.rs
@@ -19,8 +19,8 @@
             proxy: proxy.clone(),
             revision: (u64::MAX, u64::MAX),
             plan: None,
-            paces: crate::endpoints::Paces::default(),
-            telling: crate::endpoints::Telling::default(),
+            paces: crate::endpoints::ProbeSchedule::default(),
+            telling: crate::endpoints::ObservationReporter::default(),
             parted: None,
             part_at: Duration::ZERO,
         },
@@ -98,7 +98,7 @@
     http: node::HttpSettings,
     has_pages: bool,
 ) {
-    let ahead = crate::pipelining::Ahead::new(stream);
+    let ahead = crate::pipelining::Pipeline::new(stream);
     let (beginner, handed) = (proxy.clone(), ahead.clone());
     let io = crate::pipelining::Io {
         ahead: ahead.clone(),
@@ -141,7 +141,7 @@
 /// One request as the library gives it.
 async fn take(
     proxy: &Arc<Proxy>,
-    ahead: &crate::pipelining::Ahead,
+    ahead: &crate::pipelining::Pipeline,
     request: hyper::Request<hyper::body::Incoming>,
     has_pages: bool,
 ) -> hyper::Response<node::Body> {
@@ -192,8 +192,8 @@
     revision: (u64, u64),
     /// The plan and the revision for which it was heard last.
     plan: Option<((u64, u64), (u64, u64))>,
-    paces: crate::endpoints::Paces,
-    telling: crate::endpoints::Telling,
+    paces: crate::endpoints::ProbeSchedule,
+    telling: crate::endpoints::ObservationReporter,
     /// For which revision and how many live daemons its part was made, and when it is made anew.
     parted: Option<((u64, u64), usize)>,
     part_at: Duration,
@@ -334,7 +334,9 @@
     let dialect = proxy.daemon.settings.wire_format;
     let mut kept_for = crate::endpoints::IDLE_MOST;
     let now = proxy.daemon.clock.now();
-    let fit = |idle: &crate::endpoints::Idle<crate::connector::Sender>| idle.connection.is_ready();
+    let fit = |idle: &crate::endpoints::IdleConnection<crate::connector::Sender>| {
+        idle.connection.is_ready()
+    };
     let mut outcome = None;
     let mut is_used = false;
     if let Some(idle) = proxy.servers.take_idle(now, entry.slot, fit) {
@@ -371,7 +373,7 @@
             if let Some(phase) = moved {
                 log::info!("server {} says that it is {phase}", entry.server.id);
             }
-            let idle = crate::endpoints::Idle {
+            let idle = crate::endpoints::IdleConnection {
                 connection,
                 greeted_at: now,
                 quiet_since: now,
--- a/proxy/src/throttled_body.rs
+++ b/proxy/src/throttled_body.rs
@@ -10,7 +10,7 @@
 /// Done when so many bytes may go through.
 pub type Passing = Pin<Box<dyn Future<Output = ()> + Send>>;
 
-pub struct Paced<B, P> {
+pub struct ThrottledBody<B, P> {
     body: B,
     /// Asks the gate for so many bytes.
     pass: P,
@@ -19,9 +19,9 @@
     passing: Option<Passing>,
 }
 
-impl<B, P: Fn(usize) -> Passing> Paced<B, P> {
-    pub fn new(body: B, pass: P) -> Paced<B, P> {
-        Paced { body, pass, next: None, passing: None }
+impl<B, P: Fn(usize) -> Passing> ThrottledBody<B, P> {
+    pub fn new(body: B, pass: P) -> ThrottledBody<B, P> {
+        ThrottledBody { body, pass, next: None, passing: None }
     }
 }
 
@@ -29,7 +29,7 @@
     frame.data_ref().map_or(0, Bytes::len)
 }
 
-impl<B, P> Body for Paced<B, P>
+impl<B, P> Body for ThrottledBody<B, P>
 where
     B: Body<Data = Bytes> + Unpin,
     P: Fn(usize) -> Passing + Unpin,
--- a/proxy/src/throttled_body/tests.rs
+++ b/proxy/src/throttled_body/tests.rs
@@ -1,4 +1,4 @@
-use super::{Paced, Passing};
+use super::{Passing, ThrottledBody};
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame};
@@ -45,7 +45,7 @@
         Box::pin(tokio::task::yield_now())
     };
     let body = Drip { lengths: lengths.to_vec(), pauses, paused: 0 };
-    let mut body = Paced::new(body, pass);
+    let mut body = ThrottledBody::new(body, pass);
     let mut came = Vec::new();
     tokio::runtime::Builder::new_current_thread().build().unwrap().block_on(async {
         while let Some(frame) = body.frame().await {
--- a/proxy/tests/cold_rate.rs
+++ b/proxy/tests/cold_rate.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use vanepath_cluster::node::ClusterView;
 use vanepath_cluster::wire;
-use vanepath_proxy::health::ColdRate;
+use vanepath_proxy::health::SlowStartRate;
 
 const ZONES: [&str; 5] = ["a1", "a2", "b1", "b2", "c1"];
 
@@ -58,7 +58,8 @@
             for own in 0..=daemons {
                 let own = format!("p{own}");
                 let rank = sorted.iter().position(|one| one.3 == own).unwrap_or(sorted.len());
-                let wanted = ColdRate::of(3.0, Duration::from_millis(5000), rank, sorted.len());
+                let wanted =
+                    SlowStartRate::of(3.0, Duration::from_millis(5000), rank, sorted.len());
                 let found = vanepath_proxy::endpoints::cold_rate(&view, &own, &server, &[0]);
                 assert_eq!(found, wanted, "{own} of {daemons} for {}", server.id);
                 parts += usize::from(found.every.is_some());
--- a/proxy/tests/crowding.rs
+++ b/proxy/tests/crowding.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 use vanepath_cluster::node::ClusterView;
 use vanepath_cluster::wire;
-use vanepath_proxy::client_deadlines::Longest;
-use vanepath_proxy::endpoints::{Answered, Choice, Servers, Want};
-use vanepath_proxy::health::ColdRate;
+use vanepath_proxy::client_deadlines::ClientDeadlines;
+use vanepath_proxy::endpoints::{Endpoints, Selection, SelectionContext, ServedRequest};
+use vanepath_proxy::health::SlowStartRate;
 
 const SETUP: &str = r#"{"classes": [{"name": "c", "urgency": 1, "kind": "repeatable"}],
     "services": [{"name": "s", "selector": "all", "livenessPath": "/", "serverRoom": 1000,
@@ -85,7 +85,7 @@
 }
 
 struct Fleet {
-    proxies: Vec<Servers<()>>,
+    proxies: Vec<Endpoints<()>>,
     outside: Vec<Outside>,
     requests: Vec<Request>,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
@@ -99,7 +99,7 @@
     elsewhere: usize,
     /// Nobody is there meanwhile; who asked comes back within half a second after.
     away_ms: std::ops::Range<f64>,
-    longest: Vec<Longest>,
+    longest: Vec<ClientDeadlines>,
     /// Of those that asked after that, and that are in time.
     fresh: (usize, usize),
     served: usize,
@@ -152,8 +152,8 @@
         let count = ZONES.len() * PROXIES_A_ZONE;
         let live: Vec<_> = (0..count).map(|one| (card(one), wire::NodeStatus::default())).collect();
         let proxies = (0..count).map(|number| {
-            let own: Servers<()> = Servers::default();
-            own.adopt(Duration::ZERO, (1, 1), &setup, &list, |_, _| ColdRate::default());
+            let own: Endpoints<()> = Endpoints::default();
+            own.adopt(Duration::ZERO, (1, 1), &setup, &list, |_, _| SlowStartRate::default());
             let view =
                 ClusterView { config: setup.clone(), live: live.clone(), ..ClusterView::default() };
             own.part(&view, &card(number));
@@ -174,7 +174,7 @@
             refused: 0,
             elsewhere: 0,
             away_ms: 0.0..0.0,
-            longest: (0..count).map(|_| Longest::default()).collect(),
+            longest: (0..count).map(|_| ClientDeadlines::default()).collect(),
             fresh: (0, 0),
             served: 0,
         }
@@ -259,7 +259,7 @@
             return;
         }
         let table = servers.table.load_full();
-        let want = Want {
+        let want = SelectionContext {
             rule: 0,
             service: 0,
             emptied: &Default::default(),
@@ -270,7 +270,7 @@
             is_past_aim,
         };
         let index = match servers.choose(now, &table, &want, self.draw.next()) {
-            Choice::Server(index, _) => index,
+            Selection::Server(index, _) => index,
             // Too full, or all full: nobody serves it.
             _ => {
                 self.refused += 1;
@@ -348,7 +348,7 @@
         }
         servers.answered(
             now,
-            Answered {
+            ServedRequest {
                 slot,
                 class: "c",
                 service: "s",
--- a/proxy/tests/resting.rs
+++ b/proxy/tests/resting.rs
@@ -1,23 +1,23 @@
 //! Which resting connections are used again: by the public face of the table of servers.
 
 use std::time::Duration;
-use vanepath_proxy::endpoints::{IDLE_MOST, Idle, QUIET, Servers};
-use vanepath_proxy::health::ColdRate;
+use vanepath_proxy::endpoints::{Endpoints, IDLE_MOST, IdleConnection, QUIET};
+use vanepath_proxy::health::SlowStartRate;
 
 const SETUP: &str = r#"{"classes": [{"name": "c", "urgency": 1, "kind": "repeatable"}],
     "services": [{"name": "s", "selector": "all", "livenessPath": "/"}],
     "rules": [{"name": "r", "class": "c", "service": "s"}]}"#;
 
 /// One server; a connection is its name.
-fn servers() -> (Servers<&'static str>, usize) {
+fn servers() -> (Endpoints<&'static str>, usize) {
     let setup = vanepath_config::model::parse(SETUP.as_bytes()).unwrap();
     let list = vanepath_config::endpoint_list::parse(
         br#"{"revision": 1, "servers": [{"id": "i", "address": "127.0.0.1:9", "region": "a",
              "zone": "a1", "state": "ready"}]}"#,
     );
-    let servers = Servers::default();
+    let servers = Endpoints::default();
     let list = list.unwrap();
-    let rate = |_: &vanepath_config::endpoint_list::Server, _: &[usize]| ColdRate::default();
+    let rate = |_: &vanepath_config::endpoint_list::Server, _: &[usize]| SlowStartRate::default();
     servers.adopt(Duration::ZERO, (1, 1), &std::sync::Arc::new(setup), &list, rate);
     let slot = servers.table.load().entries[0].slot;
     (servers, slot)
@@ -27,11 +27,15 @@
     Duration::from_millis(count)
 }
 
-fn idle(connection: &'static str, kept_for: Duration, is_used: bool) -> Idle<&'static str> {
-    Idle { connection, greeted_at: ms(0), quiet_since: ms(1000), kept_for, is_used }
+fn idle(
+    connection: &'static str,
+    kept_for: Duration,
+    is_used: bool,
+) -> IdleConnection<&'static str> {
+    IdleConnection { connection, greeted_at: ms(0), quiet_since: ms(1000), kept_for, is_used }
 }
 
-fn taken(servers: &Servers<&'static str>, slot: usize, now: Duration) -> Option<&'static str> {
+fn taken(servers: &Endpoints<&'static str>, slot: usize, now: Duration) -> Option<&'static str> {
     servers.take_idle(now, slot, |_| true).map(|idle| idle.connection)
 }
 
--- a/registry/src/api.rs
+++ b/registry/src/api.rs
@@ -2,7 +2,7 @@
 
 use crate::shell::{Counter, Registry};
 use crate::steering::Caller;
-use crate::store_client::{Step, StoreCall};
+use crate::store_client::{NextAction, StoreRequest};
 use http_body_util::BodyExt;
 use hyper::StatusCode;
 use hyper::header::{self, HeaderValue};
@@ -91,11 +91,11 @@
 }
 
 /// Why there is no order from here; another directory may have one.
-fn steers_nobody(registry: &Registry, why: crate::steering::NoReceipt) -> Receipt {
+fn steers_nobody(registry: &Registry, why: crate::steering::SteeringError) -> Receipt {
     registry.tally.increment(match why {
-        crate::steering::NoReceipt::Behind => Counter::SteerRefusedBehind,
-        crate::steering::NoReceipt::CutOff => Counter::SteerRefusedCutOff,
-        crate::steering::NoReceipt::NotReady => Counter::SteerRefusedNotReady,
+        crate::steering::SteeringError::Behind => Counter::SteerRefusedBehind,
+        crate::steering::SteeringError::CutOff => Counter::SteerRefusedCutOff,
+        crate::steering::SteeringError::NotReady => Counter::SteerRefusedNotReady,
     });
     let error = jzon::object! { "error": why.to_string() };
     come_back(StatusCode::SERVICE_UNAVAILABLE, &error, 1)
@@ -120,13 +120,13 @@
 /// Runs a call at the stores to its end.
 async fn run(registry: &Registry, question: Request) -> Outcome {
     let now = || registry.daemon.clock.now();
-    let mut store_call = StoreCall::new(question, now());
+    let mut store_call = StoreRequest::new(question, now());
     loop {
         let stores = crate::store_client::stores(&registry.daemon.table.load());
         match store_call.next(now(), stores) {
-            Step::Pause(pause) => tokio::time::sleep(pause).await,
-            Step::End(outcome) => return outcome,
-            Step::Ask(card) => {
+            NextAction::Pause(pause) => tokio::time::sleep(pause).await,
+            NextAction::End(outcome) => return outcome,
+            NextAction::Ask(card) => {
                 registry.tally.increment(Counter::StoreTries);
                 let question = store_call.question(now());
                 let request = wire::Request::Store(wire::encode(&question).into());
--- a/registry/src/leader.rs
+++ b/registry/src/leader.rs
@@ -8,7 +8,7 @@
 /// Who just started, or woke from a freeze, has heard of too little to say anything: it takes the
 /// duty only after a while, and the last plan stays meanwhile.
 #[derive(Debug, Default)]
-pub struct Tenure {
+pub struct LeadershipReadiness {
     fresh_since: Option<std::time::Duration>,
 }
 
@@ -25,7 +25,7 @@
     2 * live > live + lost
 }
 
-impl Tenure {
+impl LeadershipReadiness {
     pub fn may_hold(&mut self, now: std::time::Duration, is_fresh: bool) -> bool {
         if !is_fresh {
             self.fresh_since = None;
@@ -170,8 +170,8 @@
     proxies: &[&Peer],
     demand: &Demand<'_>,
     service: usize,
-) -> std::collections::BTreeMap<String, crate::traffic_shift::Zone> {
-    let mut zones: std::collections::BTreeMap<String, crate::traffic_shift::Zone> =
+) -> std::collections::BTreeMap<String, crate::traffic_shift::ZoneLoad> {
+    let mut zones: std::collections::BTreeMap<String, crate::traffic_shift::ZoneLoad> =
         Default::default();
     let mut taken = 0.0;
     for source in proxies {
--- a/registry/src/leader/tests.rs
+++ b/registry/src/leader/tests.rs
@@ -1,4 +1,4 @@
-use super::{Tenure, next};
+use super::{LeadershipReadiness, next};
 use std::sync::Arc;
 use std::time::Duration;
 use vanepath_cluster::gossip::{Event, Gossip};
@@ -171,7 +171,7 @@
     let taken = plan(&sights, other).unwrap();
     assert_eq!((taken.epoch, taken.counter, taken.leader.as_str()), (8, 1, "r0"));
     assert_eq!(plan(&sights, taken), None, "nothing new, nothing told");
-    let mut tenure = Tenure::default();
+    let mut tenure = LeadershipReadiness::default();
     let second = Duration::from_secs;
     assert!(!tenure.may_hold(second(1), true));
     assert!(tenure.may_hold(second(5), true));
--- a/registry/src/list_poller.rs
+++ b/registry/src/list_poller.rs
@@ -1,6 +1,6 @@
 //! Polling of the platform list (design 4). Whatever goes wrong, the last good list stays.
 
-use crate::list_sequencer::{Effect, ListReader, READ_MOST};
+use crate::list_sequencer::{Effect, ListSequencer, READ_MOST};
 use crate::shell::Counter;
 use http_body_util::BodyExt;
 use std::sync::Arc;
@@ -61,7 +61,7 @@
     let dialect = daemon.settings.wire_format;
     let mut sender = None;
     let mut etag: Option<hyper::header::HeaderValue> = None;
-    let mut reader = ListReader::new(&daemon.card.name, node::random());
+    let mut reader = ListSequencer::new(&daemon.card.name, node::random());
     let mut is_numbered = false;
     let mut tried_at: Option<Duration> = None;
     let mut pulse = tokio::time::interval(PULSE);
--- a/registry/src/list_sequencer.rs
+++ b/registry/src/list_sequencer.rs
@@ -47,7 +47,7 @@
 
 /// The reading of the platform's list by one registry.
 #[derive(Debug)]
-pub struct ListReader {
+pub struct ListSequencer {
     name: String,
     /// Tells this life's numbers from those of all other readers.
     reader: u16,
@@ -57,10 +57,10 @@
     is_overtaken: bool,
 }
 
-impl ListReader {
+impl ListSequencer {
     /// `draw` is random: no two lives have the same reader's number but by chance.
-    pub fn new(name: &str, draw: u64) -> ListReader {
-        ListReader {
+    pub fn new(name: &str, draw: u64) -> ListSequencer {
+        ListSequencer {
             name: name.to_string(),
             reader: (draw >> (u64::BITS - READER_BITS)) as u16,
             reading: None,
--- a/registry/src/list_sequencer/tests.rs
+++ b/registry/src/list_sequencer/tests.rs
@@ -1,4 +1,4 @@
-use super::{Effect, ListReader, READ_MOST};
+use super::{Effect, ListSequencer, READ_MOST};
 use std::sync::Arc;
 use std::time::Duration;
 use vanepath_cluster::node::ClusterView;
@@ -61,7 +61,7 @@
 #[test]
 fn lists_without_numbers_are_numbered_by_what_changes() {
     let mut view = view(&[("r1", false)]);
-    let mut reader = ListReader::new("r1", 7 << 48);
+    let mut reader = ListSequencer::new("r1", 7 << 48);
     let mut now = ms(0);
     let mut read = |view: &mut ClusterView, found: Vec<Server>| -> Arc<EndpointList> {
         now += ms(600);
@@ -88,7 +88,7 @@
 #[test]
 fn of_a_server_on_two_pages_the_later_one_counts() {
     let view = view(&[("r1", false)]);
-    let mut reader = ListReader::new("r1", 0);
+    let mut reader = ListSequencer::new("r1", 0);
     reader.pulse(ms(0), &view);
     let mut found = servers(&["a", "b", "b", "c"]);
     found[2].draining = true;
@@ -104,7 +104,7 @@
 #[test]
 fn a_read_that_was_overtaken_is_not_told_and_begins_anew() {
     let mut view = view(&[("r1", false), ("r2", false)]);
-    let mut reader = ListReader::new("r1", 0);
+    let mut reader = ListSequencer::new("r1", 0);
     assert_eq!(reader.pulse(ms(0), &view), Some(Effect::Read));
     // Only heard of so far, from a proxy that has it.
     view.highest_list_revision = 9 << 16 | 3;
@@ -124,7 +124,7 @@
 #[test]
 fn a_list_that_others_hold_under_a_higher_number_is_outnumbered() {
     let mut view = view(&[("r1", false)]);
-    let mut reader = ListReader::new("r1", 5 << 48);
+    let mut reader = ListSequencer::new("r1", 5 << 48);
     reader.pulse(ms(0), &view);
     let told = reader.read(ms(9), &view, Some(servers(&["a"])));
     take(&mut view, &told);
@@ -142,7 +142,7 @@
     let view = view(&[("r1", false), ("r2", false)]);
     let mut told = Vec::new();
     for (name, draw, found) in [("r1", 1 << 48, ["a"]), ("r2", 2 << 48, ["b"])] {
-        let mut reader = ListReader::new(name, draw);
+        let mut reader = ListSequencer::new(name, draw);
         reader.pulse(ms(0), &view);
         told.push(reader.read(ms(9), &view, Some(servers(&found))));
     }
@@ -161,7 +161,7 @@
     let mut all = view(&[("p0", false), ("r2", false), ("r1", false), ("r3", false)]);
     all.list_read_at = Some(ms(5000));
     let is_due = |name: &str, view: &ClusterView, tried: u64, now: u64| {
-        let mut reader = ListReader::new(name, 0);
+        let mut reader = ListSequencer::new(name, 0);
         assert_eq!(
             reader.pulse(ms(tried), view),
             Some(Effect::Read),
@@ -207,7 +207,8 @@
 fn reads_of_a_minute(answers: bool) -> Vec<u64> {
     let names = ["r1", "r2", "r3", "r4", "r5"];
     let mut all = view(&names.map(|name| (name, false)));
-    let mut readers: Vec<ListReader> = names.iter().map(|name| ListReader::new(name, 0)).collect();
+    let mut readers: Vec<ListSequencer> =
+        names.iter().map(|name| ListSequencer::new(name, 0)).collect();
     let mut reads = Vec::new();
     for now_ms in (0..60_000).step_by(50) {
         for reader in &mut readers {
--- a/registry/src/shell.rs
+++ b/registry/src/shell.rs
@@ -106,7 +106,7 @@
     step_at: Duration,
     /// What it sees is looked at again then.
     look_at: Duration,
-    tenure: crate::leader::Tenure,
+    tenure: crate::leader::LeadershipReadiness,
 }
 
 struct Pulse;
--- a/registry/src/steering.rs
+++ b/registry/src/steering.rs
@@ -20,12 +20,12 @@
 
 /// What a caller echoes in the reload address.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Echo {
+pub struct SteeringState {
     pub revision: u64,
     pub caller: Caller,
 }
 
-impl Echo {
+impl SteeringState {
     pub fn show(&self) -> String {
         let body = format!(
             "{}.{}.{}.{}",
@@ -35,7 +35,7 @@
     }
 
     /// Anything but what `show` gives is no echo, and its bringer a first-time caller.
-    pub fn parse(text: &str) -> Option<Echo> {
+    pub fn parse(text: &str) -> Option<SteeringState> {
         let (body, check) = text.rsplit_once('.')?;
         if check != format!("{:08x}", check_of(body)) {
             return None;
@@ -52,7 +52,7 @@
         }
         let (zone, region) = (zone.to_string(), region.to_string());
         let caller = Caller { zone, region, bucket };
-        Some(Echo { revision: revision.parse().ok()?, caller })
+        Some(SteeringState { revision: revision.parse().ok()?, caller })
     }
 }
 
@@ -62,7 +62,7 @@
 
 /// A place that callers can be sent to: a zone with proxies that take requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Place {
+pub struct Pathway {
     pub zone: String,
     pub region: String,
     pub addresses: Vec<std::net::SocketAddr>,
@@ -71,7 +71,7 @@
     labels: std::collections::BTreeMap<String, String>,
 }
 
-impl vanepath_config::selector::Labelled for Place {
+impl vanepath_config::selector::Labelled for Pathway {
     fn label(&self, key: &str) -> Option<&str> {
         match key {
             "zone" => Some(&self.zone),
@@ -84,8 +84,8 @@
 /// Zones with proxies that are ready and not leaving; emptied ones get nobody. A zone none of whose
 /// proxies is heard of any more is still a place, the last to be tried: a directory cannot tell
 /// their death from its own isolation.
-pub fn places(view: &ClusterView) -> Vec<Place> {
-    let mut places: Vec<Place> = Vec::new();
+pub fn places(view: &ClusterView) -> Vec<Pathway> {
+    let mut places: Vec<Pathway> = Vec::new();
     let live = view.live.iter().map(|one| (one, false));
     let lost = view.unreachable.iter().map(|one| (one, true));
     for ((card, report), is_lost) in live.chain(lost) {
@@ -102,7 +102,7 @@
             Some(_) => {}
             None => {
                 let told = view.config.zones.iter().find(|place| place.name == card.zone);
-                places.push(Place {
+                places.push(Pathway {
                     zone: card.zone.clone(),
                     region: card.region.clone(),
                     addresses: vec![card.address],
@@ -129,7 +129,7 @@
 /// The order of places for one rule and one caller. Within a step of the rule's preferences each
 /// place draws by the caller's bucket with its share as weight: so shares hold over all callers,
 /// the same caller always draws the same, and a change of shares moves no more than it must.
-pub fn order(view: &ClusterView, places: &[Place], rule: usize, caller: &Caller) -> Vec<Step> {
+pub fn order(view: &ClusterView, places: &[Pathway], rule: usize, caller: &Caller) -> Vec<Step> {
     let facts = &view.config.rules[rule];
     let viewpoint = ClientLocation { zone: &caller.zone, region: &caller.region };
     let near = |text: &str| Selector::parse(text).expect("a fixed selector");
@@ -193,7 +193,7 @@
 /// can be change their place when the shares change.
 fn move_away(
     view: &ClusterView,
-    places: &[Place],
+    places: &[Pathway],
     rule: usize,
     caller: &Caller,
     steps: &mut [Step],
@@ -235,7 +235,7 @@
     let places = places(view);
     let jitter = (random % 1001) as f64 / 1000.0;
     let ttl_s = (TTL.as_secs_f64() * (0.75 + 0.5 * jitter)).min(TTL_MOST.as_secs_f64());
-    let echo = Echo { revision: view.committed.revision, caller: caller.clone() };
+    let echo = SteeringState { revision: view.committed.revision, caller: caller.clone() };
     let zones = |steps: &[Step]| -> jzon::JsonValue {
         let zones = steps.iter().map(|step| places[step.place].zone.as_str().into());
         jzon::JsonValue::Array(zones.collect())
@@ -299,7 +299,7 @@
 
 /// Why a directory sends no order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
-pub enum NoReceipt {
+pub enum SteeringError {
     #[strum(serialize = "this directory is behind what you have")]
     Behind,
     #[strum(serialize = "this directory is cut off, and what you have may be newer")]
@@ -309,8 +309,8 @@
 }
 
 /// What became of one poll.
-pub struct Steered {
-    pub receipt: Result<jzon::JsonValue, NoReceipt>,
+pub struct SteeringOutcome {
+    pub receipt: Result<jzon::JsonValue, SteeringError>,
     pub is_first: bool,
     pub is_forged: bool,
 }
@@ -323,25 +323,27 @@
     own: (&str, &str),
     query: &str,
     random: u64,
-) -> Steered {
-    let none = |why| Steered { receipt: Err(why), is_first: false, is_forged: false };
+) -> SteeringOutcome {
+    let none = |why| SteeringOutcome { receipt: Err(why), is_first: false, is_forged: false };
     if !is_ready || view.config.rules.is_empty() || places(view).is_empty() {
         // Without any place to name it says nothing, and callers keep what they have.
-        return none(NoReceipt::NotReady);
+        return none(SteeringError::NotReady);
     }
     let get = |name: &str| {
         let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.filter(|(key, _)| *key == name).map(|(_, value)| value).next()
     };
-    let echo = get("state").and_then(Echo::parse);
+    let echo = get("state").and_then(SteeringState::parse);
     let is_forged = get("state").is_some() && echo.is_none();
     let is_first = echo.is_none();
     let caller = match echo {
         // The caller has a newer order: it must not get an older one from here.
-        Some(echo) if echo.revision > view.committed.revision => return none(NoReceipt::Behind),
+        Some(echo) if echo.revision > view.committed.revision => {
+            return none(SteeringError::Behind);
+        }
         // Cut off from most registries it would hold its callers to what was so before. Another may
         // know more, and if there is none the caller keeps what it has; who has nothing gets this.
-        Some(_) if view.is_isolated || view.is_partitioned => return none(NoReceipt::CutOff),
+        Some(_) if view.is_isolated || view.is_partitioned => return none(SteeringError::CutOff),
         Some(echo) => echo.caller,
         None => {
             let name =
@@ -359,7 +361,7 @@
         }
     };
     let receipt = receipt(view, &caller, random >> 20, get("why").is_some());
-    Steered { receipt: Ok(receipt), is_first, is_forged }
+    SteeringOutcome { receipt: Ok(receipt), is_first, is_forged }
 }
 
 /// So many addresses stand in a plain answer at the least, where so many are live at all: a client
@@ -379,13 +381,13 @@
     own: (&str, &str),
     query: &str,
     random: u64,
-) -> Result<jzon::JsonValue, NoReceipt> {
+) -> Result<jzon::JsonValue, SteeringError> {
     let places = places(view);
     if !is_ready || places.iter().all(|place| place.is_lost) {
-        return Err(NoReceipt::NotReady);
+        return Err(SteeringError::NotReady);
     }
     if view.is_isolated {
-        return Err(NoReceipt::CutOff);
+        return Err(SteeringError::CutOff);
     }
     let get = |name: &str| {
         let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -394,8 +396,8 @@
     let zone = get("zone").unwrap_or(own.0);
     let region = get("region").unwrap_or(own.1);
     // The region as one place: its zones' proxies share its clients between them.
-    let is_near = |place: &&Place| place.region == region;
-    let is_far = |place: &&Place| place.region != region;
+    let is_near = |place: &&Pathway| place.region == region;
+    let is_far = |place: &&Pathway| place.region != region;
     let live = || places.iter().filter(|place| !place.is_lost);
     let mut found: Vec<std::net::SocketAddr> =
         live().filter(is_near).flat_map(|place| place.addresses.iter().copied()).collect();
@@ -404,7 +406,7 @@
     let least = if is_any_bound { 1 } else { ADDRESSES_LEAST };
     if found.len() < least {
         // Not enough there: the other regions' in the order of this zone's own draw.
-        let mut others: Vec<&Place> = live().filter(is_far).collect();
+        let mut others: Vec<&Pathway> = live().filter(is_far).collect();
         others.sort_by_key(|place| vanepath_config::stable_hash(&["far", zone, &place.zone]));
         for place in others {
             found.extend(&place.addresses);
--- a/registry/src/steering/tests.rs
+++ b/registry/src/steering/tests.rs
@@ -1,4 +1,4 @@
-use super::{Caller, Echo, order, places};
+use super::{Caller, SteeringState, order, places};
 use std::sync::Arc;
 use vanepath_cluster::node::ClusterView;
 use vanepath_cluster::wire;
@@ -93,7 +93,7 @@
 fn a_directory_that_is_cut_off_sends_its_callers_to_another() {
     let mut cut = view(r#"{"name": "r", "class": "c", "service": "s"}"#);
     let caller = Caller { zone: "a2".into(), region: "a".into(), bucket: 77 };
-    let echo = format!("state={}", Echo { revision: 0, caller }.show());
+    let echo = format!("state={}", SteeringState { revision: 0, caller }.show());
     let is_told = |view: &ClusterView, query: &str| {
         super::steer(view, true, ("a1", "a"), query, 1).receipt.is_ok()
     };
@@ -108,10 +108,10 @@
 #[test]
 fn echoes_come_back_whole_and_forgeries_do_not() {
     let caller = Caller { zone: "a2".into(), region: "a".into(), bucket: 77 };
-    let shown = Echo { revision: 12, caller: caller.clone() }.show();
-    assert_eq!(Echo::parse(&shown), Some(Echo { revision: 12, caller }));
+    let shown = SteeringState { revision: 12, caller: caller.clone() }.show();
+    assert_eq!(SteeringState::parse(&shown), Some(SteeringState { revision: 12, caller }));
     for forged in ["", "x", "12.77.a2.a", &shown.replace("12.", "13."), &shown[1..]] {
-        assert_eq!(Echo::parse(forged), None, "{forged}");
+        assert_eq!(SteeringState::parse(forged), None, "{forged}");
     }
 }
 
--- a/registry/src/store_client.rs
+++ b/registry/src/store_client.rs
@@ -14,13 +14,13 @@
 const PAUSE: Duration = Duration::from_millis(100);
 
 #[derive(Debug)]
-pub enum Step {
+pub enum NextAction {
     Ask(Box<wire::NodeInfo>),
     Pause(Duration),
     End(Outcome),
 }
 
-pub struct StoreCall {
+pub struct StoreRequest {
     question: Request,
     begun_at: Duration,
     until: Duration,
@@ -33,9 +33,9 @@
     why: String,
 }
 
-impl StoreCall {
-    pub fn new(question: Request, now: Duration) -> StoreCall {
-        StoreCall {
+impl StoreRequest {
+    pub fn new(question: Request, now: Duration) -> StoreRequest {
+        StoreRequest {
             question,
             begun_at: now,
             until: now + LIMIT,
@@ -78,17 +78,17 @@
     }
 
     /// `stores`: those that are live and vote, in the agreed order.
-    pub fn next(&mut self, now: Duration, stores: Vec<wire::NodeInfo>) -> Step {
+    pub fn next(&mut self, now: Duration, stores: Vec<wire::NodeInfo>) -> NextAction {
         self.round.retain(|card| stores.iter().any(|one| one.name == card.name));
         if let Some(card) = self.round.pop() {
             if now < self.until {
                 self.asked = card.name.clone();
-                return Step::Ask(Box::new(card));
+                return NextAction::Ask(Box::new(card));
             }
             self.round.clear();
         }
         if now >= self.until {
-            return Step::End(if self.is_doubtful {
+            return NextAction::End(if self.is_doubtful {
                 Outcome::Unknown
             } else {
                 Outcome::NotApplied { reason: self.why.clone() }
@@ -98,7 +98,7 @@
         self.round.sort_by_key(|card| self.silent.contains(&card.name));
         self.round.reverse();
         if std::mem::replace(&mut self.started, true) || self.round.is_empty() {
-            return Step::Pause(PAUSE);
+            return NextAction::Pause(PAUSE);
         }
         self.next(now, stores)
     }
--- a/registry/src/store_client/tests.rs
+++ b/registry/src/store_client/tests.rs
@@ -1,4 +1,4 @@
-use super::{LIMIT, Step, StoreCall, TRY_LIMIT};
+use super::{LIMIT, NextAction, StoreRequest, TRY_LIMIT};
 use std::time::Duration;
 use vanepath_cluster::wire;
 use vanepath_store::protocol::{Change, Outcome, Request, Response};
@@ -25,7 +25,7 @@
         Request::Change { key: "k".to_string(), change, keyless_for: unnamed_for }
     };
     let outcome = Outcome::Accepted { revision: 3, config_revision: 2, is_repeat: false };
-    let store_call = StoreCall::new(ask(Some(ms(40))), ms(5000));
+    let store_call = StoreRequest::new(ask(Some(ms(40))), ms(5000));
     let Request::Change { keyless_for: unnamed_for, .. } = store_call.question(ms(5100)) else {
         panic!("a change")
     };
@@ -34,7 +34,7 @@
     assert!(matches!(told, Some(Request::Acknowledge { revision: 3, .. })), "{told:?}");
     assert!(store_call.answered(ms(5800), &outcome).is_none());
     assert!(store_call.answered(ms(5300), &Outcome::Unknown).is_none());
-    assert!(StoreCall::new(ask(None), ms(0)).answered(ms(100), &outcome).is_none());
+    assert!(StoreRequest::new(ask(None), ms(0)).answered(ms(100), &outcome).is_none());
 }
 
 /// Core machines that are replaced one after the other: the first store has just died, the
@@ -44,14 +44,14 @@
     let change = Change::DrainZone { zone: "a1".to_string() };
     let question = Request::Change { key: "k".to_string(), change, keyless_for: None };
     let mut now = Duration::ZERO;
-    let mut store_call = StoreCall::new(question, now);
+    let mut store_call = StoreRequest::new(question, now);
     let mut asked = Vec::new();
     let outcome = loop {
         let stores = vec![store(0), store(1), store(2)];
         match store_call.next(now, stores) {
-            Step::Pause(pause) => now += pause,
-            Step::End(outcome) => break outcome,
-            Step::Ask(card) => {
+            NextAction::Pause(pause) => now += pause,
+            NextAction::End(outcome) => break outcome,
+            NextAction::Ask(card) => {
                 asked.push(card.name.clone());
                 if card.name == "store-2" {
                     let why = "not yet".to_string();
--- a/registry/src/traffic_shift.rs
+++ b/registry/src/traffic_shift.rs
@@ -7,7 +7,7 @@
 
 /// One zone as a service sees it. Work is reckoned in servers: 1.0 keeps one of them wholly busy.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Zone {
+pub struct ZoneLoad {
     pub region: String,
     /// What its proxies take, moved callers included.
     pub taken: f64,
@@ -31,7 +31,7 @@
 
 /// What each zone's own callers would bring if none were moved: what is taken, less those moved in,
 /// and those moved out added.
-fn homes(zones: &BTreeMap<String, Zone>, before: &ZoneShares) -> BTreeMap<String, f64> {
+fn homes(zones: &BTreeMap<String, ZoneLoad>, before: &ZoneShares) -> BTreeMap<String, f64> {
     let share = |from: &str, to: &str| {
         let to = before.get(from).and_then(|to_| to_.get(to));
         f64::from(to.copied().unwrap_or(0)) / 1000.0
@@ -52,7 +52,7 @@
 
 /// Where each zone's callers would have to go for all to have room, without regard to what is.
 fn targets(
-    zones: &BTreeMap<String, Zone>,
+    zones: &BTreeMap<String, ZoneLoad>,
     homes: &BTreeMap<String, f64>,
     before: &ZoneShares,
 ) -> ZoneShares {
@@ -100,7 +100,7 @@
 }
 
 /// The next step from the shares before towards what is needed.
-pub fn next(zones: &BTreeMap<String, Zone>, before: &ZoneShares) -> ZoneShares {
+pub fn next(zones: &BTreeMap<String, ZoneLoad>, before: &ZoneShares) -> ZoneShares {
     let homes = homes(zones, before);
     let targets = targets(zones, &homes, before);
     let mut shares = ZoneShares::new();
--- a/registry/src/traffic_shift/tests.rs
+++ b/registry/src/traffic_shift/tests.rs
@@ -1,10 +1,10 @@
-use super::{Zone, ZoneShares, next};
+use super::{ZoneLoad, ZoneShares, next};
 use std::collections::BTreeMap;
 
 /// Six zones in three regions with ten servers each, and what each zone's callers want.
-fn fleet(wants: [f64; 6]) -> BTreeMap<String, Zone> {
+fn fleet(wants: [f64; 6]) -> BTreeMap<String, ZoneLoad> {
     let names = ["a1", "a2", "b1", "b2", "c1", "c2"];
-    let zone = |index: usize| Zone {
+    let zone = |index: usize| ZoneLoad {
         region: names[index][..1].to_string(),
         taken: wants[index],
         servers: 10.0,
@@ -14,7 +14,7 @@
 }
 
 /// What the zones' proxies take once callers follow the shares.
-fn follow(wants: &BTreeMap<String, Zone>, shares: &ZoneShares) -> BTreeMap<String, Zone> {
+fn follow(wants: &BTreeMap<String, ZoneLoad>, shares: &ZoneShares) -> BTreeMap<String, ZoneLoad> {
     let mut taken = wants.clone();
     for (from, all) in shares {
         for (to, part) in all {
@@ -36,7 +36,7 @@
 }
 
 /// Steps until nothing changes; the shares then, how many steps, and the most that any moved.
-fn settle(wants: &BTreeMap<String, Zone>, before: &ZoneShares) -> (ZoneShares, usize, u32) {
+fn settle(wants: &BTreeMap<String, ZoneLoad>, before: &ZoneShares) -> (ZoneShares, usize, u32) {
     let (mut shares, mut most) = (before.clone(), 0);
     for step in 0..40 {
         let after = next(&follow(wants, &shares), &shares);
--- a/registry/tests/world/mod.rs
+++ b/registry/tests/world/mod.rs
@@ -8,7 +8,7 @@
 use vanepath_cluster::node::ClusterView;
 use vanepath_cluster::wire;
 use vanepath_config::endpoint_list::{EndpointList, Server};
-use vanepath_registry::list_sequencer::{Effect as Reads, ListReader, READ_MOST};
+use vanepath_registry::list_sequencer::{Effect as Reads, ListSequencer, READ_MOST};
 
 /// What happens on a day.
 pub struct Plan {
@@ -57,7 +57,7 @@
     news: Gossip,
     view: ClusterView,
     way: Duration,
-    reader: ListReader,
+    reader: ListSequencer,
     read: Option<Read>,
     pulse_at: Duration,
     read_pulse_at: Duration,
@@ -176,7 +176,7 @@
                 address: address_of(index),
                 cluster_address: address_of(index),
             };
-            let reader = ListReader::new(&card.name, (world.part() * u64::MAX as f64) as u64);
+            let reader = ListSequencer::new(&card.name, (world.part() * u64::MAX as f64) as u64);
             let news =
                 Gossip::new(card, seeds.clone(), plan.seed * 100 + index as u64, Duration::ZERO);
             let jitter = Duration::from_millis((world.part() * 250.0) as u64);
--- a/testbed/src/replay.rs
+++ b/testbed/src/replay.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_client::{Caller, Outcome};
+use vanepath_client::{Client, Outcome};
 
 /// One recorded request, ready to be sent.
 #[derive(Clone, Debug, PartialEq)]
@@ -130,12 +130,12 @@
 
 /// Sends them at their pace, one caller for each host, and waits for all.
 pub async fn replay(plan: &Plan, recorded: Vec<Recorded>) -> Summary {
-    let mut callers: BTreeMap<String, (Arc<Caller>, tokio::task::JoinHandle<()>)> = BTreeMap::new();
+    let mut callers: BTreeMap<String, (Arc<Client>, tokio::task::JoinHandle<()>)> = BTreeMap::new();
     for one in &recorded {
         if !callers.contains_key(&one.host) {
             let (zone, region) = (&plan.zone, &plan.region);
             let query = format!("caller=replay-{}&zone={zone}&region={region}", callers.len());
-            let caller = Caller::new(plan.registries.clone(), &query, 0, &one.host);
+            let caller = Client::new(plan.registries.clone(), &query, 0, &one.host);
             caller.poll().await;
             let polling = caller.keep_polling();
             callers.insert(one.host.clone(), (caller, polling));
--- a/testbed/src/scale/cores.rs
+++ b/testbed/src/scale/cores.rs
@@ -93,7 +93,7 @@
             super::platform(servers, services, judged),
         );
         let table = weigh(count, || {
-            let table: vanepath_proxy::endpoints::Servers<()> = Default::default();
+            let table: vanepath_proxy::endpoints::Endpoints<()> = Default::default();
             let rate = |_: &vanepath_config::endpoint_list::Server, _: &[usize]| Default::default();
             table.adopt(Duration::ZERO, (1, 1), &setup_of, &list_of, rate);
             table
@@ -184,7 +184,7 @@
         let news = informed(daemons, servers, services, false, judged);
         let view = view(&news, routes, services, judged);
         let own = super::cards(daemons).pop().expect("a proxy");
-        let table: vanepath_proxy::endpoints::Servers<()> = Default::default();
+        let table: vanepath_proxy::endpoints::Endpoints<()> = Default::default();
         let list = super::platform(servers, services, judged);
         let rate = |server: &vanepath_config::endpoint_list::Server, services: &[usize]| {
             vanepath_proxy::endpoints::cold_rate(&view, &own.name, server, services)
@@ -202,7 +202,7 @@
         let mut turn = 0;
         let choice = each(span, || {
             turn += 1;
-            let want = vanepath_proxy::endpoints::Want {
+            let want = vanepath_proxy::endpoints::SelectionContext {
                 rule: turn % routes,
                 service: whole.setup.rules[turn % routes].service,
                 emptied: &emptied,
@@ -213,13 +213,13 @@
                 is_past_aim: false,
             };
             let random = vanepath_config::stable_hash(&[&turn.to_string()]);
-            if let vanepath_proxy::endpoints::Choice::Server(index, _) =
+            if let vanepath_proxy::endpoints::Selection::Server(index, _) =
                 table.choose(now, &whole, &want, random)
             {
                 table.release(whole.entries[index].slot);
             }
         });
-        let mut paces = vanepath_proxy::endpoints::Paces::default();
+        let mut paces = vanepath_proxy::endpoints::ProbeSchedule::default();
         let reckon = each(span, || {
             paces.renew();
             paces.pulse(now, &view, &own, &whole);
@@ -253,7 +253,7 @@
     for servers in [17, 170, 1700, 4500] {
         let setup = Arc::new(super::setup(1, 1, judged));
         let list = super::platform(servers, 1, judged);
-        let table: vanepath_proxy::endpoints::Servers<()> = Default::default();
+        let table: vanepath_proxy::endpoints::Endpoints<()> = Default::default();
         table.adopt(Duration::ZERO, (5, 1), &setup, &list, |_, _| Default::default());
         for entry in &table.table.load().entries {
             table.good(Duration::from_secs(1), entry.slot);
@@ -263,7 +263,7 @@
         let mut turn = 0;
         let choice = each(span, || {
             turn += 1;
-            let want = vanepath_proxy::endpoints::Want {
+            let want = vanepath_proxy::endpoints::SelectionContext {
                 rule: 0,
                 service: whole.setup.rules[0].service,
                 emptied: &emptied,
@@ -274,7 +274,7 @@
                 is_past_aim: false,
             };
             let random = vanepath_config::stable_hash(&[&turn.to_string()]);
-            if let vanepath_proxy::endpoints::Choice::Server(index, _) =
+            if let vanepath_proxy::endpoints::Selection::Server(index, _) =
                 table.choose(Duration::from_secs(2), &whole, &want, random)
             {
                 table.release(whole.entries[index].slot);
--- a/testbed/src/sim/control.rs
+++ b/testbed/src/sim/control.rs
@@ -14,8 +14,8 @@
 use std::time::Duration;
 use vanepath_cluster::node::ClusterView;
 use vanepath_cluster::{gossip, wire};
-use vanepath_registry::list_sequencer::{Effect as Reads, ListReader, READ_MOST};
-use vanepath_registry::store_client::{Step, StoreCall};
+use vanepath_registry::list_sequencer::{Effect as Reads, ListSequencer, READ_MOST};
+use vanepath_registry::store_client::{NextAction, StoreRequest};
 use vanepath_store::consensus::{self, Replica};
 use vanepath_store::protocol::{Change, Digest, Outcome, Request, Response, Value};
 
@@ -36,14 +36,14 @@
 
 #[derive(Default)]
 pub struct Registry {
-    store_calls: HashMap<usize, (StoreCall, CallId)>,
+    store_calls: HashMap<usize, (StoreRequest, CallId)>,
     next_store_call: usize,
     pub ready: bool,
     step_at: Duration,
-    tenure: vanepath_registry::leader::Tenure,
+    tenure: vanepath_registry::leader::LeadershipReadiness,
     polled_at: Option<Duration>,
     /// Reads lists of a platform that does not number them; a new one with each life.
-    reader: Option<vanepath_registry::list_sequencer::ListReader>,
+    reader: Option<vanepath_registry::list_sequencer::ListSequencer>,
     pub state: Option<vanepath_registry::list_poller::State>,
 }
 
--- a/testbed/src/sim/control/registries.rs
+++ b/testbed/src/sim/control/registries.rs
@@ -15,7 +15,7 @@
         let reads = match self.is_platform_plain {
             true => {
                 let draw = self.net.random.draw();
-                let reader = registry.reader.get_or_insert_with(|| ListReader::new(&name, draw));
+                let reader = registry.reader.get_or_insert_with(|| ListSequencer::new(&name, draw));
                 reader.pulse(now, &view) == Some(Reads::Read)
             }
             false => registry
@@ -198,7 +198,7 @@
         let Duty::Registry(registry) = &mut self.daemons[index].duty else { return };
         registry.next_store_call += 1;
         let store_call = registry.next_store_call;
-        registry.store_calls.insert(store_call, (StoreCall::new(question, now), call));
+        registry.store_calls.insert(store_call, (StoreRequest::new(question, now), call));
         self.step_store_call(index, store_call);
     }
 
@@ -209,7 +209,7 @@
         let Duty::Registry(registry) = &mut self.daemons[index].duty else { return };
         let Some((store_call, call)) = registry.store_calls.get_mut(&number) else { return };
         match store_call.next(now, stores) {
-            Step::Ask(card) => {
+            NextAction::Ask(card) => {
                 let target = Net::host_at(card.cluster_address);
                 let mut question = store_call.question(now);
                 if self.passes(index, Point::BeforeStoreAsk) {
@@ -231,8 +231,8 @@
                 self.net.ask(host, target, limit, body, Purpose::StoreCall { store_call: number });
                 self.passes(index, Point::AfterStoreAsk);
             }
-            Step::Pause(pause) => self.net.timer(host, pause, Timer::StoreCall(number)),
-            Step::End(outcome) => {
+            NextAction::Pause(pause) => self.net.timer(host, pause, Timer::StoreCall(number)),
+            NextAction::End(outcome) => {
                 let call = *call;
                 registry.store_calls.remove(&number);
                 self.net.reply(call, Body::Operated(outcome));
--- a/testbed/src/sim/data.rs
+++ b/testbed/src/sim/data.rs
@@ -15,10 +15,14 @@
 use vanepath_cluster::{gossip, wire};
 use vanepath_config::ExecutionStatus;
 use vanepath_config::model::Idempotency;
-use vanepath_proxy::admission::{Classes, Entry as Entered, Slot};
-use vanepath_proxy::endpoints::{Choice, Idle, Servers, Table, Want};
+use vanepath_proxy::admission::{Admission as Entered, AdmissionControl, AdmissionSlot};
+use vanepath_proxy::endpoints::{
+    Endpoints, IdleConnection, RoutingTable, Selection, SelectionContext,
+};
 use vanepath_proxy::health::{Failure, Phase};
-use vanepath_proxy::lifecycle::{Chart, Miss, Next, Refusal, State};
+use vanepath_proxy::lifecycle::{
+    AfterFailure, AttemptError, Rejection, RequestLifecycle, RequestState,
+};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Manner {
@@ -155,13 +159,13 @@
 struct Way {
     call: CallId,
     request: usize,
-    chart: Chart,
-    table: Arc<Table>,
+    chart: RequestLifecycle,
+    table: Arc<RoutingTable>,
     rule: usize,
     tried: Vec<usize>,
     received_at: Duration,
     deadline: Duration,
-    held: Option<Slot>,
+    held: Option<AdmissionSlot>,
     waits: Option<u64>,
     in_hand: Option<usize>,
     index: usize,
@@ -171,21 +175,21 @@
 
 #[derive(Default)]
 pub struct Proxy {
-    pub servers: Servers<u64>,
-    classes: Classes,
-    budget: vanepath_proxy::retry_budget::Budget,
+    pub servers: Endpoints<u64>,
+    classes: AdmissionControl,
+    budget: vanepath_proxy::retry_budget::RetryBudget,
     ways: HashMap<usize, Way>,
     waiting: HashMap<u64, usize>,
     next_way: usize,
     revision: Option<(u64, u64)>,
-    telling: vanepath_proxy::endpoints::Telling,
+    telling: vanepath_proxy::endpoints::ObservationReporter,
     pulsed_at: Duration,
     pub closed: bool,
     plan: Option<((u64, u64), (u64, u64))>,
     /// A server's phase changed: registries hear of it soon.
     moved: bool,
-    paces: vanepath_proxy::endpoints::Paces,
-    request_counts: vanepath_proxy::request_rates::RequestCounts,
+    paces: vanepath_proxy::endpoints::ProbeSchedule,
+    request_counts: vanepath_proxy::request_rates::RequestRates,
 }
 
 const CALL_LIMIT: Duration = Duration::from_secs(20);
--- a/testbed/src/sim/data/proxies.rs
+++ b/testbed/src/sim/data/proxies.rs
@@ -146,7 +146,7 @@
                         }
                     });
                 }
-                let idle = Idle {
+                let idle = IdleConnection {
                     connection,
                     greeted_at: now,
                     quiet_since: now,
@@ -194,7 +194,7 @@
             Way {
                 call,
                 request,
-                chart: Chart::new(),
+                chart: RequestLifecycle::new(),
                 table,
                 rule: 0,
                 tried: Vec::new(),
@@ -238,10 +238,10 @@
             let Duty::Proxy(proxy) = &self.daemons[index].duty else { return };
             let Some(own) = proxy.ways.get(&way) else { return };
             if self.daemons[index].view.is_stalled {
-                return self.end_way(index, way, Err(Refusal::BelowFloor));
+                return self.end_way(index, way, Err(Rejection::BelowFloor));
             }
             if now.saturating_sub(own.received_at) >= gossip::READINESS_TIMEOUT {
-                return self.end_way(index, way, Err(Refusal::NotReady));
+                return self.end_way(index, way, Err(Rejection::NotReady));
             }
             return self.net.timer(host, Duration::from_millis(10), Timer::WayReady(way));
         }
@@ -258,36 +258,36 @@
         let setup = own.table.setup.clone();
         let rule = setup.rule_for(verb, "h", path);
         let Some(rule) = rule else {
-            return self.end_way(index, way, Err(Refusal::Unmatched));
+            return self.end_way(index, way, Err(Rejection::Unmatched));
         };
         own.rule = rule;
         let facts = &setup.rules[rule];
         let class = &setup.classes[facts.class];
-        own.chart.state = State::Matched;
+        own.chart.state = RequestState::Matched;
         own.chart.kind = class.idempotency;
         own.chart.is_replayable = true;
         own.deadline = own.received_at + class.deadline;
         if !facts.allows_region(&region) {
-            return self.end_way(index, way, Err(Refusal::Misplaced));
+            return self.end_way(index, way, Err(Rejection::Misplaced));
         }
         let is_spoilt =
             class.idempotency == Idempotency::NonIdempotent && own.request.is_multiple_of(50);
         if self.breaks == Some(Break::RefusesFilings) && is_spoilt {
-            return self.end_way(index, way, Err(Refusal::NoServer));
+            return self.end_way(index, way, Err(Rejection::NoServer));
         }
         proxy.request_counts.took(facts.service);
         proxy.budget.took(now);
         self.world.took.push(self.net.now);
-        own.chart.state = State::Queued;
+        own.chart.state = RequestState::Queued;
         let late = own.deadline.saturating_sub(now);
         let class_index = proxy.classes.index(&class.name);
         let Some(class_index) = class_index else {
-            return self.end_way(index, way, Err(Refusal::NotReady));
+            return self.end_way(index, way, Err(Rejection::NotReady));
         };
         let entered = proxy.classes.enter(class_index, own.deadline);
         match entered {
             Entered::Taken(slot) => own.held = Some(slot),
-            Entered::Dropped => return self.end_way(index, way, Err(Refusal::NoRoom)),
+            Entered::Dropped => return self.end_way(index, way, Err(Rejection::NoRoom)),
             Entered::Waits(number) => {
                 own.waits = Some(number);
                 proxy.waiting.insert(number, way);
@@ -300,7 +300,7 @@
         }
     }
 
-    pub(super) fn wake_ways(&mut self, index: usize, woken: Vec<(u64, Slot)>) {
+    pub(super) fn wake_ways(&mut self, index: usize, woken: Vec<(u64, AdmissionSlot)>) {
         for (number, slot) in woken {
             let Duty::Proxy(proxy) = &mut self.daemons[index].duty else { return };
             let Some(way) = proxy.waiting.remove(&number) else { continue };
@@ -323,9 +323,9 @@
         let Duty::Proxy(proxy) = &mut self.daemons[index].duty else { return };
         let Some(own) = proxy.ways.get_mut(&way) else { return };
         if now >= own.deadline {
-            return self.end_way(index, way, Err(Refusal::Late));
+            return self.end_way(index, way, Err(Rejection::Late));
         }
-        own.chart.state = State::Choosing;
+        own.chart.state = RequestState::Choosing;
         let latest = proxy.servers.table.load_full();
         if !Arc::ptr_eq(&latest.setup, &own.table.setup) {
             let request = &self.world.requests[own.request];
@@ -336,14 +336,14 @@
                     own.rule = rule;
                     own.table = latest.clone();
                     if !is_within {
-                        return self.end_way(index, way, Err(Refusal::Misplaced));
+                        return self.end_way(index, way, Err(Rejection::Misplaced));
                     }
                 }
-                None => return self.end_way(index, way, Err(Refusal::Unmatched)),
+                None => return self.end_way(index, way, Err(Rejection::Unmatched)),
             }
         }
         own.table = latest;
-        let want = Want {
+        let want = SelectionContext {
             rule: own.rule,
             service: own.table.setup.rules[own.rule].service,
             emptied: &view.committed.drained_zones,
@@ -355,14 +355,14 @@
         };
         let choice = proxy.servers.choose(now, &own.table, &want, self.net.random.draw());
         let (entry, _service) = match choice {
-            Choice::Server(entry, service) => (entry, service),
-            Choice::Wait(until) if until < own.deadline => {
+            Selection::Server(entry, service) => (entry, service),
+            Selection::Wait(until) if until < own.deadline => {
                 let pause = until.saturating_sub(now).max(Duration::from_millis(1));
                 let pause = pause.min(Duration::from_millis(50));
                 return self.net.timer(host, pause, Timer::WayChoose(way));
             }
-            Choice::Crowded => return self.end_way(index, way, Err(Refusal::Crowded)),
-            _ => return self.end_way(index, way, Err(Refusal::NoServer)),
+            Selection::Crowded => return self.end_way(index, way, Err(Rejection::Crowded)),
+            _ => return self.end_way(index, way, Err(Rejection::NoServer)),
         };
         let slot = own.table.entries[entry].slot;
         let address = own.table.entries[entry].server.address;
@@ -370,7 +370,7 @@
         own.tried.push(slot);
         own.in_hand = Some(slot);
         own.chart.goes += 1;
-        own.chart.state = State::Connecting;
+        own.chart.state = RequestState::Connecting;
         self.world.goes += 1;
         if own.chart.goes > 1 {
             self.world.further_goes.push(self.net.now);
@@ -379,7 +379,7 @@
             self.world.goes_other_zone += 1;
         }
         let (connections, net_now) = (&self.world.connections, self.net.now);
-        let fit = |idle: &Idle<u64>| {
+        let fit = |idle: &IdleConnection<u64>| {
             connections
                 .get(&idle.connection)
                 .is_some_and(|one| one.closed_at.is_none_or(|closed_at| closed_at > net_now))
@@ -390,7 +390,7 @@
         }
         let Duty::Proxy(proxy) = &mut self.daemons[index].duty else { return };
         let Some(own) = proxy.ways.get_mut(&way) else { return };
-        let is_lately = |idle: &Idle<u64>| {
+        let is_lately = |idle: &IdleConnection<u64>| {
             own.chart.kind == Idempotency::Idempotent
                 || now.saturating_sub(idle.greeted_at) <= Duration::from_secs(1)
         };
@@ -423,7 +423,7 @@
                         }
                     });
                 }
-                own.chart.state = State::Greeted;
+                own.chart.state = RequestState::Greeted;
                 own.connection = Some((connection, now));
                 self.way_work(index, way);
             }
@@ -431,7 +431,7 @@
                 let failure =
                     if other.is_some() || is_reset { Failure::Refused } else { Failure::Silent };
                 proxy.servers.bad(now, entry.slot, failure);
-                self.missed(index, way, Miss::NotConnected);
+                self.missed(index, way, AttemptError::NotConnected);
             }
         }
     }
@@ -445,10 +445,10 @@
         let entry = &own.table.entries[own.index];
         let Some((connection, _)) = own.connection else { return };
         if proxy.servers.is_withdrawn(&own.table, entry, &word.drained_zones) {
-            return self.missed(index, way, Miss::Withdrawn);
+            return self.missed(index, way, AttemptError::Withdrawn);
         }
         let left = own.deadline.saturating_sub(now);
-        own.chart.state = State::Sent;
+        own.chart.state = RequestState::Sent;
         own.chart.sends += 1;
         own.chart.sent_at = now;
         proxy.servers.sent(now, entry.slot);
@@ -477,11 +477,11 @@
         let live = vanepath_proxy::endpoints::live_proxies(&view);
         let Duty::Proxy(proxy) = &mut self.daemons[index].duty else { return };
         let Some(own) = proxy.ways.get_mut(&way) else { return };
-        if own.chart.goes != go || own.chart.state != State::Sent {
+        if own.chart.goes != go || own.chart.state != RequestState::Sent {
             return;
         }
         let slot = own.table.entries[own.index].slot;
-        let want = Want {
+        let want = SelectionContext {
             rule: own.rule,
             service: own.table.setup.rules[own.rule].service,
             emptied: &view.committed.drained_zones,
@@ -495,11 +495,11 @@
         let budget = &mut proxy.budget;
         let may_go = |need| budget.may_go(now, live, need);
         if proxy.servers.leaves(now, &own.table, &want, had, may_go) {
-            proxy.servers.worked(now, slot, Err(Miss::Silent));
+            proxy.servers.worked(now, slot, Err(AttemptError::Silent));
             if let Some(call) = own.work.take() {
                 self.net.forget(call);
             }
-            self.missed(index, way, Miss::Silent);
+            self.missed(index, way, AttemptError::Silent);
         } else if let Some(pause) = own.chart.leave_after(own.deadline.saturating_sub(now)) {
             self.net.timer(host, pause, Timer::WaySoon(way, go));
         }
@@ -509,7 +509,7 @@
         let Duty::Proxy(proxy) = &self.daemons[index].duty else { return };
         // What is with a server ends by its own limit.
         if proxy.ways.get(&way).is_some_and(|own| own.waits.is_some()) {
-            self.end_way(index, way, Err(Refusal::Late));
+            self.end_way(index, way, Err(Rejection::Late));
         }
     }
 
@@ -524,16 +524,16 @@
                 proxy.servers.told(now, slot, demand_milli);
                 Ok(())
             }
-            Some(_) => Err(Miss::Truncated),
-            None if is_reset => Err(Miss::LostAfterSend),
-            None => Err(Miss::Silent),
+            Some(_) => Err(AttemptError::Truncated),
+            None if is_reset => Err(AttemptError::LostAfterSend),
+            None => Err(AttemptError::Silent),
         };
         proxy.servers.worked(now, slot, outcome);
         if let Err(miss) = outcome {
             return self.missed(index, way, miss);
         }
         if let Some((connection, greeted_at)) = own.connection.take() {
-            let idle = Idle {
+            let idle = IdleConnection {
                 connection,
                 greeted_at,
                 quiet_since: now,
@@ -542,11 +542,11 @@
             };
             proxy.servers.put_idle(slot, idle);
         }
-        own.chart.state = State::Done;
+        own.chart.state = RequestState::Done;
         self.end_way(index, way, Ok(()));
     }
 
-    pub(super) fn missed(&mut self, index: usize, way: usize, miss: Miss) {
+    pub(super) fn missed(&mut self, index: usize, way: usize, miss: AttemptError) {
         let now = self.net.local(self.daemons[index].host);
         let live = vanepath_proxy::endpoints::live_proxies(&self.daemons[index].view);
         let Duty::Proxy(proxy) = &mut self.daemons[index].duty else { return };
@@ -569,15 +569,15 @@
             own.chart.missed(miss, is_late, || is_unbound || budget.take_go(now, live, need));
         let request = own.request;
         match next {
-            Next::Again => self.way_choose(index, way),
-            Next::End(refusal) => {
+            AfterFailure::Again => self.way_choose(index, way),
+            AfterFailure::End(refusal) => {
                 self.world.requests[request].why += &format!("{miss}; ");
                 self.end_way(index, way, Err(refusal));
             }
         }
     }
 
-    pub(super) fn end_way(&mut self, index: usize, way: usize, end: Result<(), Refusal>) {
+    pub(super) fn end_way(&mut self, index: usize, way: usize, end: Result<(), Rejection>) {
         let Duty::Proxy(proxy) = &mut self.daemons[index].duty else { return };
         let Some(own) = proxy.ways.remove(&way) else { return };
         if let Some(slot) = own.in_hand {
@@ -595,7 +595,7 @@
             Some(Break::DoubtsFilings) if is_spoilt => ExecutionStatus::MayHaveRun,
             _ => own.chart.verdict(),
         };
-        let is_misplaced = end == Err(Refusal::Misplaced);
+        let is_misplaced = end == Err(Rejection::Misplaced);
         let view = &self.daemons[index].view;
         let named: Vec<std::net::SocketAddr> = if is_misplaced {
             let rule = &own.table.setup.rules[own.rule];
--- a/testbed/src/traffic.rs
+++ b/testbed/src/traffic.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use vanepath_client::{Caller, Outcome};
+use vanepath_client::{Client, Outcome};
 use vanepath_config::ExecutionStatus;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -32,7 +32,7 @@
     stop: Arc<AtomicBool>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
     polling: Vec<tokio::task::JoinHandle<()>>,
-    pub callers: Vec<Arc<Caller>>,
+    pub callers: Vec<Arc<Client>>,
     pub sent: Arc<AtomicU64>,
 }
 
@@ -55,7 +55,7 @@
             for index in 0..callers_per_zone {
                 let query = format!("caller={zone}-{index}&zone={zone}&region={region}");
                 let spread = traffic.callers.len() as u64;
-                let caller = Caller::new(fleet.registries(), &query, spread, "shop.example");
+                let caller = Client::new(fleet.registries(), &query, spread, "shop.example");
                 caller.poll().await;
                 traffic.polling.push(caller.keep_polling());
                 traffic.callers.push(caller);
@@ -124,7 +124,7 @@
 }
 
 async fn one(
-    caller: &Caller,
+    caller: &Client,
     shape: &crate::shape::Shape,
     kind: Kind,
     number: &str,
