--- a/client/src/client.rs
+++ b/client/src/client.rs
@@ -61,18 +61,18 @@
 }
 
 /// Addresses that one request tries at the most: enough to find the one proxy that is left.
-pub const TRIES_MOST: usize = 32;
+pub const MAX_ATTEMPTS: usize = 32;
 /// So many proxies that say not-run are enough: what they lack, others lack too.
-pub const DROPS_MOST: u32 = 3;
+pub const MAX_DROPPED: u32 = 3;
 /// A request made before the first receipt waits so long for it.
 const FIRST_RECEIPT_LIMIT: Duration = Duration::from_secs(5);
 /// For a directory's receipt: with three that died lately the next one is still asked in time for an
 /// emptied zone to be left.
-pub const POLL_LIMIT: Duration = Duration::from_millis(600);
+pub const POLL_TIMEOUT: Duration = Duration::from_millis(600);
 /// Who does not open within that is not there.
-pub const REACH_LIMIT: Duration = Duration::from_secs(1);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// So often a lookup that waits looks whether its proxy is silent to everyone.
-pub const TRY_LIMIT: Duration = Duration::from_secs(3);
+pub const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// One try of a request at one address.
 struct Go<'g> {
@@ -90,7 +90,7 @@
 /// A new connection, if somebody opens within a second.
 async fn reach(address: SocketAddr) -> Option<tokio::net::TcpStream> {
     let connecting = tokio::net::TcpStream::connect(address);
-    tokio::time::timeout(REACH_LIMIT, connecting).await.ok()?.ok()
+    tokio::time::timeout(CONNECT_TIMEOUT, connecting).await.ok()?.ok()
 }
 
 /// Whether anybody is there at all.
@@ -160,7 +160,7 @@
             self.rest(directory, sender);
             if is_good { parse(std::str::from_utf8(&bytes).ok()?) } else { None }
         };
-        let receipt = tokio::time::timeout(POLL_LIMIT, polled).await.ok().flatten();
+        let receipt = tokio::time::timeout(POLL_TIMEOUT, polled).await.ok().flatten();
         self.steering.lock().expect("no panic under this lock").polled(self.now(), receipt);
     }
 
@@ -229,10 +229,10 @@
         let mut may_have_run = false;
         let mut drops = 0;
         let mut index = 0;
-        while let Some(address) = order.get(index).copied().filter(|_| index < TRIES_MOST) {
+        while let Some(address) = order.get(index).copied().filter(|_| index < MAX_ATTEMPTS) {
             index += 1;
             // A lookup leaves an address that is silent to everyone, while there is another.
-            let may_leave = !is_once && index < order.len().min(TRIES_MOST);
+            let may_leave = !is_once && index < order.len().min(MAX_ATTEMPTS);
             let may_use_open = {
                 let steering = self.steering.lock().expect("no panic under this lock");
                 if !steering.is_listed(&address) {
@@ -250,7 +250,7 @@
             let is_done = match &last {
                 Outcome::Receipt { status, .. } => {
                     drops += u32::from(*status == 503);
-                    let may_go_on = !(is_once && may_have_run) && drops < DROPS_MOST;
+                    let may_go_on = !(is_once && may_have_run) && drops < MAX_DROPPED;
                     let mut steering = self.steering.lock().expect("no panic under this lock");
                     !may_go_on || !steering.goes_on(self.now(), *status, verdict)
                 }
@@ -293,7 +293,7 @@
         let sending = sender.try_send_request(request);
         tokio::pin!(sending);
         let sent = loop {
-            if let Ok(sent) = tokio::time::timeout(TRY_LIMIT, &mut sending).await {
+            if let Ok(sent) = tokio::time::timeout(ATTEMPT_TIMEOUT, &mut sending).await {
                 break Ok(sent);
             }
             if self.now() - sent_at >= self.limit {
--- a/proxy/src/connector.rs
+++ b/proxy/src/connector.rs
@@ -1,7 +1,7 @@
 //! Connections to servers: the first exchange of each is a liveness check in which the server
 //! names itself, and the connection is that server's for life (design 8.6).
 
-use crate::endpoints::{Entry, IdleConnection};
+use crate::endpoints::{Endpoint, IdleConnection};
 use crate::health::Failure;
 use http_body_util::BodyExt;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 pub type Resting = IdleConnection<Sender>;
 
 /// For a connection and for a greeting: many times what the farthest region takes.
-pub const LIMIT: Duration = Duration::from_millis(600);
+pub const TIMEOUT: Duration = Duration::from_millis(600);
 /// For a connection within the region.
 const LIMIT_NEAR: Duration = Duration::from_millis(250);
 const GREETING_MOST: usize = 64 << 10;
@@ -27,7 +27,7 @@
 /// A new connection, greeted. `untidy` is called if it ever brings bytes that nobody asked for.
 pub async fn connect(
     dialect: SelectedFormat,
-    entry: &Entry,
+    entry: &Endpoint,
     service: &vanepath_config::model::Service,
     untidy: impl FnOnce() + Send + 'static,
 ) -> Result<(Sender, HandshakeResponse), Failure> {
@@ -41,12 +41,12 @@
 
 /// A new connection that nothing was said on yet.
 pub async fn open(
-    entry: &Entry,
+    entry: &Endpoint,
     is_far: bool,
     is_narrow: bool,
     untidy: impl FnOnce() + Send + 'static,
 ) -> Result<Sender, Failure> {
-    let limit = if is_far { LIMIT } else { LIMIT_NEAR };
+    let limit = if is_far { TIMEOUT } else { LIMIT_NEAR };
     let socket = match entry.server.address {
         std::net::SocketAddr::V4(_) => tokio::net::TcpSocket::new_v4(),
         std::net::SocketAddr::V6(_) => tokio::net::TcpSocket::new_v6(),
@@ -83,7 +83,7 @@
         let mut pairs = text.split(',').filter_map(|pair| pair.trim().split_once('='));
         pairs.find(|(key, _)| key.eq_ignore_ascii_case("timeout"))?.1.trim().parse().ok()
     });
-    told.map_or(crate::endpoints::IDLE_MOST, Duration::from_secs)
+    told.map_or(crate::endpoints::MAX_IDLE_TIME, Duration::from_secs)
 }
 
 /// The library has a name for every other end of a connection; this one comes without a cause.
@@ -103,10 +103,10 @@
 pub async fn greet(
     dialect: SelectedFormat,
     sender: &mut Sender,
-    entry: &Entry,
+    entry: &Endpoint,
     service: &vanepath_config::model::Service,
 ) -> Result<HandshakeResponse, Failure> {
-    match tokio::time::timeout(LIMIT, greet_unbounded(dialect, sender, entry, service)).await {
+    match tokio::time::timeout(TIMEOUT, greet_unbounded(dialect, sender, entry, service)).await {
         Ok(outcome) => outcome,
         Err(_) => Err(Failure::Silent),
     }
@@ -115,7 +115,7 @@
 async fn greet_unbounded(
     dialect: SelectedFormat,
     sender: &mut Sender,
-    entry: &Entry,
+    entry: &Endpoint,
     service: &vanepath_config::model::Service,
 ) -> Result<HandshakeResponse, Failure> {
     sender.ready().await.map_err(|_| Failure::Broken)?;
--- a/proxy/src/endpoints.rs
+++ b/proxy/src/endpoints.rs
@@ -12,7 +12,7 @@
 
 /// What the platform list and the setup say of a server; changes rarely.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct Endpoint {
     pub server: vanepath_config::endpoint_list::Server,
     /// Indices into the setup's services whose selectors match.
     pub services: Vec<usize>,
@@ -25,8 +25,8 @@
 pub struct RoutingTable {
     /// The revisions of the setup and of the platform list that it was made from.
     pub revision: (u64, u64),
-    pub setup: Arc<vanepath_config::model::Config>,
-    pub entries: Vec<Entry>,
+    pub config: Arc<vanepath_config::model::Config>,
+    pub endpoints: Vec<Endpoint>,
     pub by_service: Vec<Vec<usize>>,
     /// Each of its servers was looked at once. That stays so, and is asked with every request.
     has_looked: std::sync::atomic::AtomicBool,
@@ -35,44 +35,44 @@
 /// A connection that rests, greeted by the server it belongs to for life.
 pub struct IdleConnection<C> {
     pub connection: C,
-    pub greeted_at: Duration,
+    pub verified_at: Duration,
     /// When its last receipt was whole; it rests a little after that, so that surplus bytes show
     /// before it is used again.
-    pub quiet_since: Duration,
+    pub idle_since: Duration,
     /// The server keeps it so long at rest.
-    pub kept_for: Duration,
+    pub keep_alive: Duration,
     /// It carried a request, and not greetings alone.
     pub is_used: bool,
 }
 
 impl<C> IdleConnection<C> {
     fn rested(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.quiet_since)
+        now.saturating_sub(self.idle_since)
     }
 
     /// Whether its server surely keeps it still.
     fn is_kept(&self, now: Duration) -> bool {
         let rested = self.rested(now);
-        rested < IDLE_MOST && rested + KEPT_MARGIN < self.kept_for
+        rested < MAX_IDLE_TIME && rested + KEPT_MARGIN < self.keep_alive
     }
 
     /// Likewise by what runs at most once, which takes none that its server may be about to close.
     pub fn is_kept_for_once(&self, now: Duration) -> bool {
-        self.rested(now) <= self.kept_for / 2
+        self.rested(now) <= self.keep_alive / 2
     }
 }
 
 /// What changes with every request.
 pub struct EndpointState<C> {
-    pub liveness: ServerHealth,
-    pub in_hand: u64,
-    pub demand_milli: u32,
+    pub health: ServerHealth,
+    pub in_flight: u64,
+    pub load_milli: u32,
     demand_at: Duration,
     /// Requests that it works on at one time, as the platform says; 0: not told.
     slots: u32,
     /// Requests of other proxies that are with it, by what it told lately.
     others: f64,
-    pub pace: RelativeLatency,
+    pub relative_latency: RelativeLatency,
     /// Since when it owes answers and sent none.
     owes_since: Duration,
     /// When the last answer of it was whole.
@@ -164,7 +164,7 @@
 
 /// How often this proxy probes each server of its table.
 fn probe_pauses(view: &ClusterView, own: &wire::NodeInfo, table: &RoutingTable) -> Vec<Duration> {
-    let pause = |entry: &Entry| {
+    let pause = |entry: &Endpoint| {
         let server = &entry.server;
         let is_near = server.region == own.region;
         if server.zone == own.zone {
@@ -177,7 +177,7 @@
             PROBE_FAR
         }
     };
-    table.entries.iter().map(pause).collect()
+    table.endpoints.iter().map(pause).collect()
 }
 
 /// A proxy tells registries what it sees so often, and sooner after a change, though not at the
@@ -206,13 +206,13 @@
 pub struct TickOutcome {
     /// Entries of the table that want a probe now; each is marked as being probed.
     pub probes: Vec<usize>,
-    pub notes: Vec<String>,
+    pub log_lines: Vec<String>,
     /// Registries should hear of it soon.
-    pub is_news: bool,
+    pub has_changes: bool,
 }
 
 /// The proxies that may carry requests of this rule.
-pub fn carriers<'v>(
+pub fn eligible_proxies<'v>(
     view: &'v ClusterView,
     rule: &'v vanepath_config::model::Rule,
 ) -> impl Iterator<Item = &'v wire::NodeInfo> {
@@ -238,7 +238,7 @@
 
 /// This proxy's part of a cold server's modest rate: it goes to the nearest proxies first, who would
 /// choose it first, and among equals by rendezvous hashing.
-pub fn cold_rate(
+pub fn slow_start_rate(
     view: &ClusterView,
     own: &str,
     server: &vanepath_config::endpoint_list::Server,
@@ -270,13 +270,13 @@
 
 /// Of each server of the table.
 fn cold_rates(view: &ClusterView, own: &str, table: &RoutingTable) -> Vec<SlowStartRate> {
-    let rate = |entry: &Entry| cold_rate(view, own, &entry.server, &entry.services);
-    table.entries.iter().map(rate).collect()
+    let rate = |entry: &Endpoint| slow_start_rate(view, own, &entry.server, &entry.services);
+    table.endpoints.iter().map(rate).collect()
 }
 
-pub const QUIET: Duration = Duration::from_millis(20);
+pub const SETTLE_TIME: Duration = Duration::from_millis(20);
 /// A resting connection older than that is closed.
-pub const IDLE_MOST: Duration = Duration::from_secs(20);
+pub const MAX_IDLE_TIME: Duration = Duration::from_secs(20);
 /// Before its server closes it, a resting connection is not used any more.
 const KEPT_MARGIN: Duration = Duration::from_millis(700);
 const IDLE_COUNT_MOST: usize = 64;
@@ -338,16 +338,16 @@
     pub rule: usize,
     /// The service that was drawn, of those that the rule has.
     pub service: usize,
-    pub emptied: &'w std::collections::BTreeSet<String>,
+    pub drained_zones: &'w std::collections::BTreeSet<String>,
     pub zone: &'w str,
     pub region: &'w str,
     /// Slots that this request has tried.
     pub tried: &'w [usize],
     /// Only look whether one is there: with room, if the one that has the request is only slow; one that
     /// does not look dead, if nothing comes from that one.
-    pub looks: Option<RetryReason>,
+    pub only_alternative_for: Option<RetryReason>,
     /// It cannot be answered within its aim any more: earlier tries took that.
-    pub is_past_aim: bool,
+    pub is_past_target: bool,
 }
 
 /// The rounds of a choice.
@@ -379,7 +379,7 @@
 
     /// Makes the table what the platform list and the setup want. Where nothing was known before,
     /// what is there has most likely been there for long; `hear_plan` says what has not.
-    pub fn adopt(
+    pub fn update(
         &self,
         now: Duration,
         revision: (u64, u64),
@@ -389,11 +389,11 @@
     ) -> Vec<String> {
         let mut notes = Vec::new();
         let before = self.table.load_full();
-        let is_first = before.entries.is_empty();
-        let mut table = RoutingTable { revision, setup: setup.clone(), ..RoutingTable::default() };
+        let is_first = before.endpoints.is_empty();
+        let mut table = RoutingTable { revision, config: setup.clone(), ..RoutingTable::default() };
         table.by_service.resize(setup.services.len(), Vec::new());
-        let by_id: std::collections::HashMap<&str, &Entry> =
-            before.entries.iter().map(|entry| (entry.server.id.as_str(), entry)).collect();
+        let by_id: std::collections::HashMap<&str, &Endpoint> =
+            before.endpoints.iter().map(|entry| (entry.server.id.as_str(), entry)).collect();
         let mut slots = std::collections::HashSet::new();
         for server in &list.servers {
             let view = vanepath_config::selector::ClientLocation::default();
@@ -411,17 +411,17 @@
                     let mut liveness = ServerHealth::new(now);
                     liveness.pulse(now, rate(server, &services));
                     if !is_first {
-                        liveness.chill(now, Duration::ZERO);
+                        liveness.restart_slow_start(now, Duration::ZERO);
                         notes.push(format!("server {} is new", server.id));
                     }
                     let quick = EndpointState {
-                        liveness,
-                        in_hand: 0,
-                        demand_milli: 0,
+                        health: liveness,
+                        in_flight: 0,
+                        load_milli: 0,
                         demand_at: Duration::ZERO,
                         slots: server.concurrency,
                         others: 0.0,
-                        pace: RelativeLatency::default(),
+                        relative_latency: RelativeLatency::default(),
                         owes_since: now,
                         answered_at: Duration::ZERO,
                         pool: self.pool(setup, &services, &server.zone),
@@ -445,10 +445,10 @@
                 && services.iter().all(|one| setup.services[*one].probes_suspects_only);
             if by_list {
                 let was_cold = known.is_some_and(|entry| entry.server.warming_up);
-                self.moved(slot, |liveness| {
+                self.update_health(slot, |liveness| {
                     liveness.by_traffic = true;
                     if server.warming_up && (!was_cold || liveness.phase == Phase::Unknown) {
-                        liveness.chill(now, Duration::ZERO);
+                        liveness.restart_slow_start(now, Duration::ZERO);
                     } else if !server.warming_up && (was_cold || liveness.phase == Phase::Unknown) {
                         liveness.trust(now);
                     }
@@ -460,11 +460,11 @@
             }
             slots.insert(slot);
             for service in &services {
-                table.by_service[*service].push(table.entries.len());
+                table.by_service[*service].push(table.endpoints.len());
             }
-            table.entries.push(Entry { server: server.clone(), services, slot });
+            table.endpoints.push(Endpoint { server: server.clone(), services, slot });
         }
-        for old in &before.entries {
+        for old in &before.endpoints {
             if !slots.contains(&old.slot) {
                 self.shards[old.slot % SHARDS]
                     .lock()
@@ -480,9 +480,9 @@
     /// Whether this proxy may be given work (design 5.5): what it knows is fresh, it goes by that and
     /// not by the table from before it, it has rules, and it has looked at its servers once. Right
     /// after a start it would send work to dead ones otherwise.
-    pub fn is_fit(&self, now: Duration, is_fresh: bool, revision: (u64, u64)) -> bool {
+    pub fn is_ready(&self, now: Duration, is_fresh: bool, revision: (u64, u64)) -> bool {
         let table = self.table.load();
-        let is_there = table.revision == revision && !table.setup.rules.is_empty();
+        let is_there = table.revision == revision && !table.config.rules.is_empty();
         is_fresh && is_there && self.has_looked(now, &table)
     }
 
@@ -493,34 +493,34 @@
         }
         let is_awaited = |slot| {
             self.with(slot, |quick| {
-                let liveness = &quick.liveness;
+                let liveness = &quick.health;
                 liveness.phase == Phase::Unknown && now < liveness.since + FIRST_LOOK
             })
         };
-        let mut used = table.entries.iter().filter(|entry| !entry.services.is_empty());
+        let mut used = table.endpoints.iter().filter(|entry| !entry.services.is_empty());
         let has = !used.any(|entry| !entry.server.draining && is_awaited(entry.slot) == Some(true));
         table.has_looked.store(has, relaxed);
         has
     }
 
     /// What the whole fleet knows of servers that are away or came back lately.
-    pub fn hear_plan(&self, now: Duration, plan: &wire::TrafficShiftPlan) {
+    pub fn apply_plan(&self, now: Duration, plan: &wire::TrafficShiftPlan) {
         if plan.unreachable.is_empty() && plan.warming_up.is_empty() {
             return;
         }
-        for entry in &self.table.load().entries {
+        for entry in &self.table.load().endpoints {
             let is_away = plan.unreachable.contains(&entry.server.id);
             let back_for = plan.warming_up.get(&entry.server.id);
             let back_for = back_for
                 .map(|(age_ms, refused)| (Duration::from_millis(u64::from(*age_ms)), *refused));
             if is_away || back_for.is_some() {
-                self.with(entry.slot, |quick| quick.liveness.hear(now, is_away, back_for));
+                self.with(entry.slot, |quick| quick.health.hear(now, is_away, back_for));
             }
         }
     }
 
     /// Which servers of its zone are this proxy's part (design 8.7), by who is live there.
-    pub fn part(&self, view: &ClusterView, own: &wire::NodeInfo) {
+    pub fn assign_subset(&self, view: &ClusterView, own: &wire::NodeInfo) {
         let table = self.table.load();
         let hash = |kind: &str, name: &str| vanepath_config::stable_hash(&["part", kind, name]);
         let mut proxies: Vec<(u64, &str)> = view
@@ -535,9 +535,9 @@
         let rank = proxies.iter().position(|one| one.1 == own.name).unwrap_or_default();
         let all = live_proxies(view);
         for (service, of_service) in table.by_service.iter().enumerate() {
-            let connections = table.setup.services[service].max_connections;
+            let connections = table.config.services[service].max_connections;
             for index in of_service {
-                let entry = &table.entries[*index];
+                let entry = &table.endpoints[*index];
                 self.with(entry.slot, |quick| {
                     quick.is_own &= entry.server.zone == own.zone;
                     if connections > 0 {
@@ -545,9 +545,9 @@
                     }
                 });
             }
-            let near = of_service.iter().map(|index| &table.entries[*index]);
+            let near = of_service.iter().map(|index| &table.endpoints[*index]);
             let near = near.filter(|entry| entry.server.zone == own.zone && !entry.server.draining);
-            let mut near: Vec<(u64, &Entry)> =
+            let mut near: Vec<(u64, &Endpoint)> =
                 near.map(|entry| (hash("server", &entry.server.id), entry)).collect();
             near.sort_unstable_by_key(|one| one.0);
             let count = near.len();
@@ -562,7 +562,7 @@
     pub fn pulse(&self, now: Duration, paces: &ProbeSchedule) -> TickOutcome {
         let table = self.table.load();
         let mut pulsed = TickOutcome::default();
-        for (index, entry) in table.entries.iter().enumerate() {
+        for (index, entry) in table.endpoints.iter().enumerate() {
             if entry.services.is_empty() {
                 continue;
             }
@@ -570,21 +570,21 @@
             let every = paces.pauses.get(index).copied().unwrap_or(PROBE_FAR);
             let is_leaving = entry.server.draining;
             let in_doubt_only =
-                entry.services.iter().all(|one| table.setup.services[*one].probes_suspects_only);
+                entry.services.iter().all(|one| table.config.services[*one].probes_suspects_only);
             let moved = self.with(entry.slot, |quick| {
-                let before = quick.liveness.phase;
+                let before = quick.health.phase;
                 if in_doubt_only && !quick.is_own {
                     // Others probe it; here one request finds out.
-                    quick.liveness.retry(now);
+                    quick.health.retry(now);
                 }
-                quick.liveness.pulse(now, cold);
+                quick.health.pulse(now, cold);
                 if is_leaving {
                     quick.idle.clear();
                 }
-                let phase = quick.liveness.phase;
-                let is_steady = quick.liveness.steady(now) > Duration::ZERO;
+                let phase = quick.health.phase;
+                let is_steady = quick.health.steady(now) > Duration::ZERO;
                 let is_lost = std::mem::replace(&mut quick.was_steady, is_steady) && !is_steady;
-                let is_doubtful = quick.liveness.probe_at(every) == Duration::ZERO;
+                let is_doubtful = quick.health.probe_at(every) == Duration::ZERO;
                 let pause = match (is_doubtful, in_doubt_only) {
                     (true, false) => PROBE_DOUBT,
                     (true, true) => PROBE_DOUBT_SELDOM,
@@ -592,8 +592,8 @@
                 };
                 let wants = !quick.probing
                     && !is_leaving
-                    && (!in_doubt_only || (quick.is_own && quick.liveness.is_in_doubt()))
-                    && now >= quick.liveness.probe_at(every)
+                    && (!in_doubt_only || (quick.is_own && quick.health.is_in_doubt()))
+                    && now >= quick.health.probe_at(every)
                     && quick.probed_at.is_none_or(|last| now >= last + pause);
                 if wants {
                     quick.probing = true;
@@ -602,9 +602,9 @@
                 (wants, is_lost, (phase != before).then_some(phase))
             });
             let Some((wants, is_lost, moved)) = moved else { continue };
-            pulsed.is_news |= is_lost || moved.is_some();
+            pulsed.has_changes |= is_lost || moved.is_some();
             if let Some(phase) = moved {
-                pulsed.notes.push(format!("server {} is {phase}", entry.server.id));
+                pulsed.log_lines.push(format!("server {} is {phase}", entry.server.id));
             }
             if wants {
                 pulsed.probes.push(index);
@@ -615,23 +615,23 @@
 
     /// What this proxy sees of the servers that it is in touch with, or that are not simply live,
     /// for registries. Of the others it has nothing to say.
-    pub fn sights(&self, now: Duration) -> Vec<wire::ServerObservation> {
+    pub fn observations(&self, now: Duration) -> Vec<wire::ServerObservation> {
         let table = self.table.load();
-        let sights = table.entries.iter().filter_map(|entry| {
+        let sights = table.endpoints.iter().filter_map(|entry| {
             let is_telling = self.with(entry.slot, |quick| {
                 // What the traffic shows of one that is well is nobody else's business.
-                let is_steady = quick.liveness.steady(now) > Duration::ZERO;
-                !matches!(quick.liveness.phase, Phase::Live | Phase::Unknown)
-                    || (is_steady && !quick.liveness.by_traffic)
+                let is_steady = quick.health.steady(now) > Duration::ZERO;
+                !matches!(quick.health.phase, Phase::Healthy | Phase::Unknown)
+                    || (is_steady && !quick.health.by_traffic)
             });
             is_telling.filter(|is_telling| *is_telling)?;
             self.with(entry.slot, |quick| wire::ServerObservation {
                 server: entry.server.id.clone(),
-                phase: quick.liveness.phase as u8,
-                age_ms: now.saturating_sub(quick.liveness.since).as_millis() as u32,
-                in_contact_ms: quick.liveness.steady(now).as_millis() as u32,
+                phase: quick.health.phase as u8,
+                age_ms: now.saturating_sub(quick.health.since).as_millis() as u32,
+                in_contact_ms: quick.health.steady(now).as_millis() as u32,
                 load_milli: quick.demand(now),
-                connection_refused: quick.liveness.was_refused(),
+                connection_refused: quick.health.was_refused(),
             })
         });
         sights.collect()
@@ -640,17 +640,17 @@
     /// Own zone first, then the region, then other services that may take it, then elsewhere
     /// within bounds; within a step the better of two by demand and requests in hand. What looks
     /// dead is tried only when nothing else is there.
-    pub fn choose(
+    pub fn select(
         &self,
         now: Duration,
         table: &RoutingTable,
         want: &SelectionContext<'_>,
         random: u64,
     ) -> Selection {
-        let setup = &table.setup;
+        let setup = &table.config;
         let rule = &setup.rules[want.rule];
         let own = &table.by_service[want.service];
-        let tells_slots = |index: &usize| table.entries[*index].server.concurrency > 0;
+        let tells_slots = |index: &usize| table.endpoints[*index].server.concurrency > 0;
         if rule.spillover.is_empty() && !own.is_empty() && own.iter().all(tells_slots) {
             return self.choose_by_slots(now, table, want, random);
         }
@@ -680,10 +680,10 @@
                 let mut best: Option<(u64, usize, u64)> = None;
                 let mut able: Vec<(usize, u64, u64)> = Vec::new();
                 for index in &table.by_service[*service] {
-                    let entry = &table.entries[*index];
+                    let entry = &table.endpoints[*index];
                     let may_serve = !entry.server.draining
                         && rule.allows_region(&entry.server.region)
-                        && !want.emptied.contains(&entry.server.zone)
+                        && !want.drained_zones.contains(&entry.server.zone)
                         && is_there(&entry.server)
                         && !want.tried.contains(&entry.slot);
                     if !may_serve {
@@ -691,7 +691,7 @@
                     }
                     let most = setup.services[*service].max_in_flight_per_server;
                     let score = self.with(entry.slot, |quick| {
-                        if let Some(next_at) = quick.liveness.next_at()
+                        if let Some(next_at) = quick.health.next_at()
                             && now < next_at
                         {
                             // One that this proxy has no part in is no hope for it.
@@ -700,26 +700,26 @@
                             }
                             return None;
                         }
-                        let is_suspect = quick.liveness.phase == Phase::Suspect;
+                        let is_suspect = quick.health.phase == Phase::Suspect;
                         let demand_milli = quick.demand(now);
-                        let is_full =
-                            quick.in_hand >= most || (demand_milli >= 1000 && !quick.is_stale(now));
+                        let is_full = quick.in_flight >= most
+                            || (demand_milli >= 1000 && !quick.is_stale(now));
                         if is_resort {
-                            if is_suspect && want.looks.is_some() {
+                            if is_suspect && want.only_alternative_for.is_some() {
                                 return None;
                             }
                             // Full ones before dead ones.
                             let dead = u64::from(is_suspect) << 40;
-                            let score = dead + quick.in_hand;
-                            return (quick.in_hand < most).then_some((score, quick.in_hand));
+                            let score = dead + quick.in_flight;
+                            return (quick.in_flight < most).then_some((score, quick.in_flight));
                         }
-                        let may_try = is_lookup && quick.in_hand == 0;
-                        let is_later = quick.liveness.phase == Phase::Unknown
-                            || quick.liveness.is_limping(now, may_try);
+                        let may_try = is_lookup && quick.in_flight == 0;
+                        let is_later = quick.health.phase == Phase::Unknown
+                            || quick.health.is_limping(now, may_try);
                         let is_usable =
                             !is_suspect && !is_full && is_later == (pass == Pass::Later);
-                        let score = (quick.in_hand + 1) * u64::from(100 + demand_milli);
-                        is_usable.then_some((score, quick.in_hand))
+                        let score = (quick.in_flight + 1) * u64::from(100 + demand_milli);
+                        is_usable.then_some((score, quick.in_flight))
                     });
                     if let Some(Some((score, in_hand))) = score {
                         able.push((*index, score, in_hand));
@@ -740,14 +740,16 @@
                 let Some((_, index, in_hand)) = best else { continue };
                 // Much is piled up here already, and what servers tell of that comes later: only if
                 // it is not far less further on.
-                let is_piled = in_hand >= PILED && want.looks.is_none();
+                let is_piled = in_hand >= PILED && want.only_alternative_for.is_none();
                 if is_piled || piled.is_some_and(|(least, ..)| in_hand >= least / PILED_TIMES) {
                     if piled.is_none_or(|(least, ..)| in_hand < least / PILED_TIMES) {
                         piled = Some((in_hand, index, *service));
                     }
                     continue;
                 }
-                if want.looks.is_some() || self.take(now, table, index, *service, false) {
+                if want.only_alternative_for.is_some()
+                    || self.take(now, table, index, *service, false)
+                {
                     return Selection::Server(index, *service);
                 }
             }
@@ -758,15 +760,16 @@
             }
             // Of equal ones the first, which is the nearest.
             if let Some((_, index, service)) = resorts.into_iter().min_by_key(|one| one.0)
-                && (want.looks.is_some() || self.take(now, table, index, service, true))
+                && (want.only_alternative_for.is_some()
+                    || self.take(now, table, index, service, true))
             {
                 return Selection::Server(index, service);
             }
-            if want.looks == Some(RetryReason::Slow) && pass == Pass::Later {
+            if want.only_alternative_for == Some(RetryReason::Slow) && pass == Pass::Later {
                 return Selection::None;
             }
             if pass == Pass::Later
-                && want.looks.is_none()
+                && want.only_alternative_for.is_none()
                 && let Some(cold_at) = cold_at
             {
                 // A cold server that may be asked soon is better than a dead one.
@@ -784,23 +787,23 @@
         want: &SelectionContext<'_>,
         random: u64,
     ) -> Selection {
-        let rule = &table.setup.rules[want.rule];
-        let class = &table.setup.classes[rule.class];
+        let rule = &table.config.rules[want.rule];
+        let class = &table.config.classes[rule.class];
         let is_lookup = class.idempotency == vanepath_config::model::Idempotency::Idempotent;
         let mut cold_at: Option<Duration> = None;
         // Well; not trusted with much; dead as far as is known.
         let mut tiers: [Vec<Candidate>; 3] = Default::default();
-        let service = &table.setup.services[want.service];
+        let service = &table.config.services[want.service];
         let job = self.job(&class.name, &service.name, class.bulk);
         let pools = self.pools.lock().expect("no panic under this lock");
         let usual = pools.usual_fill(now, &service.name);
         let opens_anyway = crate::load_balancing::opens_anyway(random);
         for index in &table.by_service[want.service] {
-            let entry = &table.entries[*index];
+            let entry = &table.endpoints[*index];
             let server = &entry.server;
             let may_serve = !server.draining
                 && rule.allows_region(&server.region)
-                && !want.emptied.contains(&server.zone)
+                && !want.drained_zones.contains(&server.zone)
                 && !want.tried.contains(&entry.slot);
             if !may_serve {
                 continue;
@@ -813,7 +816,7 @@
                 Distance::Far
             };
             let found = self.with(entry.slot, |quick| {
-                if let Some(next_at) = quick.liveness.next_at()
+                if let Some(next_at) = quick.health.next_at()
                     && now < next_at
                 {
                     if next_at < Duration::MAX {
@@ -821,11 +824,11 @@
                     }
                     return None;
                 }
-                let may_try = is_lookup && quick.in_hand == 0;
-                let tier = match quick.liveness.phase {
+                let may_try = is_lookup && quick.in_flight == 0;
+                let tier = match quick.health.phase {
                     Phase::Suspect => 2,
                     Phase::Unknown => 1,
-                    _ if quick.liveness.is_limping(now, may_try) => 1,
+                    _ if quick.health.is_limping(now, may_try) => 1,
                     _ => 0,
                 };
                 let is_own = distance == Distance::Zone && quick.is_own;
@@ -846,7 +849,7 @@
         }
         drop(pools);
         // A request that a server may have had goes on; one that is new can come back.
-        let may_be_late = match want.looks {
+        let may_be_late = match want.only_alternative_for {
             Some(need) => need == RetryReason::Lost,
             None => !want.tried.is_empty(),
         };
@@ -855,17 +858,17 @@
             let patience_ms = |calm| crate::load_balancing::patience_ms(aim, !is_lookup, calm);
             let mut usual = self.usual.lock().expect("no panic under this lock");
             let usual = usual.of(&class.name, &service.name, class.bulk);
-            if want.looks.is_none() {
+            if want.only_alternative_for.is_none() {
                 let limit_ms = patience_ms(0.0);
                 let mut all = tiers[0].iter().chain(&tiers[1]);
                 usual.looked(all.all(|one| one.is_too_crowded(&job, limit_ms)));
             }
             // What is late already takes free slots only: it would make others late in a queue.
-            if want.is_past_aim { 0.0 } else { patience_ms(usual.calm()) }
+            if want.is_past_target { 0.0 } else { patience_ms(usual.calm()) }
         });
         let mut is_crowded = false;
         for (tier, candidates) in tiers.iter_mut().enumerate() {
-            if tier == 2 && (want.looks.is_some() || is_crowded) {
+            if tier == 2 && (want.only_alternative_for.is_some() || is_crowded) {
                 break;
             }
             if let Some(limit_ms) = limit_ms {
@@ -877,14 +880,16 @@
                 let Some(index) = crate::load_balancing::choose(candidates, &job, random) else {
                     break;
                 };
-                if want.looks.is_some() || self.take(now, table, index, want.service, tier == 2) {
+                if want.only_alternative_for.is_some()
+                    || self.take(now, table, index, want.service, tier == 2)
+                {
                     return Selection::Server(index, want.service);
                 }
                 candidates.retain(|one| one.index != index);
             }
             if tier == 1
                 && let Some(cold_at) = cold_at
-                && want.looks.is_none()
+                && want.only_alternative_for.is_none()
                 && !is_crowded
             {
                 return Selection::Wait(cold_at);
@@ -902,12 +907,12 @@
         service: usize,
         is_resort: bool,
     ) -> bool {
-        let most = table.setup.services[service].max_in_flight_per_server;
-        let taken = self.with(table.entries[index].slot, |quick| {
-            let may = quick.in_hand < most && (quick.liveness.may_take(now) || is_resort);
+        let most = table.config.services[service].max_in_flight_per_server;
+        let taken = self.with(table.endpoints[index].slot, |quick| {
+            let may = quick.in_flight < most && (quick.health.may_take(now) || is_resort);
             if may {
-                quick.in_hand += 1;
-                quick.liveness.take(now);
+                quick.in_flight += 1;
+                quick.health.take(now);
             }
             may
         });
@@ -916,50 +921,50 @@
 
     /// The request goes out now, a connection and a greeting after it was counted: the next one of a
     /// cold server's follows that far behind.
-    pub fn sent(&self, now: Duration, slot: usize) {
+    pub fn record_sent(&self, now: Duration, slot: usize) {
         self.with(slot, |quick| {
-            quick.liveness.take(now);
-            if quick.in_hand <= 1 {
+            quick.health.take(now);
+            if quick.in_flight <= 1 {
                 quick.owes_since = now;
             }
         });
     }
 
     /// What a request that was sent at that time, and has no answer yet, would need a further go for.
-    pub fn need(&self, slot: usize, sent_at: Duration) -> RetryReason {
+    pub fn retry_reason(&self, slot: usize, sent_at: Duration) -> RetryReason {
         let answers_others = self.with(slot, |quick| quick.answered_at > sent_at);
         if answers_others == Some(true) { RetryReason::Slow } else { RetryReason::Lost }
     }
 
     /// The same once it missed. Only silence may be slowness; of every other miss nothing comes any more.
-    pub fn need_after(
+    pub fn retry_reason_after(
         &self,
         miss: crate::lifecycle::AttemptError,
         slot: usize,
         sent_at: Duration,
     ) -> RetryReason {
         match miss {
-            crate::lifecycle::AttemptError::Silent => self.need(slot, sent_at),
+            crate::lifecycle::AttemptError::Silent => self.retry_reason(slot, sent_at),
             _ => RetryReason::Lost,
         }
     }
 
     /// Whether there is another server for a request of this need.
-    pub fn has_other(
+    pub fn has_alternative(
         &self,
         now: Duration,
         table: &RoutingTable,
         want: &SelectionContext<'_>,
         need: RetryReason,
     ) -> bool {
-        let want = SelectionContext { looks: Some(need), ..*want };
-        matches!(self.choose(now, table, &want, 0), Selection::Server(..))
+        let want = SelectionContext { only_alternative_for: Some(need), ..*want };
+        matches!(self.select(now, table, &want, 0), Selection::Server(..))
     }
 
     /// Whether a lookup leaves a server that has had it for long, where there is another one: for that,
     /// if `may_go` says that it is within the budget, or back to its caller, if it waits in vain as far as is
     /// known, since nobody had an answer meanwhile and the server looks dead.
-    pub fn leaves(
+    pub fn should_switch(
         &self,
         now: Duration,
         table: &RoutingTable,
@@ -967,10 +972,10 @@
         (slot, sent_at): (usize, Duration),
         may_go: impl FnOnce(RetryReason) -> bool,
     ) -> bool {
-        let need = self.need(slot, sent_at);
-        let is_suspect = self.with(slot, |quick| quick.liveness.phase == Phase::Suspect);
+        let need = self.retry_reason(slot, sent_at);
+        let is_suspect = self.with(slot, |quick| quick.health.phase == Phase::Suspect);
         let is_in_vain = is_suspect != Some(false) && need == RetryReason::Lost;
-        self.has_other(now, table, want, need) && (is_in_vain || may_go(need))
+        self.has_alternative(now, table, want, need) && (is_in_vain || may_go(need))
     }
 
     /// Whether a server that was chosen from an earlier table is not to be used any more by the newest one:
@@ -978,7 +983,7 @@
     pub fn is_withdrawn(
         &self,
         chosen_from: &RoutingTable,
-        entry: &Entry,
+        entry: &Endpoint,
         emptied: &std::collections::BTreeSet<String>,
     ) -> bool {
         if emptied.contains(&entry.server.zone) {
@@ -988,12 +993,12 @@
         if newest.revision == chosen_from.revision {
             return false;
         }
-        let now = newest.entries.iter().find(|one| one.slot == entry.slot);
+        let now = newest.endpoints.iter().find(|one| one.slot == entry.slot);
         now.is_none_or(|one| one.server.draining)
     }
 
     pub fn release(&self, slot: usize) {
-        self.with(slot, |quick| quick.in_hand -= 1);
+        self.with(slot, |quick| quick.in_flight -= 1);
     }
 
     /// A resting connection that is fit for use, the last used first.
@@ -1008,7 +1013,7 @@
             let found = quick
                 .idle
                 .iter()
-                .rposition(|idle| now >= idle.quiet_since + QUIET && is_usable(idle))?;
+                .rposition(|idle| now >= idle.idle_since + SETTLE_TIME && is_usable(idle))?;
             Some(quick.idle.remove(found))
         })?
     }
@@ -1025,7 +1030,7 @@
     /// Bytes came that nobody had asked for. A second reply that comes later still, while the next
     /// request is under way on that connection, could not be told from that one's: there is no next
     /// one from now on. Whether that is new.
-    pub fn untidy(&self, slot: usize) -> bool {
+    pub fn mark_desynchronized(&self, slot: usize) -> bool {
         let is_new = self.with(slot, |quick| {
             quick.idle.retain(|idle| !idle.is_used);
             !std::mem::replace(&mut quick.is_untidy, true)
@@ -1033,24 +1038,24 @@
         is_new == Some(true)
     }
 
-    pub fn is_untidy(&self, slot: usize) -> bool {
+    pub fn is_desynchronized(&self, slot: usize) -> bool {
         self.with(slot, |quick| quick.is_untidy) == Some(true)
     }
 
-    pub fn good(&self, now: Duration, slot: usize) -> Option<Phase> {
-        self.moved(slot, |liveness| liveness.good(now))
+    pub fn record_success(&self, now: Duration, slot: usize) -> Option<Phase> {
+        self.update_health(slot, |liveness| liveness.good(now))
     }
 
     /// After a failure; connections that rest are not trusted any more if nobody is there.
-    pub fn bad(&self, now: Duration, slot: usize, failure: Failure) -> Option<Phase> {
+    pub fn record_failure(&self, now: Duration, slot: usize, failure: Failure) -> Option<Phase> {
         if failure == Failure::Refused {
             self.with(slot, |quick| quick.idle.clear());
         }
-        self.moved(slot, |liveness| liveness.bad(now, failure))
+        self.update_health(slot, |liveness| liveness.bad(now, failure))
     }
 
     /// What became of a request that this server was given: what it says of the server.
-    pub fn worked(
+    pub fn record_outcome(
         &self,
         now: Duration,
         slot: usize,
@@ -1058,13 +1063,13 @@
     ) -> Option<Phase> {
         use crate::lifecycle::AttemptError;
         let phase = match outcome {
-            Ok(()) => self.good(now, slot),
-            Err(AttemptError::Truncated) => self.bad(now, slot, Failure::Unwell),
+            Ok(()) => self.record_success(now, slot),
+            Err(AttemptError::Truncated) => self.record_failure(now, slot, Failure::Unwell),
             Err(
                 AttemptError::NotSent | AttemptError::LostAfterSend | AttemptError::Misanswered,
-            ) => self.bad(now, slot, Failure::Broken),
+            ) => self.record_failure(now, slot, Failure::Broken),
             // No proof against it: it may just have much to do. A probe will tell.
-            Err(AttemptError::Silent) => self.moved(slot, ServerHealth::doubt),
+            Err(AttemptError::Silent) => self.update_health(slot, ServerHealth::doubt),
             Err(
                 AttemptError::NotConnected | AttemptError::Withdrawn | AttemptError::TurnedAway,
             ) => None,
@@ -1074,7 +1079,7 @@
             match outcome {
                 Ok(()) => {
                     quick.answered_at = now;
-                    quick.liveness.worked(now, true);
+                    quick.health.worked(now, true);
                 }
                 Err(AttemptError::Silent) if is_busy => {}
                 Err(
@@ -1083,7 +1088,7 @@
                     | AttemptError::LostAfterSend
                     | AttemptError::Misanswered,
                 ) => {
-                    quick.liveness.worked(now, false);
+                    quick.health.worked(now, false);
                 }
                 Err(
                     AttemptError::NotSent
@@ -1097,21 +1102,21 @@
     }
 
     /// Acts on the liveness; tells the new phase where it changed.
-    pub fn moved(&self, slot: usize, act: impl FnOnce(&mut ServerHealth)) -> Option<Phase> {
+    pub fn update_health(&self, slot: usize, act: impl FnOnce(&mut ServerHealth)) -> Option<Phase> {
         self.with(slot, |quick| {
-            let before = quick.liveness.phase;
-            act(&mut quick.liveness);
-            (quick.liveness.phase != before).then_some(quick.liveness.phase)
+            let before = quick.health.phase;
+            act(&mut quick.health);
+            (quick.health.phase != before).then_some(quick.health.phase)
         })?
     }
 
-    pub fn told(&self, now: Duration, slot: usize, demand_milli: u32) {
+    pub fn observe_load(&self, now: Duration, slot: usize, demand_milli: u32) {
         let others = self.with(slot, |quick| {
             // It tells this while the answer's own request still counts as in hand here.
             let told = f64::from(demand_milli) * f64::from(quick.slots) / 1000.0;
-            let own = quick.in_hand.saturating_sub(1) as f64;
+            let own = quick.in_flight.saturating_sub(1) as f64;
             quick.others += OTHERS_PART * ((told - own).max(0.0) - quick.others);
-            quick.demand_milli = demand_milli;
+            quick.load_milli = demand_milli;
             quick.demand_at = now;
             quick.owes_since = now;
             (quick.pool, (told - own).max(0.0) / f64::from(quick.slots.max(1)))
@@ -1174,7 +1179,7 @@
             usual.answered(took_ms, kilobytes);
             usual.job().work_ms
         };
-        self.with(slot, |quick| quick.pace.answered(now, took_ms / work_ms));
+        self.with(slot, |quick| quick.relative_latency.answered(now, took_ms / work_ms));
     }
 }
 
@@ -1194,25 +1199,25 @@
     /// What it told of its demand is old, and nothing of ours is there to tell more: one request
     /// will find out.
     fn is_stale(&self, now: Duration) -> bool {
-        self.in_hand == 0 && now.saturating_sub(self.demand_at) > FULL_HOLDS
+        self.in_flight == 0 && now.saturating_sub(self.demand_at) > FULL_HOLDS
     }
 
     /// How slow it is: by its answers, or by those that it owes.
     fn pace(&self, now: Duration, load: f64, work_ms: f64, way_ms: f64) -> f64 {
-        if self.in_hand == 0 {
-            return self.pace.times(now);
+        if self.in_flight == 0 {
+            return self.relative_latency.times(now);
         }
         let owed_ms = now.saturating_sub(self.owes_since).as_secs_f64() * 1000.0 - way_ms;
         let usual_ms =
             work_ms * crate::load_balancing::lateness(load, f64::from(self.slots.max(1)));
-        self.pace.times_owing(now, owed_ms / usual_ms)
+        self.relative_latency.times_owing(now, owed_ms / usual_ms)
     }
 
     /// Whether a connection rests here that this request could use.
     fn is_connected(&self, now: Duration, is_once: bool) -> bool {
         self.idle.iter().any(|idle| {
             let is_kept = if is_once { idle.is_kept_for_once(now) } else { idle.is_kept(now) };
-            idle.rested(now) >= QUIET && is_kept
+            idle.rested(now) >= SETTLE_TIME && is_kept
         })
     }
 
@@ -1221,7 +1226,7 @@
     fn load(&self, now: Duration, distance: Distance, usual: f64) -> f64 {
         let fresh = self.freshness(now);
         let unknown = if distance == Distance::Own { 0.0 } else { usual };
-        self.in_hand as f64 + fresh * self.others + (1.0 - fresh) * unknown
+        self.in_flight as f64 + fresh * self.others + (1.0 - fresh) * unknown
     }
 
     /// How much what it told last counts still, from 1 to 0.
@@ -1232,8 +1237,8 @@
 
     pub fn demand(&self, now: Duration) -> u32 {
         // A server that owes replies and sends none has not become idle.
-        let holds = self.in_hand > 0 || now.saturating_sub(self.demand_at) < DEMAND_HOLDS;
-        if holds { self.demand_milli } else { 0 }
+        let holds = self.in_flight > 0 || now.saturating_sub(self.demand_at) < DEMAND_HOLDS;
+        if holds { self.load_milli } else { 0 }
     }
 }
 
--- a/proxy/src/endpoints/tests.rs
+++ b/proxy/src/endpoints/tests.rs
@@ -44,9 +44,9 @@
 fn case() -> Case {
     let servers: Endpoints<()> = Endpoints::default();
     let setup = setup();
-    servers.adopt(Duration::ZERO, (1, 1), &setup, &list(), |_, _| SlowStartRate::default());
-    for entry in &servers.table.load().entries {
-        servers.good(Duration::ZERO, entry.slot);
+    servers.update(Duration::ZERO, (1, 1), &setup, &list(), |_, _| SlowStartRate::default());
+    for entry in &servers.table.load().endpoints {
+        servers.record_success(Duration::ZERO, entry.slot);
     }
     Case { servers, setup, emptied: Default::default() }
 }
@@ -58,19 +58,19 @@
 
     fn look(&self, rule: usize, now_s: u64, looks: Option<RetryReason>) -> String {
         let table = self.servers.table.load_full();
-        let service = table.setup.rules[rule].service;
+        let service = table.config.rules[rule].service;
         let want = SelectionContext {
             rule,
             service,
-            emptied: &self.emptied,
+            drained_zones: &self.emptied,
             zone: "a1",
             region: "a",
             tried: &[],
-            looks,
-            is_past_aim: false,
+            only_alternative_for: looks,
+            is_past_target: false,
         };
-        match self.servers.choose(Duration::from_secs(now_s), &table, &want, 5) {
-            Selection::Server(index, _) => table.entries[index].server.id.clone(),
+        match self.servers.select(Duration::from_secs(now_s), &table, &want, 5) {
+            Selection::Server(index, _) => table.endpoints[index].server.id.clone(),
             Selection::Wait(at) => format!("wait until {:.1} s", at.as_secs_f64()),
             Selection::Crowded => "crowded".to_string(),
             Selection::None => "none".to_string(),
@@ -84,22 +84,23 @@
         let slot = self.slot(id);
         let want = SelectionContext {
             rule: 1,
-            service: table.setup.rules[1].service,
-            emptied: &self.emptied,
+            service: table.config.rules[1].service,
+            drained_zones: &self.emptied,
             zone: "a1",
             region: "a",
             tried: &[slot],
-            looks: None,
-            is_past_aim: false,
+            only_alternative_for: None,
+            is_past_target: false,
         };
         let sent_at = Duration::from_secs(sent_s);
-        let leaves = |may| self.servers.leaves(sent_at, &table, &want, (slot, sent_at), |_| may);
+        let leaves =
+            |may| self.servers.should_switch(sent_at, &table, &want, (slot, sent_at), |_| may);
         (leaves(true), leaves(false))
     }
 
     fn slot(&self, id: &str) -> usize {
         let table = self.servers.table.load();
-        table.entries.iter().find(|entry| entry.server.id == id).unwrap().slot
+        table.endpoints.iter().find(|entry| entry.server.id == id).unwrap().slot
     }
 }
 
@@ -123,7 +124,7 @@
     assert_eq!(case.pick(0, 0), "none");
     case.emptied.clear();
     for id in ["s-a1", "s-a2", "s-b1", "t-a1", "t-b1"] {
-        case.servers.bad(Duration::ZERO, case.slot(id), Failure::Refused);
+        case.servers.record_failure(Duration::ZERO, case.slot(id), Failure::Refused);
     }
     assert_eq!(case.pick(1, 0), "s-a1", "a lookup tries one rather than drop");
     let mut leaving = list();
@@ -131,7 +132,7 @@
         server.draining = true;
     }
     let now = Duration::ZERO;
-    case.servers.adopt(now, (1, 2), &case.setup, &leaving, |_, _| SlowStartRate::default());
+    case.servers.update(now, (1, 2), &case.setup, &leaving, |_, _| SlowStartRate::default());
     assert_eq!(case.pick(1, 0), "none");
 }
 
@@ -141,7 +142,7 @@
 fn when_all_are_full_the_queue_is_spread_and_old_news_is_tried() {
     let case = case();
     for id in ["s-a1", "s-a2", "s-b1", "t-a1", "t-b1"] {
-        case.servers.told(Duration::from_secs(10), case.slot(id), 1500);
+        case.servers.observe_load(Duration::from_secs(10), case.slot(id), 1500);
     }
     let order: Vec<String> = (0..5).map(|_| case.pick(1, 10)).collect();
     let mut sorted = order.clone();
@@ -160,7 +161,7 @@
     let mut case = case();
     let text = SETUP.replace(r#""serverRoom": 2"#, r#""serverRoom": 100"#);
     let setup = std::sync::Arc::new(vanepath_config::model::parse(text.as_bytes()).unwrap());
-    case.servers.adopt(Duration::ZERO, (1, 1), &setup, &list(), |_, _| SlowStartRate::default());
+    case.servers.update(Duration::ZERO, (1, 1), &setup, &list(), |_, _| SlowStartRate::default());
     case.setup = setup;
     let mut counts = std::collections::BTreeMap::<String, u32>::new();
     for _ in 0..16 {
@@ -181,18 +182,18 @@
     let servers: Endpoints<()> = Endpoints::default();
     let ms = Duration::from_millis;
     let case = Case { servers, setup: setup(), emptied: Default::default() };
-    case.servers.adopt(ms(1000), (1, 1), &case.setup, &list(), |_, _| SlowStartRate::default());
-    assert!(!case.servers.is_fit(ms(1000), true, (1, 1)));
+    case.servers.update(ms(1000), (1, 1), &case.setup, &list(), |_, _| SlowStartRate::default());
+    assert!(!case.servers.is_ready(ms(1000), true, (1, 1)));
     for id in ["s-b1", "t-a1", "t-b1"] {
-        case.servers.good(ms(1010), case.slot(id));
+        case.servers.record_success(ms(1010), case.slot(id));
     }
-    assert!(!case.servers.is_fit(ms(1299), true, (1, 1)), "two may still reply");
-    let is_fit = |is_fresh, revision| case.servers.is_fit(ms(1300), is_fresh, revision);
+    assert!(!case.servers.is_ready(ms(1299), true, (1, 1)), "two may still reply");
+    let is_fit = |is_fresh, revision| case.servers.is_ready(ms(1300), is_fresh, revision);
     assert!(is_fit(true, (1, 1)));
     assert!(!is_fit(false, (1, 1)) && !is_fit(true, (1, 2)) && !is_fit(true, (2, 1)));
     assert_eq!([case.pick(1, 2), case.pick(0, 2)], ["t-a1", "s-b1"].map(String::from));
     for id in ["s-b1", "t-a1", "t-b1"] {
-        case.servers.bad(Duration::from_secs(2), case.slot(id), Failure::Refused);
+        case.servers.record_failure(Duration::from_secs(2), case.slot(id), Failure::Refused);
     }
     assert_eq!(case.pick(1, 2), "s-a1", "better than what is dead");
 }
@@ -205,13 +206,15 @@
     let no_part = |_: &vanepath_config::endpoint_list::Server, _: &[usize]| {
         SlowStartRate::of(1.0, Duration::from_secs(10), 1, 2)
     };
-    case.servers.adopt(Duration::ZERO, (1, 1), &case.setup, &list(), no_part);
-    for entry in &case.servers.table.load().entries {
-        case.servers.good(Duration::ZERO, entry.slot);
+    case.servers.update(Duration::ZERO, (1, 1), &case.setup, &list(), no_part);
+    for entry in &case.servers.table.load().endpoints {
+        case.servers.record_success(Duration::ZERO, entry.slot);
     }
-    case.servers.moved(case.slot("s-a1"), |live| live.chill(Duration::ZERO, Duration::ZERO));
+    case.servers.update_health(case.slot("s-a1"), |live| {
+        live.restart_slow_start(Duration::ZERO, Duration::ZERO)
+    });
     for id in ["s-a2", "s-b1", "t-a1", "t-b1"] {
-        case.servers.bad(Duration::ZERO, case.slot(id), Failure::Refused);
+        case.servers.record_failure(Duration::ZERO, case.slot(id), Failure::Refused);
     }
     assert_eq!(case.pick(1, 0), "s-a2");
     assert_eq!(case.pick(0, 0), "s-b1");
@@ -227,7 +230,7 @@
     let rate = |_: &vanepath_config::endpoint_list::Server, _: &[usize]| {
         SlowStartRate::of(2.0, Duration::from_secs(10), 0, 1)
     };
-    case.servers.adopt(Duration::from_secs(1), (1, 2), &case.setup, &moved, rate);
+    case.servers.update(Duration::from_secs(1), (1, 2), &case.setup, &moved, rate);
     assert_ne!(case.slot("s-b1"), before);
     assert_eq!(case.pick(0, 1), "wait until 1.5 s");
     assert_eq!(case.pick(0, 2), "s-b1");
@@ -244,23 +247,23 @@
     let now = Duration::from_secs;
     let own = case.slot("s-b1");
     for id in ["s-a1", "s-a2", "t-a1", "t-b1", "s-b1"] {
-        case.servers.told(now(10), case.slot(id), 1500);
+        case.servers.observe_load(now(10), case.slot(id), 1500);
     }
-    assert_eq!(case.servers.need(own, now(10)), RetryReason::Lost);
-    case.servers.worked(now(9), own, Ok(()));
-    assert_eq!(case.servers.need(own, now(10)), RetryReason::Lost, "that was before");
+    assert_eq!(case.servers.retry_reason(own, now(10)), RetryReason::Lost);
+    case.servers.record_outcome(now(9), own, Ok(()));
+    assert_eq!(case.servers.retry_reason(own, now(10)), RetryReason::Lost, "that was before");
     assert_eq!(case.look(1, 10, Some(RetryReason::Slow)), "none");
     assert_eq!(case.look(1, 10, Some(RetryReason::Lost)), "s-a1");
     assert_eq!(case.leaves("s-b1", 10), (true, false), "it may still answer");
     for id in ["s-a1", "s-a2", "t-a1", "t-b1", "s-b1"] {
-        case.servers.bad(now(10), case.slot(id), Failure::Refused);
+        case.servers.record_failure(now(10), case.slot(id), Failure::Refused);
     }
     assert_eq!(case.look(1, 10, Some(RetryReason::Lost)), "none");
     assert_eq!(case.leaves("s-b1", 10), (false, false), "nowhere else is better");
-    case.servers.moved(case.slot("s-a1"), |live| live.trust(now(10)));
+    case.servers.update_health(case.slot("s-a1"), |live| live.trust(now(10)));
     assert_eq!(case.leaves("s-b1", 10), (true, true), "in vain");
-    case.servers.worked(now(11), own, Ok(()));
-    assert_eq!(case.servers.need(own, now(10)), RetryReason::Slow);
+    case.servers.record_outcome(now(11), own, Ok(()));
+    assert_eq!(case.servers.retry_reason(own, now(10)), RetryReason::Slow);
     assert!(!case.leaves("s-b1", 10).1);
 }
 
@@ -270,7 +273,7 @@
 fn a_server_that_is_withdrawn_while_its_connection_comes_up_gets_nothing() {
     let case = case();
     let chosen_from = case.servers.table.load_full();
-    let entry = chosen_from.entries[1].clone();
+    let entry = chosen_from.endpoints[1].clone();
     let is_withdrawn = |emptied: &std::collections::BTreeSet<String>| {
         case.servers.is_withdrawn(&chosen_from, &entry, emptied)
     };
@@ -282,7 +285,7 @@
             change(&mut list);
             let now = Duration::from_secs(1);
             case.servers
-                .adopt(now, (1, revision), &case.setup, &list, |_, _| SlowStartRate::default());
+                .update(now, (1, revision), &case.setup, &list, |_, _| SlowStartRate::default());
         };
     adopt(2, &|list| list.servers[0].draining = true);
     assert!(!is_withdrawn(&case.emptied), "it is another one that leaves");
--- a/proxy/src/forward.rs
+++ b/proxy/src/forward.rs
@@ -156,14 +156,14 @@
     }
 
     pub fn note_bad(&self, slot: usize, id: &str, failure: Failure) {
-        if let Some(phase) = self.servers.bad(self.now(), slot, failure) {
+        if let Some(phase) = self.servers.record_failure(self.now(), slot, failure) {
             self.is_news.store(true, Ordering::Relaxed);
             log::info!("server {id} is {phase}: {failure:?}");
         }
     }
 
     pub fn note_good(&self, slot: usize, id: &str) {
-        if let Some(phase) = self.servers.good(self.now(), slot) {
+        if let Some(phase) = self.servers.record_success(self.now(), slot) {
             self.is_news.store(true, Ordering::Relaxed);
             log::info!("server {id} is {phase}");
         }
@@ -174,7 +174,7 @@
         let (proxy, id) = (self.clone(), id.to_string());
         move || {
             proxy.tally.increment(Counter::SurplusBytes);
-            if proxy.servers.untidy(slot) {
+            if proxy.servers.mark_desynchronized(slot) {
                 log::info!(
                     "server {id} sent surplus bytes: one request to a connection from now on"
                 );
@@ -184,7 +184,7 @@
 
     /// What became of a request that a server was given.
     fn note_worked(&self, slot: usize, id: &str, outcome: Result<(), AttemptError>) {
-        if let Some(phase) = self.servers.worked(self.now(), slot, outcome) {
+        if let Some(phase) = self.servers.record_outcome(self.now(), slot, outcome) {
             self.is_news.store(true, Ordering::Relaxed);
             match outcome {
                 Ok(()) => log::info!("server {id} is {phase}"),
@@ -262,7 +262,7 @@
     let mut receipt = match outcome {
         Ok(receipt) => receipt,
         Err(refusal) => {
-            let verdict = chart.verdict();
+            let verdict = chart.execution_status();
             refuse(&proxy, refusal, verdict, &more)
         }
     };
@@ -364,16 +364,16 @@
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str()).to_string();
     let method = head.method.clone();
     let mut rule = matched(proxy, &table, method.as_str(), &host, &path, more)?;
-    let class = table.setup.classes[table.setup.rules[rule].class].clone();
+    let class = table.config.classes[table.config.rules[rule].class].clone();
     chart.state = RequestState::Matched;
-    chart.kind = class.idempotency;
+    chart.idempotency = class.idempotency;
     proxy
         .request_counts
         .lock()
         .expect("no panic under this lock")
-        .took(table.setup.rules[rule].service);
-    let limit = table.setup.rules[rule].deadline.unwrap_or(class.deadline);
-    chart.sends_most = table.setup.rules[rule].max_attempts;
+        .took(table.config.rules[rule].service);
+    let limit = table.config.rules[rule].deadline.unwrap_or(class.deadline);
+    chart.max_sends = table.config.rules[rule].max_attempts;
     let own_limit = head
         .headers
         .get(proxy.daemon.settings.wire_format.headers().deadline)
@@ -382,7 +382,7 @@
     let deadline = received_at + limit.min(own_limit);
     more.left = limit.min(own_limit);
     let is_past_aim = {
-        let facts = &table.setup.rules[rule];
+        let facts = &table.config.rules[rule];
         let mut longest = proxy.longest.lock().expect("no panic under this lock");
         longest.is_past_aim(received_at, &facts.name, own_limit, facts.latency_target)
     };
@@ -394,8 +394,8 @@
 
     chart.state = RequestState::Queued;
     let held = enter(proxy, &class.name, deadline).await?;
-    let drawn = table.setup.rules[rule].pick_service(proxy.random());
-    let drawn = table.setup.services[drawn].name.clone();
+    let drawn = table.config.rules[rule].pick_service(proxy.random());
+    let drawn = table.config.services[drawn].name.clone();
     proxy.budget.lock().expect("no panic under this lock").took(proxy.now(), &drawn);
 
     let until_late = || tokio::time::Instant::now() + deadline.saturating_sub(proxy.now());
@@ -410,14 +410,14 @@
     let mut held = Some(held);
     loop {
         chart.state = RequestState::Choosing;
-        if chart.goes > 0 {
+        if chart.attempts > 0 {
             // It may have stood still since the first go.
             let ready = await_ready(proxy, proxy.now());
             tokio::time::timeout_at(until_late(), ready).await.map_err(|_| Rejection::Late)??;
         }
         let (index, service) = loop {
             let latest = proxy.servers.table.load_full();
-            if !Arc::ptr_eq(&latest.setup, &table.setup) {
+            if !Arc::ptr_eq(&latest.config, &table.config) {
                 // Another setup is in force: the request goes by it from here on.
                 rule = matched(proxy, &latest, method.as_str(), &host, &path, more)?;
             }
@@ -429,12 +429,12 @@
                 break found;
             }
         };
-        let entry = &table.entries[index];
+        let entry = &table.endpoints[index];
         tried.push(entry.slot);
-        chart.goes += 1;
+        chart.attempts += 1;
         let in_hand = InHand { proxy: proxy.clone(), slot: entry.slot };
         proxy.tally.increment(Counter::Goes);
-        if chart.goes > 1 {
+        if chart.attempts > 1 {
             proxy.tally.increment(Counter::FurtherGoes);
         }
         let is_other_zone = entry.server.zone != proxy.daemon.settings.zone;
@@ -447,7 +447,7 @@
         let go = Go {
             proxy,
             entry,
-            service: &table.setup.services[service],
+            service: &table.config.services[service],
             deadline,
             is_other_zone,
             table: &table,
@@ -460,13 +460,13 @@
         proxy.note_worked(entry.slot, &entry.server.id, worked);
         let miss = match outcome {
             Ok(reply) => {
-                let may_repeat = chart.kind == Idempotency::Idempotent
+                let may_repeat = chart.idempotency == Idempotency::Idempotent
                     && chart.is_replayable
                     && reply.head.status.is_server_error()
-                    && chart.may_go_on();
+                    && chart.may_retry();
                 // A server that is busy or failed did not serve the lookup; another one may.
                 if may_repeat && go.has_other() && may_go(proxy, &drawn, RetryReason::Lost) {
-                    chart.may_sent = true;
+                    chart.may_have_run = true;
                     continue;
                 }
                 chart.state = RequestState::Answering;
@@ -478,10 +478,10 @@
         };
         drop(in_hand);
         let is_late = proxy.now() >= deadline;
-        let need = proxy.servers.need_after(miss, entry.slot, chart.sent_at);
+        let need = proxy.servers.retry_reason_after(miss, entry.slot, chart.sent_at);
         let may_go = || may_go(proxy, &drawn, need);
-        if let AfterFailure::End(refusal) = chart.missed(miss, is_late, may_go) {
-            more.detail = format!("{miss} after {} goes", chart.goes);
+        if let AfterFailure::Reject(refusal) = chart.attempt_failed(miss, is_late, may_go) {
+            more.detail = format!("{miss} after {} goes", chart.attempts);
             return Err(refusal);
         }
     }
@@ -490,14 +490,14 @@
 fn may_go(proxy: &Proxy, service: &str, need: RetryReason) -> bool {
     let live = proxy.live_proxies.load(Ordering::Relaxed);
     let mut budgets = proxy.budget.lock().expect("no panic under this lock");
-    budgets.take_go(proxy.now(), service, live, need)
+    budgets.try_take(proxy.now(), service, live, need)
 }
 
 /// The drawn service in the setup in force, or what the rule has by now.
 fn service_of(table: &crate::endpoints::RoutingTable, rule: usize, drawn: &str) -> usize {
-    let facts = &table.setup.rules[rule];
+    let facts = &table.config.rules[rule];
     let split = facts.weighted_services.iter().map(|one| one.0);
-    let mut allowed = split.filter(|index| table.setup.services[*index].name == drawn);
+    let mut allowed = split.filter(|index| table.config.services[*index].name == drawn);
     allowed.next().unwrap_or(facts.service)
 }
 
@@ -514,8 +514,8 @@
     let host = std::str::from_utf8(&host.1).ok()?;
     let host = host.split(':').next().unwrap_or(host);
     let table = proxy.servers.table.load();
-    let rule = table.setup.rule_for(&head.method, host, &head.target)?;
-    let class = &table.setup.classes[table.setup.rules[rule].class];
+    let rule = table.config.rule_for(&head.method, host, &head.target)?;
+    let class = &table.config.classes[table.config.rules[rule].class];
     if class.idempotency != Idempotency::Idempotent {
         return None;
     }
@@ -568,7 +568,7 @@
     let is_fit = || {
         let view = proxy.daemon.table.load();
         proxy.daemon.is_awake()
-            && proxy.servers.is_fit(
+            && proxy.servers.is_ready(
                 proxy.now(),
                 view.is_fresh,
                 crate::endpoints::revision_of(&view),
@@ -594,7 +594,7 @@
             "address": card.address.to_string(),
         }
     };
-    crate::endpoints::carriers(view, rule).map(place).collect()
+    crate::endpoints::eligible_proxies(view, rule).map(place).collect()
 }
 
 async fn enter(proxy: &Arc<Proxy>, class: &str, deadline: Duration) -> Result<Held, Rejection> {
@@ -711,8 +711,8 @@
     path: &str,
     more: &mut More,
 ) -> Result<usize, Rejection> {
-    let rule = table.setup.rule_for(method, host, path).ok_or(Rejection::Unmatched)?;
-    let facts = &table.setup.rules[rule];
+    let rule = table.config.rule_for(method, host, path).ok_or(Rejection::Unmatched)?;
+    let facts = &table.config.rules[rule];
     if !facts.may_forward_from(&proxy.daemon.settings.region) {
         more.places = places_for(&proxy.daemon.table.load(), facts);
         return Err(Rejection::Misplaced);
@@ -741,14 +741,14 @@
         let want = SelectionContext {
             rule,
             service,
-            emptied: &latest.committed.drained_zones,
+            drained_zones: &latest.committed.drained_zones,
             zone: &proxy.daemon.settings.zone,
             region: &proxy.daemon.settings.region,
             tried,
-            looks: None,
-            is_past_aim,
+            only_alternative_for: None,
+            is_past_target: is_past_aim,
         };
-        proxy.servers.choose(now, table, &want, proxy.random())
+        proxy.servers.select(now, table, &want, proxy.random())
     };
     match choice {
         Selection::Server(index, service) => Ok(Some((index, service))),
@@ -777,7 +777,7 @@
 
 struct Go<'g> {
     proxy: &'g Arc<Proxy>,
-    entry: &'g crate::endpoints::Entry,
+    entry: &'g crate::endpoints::Endpoint,
     service: &'g vanepath_config::model::Service,
     deadline: Duration,
     is_other_zone: bool,
@@ -800,17 +800,17 @@
         let want = SelectionContext {
             rule: self.rule,
             service: service_of(self.table, self.rule, self.drawn),
-            emptied: &latest.committed.drained_zones,
+            drained_zones: &latest.committed.drained_zones,
             zone: &proxy.daemon.settings.zone,
             region: &proxy.daemon.settings.region,
             tried: self.tried,
-            looks: None,
-            is_past_aim: false,
+            only_alternative_for: None,
+            is_past_target: false,
         };
         let live = proxy.live_proxies.load(Ordering::Relaxed);
         let may_go = |need| {
             let mut budgets = proxy.budget.lock().expect("no panic under this lock");
-            budgets.may_go(now, self.drawn, live, need)
+            budgets.would_allow(now, self.drawn, live, need)
         };
         ask(now, &want, &may_go)
     }
@@ -819,7 +819,8 @@
     fn has_other(&self) -> bool {
         let servers = &self.proxy.servers;
         self.look(|now, want, may_go| {
-            servers.has_other(now, self.table, want, RetryReason::Lost) && may_go(RetryReason::Lost)
+            servers.has_alternative(now, self.table, want, RetryReason::Lost)
+                && may_go(RetryReason::Lost)
         })
     }
 
@@ -827,7 +828,7 @@
     fn leaves(&self, sent_at: Duration) -> bool {
         let servers = &self.proxy.servers;
         let had = (self.entry.slot, sent_at);
-        self.look(|now, want, may_go| servers.leaves(now, self.table, want, had, may_go))
+        self.look(|now, want, may_go| servers.should_switch(now, self.table, want, had, may_go))
     }
 
     /// Whether the server must not get the request any more, by what is known now, or may not: a connection may
@@ -852,7 +853,7 @@
         let left = self.deadline.saturating_sub(self.proxy.now());
         let until = tokio::time::Instant::now() + left;
         chart.state = RequestState::Connecting;
-        let connected = tokio::time::timeout_at(until, self.connection(chart.kind)).await;
+        let connected = tokio::time::timeout_at(until, self.connection(chart.idempotency)).await;
         let (mut sender, greeted_at) = connected.unwrap_or(Err(AttemptError::NotConnected))?;
         chart.state = RequestState::Greeted;
         if self.is_withdrawn() {
@@ -876,7 +877,7 @@
         chart.sends += 1;
         let sent_at = self.proxy.now();
         chart.sent_at = sent_at;
-        self.proxy.servers.sent(sent_at, self.entry.slot);
+        self.proxy.servers.record_sent(sent_at, self.entry.slot);
         let lateness = self.proxy.servers.lateness(sent_at, self.entry.slot);
         let sent = {
             let sending = sender.try_send_request(request);
@@ -884,7 +885,7 @@
             loop {
                 // A lookup leaves a slow server in time for another one, as soon as there is one.
                 let left = self.deadline.saturating_sub(self.proxy.now());
-                let pause = chart.leave_after(left);
+                let pause = chart.switch_after(left);
                 let at = pause.map_or(until, |pause| tokio::time::Instant::now() + pause);
                 match tokio::time::timeout_at(at, &mut sending).await {
                     Ok(sent) => break Ok(sent),
@@ -931,7 +932,7 @@
             is_other_zone: self.is_other_zone,
         };
         // Held until whole, where that is little enough.
-        let class = &self.table.setup.classes[self.table.setup.rules[self.rule].class];
+        let class = &self.table.config.classes[self.table.config.rules[self.rule].class];
         let hold = tokio::time::timeout_at(until, hold(self.proxy, &mut reply, class.bulk));
         match hold.await {
             Ok(Ok(())) => {}
@@ -978,7 +979,7 @@
             if is_misdirected {
                 self.bad(Failure::Refused);
             } else if !head.headers.contains_key(names.load) {
-                self.proxy.servers.told(self.proxy.now(), self.entry.slot, 1000);
+                self.proxy.servers.observe_load(self.proxy.now(), self.entry.slot, 1000);
             }
             return Err(AttemptError::TurnedAway);
         }
@@ -996,7 +997,7 @@
             headers.get(header::CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
         };
         let asked = length(&told.headers).unwrap_or(0.0);
-        let class = &self.table.setup.classes[self.table.setup.rules[self.rule].class];
+        let class = &self.table.config.classes[self.table.config.rules[self.rule].class];
         let now = self.proxy.now();
         let answered = crate::endpoints::ServedRequest {
             slot: self.entry.slot,
@@ -1017,7 +1018,7 @@
         };
         match value.to_str().ok().and_then(|text| dialect.load(text)) {
             Some(demand_milli) => {
-                self.proxy.servers.told(self.proxy.now(), self.entry.slot, demand_milli);
+                self.proxy.servers.observe_load(self.proxy.now(), self.entry.slot, demand_milli);
             }
             None => self.proxy.tally.increment(Counter::DemandReportsBad),
         }
@@ -1034,8 +1035,9 @@
         let dialect = self.proxy.daemon.settings.wire_format;
         let is_greeted = dialect.headers().target.is_none();
         // What runs once takes no connection on which a late answer may be lying.
-        let is_doubtful =
-            kind == Idempotency::NonIdempotent && !is_greeted && self.proxy.servers.is_untidy(slot);
+        let is_doubtful = kind == Idempotency::NonIdempotent
+            && !is_greeted
+            && self.proxy.servers.is_desynchronized(slot);
         while let Some(mut idle) = self.proxy.servers.take_idle(now, slot, fit) {
             if is_doubtful {
                 self.proxy.servers.put_idle(slot, idle);
@@ -1046,7 +1048,7 @@
             }
             if is_greeted
                 && kind == Idempotency::NonIdempotent
-                && now.saturating_sub(idle.greeted_at) > GREETED_LATELY
+                && now.saturating_sub(idle.verified_at) > GREETED_LATELY
             {
                 match crate::connector::greet(
                     dialect,
@@ -1056,7 +1058,7 @@
                 )
                 .await
                 {
-                    Ok(_) => idle.greeted_at = self.proxy.now(),
+                    Ok(_) => idle.verified_at = self.proxy.now(),
                     // Closed while it rested: no sign against the server.
                     Err(Failure::Broken) => continue,
                     Err(failure) => {
@@ -1066,7 +1068,7 @@
                 }
             }
             self.proxy.tally.increment(Counter::ConnectionsReused);
-            return Ok((idle.connection, idle.greeted_at));
+            return Ok((idle.connection, idle.verified_at));
         }
         self.proxy.tally.increment(Counter::ConnectionsOpened);
         let untidy = self.proxy.untidy(slot, &self.entry.server.id);
@@ -1083,17 +1085,17 @@
         }
         match connected {
             Ok((sender, greeted)) => {
-                if is_greeted && self.proxy.servers.is_untidy(slot) {
+                if is_greeted && self.proxy.servers.is_desynchronized(slot) {
                     // What the greeting may bring on top shows first.
-                    tokio::time::sleep(crate::endpoints::QUIET).await;
+                    tokio::time::sleep(crate::endpoints::SETTLE_TIME).await;
                     if !sender.is_ready() {
                         return Err(AttemptError::NotConnected);
                     }
                 }
                 if greeted.says_cold {
-                    self.proxy.servers.moved(slot, |liveness| {
-                        if liveness.phase == crate::health::Phase::Live {
-                            liveness.chill(now, Duration::ZERO);
+                    self.proxy.servers.update_health(slot, |liveness| {
+                        if liveness.phase == crate::health::Phase::Healthy {
+                            liveness.restart_slow_start(now, Duration::ZERO);
                         }
                     });
                 }
@@ -1270,8 +1272,13 @@
         if let Some(connection) = self.sender.take() {
             let (greeted_at, quiet_since) = (self.greeted_at, self.proxy.now());
             let kept_for = self.kept_for;
-            let idle =
-                IdleConnection { connection, greeted_at, quiet_since, kept_for, is_used: true };
+            let idle = IdleConnection {
+                connection,
+                verified_at: greeted_at,
+                idle_since: quiet_since,
+                keep_alive: kept_for,
+                is_used: true,
+            };
             self.proxy.servers.put_idle(self.slot, idle);
         }
         self.slots = None;
--- a/proxy/src/health.rs
+++ b/proxy/src/health.rs
@@ -11,10 +11,13 @@
     /// Not yet heard of; may get work only where nothing better is there.
     Unknown,
     /// Just back: gets no more than its modest rate.
-    Cold,
+    #[strum(serialize = "cold")]
+    WarmingUp,
     /// The rate doubles step by step.
-    Ramping,
-    Live,
+    #[strum(serialize = "ramping")]
+    SlowStart,
+    #[strum(serialize = "live")]
+    Healthy,
     /// Failed lately; gets no new work while others are there.
     Suspect,
 }
@@ -150,26 +153,26 @@
         self.phase = phase;
         self.since = now;
         match phase {
-            Phase::Cold => {
+            Phase::WarmingUp => {
                 self.forgive();
                 self.next_cold_at = now + self.cold.turn;
                 self.cold_since = Some(now);
             }
-            Phase::Live => self.cold_since = None,
-            Phase::Unknown | Phase::Ramping | Phase::Suspect => {}
+            Phase::Healthy => self.cold_since = None,
+            Phase::Unknown | Phase::SlowStart | Phase::Suspect => {}
         }
     }
 
     /// Cold from now on, reckoned from an earlier moment.
     fn cool(&mut self, now: Duration, since: Duration) {
-        self.enter(now, Phase::Cold);
+        self.enter(now, Phase::WarmingUp);
         self.since = since;
         self.cold_since = Some(since);
     }
 
     /// Starts over as cold: it came into the fleet while this proxy watched, it said so itself,
     /// or another proxy saw it come back `age` ago.
-    pub fn chill(&mut self, now: Duration, age: Duration) {
+    pub fn restart_slow_start(&mut self, now: Duration, age: Duration) {
         self.cool(now, now.saturating_sub(age));
         if age > Duration::ZERO {
             // Others have divided its rate among them already, and hear of this one only now.
@@ -179,7 +182,7 @@
 
     /// Taken for well on the platform's word; traffic will tell.
     pub fn trust(&mut self, now: Duration) {
-        self.enter(now, Phase::Live);
+        self.enter(now, Phase::Healthy);
         self.good = 0;
         self.bad = 0;
         self.bad_since = None;
@@ -202,7 +205,7 @@
     }
 
     pub fn was_refused(&self) -> bool {
-        self.refused && matches!(self.phase, Phase::Suspect | Phase::Cold)
+        self.refused && matches!(self.phase, Phase::Suspect | Phase::WarmingUp)
     }
 
     /// How long this proxy has been in touch with it, from sign to sign; zero after a gap.
@@ -226,11 +229,11 @@
         }
         // A refusal is proof; this proxy's own probes may lie to both sides of a short absence.
         if let Some((age, refused)) = back_for
-            && matches!(self.phase, Phase::Live | Phase::Unknown)
+            && matches!(self.phase, Phase::Healthy | Phase::Unknown)
             && (refused || self.steady(now) <= age + Duration::from_secs(1))
             && age < self.cold.period
         {
-            self.chill(now, age);
+            self.restart_slow_start(now, age);
         }
     }
 
@@ -244,11 +247,11 @@
         self.bad = 0;
         self.bad_since = None;
         match self.phase {
-            Phase::Unknown => self.enter(now, Phase::Live),
+            Phase::Unknown => self.enter(now, Phase::Healthy),
             Phase::Suspect => {
                 self.good += 1;
                 if self.by_traffic || self.good >= GOOD_NEEDED {
-                    let phase = if self.was_away { Phase::Cold } else { Phase::Live };
+                    let phase = if self.was_away { Phase::WarmingUp } else { Phase::Healthy };
                     self.refused &= self.was_away;
                     self.was_away = false;
                     self.enter(now, phase);
@@ -273,7 +276,7 @@
         }
         if is_proof && self.phase != Phase::Suspect {
             // Whoever was cold already comes back cold.
-            self.was_away |= matches!(self.phase, Phase::Cold | Phase::Ramping);
+            self.was_away |= matches!(self.phase, Phase::WarmingUp | Phase::SlowStart);
             self.enter(now, Phase::Suspect);
         }
     }
@@ -318,10 +321,10 @@
         }
         let age = now.saturating_sub(self.since);
         match self.phase {
-            Phase::Cold if age >= cold.period => self.enter(now, Phase::Ramping),
-            Phase::Ramping if age >= cold.period => {
+            Phase::WarmingUp if age >= cold.period => self.enter(now, Phase::SlowStart),
+            Phase::SlowStart if age >= cold.period => {
                 self.refused = false;
-                self.enter(now, Phase::Live);
+                self.enter(now, Phase::Healthy);
             }
             Phase::Suspect
                 if self.cold_since.is_some_and(|since| now >= since + 2 * cold.period) =>
@@ -334,8 +337,10 @@
 
     pub fn may_take(&self, now: Duration) -> bool {
         match self.phase {
-            Phase::Cold | Phase::Ramping => self.cold.every.is_some() && now >= self.next_cold_at,
-            Phase::Live | Phase::Unknown => true,
+            Phase::WarmingUp | Phase::SlowStart => {
+                self.cold.every.is_some() && now >= self.next_cold_at
+            }
+            Phase::Healthy | Phase::Unknown => true,
             Phase::Suspect => false,
         }
     }
@@ -355,8 +360,8 @@
     pub fn take(&mut self, now: Duration) {
         let Some(every) = self.cold.every else { return };
         let doublings = match self.phase {
-            Phase::Cold | Phase::Suspect if self.cold_since.is_some() => 0,
-            Phase::Ramping => {
+            Phase::WarmingUp | Phase::Suspect if self.cold_since.is_some() => 0,
+            Phase::SlowStart => {
                 let age = now.saturating_sub(self.since).as_secs_f64();
                 let part = age / self.cold.period.as_secs_f64().max(1e-3);
                 (part * f64::from(DOUBLINGS)) as u32 + 1
--- a/proxy/src/health/tests.rs
+++ b/proxy/src/health/tests.rs
@@ -9,26 +9,26 @@
 fn gone_comes_back_cold_and_a_freeze_does_not() {
     let mut server = ServerHealth::new(second(0.0));
     server.good(second(0.0));
-    assert_eq!(server.phase, Phase::Live);
+    assert_eq!(server.phase, Phase::Healthy);
     server.bad(second(1.0), Failure::Silent);
-    assert_eq!(server.phase, Phase::Live, "one slow reply is no proof");
+    assert_eq!(server.phase, Phase::Healthy, "one slow reply is no proof");
     server.bad(second(1.5), Failure::Silent);
     assert_eq!(server.phase, Phase::Suspect);
     server.good(second(2.0));
     assert_eq!(server.phase, Phase::Suspect, "one good reply is no proof");
     server.good(second(2.5));
-    assert_eq!(server.phase, Phase::Live);
+    assert_eq!(server.phase, Phase::Healthy);
     server.bad(second(3.0), Failure::Refused);
     assert_eq!(server.phase, Phase::Suspect);
     server.good(second(3.5));
     server.good(second(4.0));
-    assert_eq!(server.phase, Phase::Cold);
+    assert_eq!(server.phase, Phase::WarmingUp);
     // Turns away again while cold.
     server.bad(second(4.5), Failure::Silent);
     server.bad(second(5.0), Failure::Silent);
     server.good(second(5.5));
     server.good(second(6.0));
-    assert_eq!(server.phase, Phase::Cold);
+    assert_eq!(server.phase, Phase::WarmingUp);
 }
 
 /// One miss in three makes a server limp and one in ten does not; rested it is tried, and good
@@ -81,7 +81,7 @@
             // Each saw it come back at another moment.
             let seen_at = second(0.37 * rank as f64);
             proxy.pulse(seen_at, cold);
-            proxy.chill(seen_at, seen_at);
+            proxy.restart_slow_start(seen_at, seen_at);
         }
         let mut taken: Vec<f64> = Vec::new();
         for tick in 0..3200 {
@@ -125,18 +125,18 @@
         let mut server = ServerHealth::new(second(0.0));
         server.by_traffic = by_traffic;
         server.trust(second(0.0));
-        assert_eq!(server.phase, Phase::Live);
+        assert_eq!(server.phase, Phase::Healthy);
         assert!(!server.is_in_doubt());
         server.bad(second(1.0), Failure::Broken);
         assert!(server.is_in_doubt(), "a probe is due");
-        assert_eq!(server.phase, Phase::Live);
+        assert_eq!(server.phase, Phase::Healthy);
         server.bad(second(1.1), Failure::Broken);
         assert_eq!(server.phase, Phase::Suspect);
         server.good(second(1.5));
-        let phase = if by_traffic { Phase::Live } else { Phase::Suspect };
+        let phase = if by_traffic { Phase::Healthy } else { Phase::Suspect };
         assert_eq!(server.phase, phase);
         server.good(second(1.6));
-        assert_eq!(server.phase, Phase::Live);
+        assert_eq!(server.phase, Phase::Healthy);
         assert!(!server.is_in_doubt());
     }
 }
@@ -150,13 +150,13 @@
     server.bad(second(1.0), Failure::Refused);
     assert_eq!(server.phase, Phase::Suspect);
     server.good(second(1.2));
-    assert_eq!(server.phase, Phase::Cold);
+    assert_eq!(server.phase, Phase::WarmingUp);
     // The platform says that it is warm: its word counts, and what was before is forgotten.
     server.trust(second(1.3));
-    assert_eq!(server.phase, Phase::Live);
+    assert_eq!(server.phase, Phase::Healthy);
     assert!(!server.is_in_doubt() && !server.was_refused());
     server.bad(second(1.4), Failure::Broken);
-    assert_eq!(server.phase, Phase::Live, "one failure is no proof, as if it were the first");
+    assert_eq!(server.phase, Phase::Healthy, "one failure is no proof, as if it were the first");
 }
 
 /// Silence alone is a doubt and no more, and the next good answer ends it.
@@ -184,7 +184,7 @@
     server.retry(ms(2499));
     assert_eq!(server.phase, Phase::Suspect);
     server.retry(ms(2500));
-    assert_eq!(server.phase, Phase::Live);
+    assert_eq!(server.phase, Phase::Healthy);
     server.bad(ms(2600), Failure::Refused);
     assert_eq!(server.phase, Phase::Suspect);
 }
@@ -199,7 +199,7 @@
         let mut server = ServerHealth::new(second(0.0));
         server.by_traffic = true;
         server.pulse(second(0.0), rate);
-        server.chill(second(0.0), Duration::ZERO);
+        server.restart_slow_start(second(0.0), Duration::ZERO);
         if fails {
             server.bad(second(0.5), Failure::Refused);
         } else {
@@ -219,18 +219,18 @@
         }
         let most = (2400.0 / every.as_millis() as f64).ceil() as u32;
         assert!(sent <= most, "{sent} in 2.4 s, and {most} are its rate");
-        assert_eq!(server.phase, Phase::Cold);
+        assert_eq!(server.phase, Phase::WarmingUp);
         server.pulse(second(3.0), rate);
-        assert_eq!(server.phase, Phase::Ramping, "by the time at which it became cold");
+        assert_eq!(server.phase, Phase::SlowStart, "by the time at which it became cold");
         server.pulse(second(6.0), rate);
-        assert_eq!((server.phase, server.next_at()), (Phase::Live, None));
+        assert_eq!((server.phase, server.next_at()), (Phase::Healthy, None));
     }
     // Without a part it gets nothing from here.
     let mut server = ServerHealth::new(second(0.0));
     server.by_traffic = true;
     let none = SlowStartRate::of(5.1, second(3.0), 30, 72);
     server.pulse(second(0.0), none);
-    server.chill(second(0.0), Duration::ZERO);
+    server.restart_slow_start(second(0.0), Duration::ZERO);
     server.hear(second(0.5), true, None);
     server.retry(second(2.1));
     server.pulse(second(2.1), none);
@@ -243,7 +243,7 @@
     let rate = SlowStartRate::of(5.1, second(3.0), 0, 72);
     let mut server = ServerHealth::new(second(0.0));
     server.pulse(second(0.0), rate);
-    server.chill(second(0.0), Duration::ZERO);
+    server.restart_slow_start(second(0.0), Duration::ZERO);
     server.bad(second(0.5), Failure::Refused);
     server.pulse(second(5.9), rate);
     assert!(server.next_at().is_some());
--- a/proxy/src/lifecycle.rs
+++ b/proxy/src/lifecycle.rs
@@ -66,7 +66,7 @@
 
 impl AttemptError {
     /// Whether the server has surely not run it, and never will.
-    pub fn is_untouched(self) -> bool {
+    pub fn is_not_sent(self) -> bool {
         matches!(
             self,
             AttemptError::NotConnected
@@ -79,24 +79,24 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterFailure {
-    Again,
-    End(Rejection),
+    Retry,
+    Reject(Rejection),
 }
 
 #[derive(Debug)]
 pub struct RequestLifecycle {
     pub state: RequestState,
-    pub kind: Idempotency,
+    pub idempotency: Idempotency,
     /// Whether the request can be told a second time word for word.
     pub is_replayable: bool,
-    pub goes: u32,
+    pub attempts: u32,
     /// Goes in which the request was sent to a server, and how many there may be.
     pub sends: u32,
-    pub sends_most: u32,
+    pub max_sends: u32,
     /// When it was last sent to one, where it was.
     pub sent_at: std::time::Duration,
     /// Some byte of it may have reached a server.
-    pub may_sent: bool,
+    pub may_have_run: bool,
 }
 
 /// Goes that find nobody there come on top of those that a rule allows.
@@ -108,48 +108,49 @@
     pub fn new() -> RequestLifecycle {
         RequestLifecycle {
             state: RequestState::Received,
-            kind: Idempotency::NonIdempotent,
+            idempotency: Idempotency::NonIdempotent,
             is_replayable: false,
-            goes: 0,
+            attempts: 0,
             sends: 0,
-            sends_most: vanepath_config::model::DEFAULT_MAX_ATTEMPTS,
+            max_sends: vanepath_config::model::DEFAULT_MAX_ATTEMPTS,
             sent_at: std::time::Duration::ZERO,
-            may_sent: false,
+            may_have_run: false,
         }
     }
 
     /// Whether a further go is within the rule's bound.
-    pub fn may_go_on(&self) -> bool {
-        self.sends < self.sends_most && self.goes < self.sends_most + GOES_IN_VAIN_MOST
+    pub fn may_retry(&self) -> bool {
+        self.sends < self.max_sends && self.attempts < self.max_sends + GOES_IN_VAIN_MOST
     }
 
-    pub fn verdict(&self) -> ExecutionStatus {
+    pub fn execution_status(&self) -> ExecutionStatus {
         match self.state {
             RequestState::Answering | RequestState::Done => ExecutionStatus::Ran,
-            _ if self.may_sent => ExecutionStatus::MayHaveRun,
+            _ if self.may_have_run => ExecutionStatus::MayHaveRun,
             _ => ExecutionStatus::NotRun,
         }
     }
 
     /// After how long without a reply a request that is with a server looks for another one, again
     /// and again: `left` is what remains of its time. Never for one that must not go twice.
-    pub fn leave_after(&self, left: std::time::Duration) -> Option<std::time::Duration> {
-        let may = self.kind == Idempotency::Idempotent && self.is_replayable && self.may_go_on();
+    pub fn switch_after(&self, left: std::time::Duration) -> Option<std::time::Duration> {
+        let may =
+            self.idempotency == Idempotency::Idempotent && self.is_replayable && self.may_retry();
         let pause = (left / 3).max(LEAVE_AFTER);
         (may && pause < left).then_some(pause)
     }
 
     /// After a go that missed. `may_go` takes one from the retry budget; it is asked last, and not at all where
     /// this proxy itself let go of a server that nothing was sent to.
-    pub fn missed(
+    pub fn attempt_failed(
         &mut self,
         miss: AttemptError,
         is_late: bool,
         may_go: impl FnOnce() -> bool,
     ) -> AfterFailure {
-        let untouched = miss.is_untouched();
+        let untouched = miss.is_not_sent();
         if !untouched {
-            self.may_sent = true;
+            self.may_have_run = true;
         }
         let refusal = match miss {
             _ if is_late => Rejection::Late,
@@ -157,18 +158,22 @@
             AttemptError::Silent => Rejection::Late,
             _ => Rejection::Lost,
         };
-        let may_repeat = match self.kind {
+        let may_repeat = match self.idempotency {
             Idempotency::Idempotent => self.is_replayable || untouched,
             // A filing goes on only while provably no byte of it was sent.
-            Idempotency::NonIdempotent => untouched && !self.may_sent,
+            Idempotency::NonIdempotent => untouched && !self.may_have_run,
         };
-        if is_late || !may_repeat || !self.may_go_on() {
-            return AfterFailure::End(refusal);
+        if is_late || !may_repeat || !self.may_retry() {
+            return AfterFailure::Reject(refusal);
         }
         if miss != AttemptError::Withdrawn && !may_go() {
-            return AfterFailure::End(if self.may_sent { refusal } else { Rejection::NoBudget });
+            return AfterFailure::Reject(if self.may_have_run {
+                refusal
+            } else {
+                Rejection::NoBudget
+            });
         }
-        AfterFailure::Again
+        AfterFailure::Retry
     }
 }
 
--- a/proxy/src/lifecycle/tests.rs
+++ b/proxy/src/lifecycle/tests.rs
@@ -18,20 +18,23 @@
 fn a_lookup_looks_for_another_server_again_and_again() {
     let ms = std::time::Duration::from_millis;
     let mut chart = RequestLifecycle {
-        kind: Idempotency::Idempotent,
+        idempotency: Idempotency::Idempotent,
         is_replayable: true,
-        goes: 1,
+        attempts: 1,
         ..RequestLifecycle::new()
     };
-    assert_eq!(chart.leave_after(ms(6000)), Some(ms(2000)));
-    assert_eq!(chart.leave_after(ms(4000)), Some(ms(4000) / 3));
-    assert_eq!(chart.leave_after(ms(600)), Some(ms(300)));
-    assert_eq!(chart.leave_after(ms(300)), None);
-    chart.sends = chart.sends_most;
-    assert_eq!(chart.leave_after(ms(6000)), None);
-    let filing =
-        RequestLifecycle { kind: Idempotency::NonIdempotent, goes: 1, ..RequestLifecycle::new() };
-    assert_eq!(filing.leave_after(ms(6000)), None);
+    assert_eq!(chart.switch_after(ms(6000)), Some(ms(2000)));
+    assert_eq!(chart.switch_after(ms(4000)), Some(ms(4000) / 3));
+    assert_eq!(chart.switch_after(ms(600)), Some(ms(300)));
+    assert_eq!(chart.switch_after(ms(300)), None);
+    chart.sends = chart.max_sends;
+    assert_eq!(chart.switch_after(ms(6000)), None);
+    let filing = RequestLifecycle {
+        idempotency: Idempotency::NonIdempotent,
+        attempts: 1,
+        ..RequestLifecycle::new()
+    };
+    assert_eq!(filing.switch_after(ms(6000)), None);
 }
 
 /// Every kind and every pair of misses: what follows, and what the caller is told.
@@ -42,30 +45,36 @@
         for first in AttemptError::iter() {
             for budget in [true, false] {
                 let mut chart = RequestLifecycle {
-                    kind,
+                    idempotency: kind,
                     is_replayable: true,
-                    goes: 1,
+                    attempts: 1,
                     ..RequestLifecycle::new()
                 };
-                let next = chart.missed(first, false, || budget);
+                let next = chart.attempt_failed(first, false, || budget);
                 let told = match next {
-                    AfterFailure::Again => "goes again".to_string(),
-                    AfterFailure::End(refusal) => {
-                        format!("{refusal} {}", refusal.status(chart.verdict()).as_u16())
+                    AfterFailure::Retry => "goes again".to_string(),
+                    AfterFailure::Reject(refusal) => {
+                        format!("{refusal} {}", refusal.status(chart.execution_status()).as_u16())
                     }
                 };
                 shown += &format!(
                     "{kind:10} {first:15} budget {budget:5}  {told}, {}\n",
-                    chart.verdict()
+                    chart.execution_status()
                 );
             }
         }
     }
     // A filing that was once sent is never sent again, whatever comes after.
-    let mut chart =
-        RequestLifecycle { kind: Idempotency::NonIdempotent, goes: 1, ..RequestLifecycle::new() };
-    chart.missed(AttemptError::Silent, false, || true);
-    assert_ne!(chart.missed(AttemptError::NotConnected, false, || true), AfterFailure::Again);
+    let mut chart = RequestLifecycle {
+        idempotency: Idempotency::NonIdempotent,
+        attempts: 1,
+        ..RequestLifecycle::new()
+    };
+    chart.attempt_failed(AttemptError::Silent, false, || true);
+    assert_ne!(
+        chart.attempt_failed(AttemptError::NotConnected, false, || true),
+        AfterFailure::Retry
+    );
     expect_test::expect![[r#"
         repeatable not-connected   budget true   goes again, not-run
         repeatable not-connected   budget false  no-budget 503, not-run
@@ -115,24 +124,28 @@
         for options in 0..16 {
             let is = |bit: u32| options & (1 << bit) != 0;
             let kind = if is(0) { Idempotency::NonIdempotent } else { Idempotency::Idempotent };
-            let mut chart =
-                RequestLifecycle { kind, is_replayable: is(1), goes: 0, ..RequestLifecycle::new() };
+            let mut chart = RequestLifecycle {
+                idempotency: kind,
+                is_replayable: is(1),
+                attempts: 0,
+                ..RequestLifecycle::new()
+            };
             let mut has_touched = false;
             let mut rest = number;
             for turn in 0..4 {
                 let miss = misses[rest % misses.len()];
                 rest /= misses.len();
-                chart.goes += 1;
+                chart.attempts += 1;
                 let is_sent = !matches!(miss, AttemptError::NotConnected | AttemptError::Withdrawn);
                 chart.sends += u32::from(is_sent);
                 let is_untouched =
                     !is_sent || matches!(miss, AttemptError::NotSent | AttemptError::TurnedAway);
                 has_touched |= !is_untouched;
                 let is_late = is(2) && turn == 2;
-                let next = chart.missed(miss, is_late, || !is(3) || turn < 1);
-                let status = |refusal: Rejection| refusal.status(chart.verdict()).as_u16();
+                let next = chart.attempt_failed(miss, is_late, || !is(3) || turn < 1);
+                let status = |refusal: Rejection| refusal.status(chart.execution_status()).as_u16();
                 match next {
-                    AfterFailure::Again => {
+                    AfterFailure::Retry => {
                         assert!(
                             kind == Idempotency::Idempotent || !has_touched,
                             "{miss} sent again"
@@ -140,7 +153,7 @@
                         assert!(chart.is_replayable || is_untouched, "{miss} told twice");
                         assert!(!is_late);
                     }
-                    AfterFailure::End(refusal) => {
+                    AfterFailure::Reject(refusal) => {
                         let is_promise = [408, 421, 429, 503].contains(&status(refusal));
                         assert_eq!(is_promise, !has_touched, "{kind} {miss}: {refusal}");
                         ended += 1;
--- a/proxy/src/retry_budget.rs
+++ b/proxy/src/retry_budget.rs
@@ -43,19 +43,25 @@
     }
 
     /// Whether one more further go may be made; if so it is counted.
-    pub fn take_go(
+    pub fn try_take(
         &mut self,
         now: Duration,
         service: &str,
         live: usize,
         need: RetryReason,
     ) -> bool {
-        self.of(service).take_go(now, live, need)
+        self.of(service).try_take(now, live, need)
     }
 
     /// Whether one more would be within the budget.
-    pub fn may_go(&mut self, now: Duration, service: &str, live: usize, need: RetryReason) -> bool {
-        self.of(service).may_go(now, live, need)
+    pub fn would_allow(
+        &mut self,
+        now: Duration,
+        service: &str,
+        live: usize,
+        need: RetryReason,
+    ) -> bool {
+        self.of(service).would_allow(now, live, need)
     }
 }
 
@@ -102,14 +108,14 @@
     }
 
     /// Whether one more further go may be made; if so it is counted.
-    pub fn take_go(&mut self, now: Duration, live_proxies: usize, need: RetryReason) -> bool {
-        let may = self.may_go(now, live_proxies, need);
+    pub fn try_take(&mut self, now: Duration, live_proxies: usize, need: RetryReason) -> bool {
+        let may = self.would_allow(now, live_proxies, need);
         self.slot(now).2 += u64::from(may);
         may
     }
 
     /// Whether one more would be within the budget.
-    pub fn may_go(&mut self, now: Duration, live_proxies: usize, need: RetryReason) -> bool {
+    pub fn would_allow(&mut self, now: Duration, live_proxies: usize, need: RetryReason) -> bool {
         self.slot(now);
         let second = now.as_secs();
         let within = self.slots.iter().filter(|slot| slot.0 + self.window_s >= second);
--- a/proxy/src/retry_budget/tests.rs
+++ b/proxy/src/retry_budget/tests.rs
@@ -18,7 +18,7 @@
         for _ in 0..requests {
             budget.took(now);
             // Every request wants three more goes.
-            goes += (0..3).filter(|_| budget.take_go(now, 8, RetryReason::Lost)).count() as u64;
+            goes += (0..3).filter(|_| budget.try_take(now, 8, RetryReason::Lost)).count() as u64;
         }
         history.push((now_ms, requests, goes));
     }
@@ -56,7 +56,7 @@
         for _ in 0..(seed >> 33) % surge {
             budget.took(Duration::from_millis(now_ms));
             events.push((now_ms, false));
-            while budget.take_go(Duration::from_millis(now_ms), 4, RetryReason::Lost) {
+            while budget.try_take(Duration::from_millis(now_ms), 4, RetryReason::Lost) {
                 events.push((now_ms, true));
             }
         }
@@ -80,12 +80,12 @@
     let mut budgets = super::RetryBudgets::new(SETTINGS);
     let now = Duration::from_secs(100);
     let spend = |budgets: &mut super::RetryBudgets, service: &str, now| {
-        (0..1000).take_while(|_| budgets.take_go(now, service, 1, RetryReason::Lost)).count()
+        (0..1000).take_while(|_| budgets.try_take(now, service, 1, RetryReason::Lost)).count()
     };
     assert_eq!(spend(&mut budgets, "a", now), 30);
     assert!(
-        !budgets.may_go(now, "a", 1, RetryReason::Lost)
-            && budgets.may_go(now, "b", 1, RetryReason::Lost)
+        !budgets.would_allow(now, "a", 1, RetryReason::Lost)
+            && budgets.would_allow(now, "b", 1, RetryReason::Lost)
     );
     for _ in 0..100 {
         budgets.took(now, "b");
@@ -104,7 +104,7 @@
         let mut budgets = super::RetryBudgets::new(SETTINGS);
         let now = Duration::from_secs(7);
         shown.push(
-            (0..1000).take_while(|_| budgets.take_go(now, "a", live, RetryReason::Lost)).count(),
+            (0..1000).take_while(|_| budgets.try_take(now, "a", live, RetryReason::Lost)).count(),
         );
     }
     assert_eq!(shown, [30, 30, 10, 3, 1]);
@@ -115,8 +115,8 @@
 fn asking_costs_nothing() {
     let mut budgets = super::RetryBudgets::new(SETTINGS);
     let now = Duration::from_secs(7);
-    assert!((0..500).all(|_| budgets.may_go(now, "a", 10, RetryReason::Lost)));
-    assert_eq!((0..500).filter(|_| budgets.take_go(now, "a", 10, RetryReason::Lost)).count(), 3);
+    assert!((0..500).all(|_| budgets.would_allow(now, "a", 10, RetryReason::Lost)));
+    assert_eq!((0..500).filter(|_| budgets.try_take(now, "a", 10, RetryReason::Lost)).count(), 3);
 }
 
 /// Requests whose servers are only slow leave a part of the budget to those whose servers are gone; what
@@ -126,7 +126,7 @@
     let now = Duration::from_secs(3);
     let mut budget = super::RetryBudget::new(SETTINGS);
     (0..100).for_each(|_| budget.took(now));
-    let mut all = |need| (0..500).filter(|_| budget.take_go(now, 1, need)).count();
+    let mut all = |need| (0..500).filter(|_| budget.try_take(now, 1, need)).count();
     assert_eq!(
         (all(RetryReason::Slow), all(RetryReason::Lost), all(RetryReason::Slow)),
         (30, 30, 0)
@@ -134,6 +134,7 @@
     // One that is due to a small proxy is not taken for slowness.
     let mut budget = super::RetryBudget::new(SETTINGS);
     assert!(
-        !budget.take_go(now, 100, RetryReason::Slow) && budget.take_go(now, 100, RetryReason::Lost)
+        !budget.try_take(now, 100, RetryReason::Slow)
+            && budget.try_take(now, 100, RetryReason::Lost)
     );
 }
--- a/proxy/src/shell.rs
+++ b/proxy/src/shell.rs
@@ -234,12 +234,12 @@
         self.revision = revision;
         self.paces.renew();
         let own = self.proxy.daemon.settings.name.as_str();
-        let notes = self.proxy.servers.adopt(
+        let notes = self.proxy.servers.update(
             now,
             revision,
             &view.config,
             &view.endpoints,
-            |server, services| crate::endpoints::cold_rate(view, own, server, services),
+            |server, services| crate::endpoints::slow_start_rate(view, own, server, services),
         );
         if let Some(read_at) = view.list_read_at.filter(|_| !notes.is_empty()) {
             let age_ms = now.saturating_sub(read_at).as_millis();
@@ -257,25 +257,25 @@
         let plan = (view.plan.epoch, view.plan.counter);
         if self.plan != Some((plan, self.revision)) {
             self.plan = Some((plan, self.revision));
-            proxy.servers.hear_plan(now, &view.plan);
+            proxy.servers.apply_plan(now, &view.plan);
         }
         let live = view.live.len();
         if self.parted != Some((self.revision, live)) || now >= self.part_at {
             self.parted = Some((self.revision, live));
             self.part_at = now + PART_EVERY;
-            proxy.servers.part(view, &proxy.daemon.card);
+            proxy.servers.assign_subset(view, &proxy.daemon.card);
         }
         self.paces.pulse(now, view, &proxy.daemon.card, &table);
         let pulsed = proxy.servers.pulse(now, &self.paces);
-        if pulsed.is_news {
+        if pulsed.has_changes {
             proxy.is_news.store(true, Ordering::Relaxed);
         }
-        for note in pulsed.notes {
+        for note in pulsed.log_lines {
             log::info!("{note}");
         }
         for index in pulsed.probes {
-            let entry = table.entries[index].clone();
-            let service = table.setup.services[entry.services[0]].clone();
+            let entry = table.endpoints[index].clone();
+            let service = table.config.services[entry.services[0]].clone();
             tokio::spawn(probe(proxy.clone(), entry, service));
         }
     }
@@ -284,7 +284,7 @@
     async fn tell(&mut self, now: Duration, view: &node::ClusterView) {
         let proxy = &self.proxy;
         let is_leaving = proxy.is_leaving.load(Ordering::Relaxed);
-        let ready = proxy.servers.is_fit(now, view.is_fresh, self.revision) && !is_leaving;
+        let ready = proxy.servers.is_ready(now, view.is_fresh, self.revision) && !is_leaving;
         if proxy.is_ready.swap(ready, Ordering::Relaxed) != ready {
             log::info!("{}", if ready { "ready" } else { "not ready" });
         }
@@ -296,8 +296,8 @@
             return;
         }
         proxy.is_news.store(false, Ordering::Relaxed);
-        let sights = proxy.servers.sights(now);
-        let services = &proxy.servers.table.load().setup.services;
+        let sights = proxy.servers.observations(now);
+        let services = &proxy.servers.table.load().config.services;
         if services.iter().all(|service| service.probes_suspects_only) {
             // Nobody plans by told demand where servers are judged by traffic.
             let detail =
@@ -327,12 +327,12 @@
 /// A liveness check, over a resting connection where one is there.
 async fn probe(
     proxy: Arc<Proxy>,
-    entry: crate::endpoints::Entry,
+    entry: crate::endpoints::Endpoint,
     service: vanepath_config::model::Service,
 ) {
     proxy.tally.increment(Counter::Probes);
     let dialect = proxy.daemon.settings.wire_format;
-    let mut kept_for = crate::endpoints::IDLE_MOST;
+    let mut kept_for = crate::endpoints::MAX_IDLE_TIME;
     let now = proxy.daemon.clock.now();
     let fit = |idle: &crate::endpoints::IdleConnection<crate::connector::Sender>| {
         idle.connection.is_ready()
@@ -341,7 +341,7 @@
     let mut is_used = false;
     if let Some(idle) = proxy.servers.take_idle(now, entry.slot, fit) {
         is_used = idle.is_used;
-        kept_for = idle.kept_for;
+        kept_for = idle.keep_alive;
         let mut sender = idle.connection;
         match crate::connector::greet(dialect, &mut sender, &entry, &service).await {
             Ok(greeted) => outcome = Some(Ok((sender, greeted))),
@@ -363,11 +363,11 @@
         Ok((connection, greeted)) => {
             proxy.note_good(entry.slot, &entry.server.id);
             if let Some(demand_milli) = greeted.demand_milli {
-                proxy.servers.told(now, entry.slot, demand_milli);
+                proxy.servers.observe_load(now, entry.slot, demand_milli);
             }
-            let moved = proxy.servers.moved(entry.slot, |liveness| {
-                if greeted.says_cold && liveness.phase == Phase::Live {
-                    liveness.chill(now, Duration::ZERO);
+            let moved = proxy.servers.update_health(entry.slot, |liveness| {
+                if greeted.says_cold && liveness.phase == Phase::Healthy {
+                    liveness.restart_slow_start(now, Duration::ZERO);
                 }
             });
             if let Some(phase) = moved {
@@ -375,9 +375,9 @@
             }
             let idle = crate::endpoints::IdleConnection {
                 connection,
-                greeted_at: now,
-                quiet_since: now,
-                kept_for,
+                verified_at: now,
+                idle_since: now,
+                keep_alive: kept_for,
                 is_used,
             };
             proxy.servers.put_idle(entry.slot, idle);
@@ -405,11 +405,11 @@
     let now = proxy.daemon.clock.now();
     let table = proxy.servers.table.load();
     let servers: Vec<jzon::JsonValue> = table
-        .entries
+        .endpoints
         .iter()
         .filter_map(|entry| {
             proxy.servers.with(entry.slot, |quick| {
-                let phase: &'static str = quick.liveness.phase.into();
+                let phase: &'static str = quick.health.phase.into();
                 let why = if entry.server.draining {
                     "no work: the platform says that it is leaving"
                 } else if view.committed.drained_zones.contains(&entry.server.zone) {
@@ -417,14 +417,14 @@
                 } else if entry.services.is_empty() {
                     "no work: no service selects it"
                 } else {
-                    match quick.liveness.phase {
+                    match quick.health.phase {
                         Phase::Unknown => "not yet heard of",
-                        Phase::Cold => "just back: at most its modest rate",
-                        Phase::Ramping => "back for a while: its rate is rising",
-                        Phase::Live if quick.liveness.is_limping(now, false) => {
+                        Phase::WarmingUp => "just back: at most its modest rate",
+                        Phase::SlowStart => "back for a while: its rate is rising",
+                        Phase::Healthy if quick.health.is_limping(now, false) => {
                             "no work while others are there: it lost some that it had in hand"
                         }
-                        Phase::Live => "given work",
+                        Phase::Healthy => "given work",
                         Phase::Suspect => "no work while others are there: it failed lately",
                     }
                 };
@@ -433,7 +433,7 @@
                     "zone": entry.server.zone.as_str(),
                     "phase": phase,
                     "why": why,
-                    "inHand": quick.in_hand,
+                    "inHand": quick.in_flight,
                     "demand": f64::from(quick.demand(now)) / 1000.0,
                 }
             })
--- a/proxy/tests/crowding.rs
+++ b/proxy/tests/crowding.rs
@@ -153,10 +153,10 @@
         let live: Vec<_> = (0..count).map(|one| (card(one), wire::NodeStatus::default())).collect();
         let proxies = (0..count).map(|number| {
             let own: Endpoints<()> = Endpoints::default();
-            own.adopt(Duration::ZERO, (1, 1), &setup, &list, |_, _| SlowStartRate::default());
+            own.update(Duration::ZERO, (1, 1), &setup, &list, |_, _| SlowStartRate::default());
             let view =
                 ClusterView { config: setup.clone(), live: live.clone(), ..ClusterView::default() };
-            own.part(&view, &card(number));
+            own.assign_subset(&view, &card(number));
             own
         });
         let outside =
@@ -262,14 +262,14 @@
         let want = SelectionContext {
             rule: 0,
             service: 0,
-            emptied: &Default::default(),
+            drained_zones: &Default::default(),
             zone: ZONES[own_zone],
             region: &ZONES[own_zone][..1],
             tried: &[],
-            looks: None,
-            is_past_aim,
+            only_alternative_for: None,
+            is_past_target: is_past_aim,
         };
-        let index = match servers.choose(now, &table, &want, self.draw.next()) {
+        let index = match servers.select(now, &table, &want, self.draw.next()) {
             Selection::Server(index, _) => index,
             // Too full, or all full: nobody serves it.
             _ => {
@@ -277,9 +277,9 @@
                 return;
             }
         };
-        let slot = table.entries[index].slot;
-        servers.sent(now, slot);
-        let server: usize = table.entries[index].server.id[1..].parse().unwrap();
+        let slot = table.endpoints[index].slot;
+        servers.record_sent(now, slot);
+        let server: usize = table.endpoints[index].server.id[1..].parse().unwrap();
         let way_ms = way_ms(own_zone, zone_of(server));
         self.elsewhere += usize::from(own_zone != zone_of(server));
         servers.connected(slot, Duration::from_secs_f64(2.0 * way_ms / 1000.0));
@@ -334,8 +334,8 @@
         let servers = &self.proxies[request.proxy];
         let id = format!("s{}", request.server);
         let table = servers.table.load();
-        let slot = table.entries.iter().find(|entry| entry.server.id == id).unwrap().slot;
-        servers.told(now, slot, (with_it * 1000 / SLOTS as u64) as u32);
+        let slot = table.endpoints.iter().find(|entry| entry.server.id == id).unwrap().slot;
+        servers.observe_load(now, slot, (with_it * 1000 / SLOTS as u64) as u32);
         servers.release(slot);
         if !is_served {
             // It goes on to another one, as often as a rule allows by default.
--- a/proxy/tests/resting.rs
+++ b/proxy/tests/resting.rs
@@ -1,7 +1,7 @@
 //! Which resting connections are used again: by the public face of the table of servers.
 
 use std::time::Duration;
-use vanepath_proxy::endpoints::{Endpoints, IDLE_MOST, IdleConnection, QUIET};
+use vanepath_proxy::endpoints::{Endpoints, IdleConnection, MAX_IDLE_TIME, SETTLE_TIME};
 use vanepath_proxy::health::SlowStartRate;
 
 const SETUP: &str = r#"{"classes": [{"name": "c", "urgency": 1, "kind": "repeatable"}],
@@ -18,8 +18,8 @@
     let servers = Endpoints::default();
     let list = list.unwrap();
     let rate = |_: &vanepath_config::endpoint_list::Server, _: &[usize]| SlowStartRate::default();
-    servers.adopt(Duration::ZERO, (1, 1), &std::sync::Arc::new(setup), &list, rate);
-    let slot = servers.table.load().entries[0].slot;
+    servers.update(Duration::ZERO, (1, 1), &std::sync::Arc::new(setup), &list, rate);
+    let slot = servers.table.load().endpoints[0].slot;
     (servers, slot)
 }
 
@@ -32,7 +32,13 @@
     kept_for: Duration,
     is_used: bool,
 ) -> IdleConnection<&'static str> {
-    IdleConnection { connection, greeted_at: ms(0), quiet_since: ms(1000), kept_for, is_used }
+    IdleConnection {
+        connection,
+        verified_at: ms(0),
+        idle_since: ms(1000),
+        keep_alive: kept_for,
+        is_used,
+    }
 }
 
 fn taken(servers: &Endpoints<&'static str>, slot: usize, now: Duration) -> Option<&'static str> {
@@ -52,7 +58,7 @@
         (1000, 300, false),
         (500, 30, false),
         (60_000, 19_999, true),
-        (60_000, IDLE_MOST.as_millis() as u64, false),
+        (60_000, MAX_IDLE_TIME.as_millis() as u64, false),
     ] {
         let (servers, slot) = servers();
         servers.put_idle(slot, idle("one", ms(kept_ms), true));
@@ -68,9 +74,9 @@
 fn none_is_used_before_it_was_quiet() {
     let (servers, slot) = servers();
     servers.put_idle(slot, idle("one", ms(5000), true));
-    assert_eq!(taken(&servers, slot, ms(1000) + QUIET - ms(1)), None);
-    assert_eq!(taken(&servers, slot, ms(1000) + QUIET), Some("one"));
-    assert_eq!(taken(&servers, slot, ms(1000) + QUIET), None, "it is used by one at a time");
+    assert_eq!(taken(&servers, slot, ms(1000) + SETTLE_TIME - ms(1)), None);
+    assert_eq!(taken(&servers, slot, ms(1000) + SETTLE_TIME), Some("one"));
+    assert_eq!(taken(&servers, slot, ms(1000) + SETTLE_TIME), None, "it is used by one at a time");
 }
 
 /// A server that sent bytes that nobody asked for gets one request to a connection: what carried one
@@ -79,8 +85,8 @@
 fn an_untidy_servers_connections_carry_one_request() {
     let (servers, slot) = servers();
     servers.put_idle(slot, idle("before", ms(5000), true));
-    assert!(servers.untidy(slot), "that is new");
-    assert!(!servers.untidy(slot) && servers.is_untidy(slot));
+    assert!(servers.mark_desynchronized(slot), "that is new");
+    assert!(!servers.mark_desynchronized(slot) && servers.is_desynchronized(slot));
     assert_eq!(taken(&servers, slot, ms(1100)), None);
     servers.put_idle(slot, idle("used", ms(5000), true));
     assert_eq!(taken(&servers, slot, ms(1100)), None);
@@ -93,9 +99,9 @@
 fn a_refusal_closes_what_rests() {
     let (servers, slot) = servers();
     servers.put_idle(slot, idle("one", ms(5000), true));
-    servers.bad(ms(1050), slot, vanepath_proxy::health::Failure::Broken);
+    servers.record_failure(ms(1050), slot, vanepath_proxy::health::Failure::Broken);
     servers.put_idle(slot, idle("two", ms(5000), true));
-    servers.bad(ms(1060), slot, vanepath_proxy::health::Failure::Refused);
+    servers.record_failure(ms(1060), slot, vanepath_proxy::health::Failure::Refused);
     assert_eq!(taken(&servers, slot, ms(1100)), None);
 }
 
--- a/registry/src/api.rs
+++ b/registry/src/api.rs
@@ -1,7 +1,7 @@
 //! The operator's and the callers' interface: HTTP with JSON (design 7.5).
 
 use crate::shell::{Counter, Registry};
-use crate::steering::Caller;
+use crate::steering::Client;
 use crate::store_client::{NextAction, StoreRequest};
 use http_body_util::BodyExt;
 use hyper::StatusCode;
@@ -126,13 +126,13 @@
         match store_call.next(now(), stores) {
             NextAction::Pause(pause) => tokio::time::sleep(pause).await,
             NextAction::End(outcome) => return outcome,
-            NextAction::Ask(card) => {
+            NextAction::Send(card) => {
                 registry.tally.increment(Counter::StoreTries);
                 let question = store_call.question(now());
                 let request = wire::Request::Store(wire::encode(&question).into());
                 let other_zone = card.zone != registry.daemon.settings.zone;
                 let links = &registry.daemon.transport;
-                let limit = crate::store_client::TRY_LIMIT;
+                let limit = crate::store_client::ATTEMPT_TIMEOUT;
                 let tell = match links.call(card.cluster_address, &request, limit, other_zone).await
                 {
                     Ok(wire::Reply::Store(bytes)) => wire::decode(&bytes),
@@ -156,7 +156,7 @@
         let (links, request) = (registry.daemon.transport.clone(), request.clone());
         let other_zone = card.zone != registry.daemon.settings.zone;
         tokio::spawn(async move {
-            let limit = crate::store_client::TRY_LIMIT;
+            let limit = crate::store_client::ATTEMPT_TIMEOUT;
             let _ = links.call(card.cluster_address, &request, limit, other_zone).await;
         });
     }
@@ -524,15 +524,15 @@
         .filter(|source| !view.live.iter().any(|(card, _)| card.name == source.card.name))
         .map(|source| source.card.name.as_str().into())
         .collect();
-    let caller = Caller {
+    let caller = Client {
         zone: daemon.settings.zone.clone(),
         region: daemon.settings.region.clone(),
         bucket: 0,
     };
-    let places = crate::steering::places(&view);
+    let places = crate::steering::pathways(&view);
     let rules: Vec<jzon::JsonValue> = (0..view.config.rules.len())
         .map(|rule| {
-            let steps = crate::steering::order(&view, &places, rule, &caller);
+            let steps = crate::steering::rank_pathways(&view, &places, rule, &caller);
             let order: Vec<jzon::JsonValue> = steps
                 .iter()
                 .map(|step| {
--- a/registry/src/leader.rs
+++ b/registry/src/leader.rs
@@ -17,7 +17,7 @@
 
 /// Whether this registry hears from more than half of all that there are, itself counted: one that
 /// does not may be cut off, and others are asked first (design 5.3).
-pub fn is_whole(view: &ClusterView) -> bool {
+pub fn hears_majority(view: &ClusterView) -> bool {
     let is_registry =
         |one: &&(wire::NodeInfo, wire::NodeStatus)| one.0.role == wire::Role::Registry;
     let live = view.live.iter().filter(is_registry).count();
@@ -26,7 +26,7 @@
 }
 
 impl LeadershipReadiness {
-    pub fn may_hold(&mut self, now: std::time::Duration, is_fresh: bool) -> bool {
+    pub fn may_lead(&mut self, now: std::time::Duration, is_fresh: bool) -> bool {
         if !is_fresh {
             self.fresh_since = None;
             return false;
@@ -37,7 +37,7 @@
 
 /// The next plan if this daemon has the duty and something changed. `may_move`: enough time went
 /// by since the last step for its effect to show (a receipt's TTL and the way of the news).
-pub fn next(
+pub fn next_plan(
     view: &ClusterView,
     own: &str,
     sources: &[Peer],
--- a/registry/src/leader/tests.rs
+++ b/registry/src/leader/tests.rs
@@ -1,4 +1,4 @@
-use super::{LeadershipReadiness, next};
+use super::{LeadershipReadiness, next_plan};
 use std::sync::Arc;
 use std::time::Duration;
 use vanepath_cluster::gossip::{Event, Gossip};
@@ -84,7 +84,7 @@
 ) -> Option<wire::TrafficShiftPlan> {
     let (news, mut view) = heard(sights);
     view.plan = Arc::new(before);
-    next(&view, "r0", &news.peers, true)
+    next_plan(&view, "r0", &news.peers, true)
 }
 
 #[test]
@@ -134,7 +134,7 @@
             source.detail.request_rates = [("s".to_string(), count * 1000)].into();
         }
         view.plan = Arc::new(last.clone());
-        if let Some(plan) = next(&view, "r0", &news.peers, true) {
+        if let Some(plan) = next_plan(&view, "r0", &news.peers, true) {
             last = plan;
         }
         shown += &format!("{taken:?} {told:?}: {:?}\n", last.shifted.get("s"));
@@ -162,10 +162,10 @@
     let (news, mut view) = heard(&sights);
     let mut early = (card("a0", wire::Role::Registry, "a1", 77), wire::NodeStatus::default());
     view.live.push(early.clone());
-    assert!(next(&view, "r0", &news.peers, true).is_some());
+    assert!(next_plan(&view, "r0", &news.peers, true).is_some());
     early.1.synced = true;
     *view.live.last_mut().unwrap() = early;
-    assert!(next(&view, "r0", &news.peers, true).is_none());
+    assert!(next_plan(&view, "r0", &news.peers, true).is_none());
     let other =
         wire::TrafficShiftPlan { epoch: 7, counter: 3, leader: "r9".into(), ..Default::default() };
     let taken = plan(&sights, other).unwrap();
@@ -173,8 +173,8 @@
     assert_eq!(plan(&sights, taken), None, "nothing new, nothing told");
     let mut tenure = LeadershipReadiness::default();
     let second = Duration::from_secs;
-    assert!(!tenure.may_hold(second(1), true));
-    assert!(tenure.may_hold(second(5), true));
-    assert!(!tenure.may_hold(second(6), false), "it froze");
-    assert!(!tenure.may_hold(second(7), true));
+    assert!(!tenure.may_lead(second(1), true));
+    assert!(tenure.may_lead(second(5), true));
+    assert!(!tenure.may_lead(second(6), false), "it froze");
+    assert!(!tenure.may_lead(second(7), true));
 }
--- a/registry/src/list_poller.rs
+++ b/registry/src/list_poller.rs
@@ -9,7 +9,7 @@
 use vanepath_config::endpoint_list::{EndpointList, Server};
 
 /// A platform that numbers its lists is asked so often, by every registry.
-pub const EVERY: Duration = Duration::from_millis(500);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// How often it is looked whether the list is to be read.
 const PULSE: Duration = Duration::from_millis(50);
 /// Pages of one list at the most; a platform that never ends is not believed.
@@ -17,7 +17,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
-pub enum State {
+pub enum PollOutcome {
     NotYetRead,
     Good,
     Unreachable,
@@ -29,23 +29,23 @@
 }
 
 /// Whether a list that was read may take the place of the last good one.
-pub fn judge(last: &EndpointList, read: &EndpointList) -> State {
+pub fn evaluate(last: &EndpointList, read: &EndpointList) -> PollOutcome {
     if read.revision < last.revision {
-        State::Older
+        PollOutcome::Older
     } else if read.servers.is_empty() {
-        State::Empty
+        PollOutcome::Empty
     } else {
-        State::Good
+        PollOutcome::Good
     }
 }
 
 /// What a reply of the platform amounts to, and the list where it is good.
-pub fn heard(last: &EndpointList, bytes: &[u8]) -> (State, Option<EndpointList>) {
+pub fn parse_reply(last: &EndpointList, bytes: &[u8]) -> (PollOutcome, Option<EndpointList>) {
     match vanepath_config::endpoint_list::parse(bytes) {
-        Err(_) => (State::Malformed, None),
+        Err(_) => (PollOutcome::Malformed, None),
         Ok(list) => {
-            let verdict = judge(last, &list);
-            (verdict, Some(list).filter(|_| verdict == State::Good))
+            let verdict = evaluate(last, &list);
+            (verdict, Some(list).filter(|_| verdict == PollOutcome::Good))
         }
     }
 }
@@ -53,7 +53,7 @@
 pub async fn run(
     daemon: Arc<node::Node>,
     tally: Arc<crate::shell::Counters>,
-    state: Arc<std::sync::Mutex<State>>,
+    state: Arc<std::sync::Mutex<PollOutcome>>,
 ) {
     let url = daemon.settings.endpoint_list_url.clone().expect("checked with the settings");
     let (address, path) = vanepath_config::settings::split_url(&url).expect("checked likewise");
@@ -71,7 +71,7 @@
         let view = daemon.table.load_full();
         let began_at = daemon.clock.now();
         let is_due = match is_numbered {
-            true => tried_at.is_none_or(|at| began_at >= at + EVERY),
+            true => tried_at.is_none_or(|at| began_at >= at + POLL_INTERVAL),
             false => reader.pulse(began_at, &view) == Some(Effect::Read),
         };
         if !is_due {
@@ -81,7 +81,7 @@
         tally.increment(Counter::PlatformReads);
         let source = Source { address, path: &path, dialect, zones: &daemon.settings.zone_regions };
         let read = tokio::time::timeout(READ_MOST, source.read(&mut sender, etag.as_ref()));
-        let outcome = read.await.unwrap_or(Err(State::Unreachable));
+        let outcome = read.await.unwrap_or(Err(PollOutcome::Unreachable));
         let view = daemon.table.load_full();
         let (found, list) = match outcome {
             Err(found) => {
@@ -89,20 +89,20 @@
                 let _ = reader.read(daemon.clock.now(), &view, None);
                 (found, None)
             }
-            Ok(Read::Same) => (State::Good, None),
+            Ok(Read::Same) => (PollOutcome::Good, None),
             Ok(Read::Numbered { list, tag }) => {
                 is_numbered = true;
-                let found = judge(&view.endpoints, &list);
-                etag = tag.filter(|_| found == State::Good);
-                let is_new = found == State::Good && list.revision > view.endpoints.revision;
+                let found = evaluate(&view.endpoints, &list);
+                etag = tag.filter(|_| found == PollOutcome::Good);
+                let is_new = found == PollOutcome::Good && list.revision > view.endpoints.revision;
                 (found, is_new.then(|| Arc::new(list)))
             }
             Ok(Read::Plain(servers)) => {
-                let found = if servers.is_empty() { State::Empty } else { State::Good };
-                let servers = (found == State::Good).then_some(servers);
+                let found = if servers.is_empty() { PollOutcome::Empty } else { PollOutcome::Good };
+                let servers = (found == PollOutcome::Good).then_some(servers);
                 let list = match reader.read(daemon.clock.now(), &view, servers) {
-                    Some(Effect::Tell { list, .. }) => Some(list),
-                    Some(Effect::Overtaken) => {
+                    Some(Effect::Publish { list, .. }) => Some(list),
+                    Some(Effect::Superseded) => {
                         tally.increment(Counter::PlatformReadsOvertaken);
                         None
                     }
@@ -119,7 +119,7 @@
             let event = gossip::Event::EndpointListRead { list, began_at };
             let _ = daemon.gossip.send(node::Deliver(event)).await;
         }
-        if found != State::Good {
+        if found != PollOutcome::Good {
             tally.increment(Counter::PlatformReadsBad);
             etag = None;
         }
@@ -168,7 +168,7 @@
         &self,
         kept: &mut Option<Sender>,
         etag: Option<&hyper::header::HeaderValue>,
-    ) -> Result<Read, State> {
+    ) -> Result<Read, PollOutcome> {
         let mut servers = Vec::new();
         let mut revision = None;
         let mut tag = None;
@@ -177,14 +177,14 @@
         while let Some(path) = next {
             pages += 1;
             if pages > PAGES_MOST {
-                return Err(State::Malformed);
+                return Err(PollOutcome::Malformed);
             }
             let got = get(kept, self.address, &path, etag.filter(|_| pages == 1)).await;
-            let Some((bytes, its_tag)) = got.map_err(|()| State::Unreachable)? else {
+            let Some((bytes, its_tag)) = got.map_err(|()| PollOutcome::Unreachable)? else {
                 return Ok(Read::Same);
             };
             let page = self.dialect.page(&bytes, self.path, self.zones);
-            let page = page.map_err(|_| State::Malformed)?;
+            let page = page.map_err(|_| PollOutcome::Malformed)?;
             revision = page.revision;
             servers.extend(page.servers);
             next = page.next;
--- a/registry/src/list_poller/tests.rs
+++ b/registry/src/list_poller/tests.rs
@@ -1,4 +1,4 @@
-use super::State;
+use super::PollOutcome;
 
 #[test]
 fn only_a_good_list_takes_the_last_ones_place() {
@@ -10,10 +10,10 @@
         vanepath_config::endpoint_list::parse(text.as_bytes()).unwrap()
     };
     let last = list(5, false);
-    assert_eq!(super::judge(&last, &list(6, false)), State::Good);
-    assert_eq!(super::judge(&last, &list(4, false)), State::Older);
-    assert_eq!(super::judge(&last, &list(6, true)), State::Empty);
+    assert_eq!(super::evaluate(&last, &list(6, false)), PollOutcome::Good);
+    assert_eq!(super::evaluate(&last, &list(4, false)), PollOutcome::Older);
+    assert_eq!(super::evaluate(&last, &list(6, true)), PollOutcome::Empty);
     // Whoever knows none yet may be the only one: the others' list has servers.
-    assert_eq!(super::judge(&list(0, true), &list(1, true)), State::Empty);
-    assert_eq!(super::judge(&list(0, true), &list(0, false)), State::Good);
+    assert_eq!(super::evaluate(&list(0, true), &list(1, true)), PollOutcome::Empty);
+    assert_eq!(super::evaluate(&list(0, true), &list(0, false)), PollOutcome::Good);
 }
--- a/registry/src/list_sequencer.rs
+++ b/registry/src/list_sequencer.rs
@@ -32,9 +32,9 @@
     /// Read the whole list and tell the outcome with `ListReader::read`.
     Read,
     /// This is the list in force, by a read that began then.
-    Tell { list: Arc<EndpointList>, began_at: Duration },
+    Publish { list: Arc<EndpointList>, began_at: Duration },
     /// What was read may be older than a list that others know by now; the first registry reads again at once.
-    Overtaken,
+    Superseded,
 }
 
 /// A read that is under way.
@@ -91,14 +91,14 @@
         let servers = in_order(servers?);
         if highest(view) > seen || now.saturating_sub(began_at) > READ_MOST {
             self.is_overtaken = true;
-            return Some(Effect::Overtaken);
+            return Some(Effect::Superseded);
         }
         let is_known = servers == view.endpoints.servers && view.endpoints.revision == seen;
         let list = match is_known {
             true => view.endpoints.clone(),
             false => Arc::new(EndpointList { revision: self.number_after(seen), servers }),
         };
-        Some(Effect::Tell { list, began_at })
+        Some(Effect::Publish { list, began_at })
     }
 
     fn number_after(&self, seen: u64) -> u64 {
--- a/registry/src/list_sequencer/tests.rs
+++ b/registry/src/list_sequencer/tests.rs
@@ -45,7 +45,7 @@
 
 /// Goes by what was told, as the news would.
 fn take(view: &mut ClusterView, told: &Option<Effect>) {
-    if let Some(Effect::Tell { list, began_at }) = told {
+    if let Some(Effect::Publish { list, began_at }) = told {
         view.highest_list_revision = view.highest_list_revision.max(list.revision);
         view.endpoints = list.clone();
         view.list_read_at = Some(*began_at);
@@ -92,7 +92,7 @@
     reader.pulse(ms(0), &view);
     let mut found = servers(&["a", "b", "b", "c"]);
     found[2].draining = true;
-    let Some(Effect::Tell { list, .. }) = reader.read(ms(5), &view, Some(found)) else {
+    let Some(Effect::Publish { list, .. }) = reader.read(ms(5), &view, Some(found)) else {
         panic!("it is told");
     };
     assert_eq!(ids(&list), ["a", "b", "c"]);
@@ -108,15 +108,15 @@
     assert_eq!(reader.pulse(ms(0), &view), Some(Effect::Read));
     // Only heard of so far, from a proxy that has it.
     view.highest_list_revision = 9 << 16 | 3;
-    assert_eq!(reader.read(ms(90), &view, Some(servers(&["a"]))), Some(Effect::Overtaken));
+    assert_eq!(reader.read(ms(90), &view, Some(servers(&["a"]))), Some(Effect::Superseded));
     assert_eq!(reader.pulse(ms(100), &view), Some(Effect::Read), "at once");
     let told = reader.read(ms(120), &view, Some(servers(&["a"])));
-    let Some(Effect::Tell { list, began_at }) = &told else { panic!("{told:?}") };
+    let Some(Effect::Publish { list, began_at }) = &told else { panic!("{told:?}") };
     assert_eq!((list.revision, *began_at), (10 << 16, ms(100)));
     take(&mut view, &told);
     assert_eq!(reader.pulse(ms(700), &view), Some(Effect::Read));
     let late = ms(700) + READ_MOST + ms(1);
-    assert_eq!(reader.read(late, &view, Some(servers(&["a", "b"]))), Some(Effect::Overtaken));
+    assert_eq!(reader.read(late, &view, Some(servers(&["a", "b"]))), Some(Effect::Superseded));
 }
 
 /// Whoever started anew knows no list, and others have one with a number that it cannot know: the first read
@@ -146,7 +146,8 @@
         reader.pulse(ms(0), &view);
         told.push(reader.read(ms(9), &view, Some(servers(&found))));
     }
-    let [Some(Effect::Tell { list: one, .. }), Some(Effect::Tell { list: other, .. })] = &told[..]
+    let [Some(Effect::Publish { list: one, .. }), Some(Effect::Publish { list: other, .. })] =
+        &told[..]
     else {
         panic!("{told:?}");
     };
--- a/registry/src/shell.rs
+++ b/registry/src/shell.rs
@@ -34,7 +34,7 @@
 pub struct Registry {
     pub daemon: Arc<node::Node>,
     pub tally: Arc<Counters>,
-    pub platform: Arc<std::sync::Mutex<crate::list_poller::State>>,
+    pub platform: Arc<std::sync::Mutex<crate::list_poller::PollOutcome>>,
     pub is_ready: std::sync::atomic::AtomicBool,
 }
 
@@ -51,7 +51,7 @@
     let grace = settings.shutdown_grace;
     let daemon = node::Node::start(settings, None).await?;
     let tally: Arc<Counters> = Arc::default();
-    let platform = Arc::new(std::sync::Mutex::new(crate::list_poller::State::NotYetRead));
+    let platform = Arc::new(std::sync::Mutex::new(crate::list_poller::PollOutcome::NotYetRead));
     let registry = Arc::new(Registry {
         daemon: daemon.clone(),
         tally: tally.clone(),
@@ -123,13 +123,13 @@
         if self.registry.is_ready.swap(ready, relaxed) != ready {
             log::info!("{}", if ready { "ready" } else { "not ready" });
         }
-        let may_hold = self.tenure.may_hold(daemon.clock.now(), view.is_fresh);
+        let may_hold = self.tenure.may_lead(daemon.clock.now(), view.is_fresh);
         let report = wire::NodeStatus {
             ready,
             draining: daemon.is_shutting_down(),
             revision: view.committed.revision,
             synced: may_hold,
-            hears_majority: crate::leader::is_whole(&view),
+            hears_majority: crate::leader::hears_majority(&view),
             ..wire::NodeStatus::default()
         };
         daemon.publish_status(report).await;
@@ -150,7 +150,7 @@
         if may_move {
             self.step_at = now + STEP_SHOWS_AFTER;
         }
-        let plan = crate::leader::next(&view, &daemon.card.name, &sources, may_move);
+        let plan = crate::leader::next_plan(&view, &daemon.card.name, &sources, may_move);
         let ended = daemon.clock.now();
         self.look_at = ended + ((ended - began) * REST_TIMES).min(STEP_SHOWS_AFTER);
         if let Some(plan) = plan {
--- a/registry/src/steering.rs
+++ b/registry/src/steering.rs
@@ -12,7 +12,7 @@
 
 /// Who asks: where, and which sticky bucket.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Caller {
+pub struct Client {
     pub zone: String,
     pub region: String,
     pub bucket: u64,
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SteeringState {
     pub revision: u64,
-    pub caller: Caller,
+    pub caller: Client,
 }
 
 impl SteeringState {
@@ -51,7 +51,7 @@
             return None;
         }
         let (zone, region) = (zone.to_string(), region.to_string());
-        let caller = Caller { zone, region, bucket };
+        let caller = Client { zone, region, bucket };
         Some(SteeringState { revision: revision.parse().ok()?, caller })
     }
 }
@@ -84,7 +84,7 @@
 /// Zones with proxies that are ready and not leaving; emptied ones get nobody. A zone none of whose
 /// proxies is heard of any more is still a place, the last to be tried: a directory cannot tell
 /// their death from its own isolation.
-pub fn places(view: &ClusterView) -> Vec<Pathway> {
+pub fn pathways(view: &ClusterView) -> Vec<Pathway> {
     let mut places: Vec<Pathway> = Vec::new();
     let live = view.live.iter().map(|one| (one, false));
     let lost = view.unreachable.iter().map(|one| (one, true));
@@ -121,7 +121,7 @@
 
 /// An order with the reason why each place stands where it does.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Step {
+pub struct RankedPathway {
     pub place: usize,
     pub why: String,
 }
@@ -129,7 +129,12 @@
 /// The order of places for one rule and one caller. Within a step of the rule's preferences each
 /// place draws by the caller's bucket with its share as weight: so shares hold over all callers,
 /// the same caller always draws the same, and a change of shares moves no more than it must.
-pub fn order(view: &ClusterView, places: &[Pathway], rule: usize, caller: &Caller) -> Vec<Step> {
+pub fn rank_pathways(
+    view: &ClusterView,
+    places: &[Pathway],
+    rule: usize,
+    caller: &Client,
+) -> Vec<RankedPathway> {
     let facts = &view.config.rules[rule];
     let viewpoint = ClientLocation { zone: &caller.zone, region: &caller.region };
     let near = |text: &str| Selector::parse(text).expect("a fixed selector");
@@ -149,7 +154,7 @@
     tiers.push(("own region".to_string(), vec![(near("region = @region"), 100.0)]));
     tiers.push(("elsewhere".to_string(), vec![(Selector::all(), 100.0)]));
 
-    let mut steps: Vec<Step> = Vec::new();
+    let mut steps: Vec<RankedPathway> = Vec::new();
     let mut listed = vec![false; places.len()];
     for (name, tier) in tiers {
         let mut drawn: Vec<(f64, usize, String)> = Vec::new();
@@ -175,7 +180,7 @@
         drawn.sort_by(|left, right| {
             left.0.total_cmp(&right.0).then(places[left.1].zone.cmp(&places[right.1].zone))
         });
-        steps.extend(drawn.into_iter().map(|(_, place, why)| Step { place, why }));
+        steps.extend(drawn.into_iter().map(|(_, place, why)| RankedPathway { place, why }));
     }
     // What is not heard of comes last, in the same order among itself.
     steps.sort_by_key(|step| places[step.place].is_lost);
@@ -195,8 +200,8 @@
     view: &ClusterView,
     places: &[Pathway],
     rule: usize,
-    caller: &Caller,
-    steps: &mut [Step],
+    caller: &Client,
+    steps: &mut [RankedPathway],
 ) {
     let Some(first) = steps.first() else { return };
     let zone = &places[first.place].zone;
@@ -231,19 +236,24 @@
 }
 
 /// The receipt, with the source's field names where they fit. `random` jitters the TTL.
-pub fn receipt(view: &ClusterView, caller: &Caller, random: u64, shows: bool) -> jzon::JsonValue {
-    let places = places(view);
+pub fn steering_response(
+    view: &ClusterView,
+    caller: &Client,
+    random: u64,
+    shows: bool,
+) -> jzon::JsonValue {
+    let places = pathways(view);
     let jitter = (random % 1001) as f64 / 1000.0;
     let ttl_s = (TTL.as_secs_f64() * (0.75 + 0.5 * jitter)).min(TTL_MOST.as_secs_f64());
     let echo = SteeringState { revision: view.committed.revision, caller: caller.clone() };
-    let zones = |steps: &[Step]| -> jzon::JsonValue {
+    let zones = |steps: &[RankedPathway]| -> jzon::JsonValue {
         let zones = steps.iter().map(|step| places[step.place].zone.as_str().into());
         jzon::JsonValue::Array(zones.collect())
     };
     let mut rules = jzon::JsonValue::new_array();
-    let mut general: Option<Vec<Step>> = None;
+    let mut general: Option<Vec<RankedPathway>> = None;
     for (index, rule) in view.config.rules.iter().enumerate() {
-        let steps = order(view, &places, index, caller);
+        let steps = rank_pathways(view, &places, index, caller);
         let kind = view.config.classes[rule.class].idempotency;
         let mut entry = jzon::object! {
             "NAME": rule.name.as_str(),
@@ -325,7 +335,7 @@
     random: u64,
 ) -> SteeringOutcome {
     let none = |why| SteeringOutcome { receipt: Err(why), is_first: false, is_forged: false };
-    if !is_ready || view.config.rules.is_empty() || places(view).is_empty() {
+    if !is_ready || view.config.rules.is_empty() || pathways(view).is_empty() {
         // Without any place to name it says nothing, and callers keep what they have.
         return none(SteeringError::NotReady);
     }
@@ -357,10 +367,10 @@
                 Some(id) => vanepath_config::stable_hash(&["caller", id]) % BUCKETS,
                 None => random % BUCKETS,
             };
-            Caller { zone: zone.to_string(), region: region.to_string(), bucket }
+            Client { zone: zone.to_string(), region: region.to_string(), bucket }
         }
     };
-    let receipt = receipt(view, &caller, random >> 20, get("why").is_some());
+    let receipt = steering_response(view, &caller, random >> 20, get("why").is_some());
     SteeringOutcome { receipt: Ok(receipt), is_first, is_forged }
 }
 
@@ -382,7 +392,7 @@
     query: &str,
     random: u64,
 ) -> Result<jzon::JsonValue, SteeringError> {
-    let places = places(view);
+    let places = pathways(view);
     if !is_ready || places.iter().all(|place| place.is_lost) {
         return Err(SteeringError::NotReady);
     }
--- a/registry/src/steering/tests.rs
+++ b/registry/src/steering/tests.rs
@@ -1,4 +1,4 @@
-use super::{Caller, SteeringState, order, places};
+use super::{Client, SteeringState, pathways, rank_pathways};
 use std::sync::Arc;
 use vanepath_cluster::node::ClusterView;
 use vanepath_cluster::wire;
@@ -32,9 +32,9 @@
 }
 
 fn zones(view: &ClusterView, bucket: u64) -> String {
-    let caller = Caller { zone: "a2".to_string(), region: "a".to_string(), bucket };
-    let places = places(view);
-    let steps = order(view, &places, 0, &caller);
+    let caller = Client { zone: "a2".to_string(), region: "a".to_string(), bucket };
+    let places = pathways(view);
+    let steps = rank_pathways(view, &places, 0, &caller);
     let zones: Vec<&str> = steps.iter().map(|step| places[step.place].zone.as_str()).collect();
     zones.join(" ")
 }
@@ -92,7 +92,7 @@
 #[test]
 fn a_directory_that_is_cut_off_sends_its_callers_to_another() {
     let mut cut = view(r#"{"name": "r", "class": "c", "service": "s"}"#);
-    let caller = Caller { zone: "a2".into(), region: "a".into(), bucket: 77 };
+    let caller = Client { zone: "a2".into(), region: "a".into(), bucket: 77 };
     let echo = format!("state={}", SteeringState { revision: 0, caller }.show());
     let is_told = |view: &ClusterView, query: &str| {
         super::steer(view, true, ("a1", "a"), query, 1).receipt.is_ok()
@@ -107,7 +107,7 @@
 
 #[test]
 fn echoes_come_back_whole_and_forgeries_do_not() {
-    let caller = Caller { zone: "a2".into(), region: "a".into(), bucket: 77 };
+    let caller = Client { zone: "a2".into(), region: "a".into(), bucket: 77 };
     let shown = SteeringState { revision: 12, caller: caller.clone() }.show();
     assert_eq!(SteeringState::parse(&shown), Some(SteeringState { revision: 12, caller }));
     for forged in ["", "x", "12.77.a2.a", &shown.replace("12.", "13."), &shown[1..]] {
--- a/registry/src/store_client.rs
+++ b/registry/src/store_client.rs
@@ -7,15 +7,15 @@
 use vanepath_store::retransmission;
 
 /// A question is asked again for so long.
-pub const LIMIT: Duration = Duration::from_millis(4000);
+pub const TIMEOUT: Duration = Duration::from_millis(4000);
 /// One store has so long to reply: four legs over a slow network. Two that died lately leave time for
 /// the third.
-pub const TRY_LIMIT: Duration = Duration::from_millis(1500);
+pub const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1500);
 const PAUSE: Duration = Duration::from_millis(100);
 
 #[derive(Debug)]
 pub enum NextAction {
-    Ask(Box<wire::NodeInfo>),
+    Send(Box<wire::NodeInfo>),
     Pause(Duration),
     End(Outcome),
 }
@@ -38,7 +38,7 @@
         StoreRequest {
             question,
             begun_at: now,
-            until: now + LIMIT,
+            until: now + TIMEOUT,
             round: Vec::new(),
             silent: Vec::new(),
             asked: String::new(),
@@ -83,7 +83,7 @@
         if let Some(card) = self.round.pop() {
             if now < self.until {
                 self.asked = card.name.clone();
-                return NextAction::Ask(Box::new(card));
+                return NextAction::Send(Box::new(card));
             }
             self.round.clear();
         }
--- a/registry/src/store_client/tests.rs
+++ b/registry/src/store_client/tests.rs
@@ -1,4 +1,4 @@
-use super::{LIMIT, NextAction, StoreRequest, TRY_LIMIT};
+use super::{ATTEMPT_TIMEOUT, NextAction, StoreRequest, TIMEOUT};
 use std::time::Duration;
 use vanepath_cluster::wire;
 use vanepath_store::protocol::{Change, Outcome, Request, Response};
@@ -51,14 +51,14 @@
         match store_call.next(now, stores) {
             NextAction::Pause(pause) => now += pause,
             NextAction::End(outcome) => break outcome,
-            NextAction::Ask(card) => {
+            NextAction::Send(card) => {
                 asked.push(card.name.clone());
                 if card.name == "store-2" {
                     let why = "not yet".to_string();
                     let tell = Response::Outcome(Outcome::NotApplied { reason: why });
                     assert!(store_call.told(Some(tell)).is_none());
                 } else {
-                    now += TRY_LIMIT;
+                    now += ATTEMPT_TIMEOUT;
                     assert!(store_call.told(None).is_none());
                 }
             }
@@ -71,5 +71,5 @@
     };
     assert_eq!(asked, ["store-0", "store-1", "store-2", "store-2"]);
     assert!(matches!(outcome, Outcome::Accepted { .. }));
-    assert!(now < LIMIT);
+    assert!(now < TIMEOUT);
 }
--- a/registry/tests/world/mod.rs
+++ b/registry/tests/world/mod.rs
@@ -365,7 +365,8 @@
         let now = self.now;
         let node = &mut self.nodes[index];
         let servers = node.read.take().map(|read| read.servers).filter(|_| is_whole);
-        if let Some(Reads::Tell { list, began_at }) = node.reader.read(now, &node.view, servers) {
+        if let Some(Reads::Publish { list, began_at }) = node.reader.read(now, &node.view, servers)
+        {
             self.step(index, Event::EndpointListRead { list, began_at });
         }
     }
--- a/store/src/consensus.rs
+++ b/store/src/consensus.rs
@@ -630,7 +630,7 @@
 
     fn call(&mut self, incarnation: u64, request: Request, effects: &mut Vec<Effect>) -> u64 {
         self.next_call += 1;
-        effects.push(Effect::Send { call: self.next_call, incarnation, request: request });
+        effects.push(Effect::Send { call: self.next_call, incarnation, request });
         self.next_call
     }
 }
--- a/testbed/src/scale/cores.rs
+++ b/testbed/src/scale/cores.rs
@@ -95,7 +95,7 @@
         let table = weigh(count, || {
             let table: vanepath_proxy::endpoints::Endpoints<()> = Default::default();
             let rate = |_: &vanepath_config::endpoint_list::Server, _: &[usize]| Default::default();
-            table.adopt(Duration::ZERO, (1, 1), &setup_of, &list_of, rate);
+            table.update(Duration::ZERO, (1, 1), &setup_of, &list_of, rate);
             table
         });
         let mega = |bytes: usize| bytes as f64 / 1e6;
@@ -187,16 +187,16 @@
         let table: vanepath_proxy::endpoints::Endpoints<()> = Default::default();
         let list = super::platform(servers, services, judged);
         let rate = |server: &vanepath_config::endpoint_list::Server, services: &[usize]| {
-            vanepath_proxy::endpoints::cold_rate(&view, &own.name, server, services)
+            vanepath_proxy::endpoints::slow_start_rate(&view, &own.name, server, services)
         };
         let started = super::spent();
-        table.adopt(Duration::ZERO, (5, 1), &view.config, &list, rate);
+        table.update(Duration::ZERO, (5, 1), &view.config, &list, rate);
         let first = super::spent().saturating_sub(started);
-        for entry in &table.table.load().entries {
-            table.good(Duration::from_secs(1), entry.slot);
+        for entry in &table.table.load().endpoints {
+            table.record_success(Duration::from_secs(1), entry.slot);
         }
         let now = Duration::from_secs(2);
-        let again = each(span, || table.adopt(now, (5, 1), &view.config, &list, rate));
+        let again = each(span, || table.update(now, (5, 1), &view.config, &list, rate));
         let whole = table.table.load_full();
         let emptied = Default::default();
         let mut turn = 0;
@@ -204,19 +204,19 @@
             turn += 1;
             let want = vanepath_proxy::endpoints::SelectionContext {
                 rule: turn % routes,
-                service: whole.setup.rules[turn % routes].service,
-                emptied: &emptied,
+                service: whole.config.rules[turn % routes].service,
+                drained_zones: &emptied,
                 zone: &own.zone,
                 region: &own.region,
                 tried: &[],
-                looks: None,
-                is_past_aim: false,
+                only_alternative_for: None,
+                is_past_target: false,
             };
             let random = vanepath_config::stable_hash(&[&turn.to_string()]);
             if let vanepath_proxy::endpoints::Selection::Server(index, _) =
-                table.choose(now, &whole, &want, random)
+                table.select(now, &whole, &want, random)
             {
-                table.release(whole.entries[index].slot);
+                table.release(whole.endpoints[index].slot);
             }
         });
         let mut paces = vanepath_proxy::endpoints::ProbeSchedule::default();
@@ -230,7 +230,7 @@
             paces.pulse(at, &view, &own, &whole);
         });
         let pulse = each(span, || table.pulse(now, &paces));
-        let sights = each(span, || table.sights(now));
+        let sights = each(span, || table.observations(now));
         rows.push(Row {
             what: "proxy's servers".to_string(),
             size: vec![
@@ -254,9 +254,9 @@
         let setup = Arc::new(super::setup(1, 1, judged));
         let list = super::platform(servers, 1, judged);
         let table: vanepath_proxy::endpoints::Endpoints<()> = Default::default();
-        table.adopt(Duration::ZERO, (5, 1), &setup, &list, |_, _| Default::default());
-        for entry in &table.table.load().entries {
-            table.good(Duration::from_secs(1), entry.slot);
+        table.update(Duration::ZERO, (5, 1), &setup, &list, |_, _| Default::default());
+        for entry in &table.table.load().endpoints {
+            table.record_success(Duration::from_secs(1), entry.slot);
         }
         let whole = table.table.load_full();
         let emptied = Default::default();
@@ -265,19 +265,19 @@
             turn += 1;
             let want = vanepath_proxy::endpoints::SelectionContext {
                 rule: 0,
-                service: whole.setup.rules[0].service,
-                emptied: &emptied,
+                service: whole.config.rules[0].service,
+                drained_zones: &emptied,
                 zone: "a1",
                 region: "a",
                 tried: &[],
-                looks: None,
-                is_past_aim: false,
+                only_alternative_for: None,
+                is_past_target: false,
             };
             let random = vanepath_config::stable_hash(&[&turn.to_string()]);
             if let vanepath_proxy::endpoints::Selection::Server(index, _) =
-                table.choose(Duration::from_secs(2), &whole, &want, random)
+                table.select(Duration::from_secs(2), &whole, &want, random)
             {
-                table.release(whole.entries[index].slot);
+                table.release(whole.endpoints[index].slot);
             }
         });
         rows.push(Row {
@@ -305,8 +305,10 @@
             bytes = steered.receipt.map_or(0, |receipt| receipt.dump().len());
         });
         let own = news.node_info().name.clone();
-        let duty = each(span, || vanepath_registry::leader::next(&view, &own, &news.peers, false));
-        let moving = each(span, || vanepath_registry::leader::next(&view, &own, &news.peers, true));
+        let duty =
+            each(span, || vanepath_registry::leader::next_plan(&view, &own, &news.peers, false));
+        let moving =
+            each(span, || vanepath_registry::leader::next_plan(&view, &own, &news.peers, true));
         let copied = each(span, || news.peers.clone());
         let now = Duration::from_secs(100);
         let viewed = each(span, || ClusterView::of(&news, &view, now));
--- a/testbed/src/sim/control/registries.rs
+++ b/testbed/src/sim/control/registries.rs
@@ -20,7 +20,7 @@
             }
             false => registry
                 .polled_at
-                .is_none_or(|at| now >= at + vanepath_registry::list_poller::EVERY),
+                .is_none_or(|at| now >= at + vanepath_registry::list_poller::POLL_INTERVAL),
         };
         if reads {
             registry.polled_at = Some(now);
@@ -29,14 +29,14 @@
         }
         self.daemons[index].is_well = ready;
         let Duty::Registry(registry) = &mut self.daemons[index].duty else { return };
-        let may_hold = registry.tenure.may_hold(now, view.is_fresh);
+        let may_hold = registry.tenure.may_lead(now, view.is_fresh);
         let revision = view.committed.revision;
         let report = wire::NodeStatus {
             ready,
             draining: leaving,
             revision,
             synced: may_hold,
-            hears_majority: vanepath_registry::leader::is_whole(&view),
+            hears_majority: vanepath_registry::leader::hears_majority(&view),
             ..wire::NodeStatus::default()
         };
         self.step_news(index, gossip::Event::StatusChanged(report));
@@ -49,7 +49,7 @@
             registry.step_at = now + Duration::from_secs(4);
         }
         let sources = &self.daemons[index].news.peers;
-        let plan = vanepath_registry::leader::next(&view, &name, sources, may_move);
+        let plan = vanepath_registry::leader::next_plan(&view, &name, sources, may_move);
         if let Some(plan) = plan {
             let text = format!("{name}: plan {}.{}", plan.epoch, plan.counter);
             let away: Vec<&String> = plan.unreachable.iter().collect();
@@ -69,9 +69,11 @@
         let last = self.daemons[index].view.endpoints.clone();
         let Duty::Registry(registry) = &mut self.daemons[index].duty else { return };
         let Some(list) = list else { return };
-        let verdict = vanepath_registry::list_poller::judge(&last, &list);
+        let verdict = vanepath_registry::list_poller::evaluate(&last, &list);
         registry.state = Some(verdict);
-        if verdict == vanepath_registry::list_poller::State::Good && list.revision > last.revision {
+        if verdict == vanepath_registry::list_poller::PollOutcome::Good
+            && list.revision > last.revision
+        {
             self.step_news(index, gossip::Event::EndpointListReceived(list));
         }
     }
@@ -89,7 +91,7 @@
         let shown = list.as_ref().map(|list| list.revision);
         let servers = list.map(|list| list.servers.clone());
         let told = reader.read(now, &view, servers);
-        if let (Some(Reads::Tell { list, began_at }), Some(shown)) = (told, shown) {
+        if let (Some(Reads::Publish { list, began_at }), Some(shown)) = (told, shown) {
             let known = self.lists_read.entry(list.revision).or_default();
             *known = shown.max(*known);
             self.step_news(index, gossip::Event::EndpointListRead { list, began_at });
@@ -135,7 +137,7 @@
 
     pub(super) fn platform_text(&mut self, index: usize, text: &str) {
         let last = self.daemons[index].view.endpoints.clone();
-        let (verdict, list) = vanepath_registry::list_poller::heard(&last, text.as_bytes());
+        let (verdict, list) = vanepath_registry::list_poller::parse_reply(&last, text.as_bytes());
         if let Duty::Registry(registry) = &mut self.daemons[index].duty {
             registry.state = Some(verdict);
         }
@@ -209,7 +211,7 @@
         let Duty::Registry(registry) = &mut self.daemons[index].duty else { return };
         let Some((store_call, call)) = registry.store_calls.get_mut(&number) else { return };
         match store_call.next(now, stores) {
-            NextAction::Ask(card) => {
+            NextAction::Send(card) => {
                 let target = Net::host_at(card.cluster_address);
                 let mut question = store_call.question(now);
                 if self.passes(index, Point::BeforeStoreAsk) {
@@ -227,7 +229,7 @@
                     *key = format!("{key}-{}", self.net.random.draw());
                 }
                 let body = Body::Ask(question);
-                let limit = vanepath_registry::store_client::TRY_LIMIT;
+                let limit = vanepath_registry::store_client::ATTEMPT_TIMEOUT;
                 self.net.ask(host, target, limit, body, Purpose::StoreCall { store_call: number });
                 self.passes(index, Point::AfterStoreAsk);
             }
@@ -257,7 +259,7 @@
                 let Some(answered) = answered else { return };
                 for card in vanepath_registry::store_client::stores(&self.daemons[index].view) {
                     let target = Net::host_at(card.cluster_address);
-                    let limit = vanepath_registry::store_client::TRY_LIMIT;
+                    let limit = vanepath_registry::store_client::ATTEMPT_TIMEOUT;
                     let body = Body::Ask(answered.clone());
                     self.net.ask(host, target, limit, body, Purpose::None);
                 }
--- a/testbed/src/sim/data.rs
+++ b/testbed/src/sim/data.rs
@@ -340,12 +340,12 @@
                     let is_there = self.net.hosts[target].powered && !self.net.is_cut(host, target);
                     let pause = match is_there {
                         true => 2 * self.net.delays.caller,
-                        false => vanepath_client::client::REACH_LIMIT,
+                        false => vanepath_client::client::CONNECT_TIMEOUT,
                     };
                     let what = Timer::Knocked { request, target, call, is_there };
                     self.net.timer(host, pause, what);
                 } else {
-                    self.net.timer(host, vanepath_client::client::TRY_LIMIT, what);
+                    self.net.timer(host, vanepath_client::client::ATTEMPT_TIMEOUT, what);
                 }
             }
             Timer::Knocked { request, target, call, is_there } if self.net.call(call).is_some() => {
@@ -356,7 +356,7 @@
                     self.carried(request, target, None, false);
                 } else {
                     let what = Timer::Leave { request, target, call };
-                    self.net.timer(host, vanepath_client::client::TRY_LIMIT, what);
+                    self.net.timer(host, vanepath_client::client::ATTEMPT_TIMEOUT, what);
                 }
             }
             Timer::Stale { request, target } => self.carried(request, target, None, true),
--- a/testbed/src/sim/data/callers.rs
+++ b/testbed/src/sim/data/callers.rs
@@ -9,7 +9,7 @@
         let host = own.host;
         if let Some((directory, uri)) = own.steering.start_poll(now) {
             let target = Net::host_at(directory);
-            let limit = vanepath_client::client::POLL_LIMIT;
+            let limit = vanepath_client::client::POLL_TIMEOUT;
             self.net.ask(host, target, limit, Body::Steer(uri), Purpose::Poll { caller });
         }
         let pause = self.world.callers[caller].steering.poll_at().saturating_sub(now);
@@ -74,7 +74,7 @@
     /// The next place of a request's order, as the caller library goes on.
     pub(super) fn go_on(&mut self, number: usize) {
         let request = &mut self.world.requests[number];
-        let most = vanepath_client::client::TRIES_MOST;
+        let most = vanepath_client::client::MAX_ATTEMPTS;
         let Some(address) = request.order.get(request.at).copied().filter(|_| request.at < most)
         else {
             return self.end_request(number);
@@ -120,7 +120,7 @@
         let call = self.net.ask(host, target, limit, Body::Carry(number), purpose);
         if may_leave {
             let what = Timer::Leave { request: number, target, call };
-            self.net.timer(host, vanepath_client::client::TRY_LIMIT, what);
+            self.net.timer(host, vanepath_client::client::ATTEMPT_TIMEOUT, what);
         }
     }
 
@@ -154,7 +154,7 @@
                 request.may_have_run |= verdict != ExecutionStatus::NotRun;
                 request.drops += u32::from(status == 503);
                 let may_go_on = !(request.is_once && request.may_have_run)
-                    && request.drops < vanepath_client::client::DROPS_MOST
+                    && request.drops < vanepath_client::client::MAX_DROPPED
                     && self.breaks != Some(Break::LookupsGiveUp);
                 if !may_go_on || !caller.steering.goes_on(now, status, verdict) {
                     return self.end_request(number);
--- a/testbed/src/sim/data/proxies.rs
+++ b/testbed/src/sim/data/proxies.rs
@@ -21,13 +21,13 @@
         }
         proxy.revision = Some(revision);
         let cold = |server: &vanepath_config::endpoint_list::Server, services: &[usize]| {
-            vanepath_proxy::endpoints::cold_rate(&view, &name, server, services)
+            vanepath_proxy::endpoints::slow_start_rate(&view, &name, server, services)
         };
         let mut list = (*view.endpoints).clone();
         if self.breaks == Some(Break::IgnoresLeaving) {
             list.servers.iter_mut().for_each(|server| server.draining = false);
         }
-        proxy.servers.adopt(now, revision, &view.config, &list, cold);
+        proxy.servers.update(now, revision, &view.config, &list, cold);
         proxy.paces.renew();
         self.wake_ways(index, woken);
     }
@@ -45,47 +45,47 @@
         let revision = vanepath_proxy::endpoints::revision_of(&view);
         let table = proxy.servers.table.load_full();
         let blind_to: &[Phase] = match self.breaks {
-            Some(Break::FloodsCold) => &[Phase::Cold, Phase::Ramping],
+            Some(Break::FloodsCold) => &[Phase::WarmingUp, Phase::SlowStart],
             // Who is not avoided is tried again and again.
-            Some(Break::UnboundRetries) => &[Phase::Cold, Phase::Ramping, Phase::Suspect],
+            Some(Break::UnboundRetries) => &[Phase::WarmingUp, Phase::SlowStart, Phase::Suspect],
             _ => &[],
         };
-        for entry in table.entries.iter().filter(|_| !blind_to.is_empty()) {
-            proxy.servers.moved(entry.slot, |liveness| {
+        for entry in table.endpoints.iter().filter(|_| !blind_to.is_empty()) {
+            proxy.servers.update_health(entry.slot, |liveness| {
                 liveness.forgive();
                 if blind_to.contains(&liveness.phase) {
-                    liveness.phase = Phase::Live;
+                    liveness.phase = Phase::Healthy;
                 }
             });
         }
         let plan = (view.plan.epoch, view.plan.counter);
         if proxy.plan != Some((plan, revision)) {
             proxy.plan = Some((plan, revision));
-            proxy.servers.hear_plan(now, &view.plan);
+            proxy.servers.apply_plan(now, &view.plan);
         }
         proxy.paces.pulse(now, &view, &card, &table);
         let pulsed = proxy.servers.pulse(now, &proxy.paces);
         self.world.probes += pulsed.probes.len() as u64;
         let is_fresh = view.is_fresh || self.breaks == Some(Break::StartsStale);
-        let ready = proxy.servers.is_fit(now, is_fresh, revision) && !leaving;
+        let ready = proxy.servers.is_ready(now, is_fresh, revision) && !leaving;
         let mut detail = None;
-        let is_news = pulsed.is_news || std::mem::take(&mut proxy.moved);
+        let is_news = pulsed.has_changes || std::mem::take(&mut proxy.moved);
         if proxy.telling.is_due(now, is_news) {
             let counts = proxy.classes.counts();
             detail = Some(wire::ProxyObservations {
-                servers: proxy.servers.sights(now),
+                servers: proxy.servers.observations(now),
                 in_flight: counts.iter().map(|one| one.2 as u32).collect(),
                 queued: counts.iter().map(|one| one.3 as u32).collect(),
                 request_rates: proxy.request_counts.tell(now),
             });
         }
         for entry in pulsed.probes {
-            let address = table.entries[entry].server.address;
-            let purpose = Purpose::Probe { slot: table.entries[entry].slot, index: entry };
-            let limit = vanepath_proxy::connector::LIMIT;
+            let address = table.endpoints[entry].server.address;
+            let purpose = Purpose::Probe { slot: table.endpoints[entry].slot, index: entry };
+            let limit = vanepath_proxy::connector::TIMEOUT;
             self.net.ask(host, Net::host_at(address), limit, Body::Greet, purpose);
         }
-        for note in pulsed.notes {
+        for note in pulsed.log_lines {
             self.note(|| format!("{name}: {note}"));
         }
         self.daemons[index].is_well = ready;
@@ -131,34 +131,34 @@
         let Duty::Proxy(proxy) = &mut self.daemons[index].duty else { return };
         proxy.servers.with(slot, |quick| quick.probing = false);
         let table = proxy.servers.table.load_full();
-        let Some(entry) = table.entries.get(entry).filter(|entry| entry.slot == slot) else {
+        let Some(entry) = table.endpoints.get(entry).filter(|entry| entry.slot == slot) else {
             return;
         };
         let phase = match body {
             Some(Body::Greeted { server, connection, is_cold, demand_milli })
                 if server == entry.server.id =>
             {
-                proxy.servers.told(now, slot, demand_milli);
+                proxy.servers.observe_load(now, slot, demand_milli);
                 if is_cold {
-                    proxy.servers.moved(slot, |liveness| {
-                        if liveness.phase == Phase::Live {
-                            liveness.chill(now, Duration::ZERO);
+                    proxy.servers.update_health(slot, |liveness| {
+                        if liveness.phase == Phase::Healthy {
+                            liveness.restart_slow_start(now, Duration::ZERO);
                         }
                     });
                 }
                 let idle = IdleConnection {
                     connection,
-                    greeted_at: now,
-                    quiet_since: now,
-                    kept_for: vanepath_proxy::endpoints::IDLE_MOST,
+                    verified_at: now,
+                    idle_since: now,
+                    keep_alive: vanepath_proxy::endpoints::MAX_IDLE_TIME,
                     is_used: false,
                 };
                 proxy.servers.put_idle(slot, idle);
-                proxy.servers.good(now, slot)
+                proxy.servers.record_success(now, slot)
             }
-            Some(_) => proxy.servers.bad(now, slot, Failure::Refused),
-            None if is_reset => proxy.servers.bad(now, slot, Failure::Refused),
-            None => proxy.servers.bad(now, slot, Failure::Silent),
+            Some(_) => proxy.servers.record_failure(now, slot, Failure::Refused),
+            None if is_reset => proxy.servers.record_failure(now, slot, Failure::Refused),
+            None => proxy.servers.record_failure(now, slot, Failure::Silent),
         };
         if let Some(phase) = phase {
             proxy.moved = true;
@@ -174,7 +174,7 @@
         let is_fresh = view.is_fresh || self.has(Break::StartsStale);
         let revision = vanepath_proxy::endpoints::revision_of(view);
         now.saturating_sub(proxy.pulsed_at) < gossip::PAUSE_THRESHOLD
-            && proxy.servers.is_fit(now, is_fresh, revision)
+            && proxy.servers.is_ready(now, is_fresh, revision)
     }
 
     pub fn start_way(&mut self, index: usize, request: usize, call: CallId) {
@@ -255,7 +255,7 @@
         let Some(own) = proxy.ways.get_mut(&way) else { return };
         let request = &self.world.requests[own.request];
         let (verb, path) = (method(request.what), self.world.paths[request.what as usize]);
-        let setup = own.table.setup.clone();
+        let setup = own.table.config.clone();
         let rule = setup.rule_for(verb, "h", path);
         let Some(rule) = rule else {
             return self.end_way(index, way, Err(Rejection::Unmatched));
@@ -264,7 +264,7 @@
         let facts = &setup.rules[rule];
         let class = &setup.classes[facts.class];
         own.chart.state = RequestState::Matched;
-        own.chart.kind = class.idempotency;
+        own.chart.idempotency = class.idempotency;
         own.chart.is_replayable = true;
         own.deadline = own.received_at + class.deadline;
         if !facts.allows_region(&region) {
@@ -327,12 +327,12 @@
         }
         own.chart.state = RequestState::Choosing;
         let latest = proxy.servers.table.load_full();
-        if !Arc::ptr_eq(&latest.setup, &own.table.setup) {
+        if !Arc::ptr_eq(&latest.config, &own.table.config) {
             let request = &self.world.requests[own.request];
             let (verb, path) = (method(request.what), self.world.paths[request.what as usize]);
-            match latest.setup.rule_for(verb, "h", path) {
+            match latest.config.rule_for(verb, "h", path) {
                 Some(rule) => {
-                    let is_within = latest.setup.rules[rule].allows_region(&region);
+                    let is_within = latest.config.rules[rule].allows_region(&region);
                     own.rule = rule;
                     own.table = latest.clone();
                     if !is_within {
@@ -345,15 +345,15 @@
         own.table = latest;
         let want = SelectionContext {
             rule: own.rule,
-            service: own.table.setup.rules[own.rule].service,
-            emptied: &view.committed.drained_zones,
+            service: own.table.config.rules[own.rule].service,
+            drained_zones: &view.committed.drained_zones,
             zone: &zone,
             region: &region,
             tried: &own.tried,
-            looks: None,
-            is_past_aim: false,
+            only_alternative_for: None,
+            is_past_target: false,
         };
-        let choice = proxy.servers.choose(now, &own.table, &want, self.net.random.draw());
+        let choice = proxy.servers.select(now, &own.table, &want, self.net.random.draw());
         let (entry, _service) = match choice {
             Selection::Server(entry, service) => (entry, service),
             Selection::Wait(until) if until < own.deadline => {
@@ -364,18 +364,18 @@
             Selection::Crowded => return self.end_way(index, way, Err(Rejection::Crowded)),
             _ => return self.end_way(index, way, Err(Rejection::NoServer)),
         };
-        let slot = own.table.entries[entry].slot;
-        let address = own.table.entries[entry].server.address;
+        let slot = own.table.endpoints[entry].slot;
+        let address = own.table.endpoints[entry].server.address;
         own.index = entry;
         own.tried.push(slot);
         own.in_hand = Some(slot);
-        own.chart.goes += 1;
+        own.chart.attempts += 1;
         own.chart.state = RequestState::Connecting;
         self.world.goes += 1;
-        if own.chart.goes > 1 {
+        if own.chart.attempts > 1 {
             self.world.further_goes.push(self.net.now);
         }
-        if own.table.entries[entry].server.zone != zone {
+        if own.table.endpoints[entry].server.zone != zone {
             self.world.goes_other_zone += 1;
         }
         let (connections, net_now) = (&self.world.connections, self.net.now);
@@ -391,16 +391,16 @@
         let Duty::Proxy(proxy) = &mut self.daemons[index].duty else { return };
         let Some(own) = proxy.ways.get_mut(&way) else { return };
         let is_lately = |idle: &IdleConnection<u64>| {
-            own.chart.kind == Idempotency::Idempotent
-                || now.saturating_sub(idle.greeted_at) <= Duration::from_secs(1)
+            own.chart.idempotency == Idempotency::Idempotent
+                || now.saturating_sub(idle.verified_at) <= Duration::from_secs(1)
         };
         match idle {
             Some(idle) if is_lately(&idle) => {
-                own.connection = Some((idle.connection, idle.greeted_at));
+                own.connection = Some((idle.connection, idle.verified_at));
                 self.way_work(index, way);
             }
             _ => {
-                let limit = vanepath_proxy::connector::LIMIT.min(own.deadline - now);
+                let limit = vanepath_proxy::connector::TIMEOUT.min(own.deadline - now);
                 let purpose = Purpose::Greet { way };
                 self.net.ask(host, Net::host_at(address), limit, Body::Greet, purpose);
             }
@@ -411,15 +411,15 @@
         let now = self.net.local(self.daemons[index].host);
         let Duty::Proxy(proxy) = &mut self.daemons[index].duty else { return };
         let Some(own) = proxy.ways.get_mut(&way) else { return };
-        let entry = &own.table.entries[own.index];
+        let entry = &own.table.endpoints[own.index];
         match body {
             Some(Body::Greeted { server, connection, is_cold, .. })
                 if server == entry.server.id =>
             {
                 if is_cold {
-                    proxy.servers.moved(entry.slot, |liveness| {
-                        if liveness.phase == Phase::Live {
-                            liveness.chill(now, Duration::ZERO);
+                    proxy.servers.update_health(entry.slot, |liveness| {
+                        if liveness.phase == Phase::Healthy {
+                            liveness.restart_slow_start(now, Duration::ZERO);
                         }
                     });
                 }
@@ -430,7 +430,7 @@
             other => {
                 let failure =
                     if other.is_some() || is_reset { Failure::Refused } else { Failure::Silent };
-                proxy.servers.bad(now, entry.slot, failure);
+                proxy.servers.record_failure(now, entry.slot, failure);
                 self.missed(index, way, AttemptError::NotConnected);
             }
         }
@@ -442,7 +442,7 @@
         let word = self.daemons[index].view.committed.clone();
         let Duty::Proxy(proxy) = &mut self.daemons[index].duty else { return };
         let Some(own) = proxy.ways.get_mut(&way) else { return };
-        let entry = &own.table.entries[own.index];
+        let entry = &own.table.endpoints[own.index];
         let Some((connection, _)) = own.connection else { return };
         if proxy.servers.is_withdrawn(&own.table, entry, &word.drained_zones) {
             return self.missed(index, way, AttemptError::Withdrawn);
@@ -451,7 +451,7 @@
         own.chart.state = RequestState::Sent;
         own.chart.sends += 1;
         own.chart.sent_at = now;
-        proxy.servers.sent(now, entry.slot);
+        proxy.servers.record_sent(now, entry.slot);
         let body = Body::Work { request: own.request, connection, sent_at: self.net.now };
         let target = Net::host_at(entry.server.address);
         if self.passes(index, Point::BeforeSend) {
@@ -461,8 +461,8 @@
         let Some(own) = proxy.ways.get_mut(&way) else { return };
         self.world.requests[own.request].sent_to.push(target);
         own.work = Some(self.net.ask(host, target, left, body, Purpose::Work { way }));
-        if let Some(pause) = own.chart.leave_after(left) {
-            let go = own.chart.goes;
+        if let Some(pause) = own.chart.switch_after(left) {
+            let go = own.chart.attempts;
             self.net.timer(host, pause, Timer::WaySoon(way, go));
         }
         self.passes(index, Point::AfterSend);
@@ -477,30 +477,30 @@
         let live = vanepath_proxy::endpoints::live_proxies(&view);
         let Duty::Proxy(proxy) = &mut self.daemons[index].duty else { return };
         let Some(own) = proxy.ways.get_mut(&way) else { return };
-        if own.chart.goes != go || own.chart.state != RequestState::Sent {
+        if own.chart.attempts != go || own.chart.state != RequestState::Sent {
             return;
         }
-        let slot = own.table.entries[own.index].slot;
+        let slot = own.table.endpoints[own.index].slot;
         let want = SelectionContext {
             rule: own.rule,
-            service: own.table.setup.rules[own.rule].service,
-            emptied: &view.committed.drained_zones,
+            service: own.table.config.rules[own.rule].service,
+            drained_zones: &view.committed.drained_zones,
             zone: &card.zone,
             region: &card.region,
             tried: &own.tried,
-            looks: None,
-            is_past_aim: false,
+            only_alternative_for: None,
+            is_past_target: false,
         };
         let had = (slot, own.chart.sent_at);
         let budget = &mut proxy.budget;
-        let may_go = |need| budget.may_go(now, live, need);
-        if proxy.servers.leaves(now, &own.table, &want, had, may_go) {
-            proxy.servers.worked(now, slot, Err(AttemptError::Silent));
+        let may_go = |need| budget.would_allow(now, live, need);
+        if proxy.servers.should_switch(now, &own.table, &want, had, may_go) {
+            proxy.servers.record_outcome(now, slot, Err(AttemptError::Silent));
             if let Some(call) = own.work.take() {
                 self.net.forget(call);
             }
             self.missed(index, way, AttemptError::Silent);
-        } else if let Some(pause) = own.chart.leave_after(own.deadline.saturating_sub(now)) {
+        } else if let Some(pause) = own.chart.switch_after(own.deadline.saturating_sub(now)) {
             self.net.timer(host, pause, Timer::WaySoon(way, go));
         }
     }
@@ -517,27 +517,27 @@
         let now = self.net.local(self.daemons[index].host);
         let Duty::Proxy(proxy) = &mut self.daemons[index].duty else { return };
         let Some(own) = proxy.ways.get_mut(&way) else { return };
-        let slot = own.table.entries[own.index].slot;
+        let slot = own.table.endpoints[own.index].slot;
         own.work = None;
         let outcome = match body {
             Some(Body::Worked { demand_milli, is_truncated: false }) => {
-                proxy.servers.told(now, slot, demand_milli);
+                proxy.servers.observe_load(now, slot, demand_milli);
                 Ok(())
             }
             Some(_) => Err(AttemptError::Truncated),
             None if is_reset => Err(AttemptError::LostAfterSend),
             None => Err(AttemptError::Silent),
         };
-        proxy.servers.worked(now, slot, outcome);
+        proxy.servers.record_outcome(now, slot, outcome);
         if let Err(miss) = outcome {
             return self.missed(index, way, miss);
         }
         if let Some((connection, greeted_at)) = own.connection.take() {
             let idle = IdleConnection {
                 connection,
-                greeted_at,
-                quiet_since: now,
-                kept_for: vanepath_proxy::endpoints::IDLE_MOST,
+                verified_at: greeted_at,
+                idle_since: now,
+                keep_alive: vanepath_proxy::endpoints::MAX_IDLE_TIME,
                 is_used: true,
             };
             proxy.servers.put_idle(slot, idle);
@@ -556,21 +556,22 @@
         }
         own.connection = None;
         let is_late = now >= own.deadline;
-        let slot = own.table.entries[own.index].slot;
-        let need = proxy.servers.need_after(miss, slot, own.chart.sent_at);
+        let slot = own.table.endpoints[own.index].slot;
+        let need = proxy.servers.retry_reason_after(miss, slot, own.chart.sent_at);
         let budget = &mut proxy.budget;
         match self.breaks {
-            Some(Break::FilingsGoAgain) => own.chart.kind = Idempotency::Idempotent,
-            Some(Break::LookupsGiveUp) => own.chart.sends = own.chart.sends_most,
+            Some(Break::FilingsGoAgain) => own.chart.idempotency = Idempotency::Idempotent,
+            Some(Break::LookupsGiveUp) => own.chart.sends = own.chart.max_sends,
             _ => {}
         }
         let is_unbound = self.breaks == Some(Break::UnboundRetries);
-        let next =
-            own.chart.missed(miss, is_late, || is_unbound || budget.take_go(now, live, need));
+        let next = own
+            .chart
+            .attempt_failed(miss, is_late, || is_unbound || budget.try_take(now, live, need));
         let request = own.request;
         match next {
-            AfterFailure::Again => self.way_choose(index, way),
-            AfterFailure::End(refusal) => {
+            AfterFailure::Retry => self.way_choose(index, way),
+            AfterFailure::Reject(refusal) => {
                 self.world.requests[request].why += &format!("{miss}; ");
                 self.end_way(index, way, Err(refusal));
             }
@@ -589,17 +590,19 @@
         }
         let woken = own.held.map(|slot| proxy.classes.release(slot)).unwrap_or_default();
         let is_spoilt =
-            own.chart.kind == Idempotency::NonIdempotent && own.request.is_multiple_of(50);
+            own.chart.idempotency == Idempotency::NonIdempotent && own.request.is_multiple_of(50);
         let verdict = match self.breaks {
             Some(Break::LiesNotRun) if end.is_err() => ExecutionStatus::NotRun,
             Some(Break::DoubtsFilings) if is_spoilt => ExecutionStatus::MayHaveRun,
-            _ => own.chart.verdict(),
+            _ => own.chart.execution_status(),
         };
         let is_misplaced = end == Err(Rejection::Misplaced);
         let view = &self.daemons[index].view;
         let named: Vec<std::net::SocketAddr> = if is_misplaced {
-            let rule = &own.table.setup.rules[own.rule];
-            vanepath_proxy::endpoints::carriers(view, rule).map(|card| card.address).collect()
+            let rule = &own.table.config.rules[own.rule];
+            vanepath_proxy::endpoints::eligible_proxies(view, rule)
+                .map(|card| card.address)
+                .collect()
         } else {
             Vec::new()
         };
--- a/testbed/src/sim/judge.rs
+++ b/testbed/src/sim/judge.rs
@@ -267,7 +267,7 @@
         let Some(daemon) = run.sim.daemons.iter().find(|daemon| daemon.host == proxy) else {
             return false;
         };
-        let from = at.saturating_sub(2 * vanepath_proxy::connector::LIMIT);
+        let from = at.saturating_sub(2 * vanepath_proxy::connector::TIMEOUT);
         let before = daemon.revisions.iter().rev().find(|one| one.0 <= from);
         let since = daemon.revisions.iter().filter(|one| one.0 > from && one.0 <= at);
         let region = daemon.card.region.as_str();
