--- a/cluster/src/gossip.rs
+++ b/cluster/src/gossip.rs
@@ -50,10 +50,10 @@
 /// One source as this daemon knows it.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    pub card: wire::NodeInfo,
+    pub info: wire::NodeInfo,
     pub version: wire::NodeVersion,
-    pub report: wire::NodeStatus,
-    pub detail: wire::ProxyObservations,
+    pub status: wire::NodeStatus,
+    pub observations: wire::ProxyObservations,
     /// It told its detail itself, and not by way of a third.
     is_direct: bool,
     /// Of its name, for vectors.
@@ -76,14 +76,14 @@
     /// each other's death sooner. The others go by what registries say, and judge nobody but
     /// registries while none speaks: `judged_at` is when one last did (design 5.3).
     fn is_live(&self, now: Duration, own: wire::Role, judged_at: Option<Duration>) -> bool {
-        let is_both_registry = own == wire::Role::Registry && self.card.role == own;
+        let is_both_registry = own == wire::Role::Registry && self.info.role == own;
         let after = if is_both_registry { REGISTRY_TIMEOUT } else { NODE_TIMEOUT };
         let now = match judged_at {
             Some(judged_at) if own != wire::Role::Registry => {
                 if self.is_silent {
                     return false;
                 }
-                if self.card.role == wire::Role::Registry { now } else { judged_at.min(now) }
+                if self.info.role == wire::Role::Registry { now } else { judged_at.min(now) }
             }
             _ => now,
         };
@@ -117,7 +117,7 @@
     vector: std::collections::HashMap<u32, wire::NodeVersion>,
     word: u64,
     platform: u64,
-    plan: (u64, u64),
+    plan: wire::PlanVersion,
     wants_detail: bool,
     until: Duration,
     asker: String,
@@ -394,7 +394,7 @@
     /// Registries at whose addresses nobody listens are gone and do not count.
     pub fn is_partitioned(&self, now: Duration) -> bool {
         let others = || {
-            let registries = self.peers.iter().filter(|one| one.card.role == wire::Role::Registry);
+            let registries = self.peers.iter().filter(|one| one.info.role == wire::Role::Registry);
             registries.filter(|one| one.refused_at.is_none_or(|at| one.heard_at > at))
         };
         if self.own.role != wire::Role::Registry || others().next().is_none() {
@@ -416,7 +416,7 @@
             self.peers
                 .iter()
                 .filter(move |source| source.is_live(now, self.own.role, self.judged_at))
-                .map(|source| (&source.card, &source.report)),
+                .map(|source| (&source.info, &source.status)),
         )
     }
 
@@ -428,7 +428,7 @@
         self.peers
             .iter()
             .filter(move |source| !source.is_live(now, self.own.role, self.judged_at))
-            .map(|source| (&source.card, &source.report))
+            .map(|source| (&source.info, &source.status))
     }
 
     /// The first live and settled daemon of a role, in the order of names, has the duty (design 5.6).
@@ -511,8 +511,8 @@
 
     /// The name of the daemon at an address, or else the address.
     fn name_at(&self, address: std::net::SocketAddr) -> String {
-        let source = self.peers.iter().find(|one| one.card.cluster_address == address);
-        source.map_or_else(|| address.to_string(), |source| source.card.name.clone())
+        let source = self.peers.iter().find(|one| one.info.cluster_address == address);
+        source.map_or_else(|| address.to_string(), |source| source.info.name.clone())
     }
 
     fn look_at_floor(&mut self, now: Duration, effects: &mut Vec<Effect>) {
@@ -570,8 +570,8 @@
     fn left(&mut self, ticket: u64) {
         if let Some(parked) = self.parked.iter().find(|parked| parked.ticket == ticket) {
             let asker = &parked.asker;
-            let source = self.peers.iter().find(|source| source.card.name == *asker);
-            self.doubted.extend(source.map(|source| source.card.cluster_address));
+            let source = self.peers.iter().find(|source| source.info.name == *asker);
+            self.doubted.extend(source.map(|source| source.info.cluster_address));
         }
         self.parked.retain(|parked| parked.ticket != ticket);
     }
@@ -579,7 +579,7 @@
     fn refused(&mut self, now: Duration, address: std::net::SocketAddr, effects: &mut Vec<Effect>) {
         let judged_at = self.judged_at;
         for source in &mut self.peers {
-            if source.card.cluster_address == address
+            if source.info.cluster_address == address
                 && source.is_live(now, self.own.role, judged_at)
             {
                 source.refused_at = Some(now);
@@ -616,7 +616,7 @@
 
     fn hear_plan(&mut self, plan: Arc<wire::TrafficShiftPlan>, effects: &mut Vec<Effect>) {
         // Under a lower epoch nothing is taken (design 5.6).
-        if (plan.epoch, plan.counter) > (self.plan.epoch, self.plan.counter) {
+        if plan.version() > self.plan.version() {
             self.plan = plan;
             self.loud += 1;
             effects.push(Effect::ViewChanged);
@@ -651,7 +651,7 @@
         let before = self.peers.len();
         self.peers.retain(|source| now.saturating_sub(source.heard_at) < FORGET_TIMEOUT);
         if self.peers.len() < before {
-            let names = self.peers.iter().map(|source| source.card.name.clone());
+            let names = self.peers.iter().map(|source| source.info.name.clone());
             self.by_name = names.zip(0..).collect();
             let shorts = self.peers.iter().map(|source| source.short);
             self.names = shorts.chain([self.short]).collect();
@@ -663,7 +663,7 @@
             if std::mem::replace(&mut source.was_live, is_live) != is_live {
                 effects.push(Effect::ViewChanged);
                 if !is_live {
-                    just_lost.push(source.card.cluster_address);
+                    just_lost.push(source.info.cluster_address);
                 }
             }
         }
@@ -704,7 +704,7 @@
         live: &[&Peer],
         others: &[crate::peer_selection::Known<'_>],
     ) -> Option<Vec<std::net::SocketAddr>> {
-        let is_whole = |index: usize| live[index].report.hears_majority;
+        let is_whole = |index: usize| live[index].status.hears_majority;
         let ranked = crate::peer_selection::registries(&known(&self.own), others, is_whole);
         if ranked.is_empty() {
             return None;
@@ -712,21 +712,21 @@
         // Those that do not hear from most others may be cut off with what nobody else knows.
         let apart = ranked.iter().filter(|index| !is_whole(**index));
         let mut wanted: Vec<std::net::SocketAddr> =
-            apart.map(|index| live[*index].card.cluster_address).collect();
+            apart.map(|index| live[*index].info.cluster_address).collect();
         if self.own.role == wire::Role::Registry {
-            wanted.extend(ranked.iter().map(|index| live[*index].card.cluster_address));
+            wanted.extend(ranked.iter().map(|index| live[*index].info.cluster_address));
             let store = crate::peer_selection::nearest_store(&known(&self.own), others);
-            wanted.extend(store.map(|index| live[index].card.cluster_address));
+            wanted.extend(store.map(|index| live[index].info.cluster_address));
             return Some(wanted);
         }
         if self.own.role == wire::Role::Store {
             // What one of them knows as chosen the others know at once, whichever registry is gone.
-            let stores = live.iter().filter(|one| one.card.role == wire::Role::Store);
-            wanted.extend(stores.map(|one| one.card.cluster_address));
+            let stores = live.iter().filter(|one| one.info.role == wire::Role::Store);
+            wanted.extend(stores.map(|one| one.info.cluster_address));
         }
         let mut good = 0;
         for index in ranked {
-            let address = live[index].card.cluster_address;
+            let address = live[index].info.cluster_address;
             wanted.push(address);
             let is_bad = self.lines.get(&address).is_some_and(|line| {
                 line.failed || (line.busy && now.saturating_sub(line.sent_at) > SLOW_AFTER)
@@ -747,14 +747,14 @@
             .filter(|one| one.is_live(now, self.own.role, self.judged_at))
             .collect();
         let others: Vec<crate::peer_selection::Known<'_>> =
-            live.iter().map(|source| known(&source.card)).collect();
+            live.iter().map(|source| known(&source.info)).collect();
         let by_registries = self.registry_lines(now, &live, &others);
         let is_served = by_registries.is_some();
         let mut wanted: std::collections::BTreeSet<std::net::SocketAddr> = match by_registries {
             Some(addresses) => addresses.into_iter().collect(),
             None => crate::peer_selection::siblings(&known(&self.own), &others)
                 .into_iter()
-                .map(|index| live[index].card.cluster_address)
+                .map(|index| live[index].info.cluster_address)
                 .collect(),
         };
         let alone = wanted.is_empty();
@@ -769,20 +769,20 @@
         if self.own.role == wire::Role::Registry {
             // A store that nobody pulls from may be the one that chose it.
             let later = live.iter().filter(|one| {
-                one.card.role == wire::Role::Store && one.report.revision > self.committed.revision
+                one.info.role == wire::Role::Store && one.status.revision > self.committed.revision
             });
-            wanted.extend(later.map(|source| source.card.cluster_address));
+            wanted.extend(later.map(|source| source.info.cluster_address));
         }
         let is_below = self.floor.wanted().is_some_and(|floor| floor > self.committed.revision);
         if self.floor.met().is_none() && is_below {
             // Whoever has the word that the floor is of: the registries may all be behind.
-            let core = live.iter().filter(|one| one.card.role != wire::Role::Proxy);
-            wanted.extend(core.map(|source| source.card.cluster_address));
+            let core = live.iter().filter(|one| one.info.role != wire::Role::Proxy);
+            wanted.extend(core.map(|source| source.info.cluster_address));
         }
         if self.fresh_since.is_none() {
             // Just awake: its few siblings may all be gone by now, so everyone is asked once.
-            let asked = live.iter().filter(|one| !is_served || one.card.role != wire::Role::Proxy);
-            wanted.extend(asked.map(|source| source.card.cluster_address));
+            let asked = live.iter().filter(|one| !is_served || one.info.role != wire::Role::Proxy);
+            wanted.extend(asked.map(|source| source.info.cluster_address));
         }
         // Who is not heard of any more is asked itself, once: it may be there and cut off from all but
         // this daemon, which it does not know of.
@@ -793,10 +793,10 @@
                 .peers
                 .iter()
                 .filter(|source| !source.is_live(now, self.own.role, self.judged_at))
-                .map(|source| source.card.cluster_address)
+                .map(|source| source.info.cluster_address)
                 .chain(self.seeds.iter().copied())
                 .filter(|address| {
-                    !live.iter().any(|source| source.card.cluster_address == *address)
+                    !live.iter().any(|source| source.info.cluster_address == *address)
                 })
                 .collect();
             if !lost.is_empty() {
@@ -831,7 +831,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let is_registry = self.peers.iter().any(|source| {
-            source.card.cluster_address == address && source.card.role == wire::Role::Registry
+            source.info.cluster_address == address && source.info.role == wire::Role::Registry
         });
         let Some(line) = self.lines.get_mut(&address) else {
             return;
@@ -855,7 +855,7 @@
                 .then(|| self.peers.iter().map(|one| (one.short, one.version)).collect()),
             config_revision: self.committed.revision,
             endpoint_list_revision: self.endpoints.held(),
-            plan: (self.plan.epoch, self.plan.counter),
+            plan: self.plan.version(),
             sender: self.own_delta(tells_card, tells_detail),
             wait_ms,
             wants_observations: self.details_since.is_some(),
@@ -935,10 +935,10 @@
             }
             // A store that has asked a majority since it runs knows the word as well as a registry.
             let vouches = self.peers.iter().any(|source| {
-                source.card.cluster_address == address
-                    && source.report.ready
-                    && (source.card.role == wire::Role::Registry
-                        || (source.card.role == wire::Role::Store && source.report.synced))
+                source.info.cluster_address == address
+                    && source.status.ready
+                    && (source.info.role == wire::Role::Registry
+                        || (source.info.role == wire::Role::Store && source.status.synced))
             });
             if is_of_now && vouches && !self.fresh_registry {
                 self.fresh_registry = true;
@@ -947,7 +947,7 @@
         }
         if good {
             let mut teller = self.peers.iter_mut();
-            if let Some(teller) = teller.find(|source| source.card.cluster_address == address) {
+            if let Some(teller) = teller.find(|source| source.info.cluster_address == address) {
                 teller.replied_at = Some(now);
             }
         }
@@ -984,7 +984,7 @@
             source.is_silent = !spoken.is_empty() && spoken.iter().all(says_dead);
             let is_refuted =
                 source.refused_at.is_some_and(|at| now.saturating_sub(at) < NODE_TIMEOUT);
-            let is_teller = source.card.cluster_address == address;
+            let is_teller = source.info.cluster_address == address;
             if is_teller || (!source.is_silent && !is_refuted) {
                 source.heard_at = now;
                 source.is_silent &= !is_teller;
@@ -1045,11 +1045,11 @@
             self.loud += 1;
             self.names.insert(short);
             self.peers.push(Peer {
-                card,
+                info: card,
                 version: mark,
-                report,
+                status: report,
                 is_direct: is_direct && mark.observations_version > 0,
-                detail,
+                observations: detail,
                 short,
                 heard_at,
                 known_since: now,
@@ -1069,7 +1069,7 @@
             && delta.version.observations_version > source.version.observations_version
             && let Some(detail) = &delta.observations
         {
-            source.detail = detail.clone();
+            source.observations = detail.clone();
             source.version.observations_version = delta.version.observations_version;
             source.is_direct = is_direct;
         }
@@ -1087,15 +1087,15 @@
             u64::from(new_life || delta.version.status_version > source.version.status_version);
         let old_detail = source.version.observations_version;
         if let Some(card) = delta.info
-            && card != source.card
+            && card != source.info
         {
-            source.card = card;
+            source.info = card;
             effects.push(Effect::ViewChanged);
         }
         if let Some(report) = delta.status
-            && report != source.report
+            && report != source.status
         {
-            source.report = report;
+            source.status = report;
             effects.push(Effect::ViewChanged);
         }
         if (source.version.incarnation, source.version.status_version)
@@ -1106,11 +1106,11 @@
         source.version = delta.version;
         match delta.observations {
             Some(detail) if new_life => {
-                source.detail = detail;
+                source.observations = detail;
                 source.is_direct = is_direct;
             }
             None if new_life => {
-                source.detail = wire::ProxyObservations::default();
+                source.observations = wire::ProxyObservations::default();
                 source.version.observations_version = 0;
                 source.is_direct = false;
             }
@@ -1207,9 +1207,9 @@
             || self.has_later_list_read(parked)
             || self.in_force() > parked.word
             || self.endpoints.current().revision > parked.platform
-            || (self.plan.epoch, self.plan.counter) > parked.plan
+            || self.plan.version() > parked.plan
             || louder(&self.own.name, self.short, &self.mark)
-            || self.peers.iter().any(|one| louder(&one.card.name, one.short, &one.version))
+            || self.peers.iter().any(|one| louder(&one.info.name, one.short, &one.version))
     }
 
     /// Registries tell each other at once that the platform list was read, for who reads it next goes by that.
@@ -1232,7 +1232,7 @@
         for (index, source) in self.peers.iter().enumerate() {
             let seen = parked.vector.get(&source.short).copied().unwrap_or_default();
             if parked.has_new_detail(&source.version, &seen, source.is_direct) {
-                weights.push((index, source.detail.estimated_bytes()));
+                weights.push((index, source.observations.estimated_bytes()));
             }
         }
         let sum: usize = weights.iter().map(|one| one.1).sum();
@@ -1269,8 +1269,8 @@
         let mut deltas = Vec::new();
         let own = (&self.own, self.short, &self.mark, &self.report, (&self.detail, true), now);
         let others = self.peers.iter().map(|one| {
-            let detail = (&one.detail, one.is_direct);
-            (&one.card, one.short, &one.version, &one.report, detail, one.heard_at)
+            let detail = (&one.observations, one.is_direct);
+            (&one.info, one.short, &one.version, &one.status, detail, one.heard_at)
         });
         let told = self.told_details(parked);
         let is_told = |index: usize| {
@@ -1312,8 +1312,7 @@
             endpoint_list: parcel.whole,
             endpoint_list_delta: parcel.delta,
             list_read: self.endpoints.read(now).filter(|_| tells_read),
-            plan: ((self.plan.epoch, self.plan.counter) > parked.plan)
-                .then(|| (*self.plan).clone()),
+            plan: (self.plan.version() > parked.plan).then(|| (*self.plan).clone()),
             unreachable: (parked.light && self.own.role == wire::Role::Registry)
                 .then(|| self.silent_for(parked)),
             resend_versions: false,
--- a/cluster/src/gossip/tests.rs
+++ b/cluster/src/gossip/tests.rs
@@ -64,7 +64,8 @@
 fn a_late_detail_is_taken_and_an_older_one_is_not() {
     let now = Duration::from_secs(100);
     let mut news = Gossip::new(card("r", wire::Role::Registry, 1), Vec::new(), 1, now);
-    let seen = |news: &Gossip| (news.peers[0].version, news.peers[0].detail.in_flight.clone());
+    let seen =
+        |news: &Gossip| (news.peers[0].version, news.peers[0].observations.in_flight.clone());
     tell(&mut news, now, delta(9, 1, Some(1)));
     tell(&mut news, now, delta(20, 3, None));
     assert_eq!(seen(&news).0.observations_version, 1, "what was not told is not known");
@@ -96,7 +97,7 @@
         )]),
         config_revision: 0,
         endpoint_list_revision: 0,
-        plan: (0, 0),
+        plan: wire::PlanVersion::default(),
         sender: delta(1, 0, None),
         wait_ms: 0,
         wants_observations: true,
@@ -167,7 +168,7 @@
         known_versions: Some(Vec::new()),
         config_revision: 0,
         endpoint_list_revision: 0,
-        plan: (0, 0),
+        plan: wire::PlanVersion::default(),
         sender: delta(10, 0, None),
         wait_ms: 700,
         wants_observations: false,
--- a/cluster/src/node.rs
+++ b/cluster/src/node.rs
@@ -243,8 +243,8 @@
                     let links = self.links.clone();
                     let own = own.clone();
                     let other_zone = self.core.peers.iter().any(|source| {
-                        source.card.cluster_address == address
-                            && source.card.zone != self.core.node_info().zone
+                        source.info.cluster_address == address
+                            && source.info.zone != self.core.node_info().zone
                     });
                     tokio::spawn(async move {
                         let limit = Duration::from_millis(u64::from(pull.wait_ms) + 1000);
@@ -373,7 +373,7 @@
     pub view: tokio::sync::watch::Receiver<Arc<ClusterView>>,
     /// Turns true when the daemon was told to stop.
     pub stop: tokio::sync::watch::Receiver<bool>,
-    pub card: wire::NodeInfo,
+    pub info: wire::NodeInfo,
     pulsed_at_ms: Arc<std::sync::atomic::AtomicU64>,
 }
 
@@ -478,7 +478,7 @@
             table,
             view,
             stop,
-            card,
+            info: card,
             pulsed_at_ms,
         }))
     }
--- a/cluster/src/wire.rs
+++ b/cluster/src/wire.rs
@@ -27,7 +27,7 @@
 }
 
 /// Types that are told often go without field names on the wire.
-macro_rules! bare {
+macro_rules! tuple_encoded {
     ($name:ident { $($field:ident: $kind:ty),* $(,)? }) => {
         impl From<($($kind,)*)> for $name {
             fn from(($($field,)*): ($($kind,)*)) -> $name {
@@ -35,8 +35,8 @@
             }
         }
         impl From<$name> for ($($kind,)*) {
-            fn from(told: $name) -> ($($kind,)*) {
-                ($(told.$field,)*)
+            fn from(value: $name) -> ($($kind,)*) {
+                ($(value.$field,)*)
             }
         }
     };
@@ -84,7 +84,7 @@
     pub hears_majority: bool,
 }
 
-bare!(NodeStatus {
+tuple_encoded!(NodeStatus {
     ready: bool,
     draining: bool,
     revision: u64,
@@ -106,12 +106,61 @@
     pub slot: Option<u8>,
 }
 
+/// The health of a server as one proxy sees it; a number on the wire (design 8.6).
+#[derive(
+    Clone,
+    Copy,
+    Debug,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    serde::Serialize,
+    serde::Deserialize,
+    strum::Display,
+    strum::IntoStaticStr,
+    strum::FromRepr,
+)]
+#[serde(from = "u8", into = "u8")]
+#[strum(serialize_all = "kebab-case")]
+#[repr(u8)]
+pub enum ServerPhase {
+    /// Not heard of yet; gets requests only where no better server is there.
+    Unknown,
+    /// Just back: gets no more than its slow-start rate.
+    #[strum(serialize = "cold")]
+    WarmingUp,
+    /// The rate doubles step by step.
+    #[strum(serialize = "ramping")]
+    SlowStart,
+    /// Gets requests without a bound of its own.
+    #[strum(serialize = "live")]
+    Healthy,
+    /// Failed lately; gets no new requests while others are there.
+    Suspect,
+}
+
+impl From<u8> for ServerPhase {
+    fn from(number: u8) -> ServerPhase {
+        ServerPhase::from_repr(number).unwrap_or(ServerPhase::Unknown)
+    }
+}
+
+impl From<ServerPhase> for u8 {
+    fn from(phase: ServerPhase) -> u8 {
+        phase as u8
+    }
+}
+
 /// What one proxy sees of one server; without field names on the wire, for there are many.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
-#[serde(from = "(String, u8, u32, u32, u32, bool)", into = "(String, u8, u32, u32, u32, bool)")]
+#[serde(
+    from = "(String, ServerPhase, u32, u32, u32, bool)",
+    into = "(String, ServerPhase, u32, u32, u32, bool)"
+)]
 pub struct ServerObservation {
     pub server: String,
-    pub phase: u8,
+    pub phase: ServerPhase,
     /// How long it has been in that phase.
     pub age_ms: u32,
     /// For how long the proxy has been in touch with it without a gap; 0: it is not.
@@ -122,9 +171,9 @@
     pub connection_refused: bool,
 }
 
-bare!(ServerObservation {
+tuple_encoded!(ServerObservation {
     server: String,
-    phase: u8,
+    phase: ServerPhase,
     age_ms: u32,
     in_contact_ms: u32,
     load_milli: u32,
@@ -179,6 +228,40 @@
 /// From where to where, in thousandths.
 pub type ZoneShares = std::collections::BTreeMap<String, std::collections::BTreeMap<String, u32>>;
 
+/// A server that came back lately, as the fleet's proxies saw it come back; a tuple on the wire.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
+#[serde(from = "(u32, bool)", into = "(u32, bool)")]
+pub struct WarmUp {
+    /// For how long it has been back, in milliseconds.
+    pub age_ms: u32,
+    /// Its machine refused connections before: it surely was away.
+    pub connection_refused: bool,
+}
+
+tuple_encoded!(WarmUp { age_ms: u32, connection_refused: bool });
+
+/// The version of a traffic-shift plan: a new leader takes the next epoch and counts from 1 within it. A
+/// tuple on the wire.
+#[derive(
+    Clone,
+    Copy,
+    Debug,
+    Default,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    serde::Serialize,
+    serde::Deserialize,
+)]
+#[serde(from = "(u64, u64)", into = "(u64, u64)")]
+pub struct PlanVersion {
+    pub epoch: u64,
+    pub counter: u64,
+}
+
+tuple_encoded!(PlanVersion { epoch: u64, counter: u64 });
+
 /// Shares as the one duty holder set them (design 7.4).
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct TrafficShiftPlan {
@@ -195,12 +278,18 @@
     /// Servers that came back lately: for how long (ms) they have been back, and whether their
     /// machines refused connections before. For proxies that were not there to see it.
     #[serde(rename = "cold")]
-    pub warming_up: std::collections::BTreeMap<String, (u32, bool)>,
+    pub warming_up: std::collections::BTreeMap<String, WarmUp>,
     /// Servers that nobody can reach: whoever sees one come back knows that it was away.
     #[serde(rename = "away")]
     pub unreachable: std::collections::BTreeSet<String>,
 }
 
+impl TrafficShiftPlan {
+    pub fn version(&self) -> PlanVersion {
+        PlanVersion { epoch: self.epoch, counter: self.counter }
+    }
+}
+
 /// What is known of one source: (life, counter) rise, `edition` and `detail` likewise within.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(from = "(u64, u64, u64, u64)", into = "(u64, u64, u64, u64)")]
@@ -212,7 +301,7 @@
     pub observations_version: u64,
 }
 
-bare!(NodeVersion {
+tuple_encoded!(NodeVersion {
     incarnation: u64,
     counter: u64,
     status_version: u64,
@@ -234,7 +323,7 @@
     pub observations: Option<ProxyObservations>,
 }
 
-bare!(NodeDelta {
+tuple_encoded!(NodeDelta {
     name: String,
     version: NodeVersion,
     age_ms: u32,
@@ -252,7 +341,7 @@
     pub config_revision: u64,
     #[serde(rename = "platform")]
     pub endpoint_list_revision: u64,
-    pub plan: (u64, u64),
+    pub plan: PlanVersion,
     #[serde(rename = "own")]
     pub sender: NodeDelta,
     pub wait_ms: u32,
@@ -280,7 +369,7 @@
     pub age_ms: u32,
 }
 
-bare!(EndpointListRead { revision: u64, age_ms: u32 });
+tuple_encoded!(EndpointListRead { revision: u64, age_ms: u32 });
 
 #[derive(Clone, Debug, Default, serde::Serialize, serde::Deserialize)]
 pub struct PullResponse {
--- a/cluster/tests/details.rs
+++ b/cluster/tests/details.rs
@@ -12,7 +12,7 @@
 fn detail(sights: usize, demand_milli: u32) -> wire::ProxyObservations {
     let sight = |index: usize| wire::ServerObservation {
         server: format!("server-{index}"),
-        phase: 3,
+        phase: wire::ServerPhase::Healthy,
         age_ms: 1_000_000,
         in_contact_ms: 1_000_000,
         load_milli: demand_milli,
@@ -60,11 +60,11 @@
 ) -> wire::PullResponse {
     let pull = wire::PullRequest {
         known_versions: Some(
-            asker.peers.iter().map(|one| (wire::name_hash(&one.card.name), one.version)).collect(),
+            asker.peers.iter().map(|one| (wire::name_hash(&one.info.name), one.version)).collect(),
         ),
         config_revision: 0,
         endpoint_list_revision: asker.endpoints.held(),
-        plan: (0, 0),
+        plan: wire::PlanVersion::default(),
         sender: wire::NodeDelta {
             name: asker.node_info().name.clone(),
             version: asker.node_version(),
@@ -102,8 +102,9 @@
     tell(&mut asked, (0..656).map(|index| delta(index, 3, 900)).collect());
     let weight = detail(900, 1).estimated_bytes();
     assert!(656 * weight > 4 * wire::MAX_OBSERVATION_BYTES, "{weight}");
-    let known =
-        |asker: &Gossip| asker.peers.iter().filter(|one| one.detail.servers.len() == 900).count();
+    let known = |asker: &Gossip| {
+        asker.peers.iter().filter(|one| one.observations.servers.len() == 900).count()
+    };
     let mut rounds = 0;
     while known(&asker) < 656 {
         let before = known(&asker);
@@ -129,7 +130,7 @@
             known_versions: Some(Vec::new()),
             config_revision: 0,
             endpoint_list_revision: 0,
-            plan: (0, 0),
+            plan: wire::PlanVersion::default(),
             sender: delta(0, number, 3),
             wait_ms: 700,
             wants_observations: false,
@@ -140,8 +141,8 @@
         first.step(NOW, Event::PullReceived { ticket: number, pull });
     };
     let seen = |news: &Gossip| {
-        let one = news.peers.iter().find(|one| one.card.name == "proxy-0").unwrap();
-        (one.version.observations_version, one.detail.servers[0].load_milli)
+        let one = news.peers.iter().find(|one| one.info.name == "proxy-0").unwrap();
+        (one.version.observations_version, one.observations.servers[0].load_milli)
     };
     own(&mut first, 1);
     pull(&mut third, &mut first, 11);
--- a/cluster/tests/floor.rs
+++ b/cluster/tests/floor.rs
@@ -70,7 +70,7 @@
         known_versions: Some(Vec::new()),
         config_revision: 0,
         endpoint_list_revision: 0,
-        plan: (0, 0),
+        plan: wire::PlanVersion::default(),
         sender: delta("q", Role::Proxy, 9, ready(asker_revision)),
         wait_ms: 0,
         wants_observations: false,
--- a/cluster/tests/frames.rs
+++ b/cluster/tests/frames.rs
@@ -4,8 +4,8 @@
 use std::fmt::Write as _;
 use vanepath_cluster::wire::{
     CommittedConfig, DiskStatus, EndpointListRead, Handshake, NodeDelta, NodeInfo, NodeStatus,
-    NodeVersion, ProxyObservations, PullRequest, PullResponse, Reply, Request, Role, SYSTEM,
-    ServerObservation, TrafficShiftPlan, decode, encode, name_hash,
+    NodeVersion, PlanVersion, ProxyObservations, PullRequest, PullResponse, Reply, Request, Role,
+    SYSTEM, ServerObservation, ServerPhase, TrafficShiftPlan, WarmUp, decode, encode, name_hash,
 };
 use vanepath_config::endpoint_list::{EndpointList, EndpointListDelta, Server};
 
@@ -58,7 +58,7 @@
 fn sight() -> ServerObservation {
     ServerObservation {
         server: "server-1".to_string(),
-        phase: 3,
+        phase: ServerPhase::Healthy,
         age_ms: 41,
         in_contact_ms: 42,
         load_milli: 43,
@@ -111,8 +111,11 @@
             [("north-1".to_string(), [("north-2".to_string(), 250)].into())].into(),
         )]
         .into(),
-        warming_up: [("server-1".to_string(), (84, true)), ("server-2".to_string(), (85, false))]
-            .into(),
+        warming_up: [
+            ("server-1".to_string(), WarmUp { age_ms: 84, connection_refused: true }),
+            ("server-2".to_string(), WarmUp { age_ms: 85, connection_refused: false }),
+        ]
+        .into(),
         unreachable: ["server-3".to_string()].into(),
     }
 }
@@ -149,7 +152,7 @@
         known_versions: None,
         config_revision: 101,
         endpoint_list_revision: 102,
-        plan: (103, 104),
+        plan: PlanVersion { epoch: 103, counter: 104 },
         sender: bare_delta(),
         wait_ms: 700,
         wants_observations: false,
@@ -219,8 +222,15 @@
     frames.add("report-bare", &NodeStatus::default());
     frames.add("report-full", &report());
     frames.add("disk-without-seat", &DiskStatus::default());
-    for phase in 0..=4 {
-        frames.add(&format!("sight-{phase}"), &ServerObservation { phase, ..sight() });
+    let phases = [
+        ServerPhase::Unknown,
+        ServerPhase::WarmingUp,
+        ServerPhase::SlowStart,
+        ServerPhase::Healthy,
+        ServerPhase::Suspect,
+    ];
+    for (number, phase) in phases.into_iter().enumerate() {
+        frames.add(&format!("sight-{number}"), &ServerObservation { phase, ..sight() });
     }
     frames.add("detail-bare", &ProxyObservations::default());
     frames.add("detail-full", &detail());
--- a/proxy/src/endpoints.rs
+++ b/proxy/src/endpoints.rs
@@ -1,7 +1,7 @@
 //! The servers as this proxy knows them: a table by read-copy-update, what changes quickly in
 //! shards under their own locks, and the choice among them (design 8.6, 8.7).
 
-use crate::health::{Failure, Phase, ServerHealth, SlowStartRate};
+use crate::health::{Failure, ServerHealth, ServerPhase, SlowStartRate};
 use crate::latency_model::{RelativeLatency, RequestProfiles, ZonePools};
 use crate::load_balancing::{Candidate, Distance, RequestCost};
 use crate::retry_budget::RetryReason;
@@ -20,11 +20,25 @@
     pub slot: usize,
 }
 
+/// What a routing table was made from.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct TableRevision {
+    /// The revision of the configuration's document.
+    pub config: u64,
+    pub endpoint_list: u64,
+}
+
+impl TableRevision {
+    pub fn new(config: u64, endpoint_list: u64) -> TableRevision {
+        TableRevision { config, endpoint_list }
+    }
+}
+
 /// One consistent whole: the setup in force here and the servers as it sorts them.
 #[derive(Debug, Default)]
 pub struct RoutingTable {
     /// The revisions of the setup and of the platform list that it was made from.
-    pub revision: (u64, u64),
+    pub revision: TableRevision,
     pub config: Arc<vanepath_config::model::Config>,
     pub endpoints: Vec<Endpoint>,
     pub by_service: Vec<Vec<usize>>,
@@ -227,8 +241,8 @@
 }
 
 /// What a table made from this view stems from.
-pub fn revision_of(view: &ClusterView) -> (u64, u64) {
-    (view.committed.config_revision, view.endpoints.revision)
+pub fn revision_of(view: &ClusterView) -> TableRevision {
+    TableRevision::new(view.committed.config_revision, view.endpoints.revision)
 }
 
 pub fn live_proxies(view: &ClusterView) -> usize {
@@ -382,7 +396,7 @@
     pub fn update(
         &self,
         now: Duration,
-        revision: (u64, u64),
+        revision: TableRevision,
         setup: &Arc<vanepath_config::model::Config>,
         list: &vanepath_config::endpoint_list::EndpointList,
         rate: impl Fn(&vanepath_config::endpoint_list::Server, &[usize]) -> SlowStartRate,
@@ -447,9 +461,11 @@
                 let was_cold = known.is_some_and(|entry| entry.server.warming_up);
                 self.update_health(slot, |liveness| {
                     liveness.by_traffic = true;
-                    if server.warming_up && (!was_cold || liveness.phase == Phase::Unknown) {
+                    if server.warming_up && (!was_cold || liveness.phase == ServerPhase::Unknown) {
                         liveness.restart_slow_start(now, Duration::ZERO);
-                    } else if !server.warming_up && (was_cold || liveness.phase == Phase::Unknown) {
+                    } else if !server.warming_up
+                        && (was_cold || liveness.phase == ServerPhase::Unknown)
+                    {
                         liveness.trust(now);
                     }
                 });
@@ -480,7 +496,7 @@
     /// Whether this proxy may be given work (design 5.5): what it knows is fresh, it goes by that and
     /// not by the table from before it, it has rules, and it has looked at its servers once. Right
     /// after a start it would send work to dead ones otherwise.
-    pub fn is_ready(&self, now: Duration, is_fresh: bool, revision: (u64, u64)) -> bool {
+    pub fn is_ready(&self, now: Duration, is_fresh: bool, revision: TableRevision) -> bool {
         let table = self.table.load();
         let is_there = table.revision == revision && !table.config.rules.is_empty();
         is_fresh && is_there && self.has_looked(now, &table)
@@ -494,7 +510,7 @@
         let is_awaited = |slot| {
             self.with(slot, |quick| {
                 let liveness = &quick.health;
-                liveness.phase == Phase::Unknown && now < liveness.since + FIRST_LOOK
+                liveness.phase == ServerPhase::Unknown && now < liveness.since + FIRST_LOOK
             })
         };
         let mut used = table.endpoints.iter().filter(|entry| !entry.services.is_empty());
@@ -512,7 +528,7 @@
             let is_away = plan.unreachable.contains(&entry.server.id);
             let back_for = plan.warming_up.get(&entry.server.id);
             let back_for = back_for
-                .map(|(age_ms, refused)| (Duration::from_millis(u64::from(*age_ms)), *refused));
+                .map(|one| (Duration::from_millis(u64::from(one.age_ms)), one.connection_refused));
             if is_away || back_for.is_some() {
                 self.with(entry.slot, |quick| quick.health.hear(now, is_away, back_for));
             }
@@ -621,13 +637,13 @@
             let is_telling = self.with(entry.slot, |quick| {
                 // What the traffic shows of one that is well is nobody else's business.
                 let is_steady = quick.health.steady(now) > Duration::ZERO;
-                !matches!(quick.health.phase, Phase::Healthy | Phase::Unknown)
+                !matches!(quick.health.phase, ServerPhase::Healthy | ServerPhase::Unknown)
                     || (is_steady && !quick.health.by_traffic)
             });
             is_telling.filter(|is_telling| *is_telling)?;
             self.with(entry.slot, |quick| wire::ServerObservation {
                 server: entry.server.id.clone(),
-                phase: quick.health.phase as u8,
+                phase: quick.health.phase,
                 age_ms: now.saturating_sub(quick.health.since).as_millis() as u32,
                 in_contact_ms: quick.health.steady(now).as_millis() as u32,
                 load_milli: quick.demand(now),
@@ -700,7 +716,7 @@
                             }
                             return None;
                         }
-                        let is_suspect = quick.health.phase == Phase::Suspect;
+                        let is_suspect = quick.health.phase == ServerPhase::Suspect;
                         let demand_milli = quick.demand(now);
                         let is_full = quick.in_flight >= most
                             || (demand_milli >= 1000 && !quick.is_stale(now));
@@ -714,7 +730,7 @@
                             return (quick.in_flight < most).then_some((score, quick.in_flight));
                         }
                         let may_try = is_lookup && quick.in_flight == 0;
-                        let is_later = quick.health.phase == Phase::Unknown
+                        let is_later = quick.health.phase == ServerPhase::Unknown
                             || quick.health.is_limping(now, may_try);
                         let is_usable =
                             !is_suspect && !is_full && is_later == (pass == Pass::Later);
@@ -826,8 +842,8 @@
                 }
                 let may_try = is_lookup && quick.in_flight == 0;
                 let tier = match quick.health.phase {
-                    Phase::Suspect => 2,
-                    Phase::Unknown => 1,
+                    ServerPhase::Suspect => 2,
+                    ServerPhase::Unknown => 1,
                     _ if quick.health.is_limping(now, may_try) => 1,
                     _ => 0,
                 };
@@ -973,7 +989,7 @@
         may_go: impl FnOnce(RetryReason) -> bool,
     ) -> bool {
         let need = self.retry_reason(slot, sent_at);
-        let is_suspect = self.with(slot, |quick| quick.health.phase == Phase::Suspect);
+        let is_suspect = self.with(slot, |quick| quick.health.phase == ServerPhase::Suspect);
         let is_in_vain = is_suspect != Some(false) && need == RetryReason::Lost;
         self.has_alternative(now, table, want, need) && (is_in_vain || may_go(need))
     }
@@ -1042,12 +1058,17 @@
         self.with(slot, |quick| quick.is_untidy) == Some(true)
     }
 
-    pub fn record_success(&self, now: Duration, slot: usize) -> Option<Phase> {
+    pub fn record_success(&self, now: Duration, slot: usize) -> Option<ServerPhase> {
         self.update_health(slot, |liveness| liveness.good(now))
     }
 
     /// After a failure; connections that rest are not trusted any more if nobody is there.
-    pub fn record_failure(&self, now: Duration, slot: usize, failure: Failure) -> Option<Phase> {
+    pub fn record_failure(
+        &self,
+        now: Duration,
+        slot: usize,
+        failure: Failure,
+    ) -> Option<ServerPhase> {
         if failure == Failure::Refused {
             self.with(slot, |quick| quick.idle.clear());
         }
@@ -1060,7 +1081,7 @@
         now: Duration,
         slot: usize,
         outcome: Result<(), crate::lifecycle::AttemptError>,
-    ) -> Option<Phase> {
+    ) -> Option<ServerPhase> {
         use crate::lifecycle::AttemptError;
         let phase = match outcome {
             Ok(()) => self.record_success(now, slot),
@@ -1102,7 +1123,11 @@
     }
 
     /// Acts on the liveness; tells the new phase where it changed.
-    pub fn update_health(&self, slot: usize, act: impl FnOnce(&mut ServerHealth)) -> Option<Phase> {
+    pub fn update_health(
+        &self,
+        slot: usize,
+        act: impl FnOnce(&mut ServerHealth),
+    ) -> Option<ServerPhase> {
         self.with(slot, |quick| {
             let before = quick.health.phase;
             act(&mut quick.health);
--- a/proxy/src/endpoints/tests.rs
+++ b/proxy/src/endpoints/tests.rs
@@ -1,4 +1,4 @@
-use super::{Endpoints, Selection, SelectionContext};
+use super::{Endpoints, Selection, SelectionContext, TableRevision};
 use crate::health::{Failure, SlowStartRate};
 use crate::retry_budget::RetryReason;
 use std::time::Duration;
@@ -44,7 +44,9 @@
 fn case() -> Case {
     let servers: Endpoints<()> = Endpoints::default();
     let setup = setup();
-    servers.update(Duration::ZERO, (1, 1), &setup, &list(), |_, _| SlowStartRate::default());
+    servers.update(Duration::ZERO, TableRevision::new(1, 1), &setup, &list(), |_, _| {
+        SlowStartRate::default()
+    });
     for entry in &servers.table.load().endpoints {
         servers.record_success(Duration::ZERO, entry.slot);
     }
@@ -132,7 +134,9 @@
         server.draining = true;
     }
     let now = Duration::ZERO;
-    case.servers.update(now, (1, 2), &case.setup, &leaving, |_, _| SlowStartRate::default());
+    case.servers.update(now, TableRevision::new(1, 2), &case.setup, &leaving, |_, _| {
+        SlowStartRate::default()
+    });
     assert_eq!(case.pick(1, 0), "none");
 }
 
@@ -161,7 +165,9 @@
     let mut case = case();
     let text = SETUP.replace(r#""serverRoom": 2"#, r#""serverRoom": 100"#);
     let setup = std::sync::Arc::new(vanepath_config::model::parse(text.as_bytes()).unwrap());
-    case.servers.update(Duration::ZERO, (1, 1), &setup, &list(), |_, _| SlowStartRate::default());
+    case.servers.update(Duration::ZERO, TableRevision::new(1, 1), &setup, &list(), |_, _| {
+        SlowStartRate::default()
+    });
     case.setup = setup;
     let mut counts = std::collections::BTreeMap::<String, u32>::new();
     for _ in 0..16 {
@@ -182,15 +188,24 @@
     let servers: Endpoints<()> = Endpoints::default();
     let ms = Duration::from_millis;
     let case = Case { servers, setup: setup(), emptied: Default::default() };
-    case.servers.update(ms(1000), (1, 1), &case.setup, &list(), |_, _| SlowStartRate::default());
-    assert!(!case.servers.is_ready(ms(1000), true, (1, 1)));
+    case.servers.update(ms(1000), TableRevision::new(1, 1), &case.setup, &list(), |_, _| {
+        SlowStartRate::default()
+    });
+    assert!(!case.servers.is_ready(ms(1000), true, TableRevision::new(1, 1)));
     for id in ["s-b1", "t-a1", "t-b1"] {
         case.servers.record_success(ms(1010), case.slot(id));
     }
-    assert!(!case.servers.is_ready(ms(1299), true, (1, 1)), "two may still reply");
+    assert!(
+        !case.servers.is_ready(ms(1299), true, TableRevision::new(1, 1)),
+        "two may still reply"
+    );
     let is_fit = |is_fresh, revision| case.servers.is_ready(ms(1300), is_fresh, revision);
-    assert!(is_fit(true, (1, 1)));
-    assert!(!is_fit(false, (1, 1)) && !is_fit(true, (1, 2)) && !is_fit(true, (2, 1)));
+    assert!(is_fit(true, TableRevision::new(1, 1)));
+    assert!(
+        !is_fit(false, TableRevision::new(1, 1))
+            && !is_fit(true, TableRevision::new(1, 2))
+            && !is_fit(true, TableRevision::new(2, 1))
+    );
     assert_eq!([case.pick(1, 2), case.pick(0, 2)], ["t-a1", "s-b1"].map(String::from));
     for id in ["s-b1", "t-a1", "t-b1"] {
         case.servers.record_failure(Duration::from_secs(2), case.slot(id), Failure::Refused);
@@ -206,7 +221,7 @@
     let no_part = |_: &vanepath_config::endpoint_list::Server, _: &[usize]| {
         SlowStartRate::of(1.0, Duration::from_secs(10), 1, 2)
     };
-    case.servers.update(Duration::ZERO, (1, 1), &case.setup, &list(), no_part);
+    case.servers.update(Duration::ZERO, TableRevision::new(1, 1), &case.setup, &list(), no_part);
     for entry in &case.servers.table.load().endpoints {
         case.servers.record_success(Duration::ZERO, entry.slot);
     }
@@ -230,7 +245,13 @@
     let rate = |_: &vanepath_config::endpoint_list::Server, _: &[usize]| {
         SlowStartRate::of(2.0, Duration::from_secs(10), 0, 1)
     };
-    case.servers.update(Duration::from_secs(1), (1, 2), &case.setup, &moved, rate);
+    case.servers.update(
+        Duration::from_secs(1),
+        TableRevision::new(1, 2),
+        &case.setup,
+        &moved,
+        rate,
+    );
     assert_ne!(case.slot("s-b1"), before);
     assert_eq!(case.pick(0, 1), "wait until 1.5 s");
     assert_eq!(case.pick(0, 2), "s-b1");
@@ -284,8 +305,13 @@
             let mut list = list();
             change(&mut list);
             let now = Duration::from_secs(1);
-            case.servers
-                .update(now, (1, revision), &case.setup, &list, |_, _| SlowStartRate::default());
+            case.servers.update(
+                now,
+                TableRevision::new(1, revision),
+                &case.setup,
+                &list,
+                |_, _| SlowStartRate::default(),
+            );
         };
     adopt(2, &|list| list.servers[0].draining = true);
     assert!(!is_withdrawn(&case.emptied), "it is another one that leaves");
--- a/proxy/src/forward.rs
+++ b/proxy/src/forward.rs
@@ -1094,7 +1094,7 @@
                 }
                 if greeted.says_cold {
                     self.proxy.servers.update_health(slot, |liveness| {
-                        if liveness.phase == crate::health::Phase::Healthy {
+                        if liveness.phase == crate::health::ServerPhase::Healthy {
                             liveness.restart_slow_start(now, Duration::ZERO);
                         }
                     });
--- a/proxy/src/health.rs
+++ b/proxy/src/health.rs
@@ -2,25 +2,7 @@
 
 use std::time::Duration;
 
-#[derive(
-    Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::IntoStaticStr, strum::FromRepr,
-)]
-#[strum(serialize_all = "kebab-case")]
-#[repr(u8)]
-pub enum Phase {
-    /// Not yet heard of; may get work only where nothing better is there.
-    Unknown,
-    /// Just back: gets no more than its modest rate.
-    #[strum(serialize = "cold")]
-    WarmingUp,
-    /// The rate doubles step by step.
-    #[strum(serialize = "ramping")]
-    SlowStart,
-    #[strum(serialize = "live")]
-    Healthy,
-    /// Failed lately; gets no new work while others are there.
-    Suspect,
-}
+pub use vanepath_cluster::wire::ServerPhase;
 
 /// How a server failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -58,7 +40,7 @@
 
 #[derive(Clone, Debug)]
 pub struct ServerHealth {
-    pub phase: Phase,
+    pub phase: ServerPhase,
     /// When the phase began.
     pub since: Duration,
     good: u32,
@@ -129,7 +111,7 @@
 impl ServerHealth {
     pub fn new(now: Duration) -> ServerHealth {
         ServerHealth {
-            phase: Phase::Unknown,
+            phase: ServerPhase::Unknown,
             since: now,
             good: 0,
             bad: 0,
@@ -149,23 +131,23 @@
         }
     }
 
-    fn enter(&mut self, now: Duration, phase: Phase) {
+    fn enter(&mut self, now: Duration, phase: ServerPhase) {
         self.phase = phase;
         self.since = now;
         match phase {
-            Phase::WarmingUp => {
+            ServerPhase::WarmingUp => {
                 self.forgive();
                 self.next_cold_at = now + self.cold.turn;
                 self.cold_since = Some(now);
             }
-            Phase::Healthy => self.cold_since = None,
-            Phase::Unknown | Phase::SlowStart | Phase::Suspect => {}
+            ServerPhase::Healthy => self.cold_since = None,
+            ServerPhase::Unknown | ServerPhase::SlowStart | ServerPhase::Suspect => {}
         }
     }
 
     /// Cold from now on, reckoned from an earlier moment.
     fn cool(&mut self, now: Duration, since: Duration) {
-        self.enter(now, Phase::WarmingUp);
+        self.enter(now, ServerPhase::WarmingUp);
         self.since = since;
         self.cold_since = Some(since);
     }
@@ -182,7 +164,7 @@
 
     /// Taken for well on the platform's word; traffic will tell.
     pub fn trust(&mut self, now: Duration) {
-        self.enter(now, Phase::Healthy);
+        self.enter(now, ServerPhase::Healthy);
         self.good = 0;
         self.bad = 0;
         self.bad_since = None;
@@ -192,7 +174,7 @@
 
     /// A suspect that others probe is tried again after a rest; if it was cold when it failed, as a cold one.
     pub fn retry(&mut self, now: Duration) {
-        if self.phase != Phase::Suspect || now.saturating_sub(self.since) < RETRY_AFTER {
+        if self.phase != ServerPhase::Suspect || now.saturating_sub(self.since) < RETRY_AFTER {
             return;
         }
         let Some(cold_since) = self.cold_since else { return self.trust(now) };
@@ -201,11 +183,11 @@
 
     /// Something speaks against it that only a probe can settle.
     pub fn is_in_doubt(&self) -> bool {
-        self.phase == Phase::Suspect || self.is_doubted || self.bad > 0
+        self.phase == ServerPhase::Suspect || self.is_doubted || self.bad > 0
     }
 
     pub fn was_refused(&self) -> bool {
-        self.refused && matches!(self.phase, Phase::Suspect | Phase::WarmingUp)
+        self.refused && matches!(self.phase, ServerPhase::Suspect | ServerPhase::WarmingUp)
     }
 
     /// How long this proxy has been in touch with it, from sign to sign; zero after a gap.
@@ -222,14 +204,14 @@
     pub fn hear(&mut self, now: Duration, is_away: bool, back_for: Option<(Duration, bool)>) {
         if is_away && self.steady(now) == Duration::ZERO {
             self.was_away = true;
-            if self.phase != Phase::Suspect {
+            if self.phase != ServerPhase::Suspect {
                 self.good = 0;
-                self.enter(now, Phase::Suspect);
+                self.enter(now, ServerPhase::Suspect);
             }
         }
         // A refusal is proof; this proxy's own probes may lie to both sides of a short absence.
         if let Some((age, refused)) = back_for
-            && matches!(self.phase, Phase::Healthy | Phase::Unknown)
+            && matches!(self.phase, ServerPhase::Healthy | ServerPhase::Unknown)
             && (refused || self.steady(now) <= age + Duration::from_secs(1))
             && age < self.cold.period
         {
@@ -247,11 +229,12 @@
         self.bad = 0;
         self.bad_since = None;
         match self.phase {
-            Phase::Unknown => self.enter(now, Phase::Healthy),
-            Phase::Suspect => {
+            ServerPhase::Unknown => self.enter(now, ServerPhase::Healthy),
+            ServerPhase::Suspect => {
                 self.good += 1;
                 if self.by_traffic || self.good >= GOOD_NEEDED {
-                    let phase = if self.was_away { Phase::WarmingUp } else { Phase::Healthy };
+                    let phase =
+                        if self.was_away { ServerPhase::WarmingUp } else { ServerPhase::Healthy };
                     self.refused &= self.was_away;
                     self.was_away = false;
                     self.enter(now, phase);
@@ -274,10 +257,10 @@
         if is_proof {
             self.steady_since = None;
         }
-        if is_proof && self.phase != Phase::Suspect {
+        if is_proof && self.phase != ServerPhase::Suspect {
             // Whoever was cold already comes back cold.
-            self.was_away |= matches!(self.phase, Phase::WarmingUp | Phase::SlowStart);
-            self.enter(now, Phase::Suspect);
+            self.was_away |= matches!(self.phase, ServerPhase::WarmingUp | ServerPhase::SlowStart);
+            self.enter(now, ServerPhase::Suspect);
         }
     }
 
@@ -321,12 +304,12 @@
         }
         let age = now.saturating_sub(self.since);
         match self.phase {
-            Phase::WarmingUp if age >= cold.period => self.enter(now, Phase::SlowStart),
-            Phase::SlowStart if age >= cold.period => {
+            ServerPhase::WarmingUp if age >= cold.period => self.enter(now, ServerPhase::SlowStart),
+            ServerPhase::SlowStart if age >= cold.period => {
                 self.refused = false;
-                self.enter(now, Phase::Healthy);
+                self.enter(now, ServerPhase::Healthy);
             }
-            Phase::Suspect
+            ServerPhase::Suspect
                 if self.cold_since.is_some_and(|since| now >= since + 2 * cold.period) =>
             {
                 self.cold_since = None;
@@ -337,11 +320,11 @@
 
     pub fn may_take(&self, now: Duration) -> bool {
         match self.phase {
-            Phase::WarmingUp | Phase::SlowStart => {
+            ServerPhase::WarmingUp | ServerPhase::SlowStart => {
                 self.cold.every.is_some() && now >= self.next_cold_at
             }
-            Phase::Healthy | Phase::Unknown => true,
-            Phase::Suspect => false,
+            ServerPhase::Healthy | ServerPhase::Unknown => true,
+            ServerPhase::Suspect => false,
         }
     }
 
@@ -360,8 +343,8 @@
     pub fn take(&mut self, now: Duration) {
         let Some(every) = self.cold.every else { return };
         let doublings = match self.phase {
-            Phase::WarmingUp | Phase::Suspect if self.cold_since.is_some() => 0,
-            Phase::SlowStart => {
+            ServerPhase::WarmingUp | ServerPhase::Suspect if self.cold_since.is_some() => 0,
+            ServerPhase::SlowStart => {
                 let age = now.saturating_sub(self.since).as_secs_f64();
                 let part = age / self.cold.period.as_secs_f64().max(1e-3);
                 (part * f64::from(DOUBLINGS)) as u32 + 1
@@ -374,7 +357,7 @@
     /// When it wants a probe: soon if it is in doubt, seldom if traffic just proved it well.
     pub fn probe_at(&self, every: Duration) -> Duration {
         match (self.phase, self.last_good_at) {
-            (Phase::Suspect, _) => Duration::ZERO,
+            (ServerPhase::Suspect, _) => Duration::ZERO,
             _ if self.is_doubted || self.bad > 0 => Duration::ZERO,
             (_, Some(last_good_at)) => last_good_at + every,
             (_, None) => Duration::ZERO,
--- a/proxy/src/health/tests.rs
+++ b/proxy/src/health/tests.rs
@@ -1,4 +1,4 @@
-use super::{Failure, Phase, ServerHealth, SlowStartRate};
+use super::{Failure, ServerHealth, ServerPhase, SlowStartRate};
 use std::time::Duration;
 
 fn second(seconds: f64) -> Duration {
@@ -9,26 +9,26 @@
 fn gone_comes_back_cold_and_a_freeze_does_not() {
     let mut server = ServerHealth::new(second(0.0));
     server.good(second(0.0));
-    assert_eq!(server.phase, Phase::Healthy);
+    assert_eq!(server.phase, ServerPhase::Healthy);
     server.bad(second(1.0), Failure::Silent);
-    assert_eq!(server.phase, Phase::Healthy, "one slow reply is no proof");
+    assert_eq!(server.phase, ServerPhase::Healthy, "one slow reply is no proof");
     server.bad(second(1.5), Failure::Silent);
-    assert_eq!(server.phase, Phase::Suspect);
+    assert_eq!(server.phase, ServerPhase::Suspect);
     server.good(second(2.0));
-    assert_eq!(server.phase, Phase::Suspect, "one good reply is no proof");
+    assert_eq!(server.phase, ServerPhase::Suspect, "one good reply is no proof");
     server.good(second(2.5));
-    assert_eq!(server.phase, Phase::Healthy);
+    assert_eq!(server.phase, ServerPhase::Healthy);
     server.bad(second(3.0), Failure::Refused);
-    assert_eq!(server.phase, Phase::Suspect);
+    assert_eq!(server.phase, ServerPhase::Suspect);
     server.good(second(3.5));
     server.good(second(4.0));
-    assert_eq!(server.phase, Phase::WarmingUp);
+    assert_eq!(server.phase, ServerPhase::WarmingUp);
     // Turns away again while cold.
     server.bad(second(4.5), Failure::Silent);
     server.bad(second(5.0), Failure::Silent);
     server.good(second(5.5));
     server.good(second(6.0));
-    assert_eq!(server.phase, Phase::WarmingUp);
+    assert_eq!(server.phase, ServerPhase::WarmingUp);
 }
 
 /// One miss in three makes a server limp and one in ten does not; rested it is tried, and good
@@ -125,18 +125,18 @@
         let mut server = ServerHealth::new(second(0.0));
         server.by_traffic = by_traffic;
         server.trust(second(0.0));
-        assert_eq!(server.phase, Phase::Healthy);
+        assert_eq!(server.phase, ServerPhase::Healthy);
         assert!(!server.is_in_doubt());
         server.bad(second(1.0), Failure::Broken);
         assert!(server.is_in_doubt(), "a probe is due");
-        assert_eq!(server.phase, Phase::Healthy);
+        assert_eq!(server.phase, ServerPhase::Healthy);
         server.bad(second(1.1), Failure::Broken);
-        assert_eq!(server.phase, Phase::Suspect);
+        assert_eq!(server.phase, ServerPhase::Suspect);
         server.good(second(1.5));
-        let phase = if by_traffic { Phase::Healthy } else { Phase::Suspect };
+        let phase = if by_traffic { ServerPhase::Healthy } else { ServerPhase::Suspect };
         assert_eq!(server.phase, phase);
         server.good(second(1.6));
-        assert_eq!(server.phase, Phase::Healthy);
+        assert_eq!(server.phase, ServerPhase::Healthy);
         assert!(!server.is_in_doubt());
     }
 }
@@ -148,15 +148,19 @@
     server.by_traffic = true;
     server.trust(second(0.0));
     server.bad(second(1.0), Failure::Refused);
-    assert_eq!(server.phase, Phase::Suspect);
+    assert_eq!(server.phase, ServerPhase::Suspect);
     server.good(second(1.2));
-    assert_eq!(server.phase, Phase::WarmingUp);
+    assert_eq!(server.phase, ServerPhase::WarmingUp);
     // The platform says that it is warm: its word counts, and what was before is forgotten.
     server.trust(second(1.3));
-    assert_eq!(server.phase, Phase::Healthy);
+    assert_eq!(server.phase, ServerPhase::Healthy);
     assert!(!server.is_in_doubt() && !server.was_refused());
     server.bad(second(1.4), Failure::Broken);
-    assert_eq!(server.phase, Phase::Healthy, "one failure is no proof, as if it were the first");
+    assert_eq!(
+        server.phase,
+        ServerPhase::Healthy,
+        "one failure is no proof, as if it were the first"
+    );
 }
 
 /// Silence alone is a doubt and no more, and the next good answer ends it.
@@ -180,13 +184,13 @@
     let mut server = ServerHealth::new(ms(0));
     server.trust(ms(0));
     server.bad(ms(1000), Failure::Refused);
-    assert_eq!(server.phase, Phase::Suspect);
+    assert_eq!(server.phase, ServerPhase::Suspect);
     server.retry(ms(2499));
-    assert_eq!(server.phase, Phase::Suspect);
+    assert_eq!(server.phase, ServerPhase::Suspect);
     server.retry(ms(2500));
-    assert_eq!(server.phase, Phase::Healthy);
+    assert_eq!(server.phase, ServerPhase::Healthy);
     server.bad(ms(2600), Failure::Refused);
-    assert_eq!(server.phase, Phase::Suspect);
+    assert_eq!(server.phase, ServerPhase::Suspect);
 }
 
 /// Incident 0018: a server that was cold when it failed was taken for well after a rest, by every proxy that does
@@ -206,7 +210,7 @@
             // The others say so.
             server.hear(second(0.5), true, None);
         }
-        assert_eq!(server.phase, Phase::Suspect);
+        assert_eq!(server.phase, ServerPhase::Suspect);
         let mut sent = 0;
         for now_ms in 500..2900 {
             let now = Duration::from_millis(now_ms);
@@ -219,11 +223,11 @@
         }
         let most = (2400.0 / every.as_millis() as f64).ceil() as u32;
         assert!(sent <= most, "{sent} in 2.4 s, and {most} are its rate");
-        assert_eq!(server.phase, Phase::WarmingUp);
+        assert_eq!(server.phase, ServerPhase::WarmingUp);
         server.pulse(second(3.0), rate);
-        assert_eq!(server.phase, Phase::SlowStart, "by the time at which it became cold");
+        assert_eq!(server.phase, ServerPhase::SlowStart, "by the time at which it became cold");
         server.pulse(second(6.0), rate);
-        assert_eq!((server.phase, server.next_at()), (Phase::Healthy, None));
+        assert_eq!((server.phase, server.next_at()), (ServerPhase::Healthy, None));
     }
     // Without a part it gets nothing from here.
     let mut server = ServerHealth::new(second(0.0));
@@ -248,5 +252,5 @@
     server.pulse(second(5.9), rate);
     assert!(server.next_at().is_some());
     server.pulse(second(6.0), rate);
-    assert_eq!((server.phase, server.next_at()), (Phase::Suspect, None));
+    assert_eq!((server.phase, server.next_at()), (ServerPhase::Suspect, None));
 }
--- a/proxy/src/shell.rs
+++ b/proxy/src/shell.rs
@@ -2,7 +2,7 @@
 //! probes, readiness and the way to stop (design 8.8).
 
 use crate::forward::{Counter, Proxy};
-use crate::health::{Failure, Phase};
+use crate::health::{Failure, ServerPhase};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -17,7 +17,7 @@
     let keeper = xtra::spawn_tokio(
         Keeper {
             proxy: proxy.clone(),
-            revision: (u64::MAX, u64::MAX),
+            revision: crate::endpoints::TableRevision::new(u64::MAX, u64::MAX),
             plan: None,
             paces: crate::endpoints::ProbeSchedule::default(),
             telling: crate::endpoints::ObservationReporter::default(),
@@ -189,13 +189,13 @@
 #[derive(xtra::Actor)]
 struct Keeper {
     proxy: Arc<Proxy>,
-    revision: (u64, u64),
+    revision: crate::endpoints::TableRevision,
     /// The plan and the revision for which it was heard last.
-    plan: Option<((u64, u64), (u64, u64))>,
+    plan: Option<(wire::PlanVersion, crate::endpoints::TableRevision)>,
     paces: crate::endpoints::ProbeSchedule,
     telling: crate::endpoints::ObservationReporter,
     /// For which revision and how many live daemons its part was made, and when it is made anew.
-    parted: Option<((u64, u64), usize)>,
+    parted: Option<(crate::endpoints::TableRevision, usize)>,
     part_at: Duration,
 }
 
@@ -221,7 +221,7 @@
         if revision == self.revision {
             return;
         }
-        if self.revision.0 != revision.0 {
+        if self.revision.config != revision.config {
             let mut classes = self.proxy.classes.lock().expect("no panic under this lock");
             classes.adopt(&view.config);
             let woken = classes.wake();
@@ -254,7 +254,7 @@
         let proxy = &self.proxy;
         proxy.live_proxies.store(crate::endpoints::live_proxies(view), Ordering::Relaxed);
         let table = proxy.servers.table.load_full();
-        let plan = (view.plan.epoch, view.plan.counter);
+        let plan = view.plan.version();
         if self.plan != Some((plan, self.revision)) {
             self.plan = Some((plan, self.revision));
             proxy.servers.apply_plan(now, &view.plan);
@@ -263,9 +263,9 @@
         if self.parted != Some((self.revision, live)) || now >= self.part_at {
             self.parted = Some((self.revision, live));
             self.part_at = now + PART_EVERY;
-            proxy.servers.assign_subset(view, &proxy.daemon.card);
+            proxy.servers.assign_subset(view, &proxy.daemon.info);
         }
-        self.paces.pulse(now, view, &proxy.daemon.card, &table);
+        self.paces.pulse(now, view, &proxy.daemon.info, &table);
         let pulsed = proxy.servers.pulse(now, &self.paces);
         if pulsed.has_changes {
             proxy.is_news.store(true, Ordering::Relaxed);
@@ -366,7 +366,7 @@
                 proxy.servers.observe_load(now, entry.slot, demand_milli);
             }
             let moved = proxy.servers.update_health(entry.slot, |liveness| {
-                if greeted.says_cold && liveness.phase == Phase::Healthy {
+                if greeted.says_cold && liveness.phase == ServerPhase::Healthy {
                     liveness.restart_slow_start(now, Duration::ZERO);
                 }
             });
@@ -418,14 +418,14 @@
                     "no work: no service selects it"
                 } else {
                     match quick.health.phase {
-                        Phase::Unknown => "not yet heard of",
-                        Phase::WarmingUp => "just back: at most its modest rate",
-                        Phase::SlowStart => "back for a while: its rate is rising",
-                        Phase::Healthy if quick.health.is_limping(now, false) => {
+                        ServerPhase::Unknown => "not yet heard of",
+                        ServerPhase::WarmingUp => "just back: at most its modest rate",
+                        ServerPhase::SlowStart => "back for a while: its rate is rising",
+                        ServerPhase::Healthy if quick.health.is_limping(now, false) => {
                             "no work while others are there: it lost some that it had in hand"
                         }
-                        Phase::Healthy => "given work",
-                        Phase::Suspect => "no work while others are there: it failed lately",
+                        ServerPhase::Healthy => "given work",
+                        ServerPhase::Suspect => "no work while others are there: it failed lately",
                     }
                 };
                 jzon::object! {
--- a/proxy/tests/crowding.rs
+++ b/proxy/tests/crowding.rs
@@ -9,7 +9,9 @@
 use vanepath_cluster::node::ClusterView;
 use vanepath_cluster::wire;
 use vanepath_proxy::client_deadlines::ClientDeadlines;
-use vanepath_proxy::endpoints::{Endpoints, Selection, SelectionContext, ServedRequest};
+use vanepath_proxy::endpoints::{
+    Endpoints, Selection, SelectionContext, ServedRequest, TableRevision,
+};
 use vanepath_proxy::health::SlowStartRate;
 
 const SETUP: &str = r#"{"classes": [{"name": "c", "urgency": 1, "kind": "repeatable"}],
@@ -153,7 +155,9 @@
         let live: Vec<_> = (0..count).map(|one| (card(one), wire::NodeStatus::default())).collect();
         let proxies = (0..count).map(|number| {
             let own: Endpoints<()> = Endpoints::default();
-            own.update(Duration::ZERO, (1, 1), &setup, &list, |_, _| SlowStartRate::default());
+            own.update(Duration::ZERO, TableRevision::new(1, 1), &setup, &list, |_, _| {
+                SlowStartRate::default()
+            });
             let view =
                 ClusterView { config: setup.clone(), live: live.clone(), ..ClusterView::default() };
             own.assign_subset(&view, &card(number));
--- a/proxy/tests/resting.rs
+++ b/proxy/tests/resting.rs
@@ -1,7 +1,9 @@
 //! Which resting connections are used again: by the public face of the table of servers.
 
 use std::time::Duration;
-use vanepath_proxy::endpoints::{Endpoints, IdleConnection, MAX_IDLE_TIME, SETTLE_TIME};
+use vanepath_proxy::endpoints::{
+    Endpoints, IdleConnection, MAX_IDLE_TIME, SETTLE_TIME, TableRevision,
+};
 use vanepath_proxy::health::SlowStartRate;
 
 const SETUP: &str = r#"{"classes": [{"name": "c", "urgency": 1, "kind": "repeatable"}],
@@ -18,7 +20,13 @@
     let servers = Endpoints::default();
     let list = list.unwrap();
     let rate = |_: &vanepath_config::endpoint_list::Server, _: &[usize]| SlowStartRate::default();
-    servers.update(Duration::ZERO, (1, 1), &std::sync::Arc::new(setup), &list, rate);
+    servers.update(
+        Duration::ZERO,
+        TableRevision::new(1, 1),
+        &std::sync::Arc::new(setup),
+        &list,
+        rate,
+    );
     let slot = servers.table.load().endpoints[0].slot;
     (servers, slot)
 }
--- a/registry/src/api.rs
+++ b/registry/src/api.rs
@@ -501,7 +501,7 @@
         .iter()
         .map(|(card, report)| {
             // What it ever told as in force there, in any of its lives (design 5.8).
-            let is_own = card.name == daemon.card.name;
+            let is_own = card.name == daemon.info.name;
             let own = is_own.then(|| view.active_revision());
             let floor = own.or(view.highest_active_revisions.get(&card.name).copied()).unwrap_or(0);
             jzon::object! {
@@ -521,8 +521,8 @@
         .collect();
     let lost: Vec<jzon::JsonValue> = sources
         .iter()
-        .filter(|source| !view.live.iter().any(|(card, _)| card.name == source.card.name))
-        .map(|source| source.card.name.as_str().into())
+        .filter(|source| !view.live.iter().any(|(card, _)| card.name == source.info.name))
+        .map(|source| source.info.name.as_str().into())
         .collect();
     let caller = Client {
         zone: daemon.settings.zone.clone(),
@@ -607,14 +607,11 @@
     let mut phases: std::collections::BTreeMap<&str, u32> = Default::default();
     let mut demand_milli = 0;
     let is_live = |source: &&vanepath_cluster::gossip::Peer| {
-        view.live.iter().any(|(card, _)| card.name == source.card.name)
+        view.live.iter().any(|(card, _)| card.name == source.info.name)
     };
     for source in sources.iter().filter(is_live) {
-        for sight in source.detail.servers.iter().filter(|sight| sight.server == server.id) {
-            // The order of the proxy's phases (design 8.6).
-            let names = ["unknown", "cold", "ramping", "live", "suspect"];
-            let name = names.get(usize::from(sight.phase)).copied().unwrap_or("unknown");
-            *phases.entry(name).or_default() += 1;
+        for sight in source.observations.servers.iter().filter(|sight| sight.server == server.id) {
+            *phases.entry(sight.phase.into()).or_default() += 1;
             demand_milli = demand_milli.max(sight.load_milli);
         }
     }
--- a/registry/src/leader.rs
+++ b/registry/src/leader.rs
@@ -53,10 +53,10 @@
     // The last word of a proxy that is dead is no news of servers.
     let live: std::collections::HashSet<&str> =
         view.live.iter().map(|(card, _)| card.name.as_str()).collect();
-    let is_live = |source: &&Peer| live.contains(source.card.name.as_str());
+    let is_live = |source: &&Peer| live.contains(source.info.name.as_str());
     let proxies: Vec<&Peer> = sources
         .iter()
-        .filter(|source| source.card.role == wire::Role::Proxy)
+        .filter(|source| source.info.role == wire::Role::Proxy)
         .filter(is_live)
         .collect();
     let Absent { cold, away } = absent(&proxies);
@@ -83,7 +83,7 @@
 /// What the proxies together know of servers that are not simply there.
 #[derive(Debug, Default, PartialEq)]
 struct Absent {
-    cold: std::collections::BTreeMap<String, (u32, bool)>,
+    cold: std::collections::BTreeMap<String, wire::WarmUp>,
     away: std::collections::BTreeSet<String>,
 }
 
@@ -102,15 +102,14 @@
     }
     let mut all: std::collections::BTreeMap<&str, Seen> = Default::default();
     for source in proxies {
-        for sight in &source.detail.servers {
+        for sight in &source.observations.servers {
             let seen = all.entry(&sight.server).or_default();
             seen.steady_ms = seen.steady_ms.max(sight.in_contact_ms);
-            // The numbers of the proxy's phases: 1 cold, 4 suspect.
             match (sight.phase, sight.connection_refused) {
-                (1, true) => seen.refused_ages.push(sight.age_ms),
-                (1, false) => seen.ages.push(sight.age_ms),
-                (4, true) => seen.refused_suspects += 1,
-                (4, false) => seen.suspects += 1,
+                (wire::ServerPhase::WarmingUp, true) => seen.refused_ages.push(sight.age_ms),
+                (wire::ServerPhase::WarmingUp, false) => seen.ages.push(sight.age_ms),
+                (wire::ServerPhase::Suspect, true) => seen.refused_suspects += 1,
+                (wire::ServerPhase::Suspect, false) => seen.suspects += 1,
                 _ => {}
             }
         }
@@ -123,7 +122,9 @@
         // Who is in touch refutes silence, not a refusal: a short one falls between two probes.
         let is_seen = seen.ages.len() >= 2 && seen.steady_ms <= age_ms.unwrap_or_default() + 1500;
         if let Some(age_ms) = refused_ms.or(age_ms.filter(|_| is_seen)) {
-            absent.cold.insert(server.to_string(), (age_ms, refused_ms.is_some()));
+            let connection_refused = refused_ms.is_some();
+            let warm_up = wire::WarmUp { age_ms, connection_refused };
+            absent.cold.insert(server.to_string(), warm_up);
         } else if seen.refused_suspects > 0 || (seen.suspects >= 2 && seen.steady_ms == 0) {
             absent.away.insert(server.to_string());
         }
@@ -156,7 +157,7 @@
 fn demand<'s>(proxies: &[&'s Peer]) -> Demand<'s> {
     let mut demand = Demand::new();
     for source in proxies {
-        for sight in &source.detail.servers {
+        for sight in &source.observations.servers {
             let (sum, count) = demand.entry(&sight.server).or_default();
             *sum += sight.load_milli.min(DEMAND_MOST);
             *count += 1;
@@ -175,12 +176,12 @@
         Default::default();
     let mut taken = 0.0;
     for source in proxies {
-        let zone = zones.entry(source.card.zone.clone()).or_default();
-        zone.region = source.card.region.clone();
-        zone.is_place |= source.report.ready
-            && !source.report.draining
-            && !view.committed.drained_zones.contains(&source.card.zone);
-        let own = source.detail.request_rates.get(&view.config.services[service].name);
+        let zone = zones.entry(source.info.zone.clone()).or_default();
+        zone.region = source.info.region.clone();
+        zone.is_place |= source.status.ready
+            && !source.status.draining
+            && !view.committed.drained_zones.contains(&source.info.zone);
+        let own = source.observations.request_rates.get(&view.config.services[service].name);
         zone.taken += f64::from(own.copied().unwrap_or(0));
         taken += f64::from(own.copied().unwrap_or(0));
     }
--- a/registry/src/leader/tests.rs
+++ b/registry/src/leader/tests.rs
@@ -19,7 +19,7 @@
 
 fn sight(
     server: &str,
-    phase: u8,
+    phase: wire::ServerPhase,
     steady_ms: u32,
     demand_milli: u32,
     refused: bool,
@@ -93,9 +93,9 @@
         let plan = plan(sights, wire::TrafficShiftPlan::default()).unwrap();
         (plan.unreachable.contains("s1"), plan.warming_up.contains_key("s1"))
     };
-    let suspect = || vec![sight("s1", 4, 0, 0, false)];
-    let cold = || vec![sight("s1", 1, 300, 0, false)];
-    let in_touch = || vec![sight("s1", 3, 60_000, 0, false)];
+    let suspect = || vec![sight("s1", wire::ServerPhase::Suspect, 0, 0, false)];
+    let cold = || vec![sight("s1", wire::ServerPhase::WarmingUp, 300, 0, false)];
+    let in_touch = || vec![sight("s1", wire::ServerPhase::Healthy, 60_000, 0, false)];
     assert_eq!(away(&[("p0", "a1", suspect()), ("p1", "b1", vec![])]), (false, false));
     assert_eq!(away(&[("p0", "a1", suspect()), ("p1", "b1", suspect())]), (true, false));
     let cut = [("p0", "a1", suspect()), ("p1", "a1", suspect()), ("p2", "b1", in_touch())];
@@ -103,7 +103,10 @@
     assert_eq!(away(&[("p0", "a1", cold()), ("p1", "b1", cold())]), (false, true));
     let healed = [("p0", "a1", cold()), ("p1", "a1", cold()), ("p2", "b1", in_touch())];
     assert_eq!(away(&healed), (false, false), "it was there all the time");
-    let refused = [("p0", "a1", vec![sight("s1", 1, 0, 0, true)]), ("p2", "b1", in_touch())];
+    let refused = [
+        ("p0", "a1", vec![sight("s1", wire::ServerPhase::WarmingUp, 0, 0, true)]),
+        ("p2", "b1", in_touch()),
+    ];
     assert_eq!(away(&refused), (false, true));
 }
 
@@ -127,11 +130,13 @@
         ([24, 4], [0, 0]),
         ([10, 10], [60_000, 500]),
     ] {
-        let sight = |index: usize, id: &str| vec![sight(id, 3, 9000, told[index], false)];
+        let sight = |index: usize, id: &str| {
+            vec![sight(id, wire::ServerPhase::Healthy, 9000, told[index], false)]
+        };
         let sights = [("p0", "a1", sight(0, "s1")), ("p1", "b1", sight(1, "s2"))];
         let (mut news, mut view) = heard(&sights);
         for (source, count) in news.peers.iter_mut().zip(taken) {
-            source.detail.request_rates = [("s".to_string(), count * 1000)].into();
+            source.observations.request_rates = [("s".to_string(), count * 1000)].into();
         }
         view.plan = Arc::new(last.clone());
         if let Some(plan) = next_plan(&view, "r0", &news.peers, true) {
--- a/registry/src/list_poller.rs
+++ b/registry/src/list_poller.rs
@@ -61,7 +61,7 @@
     let dialect = daemon.settings.wire_format;
     let mut sender = None;
     let mut etag: Option<hyper::header::HeaderValue> = None;
-    let mut reader = ListSequencer::new(&daemon.card.name, node::random());
+    let mut reader = ListSequencer::new(&daemon.info.name, node::random());
     let mut is_numbered = false;
     let mut tried_at: Option<Duration> = None;
     let mut pulse = tokio::time::interval(PULSE);
--- a/registry/src/shell.rs
+++ b/registry/src/shell.rs
@@ -134,7 +134,7 @@
         };
         daemon.publish_status(report).await;
         if !may_hold
-            || view.leader(wire::Role::Registry).is_none_or(|card| card.name != daemon.card.name)
+            || view.leader(wire::Role::Registry).is_none_or(|card| card.name != daemon.info.name)
         {
             return;
         }
@@ -150,7 +150,7 @@
         if may_move {
             self.step_at = now + STEP_SHOWS_AFTER;
         }
-        let plan = crate::leader::next_plan(&view, &daemon.card.name, &sources, may_move);
+        let plan = crate::leader::next_plan(&view, &daemon.info.name, &sources, may_move);
         let ended = daemon.clock.now();
         self.look_at = ended + ((ended - began) * REST_TIMES).min(STEP_SHOWS_AFTER);
         if let Some(plan) = plan {
--- a/store/src/hints.rs
+++ b/store/src/hints.rs
@@ -48,7 +48,7 @@
         // Who is not heard of may be back later than this store; he is forgotten in time.
         siblings.extend(view.unreachable.iter().map(|(card, _)| card.cluster_address));
         let last = &self.kept.plan;
-        let is_same_plan = (last.epoch, last.counter) >= (view.plan.epoch, view.plan.counter)
+        let is_same_plan = last.version() >= view.plan.version()
             || (last.unreachable == view.plan.unreachable
                 && last.warming_up.keys().eq(view.plan.warming_up.keys()));
         // Nobody in sight is no reason to forget where the others were.
--- a/store/tests/stored_data.rs
+++ b/store/tests/stored_data.rs
@@ -231,7 +231,7 @@
     let cold: Vec<String> = plan
         .warming_up
         .iter()
-        .map(|(server, (age_ms, refused))| format!("{server} {age_ms} {refused}"))
+        .map(|(server, one)| format!("{server} {} {}", one.age_ms, one.connection_refused))
         .collect();
     let _ = writeln!(text, "cold {cold:?}");
     let _ = writeln!(text, "away {:?}", plan.unreachable);
--- a/testbed/src/scale/cores.rs
+++ b/testbed/src/scale/cores.rs
@@ -6,6 +6,7 @@
 use vanepath_cluster::gossip::{Event, Gossip};
 use vanepath_cluster::node::ClusterView;
 use vanepath_cluster::wire;
+use vanepath_proxy::endpoints::TableRevision;
 
 fn us(time: Duration) -> f64 {
     time.as_secs_f64() * 1e6
@@ -95,7 +96,7 @@
         let table = weigh(count, || {
             let table: vanepath_proxy::endpoints::Endpoints<()> = Default::default();
             let rate = |_: &vanepath_config::endpoint_list::Server, _: &[usize]| Default::default();
-            table.update(Duration::ZERO, (1, 1), &setup_of, &list_of, rate);
+            table.update(Duration::ZERO, TableRevision::new(1, 1), &setup_of, &list_of, rate);
             table
         });
         let mega = |bytes: usize| bytes as f64 / 1e6;
@@ -190,13 +191,14 @@
             vanepath_proxy::endpoints::slow_start_rate(&view, &own.name, server, services)
         };
         let started = super::spent();
-        table.update(Duration::ZERO, (5, 1), &view.config, &list, rate);
+        table.update(Duration::ZERO, TableRevision::new(5, 1), &view.config, &list, rate);
         let first = super::spent().saturating_sub(started);
         for entry in &table.table.load().endpoints {
             table.record_success(Duration::from_secs(1), entry.slot);
         }
         let now = Duration::from_secs(2);
-        let again = each(span, || table.update(now, (5, 1), &view.config, &list, rate));
+        let again =
+            each(span, || table.update(now, TableRevision::new(5, 1), &view.config, &list, rate));
         let whole = table.table.load_full();
         let emptied = Default::default();
         let mut turn = 0;
@@ -254,7 +256,9 @@
         let setup = Arc::new(super::setup(1, 1, judged));
         let list = super::platform(servers, 1, judged);
         let table: vanepath_proxy::endpoints::Endpoints<()> = Default::default();
-        table.update(Duration::ZERO, (5, 1), &setup, &list, |_, _| Default::default());
+        table.update(Duration::ZERO, TableRevision::new(5, 1), &setup, &list, |_, _| {
+            Default::default()
+        });
         for entry in &table.table.load().endpoints {
             table.record_success(Duration::from_secs(1), entry.slot);
         }
--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -203,7 +203,7 @@
         .into_iter()
         .map(|index| wire::ServerObservation {
             server: list.servers[index].id.clone(),
-            phase: 3,
+            phase: wire::ServerPhase::Healthy,
             age_ms: 3_000_000 + (turn as u32) * 2000,
             in_contact_ms: 3_000_000 + (turn as u32) * 2000,
             load_milli: 300 + ((index as u64 * 37 + turn * 13) % 400) as u32,
--- a/testbed/src/sim/data.rs
+++ b/testbed/src/sim/data.rs
@@ -19,7 +19,7 @@
 use vanepath_proxy::endpoints::{
     Endpoints, IdleConnection, RoutingTable, Selection, SelectionContext,
 };
-use vanepath_proxy::health::{Failure, Phase};
+use vanepath_proxy::health::{Failure, ServerPhase};
 use vanepath_proxy::lifecycle::{
     AfterFailure, AttemptError, Rejection, RequestLifecycle, RequestState,
 };
@@ -181,11 +181,11 @@
     ways: HashMap<usize, Way>,
     waiting: HashMap<u64, usize>,
     next_way: usize,
-    revision: Option<(u64, u64)>,
+    revision: Option<vanepath_proxy::endpoints::TableRevision>,
     telling: vanepath_proxy::endpoints::ObservationReporter,
     pulsed_at: Duration,
     pub closed: bool,
-    plan: Option<((u64, u64), (u64, u64))>,
+    plan: Option<(wire::PlanVersion, vanepath_proxy::endpoints::TableRevision)>,
     /// A server's phase changed: registries hear of it soon.
     moved: bool,
     paces: vanepath_proxy::endpoints::ProbeSchedule,
--- a/testbed/src/sim/data/proxies.rs
+++ b/testbed/src/sim/data/proxies.rs
@@ -14,7 +14,7 @@
             return;
         }
         let mut woken = Vec::new();
-        if proxy.revision.is_none_or(|old| old.0 != revision.0) {
+        if proxy.revision.is_none_or(|old| old.config != revision.config) {
             proxy.classes.adopt(&view.config);
             woken = proxy.classes.wake();
             proxy.request_counts.adopt(view.config.services.iter().map(|one| one.name.as_str()));
@@ -44,21 +44,23 @@
         proxy.pulsed_at = now;
         let revision = vanepath_proxy::endpoints::revision_of(&view);
         let table = proxy.servers.table.load_full();
-        let blind_to: &[Phase] = match self.breaks {
-            Some(Break::FloodsCold) => &[Phase::WarmingUp, Phase::SlowStart],
+        let blind_to: &[ServerPhase] = match self.breaks {
+            Some(Break::FloodsCold) => &[ServerPhase::WarmingUp, ServerPhase::SlowStart],
             // Who is not avoided is tried again and again.
-            Some(Break::UnboundRetries) => &[Phase::WarmingUp, Phase::SlowStart, Phase::Suspect],
+            Some(Break::UnboundRetries) => {
+                &[ServerPhase::WarmingUp, ServerPhase::SlowStart, ServerPhase::Suspect]
+            }
             _ => &[],
         };
         for entry in table.endpoints.iter().filter(|_| !blind_to.is_empty()) {
             proxy.servers.update_health(entry.slot, |liveness| {
                 liveness.forgive();
                 if blind_to.contains(&liveness.phase) {
-                    liveness.phase = Phase::Healthy;
+                    liveness.phase = ServerPhase::Healthy;
                 }
             });
         }
-        let plan = (view.plan.epoch, view.plan.counter);
+        let plan = view.plan.version();
         if proxy.plan != Some((plan, revision)) {
             proxy.plan = Some((plan, revision));
             proxy.servers.apply_plan(now, &view.plan);
@@ -141,7 +143,7 @@
                 proxy.servers.observe_load(now, slot, demand_milli);
                 if is_cold {
                     proxy.servers.update_health(slot, |liveness| {
-                        if liveness.phase == Phase::Healthy {
+                        if liveness.phase == ServerPhase::Healthy {
                             liveness.restart_slow_start(now, Duration::ZERO);
                         }
                     });
@@ -418,7 +420,7 @@
             {
                 if is_cold {
                     proxy.servers.update_health(entry.slot, |liveness| {
-                        if liveness.phase == Phase::Healthy {
+                        if liveness.phase == ServerPhase::Healthy {
                             liveness.restart_slow_start(now, Duration::ZERO);
                         }
                     });
--- a/testbed/src/sim/reach.rs
+++ b/testbed/src/sim/reach.rs
@@ -232,7 +232,7 @@
             let daemon = &self.daemons[index];
             // Its servers are those of the list that it went over to, not of the one that it heard of.
             let list = match &daemon.duty {
-                Duty::Proxy(proxy) => proxy.servers.table.load().revision.1,
+                Duty::Proxy(proxy) => proxy.servers.table.load().revision.endpoint_list,
                 _ => daemon.view.endpoints.revision,
             };
             (daemon.view.committed.revision, self.list_shown(list))
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -45,7 +45,7 @@
         known_versions: Some(Vec::new()),
         config_revision: 0,
         endpoint_list_revision: 0,
-        plan: (0, 0),
+        plan: wire::PlanVersion::default(),
         sender: wire::NodeDelta {
             name: card.name.clone(),
             version: wire::NodeVersion {
