--- a/proxy/src/endpoints.rs
+++ b/proxy/src/endpoints.rs
@@ -148,12 +148,12 @@
 
 impl ProbeSchedule {
     /// The table or the setup is another one.
-    pub fn renew(&mut self) {
+    pub fn invalidate(&mut self) {
         self.at = Duration::ZERO;
         self.proxies = None;
     }
 
-    pub fn pulse(
+    pub fn tick(
         &mut self,
         now: Duration,
         view: &ClusterView,
@@ -327,7 +327,7 @@
     next_slot: std::sync::atomic::AtomicUsize,
     /// An answer is told from another request's by its id, so that a server which sent surplus bytes
     /// may go on with the connections on which it did not.
-    pub proves_answers: bool,
+    pub verifies_responses: bool,
     /// By service and zone.
     pools: std::sync::Mutex<ZonePools>,
     /// By class and service.
@@ -340,7 +340,7 @@
             table: arc_swap::ArcSwap::default(),
             shards: (0..SHARDS).map(|_| Default::default()).collect(),
             next_slot: std::sync::atomic::AtomicUsize::new(0),
-            proves_answers: false,
+            verifies_responses: false,
             pools: Default::default(),
             usual: Default::default(),
         }
@@ -374,10 +374,22 @@
     Resort,
 }
 
+/// A request that waits for its response.
+#[derive(Clone, Copy, Debug)]
+pub struct CurrentAttempt {
+    /// Slot of the endpoint that has the request.
+    pub slot: usize,
+    /// When the request was sent to it.
+    pub sent_at: Duration,
+}
+
 #[derive(Debug)]
 pub enum Selection {
     /// An index into the table that was given, and the service it was chosen for.
-    Server(usize, usize),
+    Server {
+        endpoint: usize,
+        service: usize,
+    },
     /// Only cold servers have room, the first of them from then on.
     Wait(Duration),
     /// There are servers, and at each of them it would be late for the queue there.
@@ -575,7 +587,7 @@
     }
 
     /// Moves each server's liveness on and finds those that want a probe.
-    pub fn pulse(&self, now: Duration, paces: &ProbeSchedule) -> TickOutcome {
+    pub fn tick(&self, now: Duration, paces: &ProbeSchedule) -> TickOutcome {
         let table = self.table.load();
         let mut pulsed = TickOutcome::default();
         for (index, entry) in table.endpoints.iter().enumerate() {
@@ -731,7 +743,7 @@
                         }
                         let may_try = is_lookup && quick.in_flight == 0;
                         let is_later = quick.health.phase == ServerPhase::Unknown
-                            || quick.health.is_limping(now, may_try);
+                            || quick.health.is_degraded(now, may_try);
                         let is_usable =
                             !is_suspect && !is_full && is_later == (pass == Pass::Later);
                         let score = (quick.in_flight + 1) * u64::from(100 + demand_milli);
@@ -766,20 +778,20 @@
                 if want.only_alternative_for.is_some()
                     || self.take(now, table, index, *service, false)
                 {
-                    return Selection::Server(index, *service);
+                    return Selection::Server { endpoint: index, service: *service };
                 }
             }
             if let Some((_, index, service)) = piled
                 && self.take(now, table, index, service, false)
             {
-                return Selection::Server(index, service);
+                return Selection::Server { endpoint: index, service };
             }
             // Of equal ones the first, which is the nearest.
             if let Some((_, index, service)) = resorts.into_iter().min_by_key(|one| one.0)
                 && (want.only_alternative_for.is_some()
                     || self.take(now, table, index, service, true))
             {
-                return Selection::Server(index, service);
+                return Selection::Server { endpoint: index, service };
             }
             if want.only_alternative_for == Some(RetryReason::Slow) && pass == Pass::Later {
                 return Selection::None;
@@ -844,7 +856,7 @@
                 let tier = match quick.health.phase {
                     ServerPhase::Suspect => 2,
                     ServerPhase::Unknown => 1,
-                    _ if quick.health.is_limping(now, may_try) => 1,
+                    _ if quick.health.is_degraded(now, may_try) => 1,
                     _ => 0,
                 };
                 let is_own = distance == Distance::Zone && quick.is_own;
@@ -899,7 +911,7 @@
                 if want.only_alternative_for.is_some()
                     || self.take(now, table, index, want.service, tier == 2)
                 {
-                    return Selection::Server(index, want.service);
+                    return Selection::Server { endpoint: index, service: want.service };
                 }
                 candidates.retain(|one| one.index != index);
             }
@@ -974,7 +986,7 @@
         need: RetryReason,
     ) -> bool {
         let want = SelectionContext { only_alternative_for: Some(need), ..*want };
-        matches!(self.select(now, table, &want, 0), Selection::Server(..))
+        matches!(self.select(now, table, &want, 0), Selection::Server { .. })
     }
 
     /// Whether a lookup leaves a server that has had it for long, where there is another one: for that,
@@ -985,7 +997,7 @@
         now: Duration,
         table: &RoutingTable,
         want: &SelectionContext<'_>,
-        (slot, sent_at): (usize, Duration),
+        CurrentAttempt { slot, sent_at }: CurrentAttempt,
         may_go: impl FnOnce(RetryReason) -> bool,
     ) -> bool {
         let need = self.retry_reason(slot, sent_at);
@@ -1036,7 +1048,7 @@
 
     pub fn put_idle(&self, slot: usize, idle: IdleConnection<C>) {
         self.with(slot, |quick| {
-            let may_rest = self.proves_answers || !(quick.is_untidy && idle.is_used);
+            let may_rest = self.verifies_responses || !(quick.is_untidy && idle.is_used);
             if may_rest && quick.idle.len() < quick.idle_most {
                 quick.idle.push(idle);
             }
@@ -1170,7 +1182,7 @@
     }
 
     /// A connection to this server came up in that time.
-    pub fn connected(&self, slot: usize, took: Duration) {
+    pub fn record_connection(&self, slot: usize, took: Duration) {
         if let Some(pool) = self.with(slot, |quick| quick.pool) {
             let mut pools = self.pools.lock().expect("no panic under this lock");
             pools.at_mut(pool).connected(took);
@@ -1178,7 +1190,7 @@
     }
 
     /// How much later a request is answered for what is with this server now, itself included.
-    pub fn lateness(&self, now: Duration, slot: usize) -> f64 {
+    pub fn slowdown(&self, now: Duration, slot: usize) -> f64 {
         let pools = self.pools.lock().expect("no panic under this lock");
         let lateness = self.with(slot, |quick| {
             let slots = f64::from(quick.slots.max(1));
@@ -1190,8 +1202,16 @@
     }
 
     /// A request was served so long after it was sent, at a server with this `lateness`.
-    pub fn answered(&self, now: Duration, answered: ServedRequest<'_>) {
-        let ServedRequest { slot, class, service, is_bulk, took, lateness, kilobytes } = answered;
+    pub fn record_response(&self, now: Duration, answered: ServedRequest<'_>) {
+        let ServedRequest {
+            slot,
+            class,
+            service,
+            is_bulk,
+            response_time: took,
+            slowdown: lateness,
+            kilobytes,
+        } = answered;
         let Some(pool) = self.with(slot, |quick| quick.pool) else { return };
         let way_ms = {
             let pools = self.pools.lock().expect("no panic under this lock");
@@ -1214,8 +1234,8 @@
     pub class: &'a str,
     pub service: &'a str,
     pub is_bulk: bool,
-    pub took: Duration,
-    pub lateness: f64,
+    pub response_time: Duration,
+    pub slowdown: f64,
     /// Request and answer together, where the answer tells.
     pub kilobytes: Option<f64>,
 }
--- a/proxy/src/endpoints/tests.rs
+++ b/proxy/src/endpoints/tests.rs
@@ -1,4 +1,4 @@
-use super::{Endpoints, Selection, SelectionContext, TableRevision};
+use super::{CurrentAttempt, Endpoints, Selection, SelectionContext, TableRevision};
 use crate::health::{Failure, SlowStartRate};
 use crate::retry_budget::RetryReason;
 use std::time::Duration;
@@ -72,7 +72,7 @@
             is_past_target: false,
         };
         match self.servers.select(Duration::from_secs(now_s), &table, &want, 5) {
-            Selection::Server(index, _) => table.endpoints[index].server.id.clone(),
+            Selection::Server { endpoint: index, .. } => table.endpoints[index].server.id.clone(),
             Selection::Wait(at) => format!("wait until {:.1} s", at.as_secs_f64()),
             Selection::Crowded => "crowded".to_string(),
             Selection::None => "none".to_string(),
@@ -95,8 +95,15 @@
             is_past_target: false,
         };
         let sent_at = Duration::from_secs(sent_s);
-        let leaves =
-            |may| self.servers.should_switch(sent_at, &table, &want, (slot, sent_at), |_| may);
+        let leaves = |may| {
+            self.servers.should_switch(
+                sent_at,
+                &table,
+                &want,
+                CurrentAttempt { slot, sent_at },
+                |_| may,
+            )
+        };
         (leaves(true), leaves(false))
     }
 
--- a/proxy/src/forward.rs
+++ b/proxy/src/forward.rs
@@ -2,7 +2,7 @@
 //! `servers` and `budget`.
 
 use crate::admission::{Admission as Entered, AdmissionControl, AdmissionSlot};
-use crate::endpoints::{Endpoints, IdleConnection, Selection, SelectionContext};
+use crate::endpoints::{CurrentAttempt, Endpoints, IdleConnection, Selection, SelectionContext};
 use crate::health::Failure;
 use crate::lifecycle::{AfterFailure, AttemptError, Rejection, RequestLifecycle, RequestState};
 use crate::retry_budget::RetryReason;
@@ -100,7 +100,7 @@
     pub fn new(daemon: Arc<Node>) -> Proxy {
         let proves_answers = daemon.settings.wire_format.headers().request_id.is_some();
         let mut servers = Endpoints::default();
-        servers.proves_answers = proves_answers;
+        servers.verifies_responses = proves_answers;
         let retries = daemon.settings.retry_budget;
         let narrow = daemon.settings.link_megabits.filter(|mbps| *mbps < WIDE_MBPS);
         let gate = || {
@@ -371,7 +371,7 @@
         .request_counts
         .lock()
         .expect("no panic under this lock")
-        .took(table.config.rules[rule].service);
+        .record_request(table.config.rules[rule].service);
     let limit = table.config.rules[rule].deadline.unwrap_or(class.deadline);
     chart.max_sends = table.config.rules[rule].max_attempts;
     let own_limit = head
@@ -751,7 +751,7 @@
         proxy.servers.select(now, table, &want, proxy.random())
     };
     match choice {
-        Selection::Server(index, service) => Ok(Some((index, service))),
+        Selection::Server { endpoint: index, service } => Ok(Some((index, service))),
         Selection::Wait(until) if until < deadline => {
             let pause = until.saturating_sub(now).max(Duration::from_millis(1));
             tokio::time::sleep(pause.min(Duration::from_millis(50))).await;
@@ -827,7 +827,7 @@
     /// Whether this lookup leaves the server, which has had it for long.
     fn leaves(&self, sent_at: Duration) -> bool {
         let servers = &self.proxy.servers;
-        let had = (self.entry.slot, sent_at);
+        let had = CurrentAttempt { slot: self.entry.slot, sent_at };
         self.look(|now, want, may_go| servers.should_switch(now, self.table, want, had, may_go))
     }
 
@@ -878,7 +878,7 @@
         let sent_at = self.proxy.now();
         chart.sent_at = sent_at;
         self.proxy.servers.record_sent(sent_at, self.entry.slot);
-        let lateness = self.proxy.servers.lateness(sent_at, self.entry.slot);
+        let lateness = self.proxy.servers.slowdown(sent_at, self.entry.slot);
         let sent = {
             let sending = sender.try_send_request(request);
             tokio::pin!(sending);
@@ -1004,11 +1004,11 @@
             class: &class.name,
             service: &self.service.name,
             is_bulk: class.bulk,
-            took: now.saturating_sub(sent_at),
-            lateness,
+            response_time: now.saturating_sub(sent_at),
+            slowdown: lateness,
             kilobytes: length(headers).map(|length| (length + asked) / 1000.0),
         };
-        self.proxy.servers.answered(now, answered);
+        self.proxy.servers.record_response(now, answered);
     }
 
     fn hear_demand(&self, headers: &HeaderMap) {
@@ -1081,7 +1081,7 @@
                 .map(|sender| (sender, Default::default())),
         };
         if !is_greeted && connected.is_ok() {
-            self.proxy.servers.connected(slot, self.proxy.now().saturating_sub(opened_at));
+            self.proxy.servers.record_connection(slot, self.proxy.now().saturating_sub(opened_at));
         }
         match connected {
             Ok((sender, greeted)) => {
--- a/proxy/src/health.rs
+++ b/proxy/src/health.rs
@@ -136,7 +136,7 @@
         self.since = now;
         match phase {
             ServerPhase::WarmingUp => {
-                self.forgive();
+                self.reset_outlier_detection();
                 self.next_cold_at = now + self.cold.turn;
                 self.cold_since = Some(now);
             }
@@ -265,7 +265,7 @@
     }
 
     /// Its misses are forgotten.
-    pub fn forgive(&mut self) {
+    pub fn reset_outlier_detection(&mut self) {
         self.strikes = 0;
         self.limps = false;
     }
@@ -284,7 +284,7 @@
 
     /// Loses its work too often to be given any while others are there; with `may_try`, not if it has
     /// rested.
-    pub fn is_limping(&self, now: Duration, may_try: bool) -> bool {
+    pub fn is_degraded(&self, now: Duration, may_try: bool) -> bool {
         self.limps && !(may_try && now >= self.rests_until)
     }
 
@@ -300,7 +300,7 @@
         }
         self.cold = cold;
         if self.limps && now >= self.rests_until + FORGIVEN_AFTER {
-            self.forgive();
+            self.reset_outlier_detection();
         }
         let age = now.saturating_sub(self.since);
         match self.phase {
--- a/proxy/src/health/tests.rs
+++ b/proxy/src/health/tests.rs
@@ -42,7 +42,7 @@
             let now = second(f64::from(turn) * 0.01);
             server.good(now);
             server.worked(now, turn % every != 0);
-            limping[index] += u32::from(server.is_limping(now, false));
+            limping[index] += u32::from(server.is_degraded(now, false));
         }
     }
     assert!(limping[0] > 150 && limping[1] == 0, "{limping:?}");
@@ -50,21 +50,21 @@
     for _ in 0..3 {
         server.worked(second(1.0), false);
     }
-    assert!(server.is_limping(second(3.9), true));
-    assert!(!server.is_limping(second(4.0), true) && server.is_limping(second(4.0), false));
+    assert!(server.is_degraded(second(3.9), true));
+    assert!(!server.is_degraded(second(4.0), true) && server.is_degraded(second(4.0), false));
     for _ in 0..8 {
         server.worked(second(5.0), true);
     }
-    assert!(server.is_limping(second(5.0), false), "not at the first good ones");
+    assert!(server.is_degraded(second(5.0), false), "not at the first good ones");
     for _ in 0..4 {
         server.worked(second(5.0), true);
     }
-    assert!(!server.is_limping(second(5.0), false));
+    assert!(!server.is_degraded(second(5.0), false));
     for _ in 0..3 {
         server.worked(second(6.0), false);
     }
     server.pulse(second(39.0), super::SlowStartRate::default());
-    assert!(!server.is_limping(second(39.0), false), "nobody tried it: taken for well");
+    assert!(!server.is_degraded(second(39.0), false), "nobody tried it: taken for well");
 }
 
 /// So many proxies together never exceed the modest rate while it is cold, in any second and
--- a/proxy/src/request_rates.rs
+++ b/proxy/src/request_rates.rs
@@ -22,7 +22,7 @@
 
 impl RequestRates {
     /// Another setup: services of the same name go on with what they have.
-    pub fn adopt<'n>(&mut self, names: impl Iterator<Item = &'n str>) {
+    pub fn set_services<'n>(&mut self, names: impl Iterator<Item = &'n str>) {
         let before = std::mem::take(&mut self.services);
         let known = |name: &str| before.iter().find(|one| one.name == name).cloned();
         self.services = names
@@ -33,14 +33,14 @@
             .collect();
     }
 
-    pub fn took(&mut self, service: usize) {
+    pub fn record_request(&mut self, service: usize) {
         if let Some(one) = self.services.get_mut(service) {
             one.count = one.count.saturating_add(1);
         }
     }
 
     /// Requests in a thousand seconds, by service.
-    pub fn tell(&mut self, now: Duration) -> std::collections::BTreeMap<String, u32> {
+    pub fn measure(&mut self, now: Duration) -> std::collections::BTreeMap<String, u32> {
         let span = now.saturating_sub(*self.told_at.get_or_insert(now)).as_secs_f64();
         if span > 0.0 {
             self.told_at = Some(now);
--- a/proxy/src/shell.rs
+++ b/proxy/src/shell.rs
@@ -229,10 +229,10 @@
             self.proxy.wake(woken);
             let mut request_counts =
                 self.proxy.request_counts.lock().expect("no panic under this lock");
-            request_counts.adopt(view.config.services.iter().map(|one| one.name.as_str()));
+            request_counts.set_services(view.config.services.iter().map(|one| one.name.as_str()));
         }
         self.revision = revision;
-        self.paces.renew();
+        self.paces.invalidate();
         let own = self.proxy.daemon.settings.name.as_str();
         let notes = self.proxy.servers.update(
             now,
@@ -265,8 +265,8 @@
             self.part_at = now + PART_EVERY;
             proxy.servers.assign_subset(view, &proxy.daemon.info);
         }
-        self.paces.pulse(now, view, &proxy.daemon.info, &table);
-        let pulsed = proxy.servers.pulse(now, &self.paces);
+        self.paces.tick(now, view, &proxy.daemon.info, &table);
+        let pulsed = proxy.servers.tick(now, &self.paces);
         if pulsed.has_changes {
             proxy.is_news.store(true, Ordering::Relaxed);
         }
@@ -314,7 +314,11 @@
             servers: sights,
             in_flight: counts.iter().map(|one| one.2 as u32).collect(),
             queued: counts.iter().map(|one| one.3 as u32).collect(),
-            request_rates: proxy.request_counts.lock().expect("no panic under this lock").tell(now),
+            request_rates: proxy
+                .request_counts
+                .lock()
+                .expect("no panic under this lock")
+                .measure(now),
         };
         let _ = proxy
             .daemon
@@ -421,7 +425,7 @@
                         ServerPhase::Unknown => "not yet heard of",
                         ServerPhase::WarmingUp => "just back: at most its modest rate",
                         ServerPhase::SlowStart => "back for a while: its rate is rising",
-                        ServerPhase::Healthy if quick.health.is_limping(now, false) => {
+                        ServerPhase::Healthy if quick.health.is_degraded(now, false) => {
                             "no work while others are there: it lost some that it had in hand"
                         }
                         ServerPhase::Healthy => "given work",
--- a/proxy/tests/crowding.rs
+++ b/proxy/tests/crowding.rs
@@ -274,7 +274,7 @@
             is_past_target: is_past_aim,
         };
         let index = match servers.select(now, &table, &want, self.draw.next()) {
-            Selection::Server(index, _) => index,
+            Selection::Server { endpoint: index, .. } => index,
             // Too full, or all full: nobody serves it.
             _ => {
                 self.refused += 1;
@@ -286,8 +286,8 @@
         let server: usize = table.endpoints[index].server.id[1..].parse().unwrap();
         let way_ms = way_ms(own_zone, zone_of(server));
         self.elsewhere += usize::from(own_zone != zone_of(server));
-        servers.connected(slot, Duration::from_secs_f64(2.0 * way_ms / 1000.0));
-        let lateness = servers.lateness(now, slot);
+        servers.record_connection(slot, Duration::from_secs_f64(2.0 * way_ms / 1000.0));
+        let lateness = servers.slowdown(now, slot);
         let request = &mut self.requests[number];
         (request.server, request.sent_ms, request.lateness) = (server, now_ms, lateness);
         self.at(now_ms + way_ms, Event::Arrived(number));
@@ -350,15 +350,15 @@
             }
             return;
         }
-        servers.answered(
+        servers.record_response(
             now,
             ServedRequest {
                 slot,
                 class: "c",
                 service: "s",
                 is_bulk: false,
-                took: Duration::from_secs_f64((now_ms - request.sent_ms) / 1000.0),
-                lateness: request.lateness,
+                response_time: Duration::from_secs_f64((now_ms - request.sent_ms) / 1000.0),
+                slowdown: request.lateness,
                 kilobytes: Some(3.0),
             },
         );
--- a/testbed/src/scale/cores.rs
+++ b/testbed/src/scale/cores.rs
@@ -215,7 +215,7 @@
                 is_past_target: false,
             };
             let random = vanepath_config::stable_hash(&[&turn.to_string()]);
-            if let vanepath_proxy::endpoints::Selection::Server(index, _) =
+            if let vanepath_proxy::endpoints::Selection::Server { endpoint: index, .. } =
                 table.select(now, &whole, &want, random)
             {
                 table.release(whole.endpoints[index].slot);
@@ -223,15 +223,15 @@
         });
         let mut paces = vanepath_proxy::endpoints::ProbeSchedule::default();
         let reckon = each(span, || {
-            paces.renew();
-            paces.pulse(now, &view, &own, &whole);
+            paces.invalidate();
+            paces.tick(now, &view, &own, &whole);
         });
         let mut at = now;
         let paces_again = each(span, || {
             at += Duration::from_secs(2);
-            paces.pulse(at, &view, &own, &whole);
+            paces.tick(at, &view, &own, &whole);
         });
-        let pulse = each(span, || table.pulse(now, &paces));
+        let pulse = each(span, || table.tick(now, &paces));
         let sights = each(span, || table.observations(now));
         rows.push(Row {
             what: "proxy's servers".to_string(),
@@ -278,7 +278,7 @@
                 is_past_target: false,
             };
             let random = vanepath_config::stable_hash(&[&turn.to_string()]);
-            if let vanepath_proxy::endpoints::Selection::Server(index, _) =
+            if let vanepath_proxy::endpoints::Selection::Server { endpoint: index, .. } =
                 table.select(Duration::from_secs(2), &whole, &want, random)
             {
                 table.release(whole.endpoints[index].slot);
--- a/testbed/src/sim/data.rs
+++ b/testbed/src/sim/data.rs
@@ -17,7 +17,7 @@
 use vanepath_config::model::Idempotency;
 use vanepath_proxy::admission::{Admission as Entered, AdmissionControl, AdmissionSlot};
 use vanepath_proxy::endpoints::{
-    Endpoints, IdleConnection, RoutingTable, Selection, SelectionContext,
+    CurrentAttempt, Endpoints, IdleConnection, RoutingTable, Selection, SelectionContext,
 };
 use vanepath_proxy::health::{Failure, ServerPhase};
 use vanepath_proxy::lifecycle::{
--- a/testbed/src/sim/data/proxies.rs
+++ b/testbed/src/sim/data/proxies.rs
@@ -17,7 +17,9 @@
         if proxy.revision.is_none_or(|old| old.config != revision.config) {
             proxy.classes.adopt(&view.config);
             woken = proxy.classes.wake();
-            proxy.request_counts.adopt(view.config.services.iter().map(|one| one.name.as_str()));
+            proxy
+                .request_counts
+                .set_services(view.config.services.iter().map(|one| one.name.as_str()));
         }
         proxy.revision = Some(revision);
         let cold = |server: &vanepath_config::endpoint_list::Server, services: &[usize]| {
@@ -28,7 +30,7 @@
             list.servers.iter_mut().for_each(|server| server.draining = false);
         }
         proxy.servers.update(now, revision, &view.config, &list, cold);
-        proxy.paces.renew();
+        proxy.paces.invalidate();
         self.wake_ways(index, woken);
     }
 
@@ -54,7 +56,7 @@
         };
         for entry in table.endpoints.iter().filter(|_| !blind_to.is_empty()) {
             proxy.servers.update_health(entry.slot, |liveness| {
-                liveness.forgive();
+                liveness.reset_outlier_detection();
                 if blind_to.contains(&liveness.phase) {
                     liveness.phase = ServerPhase::Healthy;
                 }
@@ -65,8 +67,8 @@
             proxy.plan = Some((plan, revision));
             proxy.servers.apply_plan(now, &view.plan);
         }
-        proxy.paces.pulse(now, &view, &card, &table);
-        let pulsed = proxy.servers.pulse(now, &proxy.paces);
+        proxy.paces.tick(now, &view, &card, &table);
+        let pulsed = proxy.servers.tick(now, &proxy.paces);
         self.world.probes += pulsed.probes.len() as u64;
         let is_fresh = view.is_fresh || self.breaks == Some(Break::StartsStale);
         let ready = proxy.servers.is_ready(now, is_fresh, revision) && !leaving;
@@ -78,7 +80,7 @@
                 servers: proxy.servers.observations(now),
                 in_flight: counts.iter().map(|one| one.2 as u32).collect(),
                 queued: counts.iter().map(|one| one.3 as u32).collect(),
-                request_rates: proxy.request_counts.tell(now),
+                request_rates: proxy.request_counts.measure(now),
             });
         }
         for entry in pulsed.probes {
@@ -277,7 +279,7 @@
         if self.breaks == Some(Break::RefusesFilings) && is_spoilt {
             return self.end_way(index, way, Err(Rejection::NoServer));
         }
-        proxy.request_counts.took(facts.service);
+        proxy.request_counts.record_request(facts.service);
         proxy.budget.took(now);
         self.world.took.push(self.net.now);
         own.chart.state = RequestState::Queued;
@@ -357,7 +359,7 @@
         };
         let choice = proxy.servers.select(now, &own.table, &want, self.net.random.draw());
         let (entry, _service) = match choice {
-            Selection::Server(entry, service) => (entry, service),
+            Selection::Server { endpoint: entry, service } => (entry, service),
             Selection::Wait(until) if until < own.deadline => {
                 let pause = until.saturating_sub(now).max(Duration::from_millis(1));
                 let pause = pause.min(Duration::from_millis(50));
@@ -493,7 +495,7 @@
             only_alternative_for: None,
             is_past_target: false,
         };
-        let had = (slot, own.chart.sent_at);
+        let had = CurrentAttempt { slot, sent_at: own.chart.sent_at };
         let budget = &mut proxy.budget;
         let may_go = |need| budget.would_allow(now, live, need);
         if proxy.servers.should_switch(now, &own.table, &want, had, may_go) {
