--- /dev/null
+++ b/proxy/src/endpoints/connections.rs
@@ -0,0 +1,113 @@
+//! Idle connections, kept for reuse (RFC 9112, section 9.3).
+
+use super::{EndpointState, Endpoints};
+use std::time::Duration;
+
+/// How long a connection is idle before it is used again, so that surplus bytes of the last
+/// response show.
+pub const SETTLE_TIME: Duration = Duration::from_millis(20);
+/// How long a connection may be idle before it is closed.
+pub const MAX_IDLE_TIME: Duration = Duration::from_secs(20);
+/// How long before its server closes it an idle connection is no longer used.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
+/// Idle connections that a proxy keeps to one server at the most.
+pub(super) const MAX_IDLE_CONNECTIONS: usize = 64;
+/// Share of a server's connection limit that may be idle; the others are in use.
+const IDLE_SHARE: f64 = 0.5;
+
+/// An idle connection. It belongs to the server that named itself on it and is never used for
+/// another.
+pub struct IdleConnection<C> {
+    /// The connection itself.
+    pub connection: C,
+    /// When the server named itself on it last.
+    pub verified_at: Duration,
+    /// When its last response was complete.
+    pub idle_since: Duration,
+    /// How long the server keeps it open while it is idle.
+    pub keep_alive: Duration,
+    /// Whether it carried a request, not health checks alone.
+    pub is_used: bool,
+}
+
+impl<C> IdleConnection<C> {
+    pub(super) fn idle_time(&self, now: Duration) -> Duration {
+        now.saturating_sub(self.idle_since)
+    }
+
+    /// Whether the server surely has not closed it yet.
+    pub(super) fn is_alive(&self, now: Duration) -> bool {
+        let idle_time = self.idle_time(now);
+        idle_time < MAX_IDLE_TIME && idle_time + KEEP_ALIVE_MARGIN < self.keep_alive
+    }
+
+    /// Whether a request that may run at most once may use it: not on a connection that its server
+    /// may be about to close.
+    pub fn is_kept_for_once(&self, now: Duration) -> bool {
+        self.idle_time(now) <= self.keep_alive / 2
+    }
+}
+
+/// Idle connections that one of `proxies` may keep to a server that takes `max_connections` in all.
+pub fn max_idle_connections(max_connections: u64, proxies: usize) -> usize {
+    let share = max_connections as f64 * IDLE_SHARE / proxies.max(1) as f64;
+    (share as usize).clamp(1, MAX_IDLE_CONNECTIONS)
+}
+
+impl<C> EndpointState<C> {
+    /// Whether there is an idle connection that a request could use now.
+    pub(super) fn has_usable_connection(&self, now: Duration, is_at_most_once: bool) -> bool {
+        self.idle.iter().any(|idle| {
+            let is_alive =
+                if is_at_most_once { idle.is_kept_for_once(now) } else { idle.is_alive(now) };
+            idle.idle_time(now) >= SETTLE_TIME && is_alive
+        })
+    }
+}
+
+impl<C> Endpoints<C> {
+    /// Takes the last used idle connection that is alive, settled and `is_usable`; closes those that
+    /// are no longer alive.
+    pub fn take_idle(
+        &self,
+        now: Duration,
+        slot: usize,
+        is_usable: impl Fn(&IdleConnection<C>) -> bool,
+    ) -> Option<IdleConnection<C>> {
+        self.with(slot, |state| {
+            state.idle.retain(|idle| idle.is_alive(now));
+            let found = state
+                .idle
+                .iter()
+                .rposition(|idle| now >= idle.idle_since + SETTLE_TIME && is_usable(idle))?;
+            Some(state.idle.remove(found))
+        })?
+    }
+
+    /// Keeps a connection for reuse, or closes it where there is no room for it or where the server
+    /// is desynchronized.
+    pub fn put_idle(&self, slot: usize, idle: IdleConnection<C>) {
+        self.with(slot, |state| {
+            let is_reusable = self.verifies_responses || !(state.is_desynchronized && idle.is_used);
+            if is_reusable && state.idle.len() < state.max_idle {
+                state.idle.push(idle);
+            }
+        });
+    }
+
+    /// The server sent bytes that belong to no request. A second response that arrives while the
+    /// next request is under way on the connection could not be told from that request's own, so
+    /// from now on each connection carries one request. Returns whether that is new.
+    pub fn mark_desynchronized(&self, slot: usize) -> bool {
+        let is_new = self.with(slot, |state| {
+            state.idle.retain(|idle| !idle.is_used);
+            !std::mem::replace(&mut state.is_desynchronized, true)
+        });
+        is_new == Some(true)
+    }
+
+    /// Whether the server ever sent bytes that belong to no request.
+    pub fn is_desynchronized(&self, slot: usize) -> bool {
+        self.with(slot, |state| state.is_desynchronized) == Some(true)
+    }
+}
--- /dev/null
+++ b/proxy/src/endpoints/selection/least_cost.rs
@@ -0,0 +1,223 @@
+//! Selection of the endpoint at which a request costs least, among servers that say how many
+//! requests each works on at one time ([`crate::load_balancing`]).
+
+use super::{Selection, SelectionContext, SlowStartWait, is_idempotent};
+use crate::endpoints::{Endpoint, EndpointState, Endpoints, RoutingTable};
+use crate::health::ServerPhase;
+use crate::latency_model::ZonePools;
+use crate::load_balancing::{
+    Candidate, Distance, RequestCost, choose, ignores_connections, max_response_time_ms,
+};
+use crate::retry_budget::RetryReason;
+use std::time::Duration;
+use vanepath_config::model::{Class, Rule, Service};
+
+/// How often the next best candidate is tried where the chosen one was taken meanwhile.
+const RESERVATION_ATTEMPTS: usize = 3;
+
+/// The candidates by the health of their servers, the best first.
+#[derive(Debug, Default)]
+struct HealthTiers {
+    tiers: [Vec<Candidate>; 3],
+}
+
+impl HealthTiers {
+    /// Index of the tier of healthy servers.
+    const HEALTHY: usize = 0;
+    /// Index of the tier of servers that are not probed yet or that are degraded.
+    const DOUBTFUL: usize = 1;
+    /// Index of the tier of suspect servers.
+    const SUSPECT: usize = 2;
+
+    /// The candidates that are not suspect.
+    fn usable(&self) -> impl Iterator<Item = &Candidate> {
+        self.tiers[Self::HEALTHY].iter().chain(&self.tiers[Self::DOUBTFUL])
+    }
+}
+
+struct LeastCostSelection<'a, C> {
+    endpoints: &'a Endpoints<C>,
+    now: Duration,
+    table: &'a RoutingTable,
+    context: &'a SelectionContext<'a>,
+    random: u64,
+    rule: &'a Rule,
+    class: &'a Class,
+    service: &'a Service,
+    is_idempotent: bool,
+    /// What requests like this one usually cost.
+    cost: RequestCost,
+}
+
+impl<C> Endpoints<C> {
+    /// Selects the endpoint of least cost.
+    pub(super) fn select_least_cost(
+        &self,
+        now: Duration,
+        table: &RoutingTable,
+        context: &SelectionContext<'_>,
+        random: u64,
+    ) -> Selection {
+        let rule = &table.config.rules[context.rule];
+        let class = &table.config.classes[rule.class];
+        let service = &table.config.services[context.service];
+        let selection = LeastCostSelection {
+            endpoints: self,
+            now,
+            table,
+            context,
+            random,
+            rule,
+            class,
+            service,
+            is_idempotent: is_idempotent(table, rule),
+            cost: self.request_cost(&class.name, &service.name, class.bulk),
+        };
+        selection.select()
+    }
+}
+
+impl<C> LeastCostSelection<'_, C> {
+    fn select(&self) -> Selection {
+        let mut slow_start = SlowStartWait::default();
+        let mut candidates = self.candidates(&mut slow_start);
+        let limit_ms = self.response_time_limit_ms(&candidates);
+        let mut is_crowded = false;
+        for (tier, candidates) in candidates.tiers.iter_mut().enumerate() {
+            if tier == HealthTiers::SUSPECT && (self.is_alternative_only() || is_crowded) {
+                break;
+            }
+            if let Some(limit_ms) = limit_ms {
+                let before = candidates.len();
+                candidates.retain(|one| !one.is_congested(&self.cost, limit_ms));
+                is_crowded |= candidates.len() < before;
+            }
+            if let Some(endpoint) = self.pick(candidates, tier == HealthTiers::SUSPECT) {
+                return Selection::Server { endpoint, service: self.context.service };
+            }
+            if tier == HealthTiers::DOUBTFUL
+                && let Some(earliest) = slow_start.earliest
+                && !self.is_alternative_only()
+                && !is_crowded
+            {
+                return Selection::Wait(earliest);
+            }
+        }
+        if is_crowded { Selection::Crowded } else { Selection::None }
+    }
+
+    /// All endpoints that may take the request, as the latency model sees them.
+    fn candidates(&self, slow_start: &mut SlowStartWait) -> HealthTiers {
+        let mut candidates = HealthTiers::default();
+        let pools = self.endpoints.lock_pools();
+        let usual_utilization = pools.mean_utilization(self.now, &self.service.name);
+        for index in &self.table.by_service[self.context.service] {
+            let endpoint = &self.table.endpoints[*index];
+            if !self.context.admits(self.rule, endpoint) {
+                continue;
+            }
+            self.endpoints.with(endpoint.slot, |state| {
+                if !slow_start.must_wait(self.now, &state.health) {
+                    let candidate =
+                        self.candidate(*index, endpoint, state, &pools, usual_utilization);
+                    candidates.tiers[self.tier(state)].push(candidate);
+                }
+            });
+        }
+        candidates
+    }
+
+    fn tier(&self, state: &EndpointState<C>) -> usize {
+        let allows_trial = self.is_idempotent && state.in_flight == 0;
+        match state.health.phase {
+            ServerPhase::Suspect => HealthTiers::SUSPECT,
+            ServerPhase::Unknown => HealthTiers::DOUBTFUL,
+            _ if state.health.is_degraded(self.now, allows_trial) => HealthTiers::DOUBTFUL,
+            _ => HealthTiers::HEALTHY,
+        }
+    }
+
+    fn candidate(
+        &self,
+        index: usize,
+        endpoint: &Endpoint,
+        state: &EndpointState<C>,
+        pools: &ZonePools,
+        usual_utilization: f64,
+    ) -> Candidate {
+        let distance = self.distance(endpoint, state);
+        let concurrency = f64::from(endpoint.server.concurrency);
+        let pool = pools.get(state.pool);
+        let others = pool.utilization(self.now, usual_utilization) * concurrency;
+        let load = state.estimated_load(self.now, distance, others);
+        let round_trip_ms = pool.round_trip_ms(distance);
+        Candidate {
+            index,
+            distance,
+            load,
+            concurrency,
+            relative_latency: state.relative_latency(
+                self.now,
+                load,
+                self.cost.service_time_ms,
+                round_trip_ms,
+            ),
+            round_trip_ms,
+            is_connected: ignores_connections(self.random)
+                || state.has_usable_connection(self.now, !self.is_idempotent),
+        }
+    }
+
+    fn distance(&self, endpoint: &Endpoint, state: &EndpointState<C>) -> Distance {
+        if endpoint.server.zone == self.context.zone {
+            if state.is_in_subset { Distance::Subset } else { Distance::Zone }
+        } else if endpoint.server.region == self.context.region {
+            Distance::Region
+        } else {
+            Distance::Far
+        }
+    }
+
+    /// The response time above which the request is not put into a queue; `None` without a latency
+    /// target. Records whether the request found congestion everywhere.
+    fn response_time_limit_ms(&self, candidates: &HealthTiers) -> Option<f64> {
+        // A request that a server may have had goes on; a new one can come back.
+        let may_be_late = match self.context.only_alternative_for {
+            Some(reason) => reason == RetryReason::Lost,
+            None => !self.context.tried.is_empty(),
+        };
+        let target = self.rule.latency_target.filter(|_| !may_be_late)?;
+        let limit_ms = |tolerance| max_response_time_ms(target, !self.is_idempotent, tolerance);
+        let mut profiles = self.endpoints.lock_profiles();
+        let profile = profiles.profile_mut(&self.class.name, &self.service.name, self.class.bulk);
+        if !self.is_alternative_only() {
+            let least_ms = limit_ms(0.0);
+            let found_congestion =
+                candidates.usable().all(|one| one.is_congested(&self.cost, least_ms));
+            profile.record_congestion(found_congestion);
+        }
+        // A request that is late already takes free capacity only: in a queue it would make others
+        // late.
+        Some(if self.context.is_past_target { 0.0 } else { limit_ms(profile.tolerance()) })
+    }
+
+    /// The candidate of least cost that can still take the request.
+    fn pick(&self, candidates: &mut Vec<Candidate>, is_last_resort: bool) -> Option<usize> {
+        for _ in 0..RESERVATION_ATTEMPTS {
+            let index = choose(candidates, &self.cost, self.random)?;
+            if self.is_alternative_only() || self.reserve(index, is_last_resort) {
+                return Some(index);
+            }
+            candidates.retain(|one| one.index != index);
+        }
+        None
+    }
+
+    fn is_alternative_only(&self) -> bool {
+        self.context.only_alternative_for.is_some()
+    }
+
+    fn reserve(&self, index: usize, is_last_resort: bool) -> bool {
+        self.endpoints.reserve(self.now, self.table, index, self.context.service, is_last_resort)
+    }
+}
--- /dev/null
+++ b/proxy/src/endpoints/state.rs
@@ -0,0 +1,143 @@
+//! What a proxy knows of one endpoint and what changes with every request.
+
+use super::connections::{IdleConnection, MAX_IDLE_CONNECTIONS};
+use crate::health::ServerHealth;
+use crate::latency_model::RelativeLatency;
+use crate::load_balancing::{Distance, slowdown};
+use std::time::Duration;
+
+/// How long a load report counts for the load score.
+const LOAD_REPORT_TTL: Duration = Duration::from_secs(5);
+/// How long a report of a full server counts where this proxy has no request in flight: its queue
+/// may be done by then.
+const FULL_REPORT_TTL: Duration = Duration::from_millis(700);
+/// Time, in seconds, in which what a report says of other proxies' requests fades.
+const OTHERS_FADING_TIME_S: f64 = 1.5;
+/// Weight of the newest report in the average of other proxies' requests.
+const OTHERS_WEIGHT: f64 = 0.5;
+
+/// The state of one endpoint.
+pub struct EndpointState<C> {
+    /// The health state machine of the server.
+    pub health: ServerHealth,
+    /// Requests of this proxy that the server has.
+    pub in_flight: u64,
+    /// Load that the server reported last, in thousandths of its capacity.
+    pub load_milli: u32,
+    /// When it reported that.
+    pub(super) load_reported_at: Duration,
+    /// Requests that the server works on at one time, by the endpoint list; 0: not known.
+    pub(super) concurrency: u32,
+    /// Average of other proxies' requests at the server, by its latest load reports.
+    pub(super) others: f64,
+    /// How long the server takes, relative to others of its service.
+    pub relative_latency: RelativeLatency,
+    /// Since when it has requests in flight and sent no response.
+    pub(super) overdue_since: Duration,
+    /// When its last response was complete.
+    pub(super) last_response_at: Duration,
+    /// Index of its pool in the latency model.
+    pub(super) pool: usize,
+    /// Whether it is in this proxy's subset of the zone.
+    pub(super) is_in_subset: bool,
+    /// Idle connections that this proxy may keep to it.
+    pub(super) max_idle: usize,
+    /// Idle connections, the last used at the end.
+    pub idle: Vec<IdleConnection<C>>,
+    /// Whether a probe is under way.
+    pub probing: bool,
+    /// It sent bytes that belong to no request: each connection carries one request at most.
+    pub(super) is_desynchronized: bool,
+    pub(super) last_probe_at: Option<Duration>,
+    /// Whether this proxy was in contact with it at the last tick.
+    pub(super) was_in_contact: bool,
+}
+
+impl<C> EndpointState<C> {
+    /// The state of a server that was not known before.
+    pub(super) fn new(
+        now: Duration,
+        health: ServerHealth,
+        concurrency: u32,
+        pool: usize,
+    ) -> EndpointState<C> {
+        EndpointState {
+            health,
+            in_flight: 0,
+            load_milli: 0,
+            load_reported_at: Duration::ZERO,
+            concurrency,
+            others: 0.0,
+            relative_latency: RelativeLatency::default(),
+            overdue_since: now,
+            last_response_at: Duration::ZERO,
+            pool,
+            is_in_subset: true,
+            max_idle: MAX_IDLE_CONNECTIONS,
+            idle: Vec::new(),
+            probing: false,
+            is_desynchronized: false,
+            last_probe_at: None,
+            was_in_contact: false,
+        }
+    }
+
+    /// The reported load in thousandths of the server's capacity; 0 where the report is too old.
+    pub fn demand(&self, now: Duration) -> u32 {
+        // A server that has requests in flight and sends no response has not become idle.
+        let is_valid =
+            self.in_flight > 0 || now.saturating_sub(self.load_reported_at) < LOAD_REPORT_TTL;
+        if is_valid { self.load_milli } else { 0 }
+    }
+
+    /// Whether the load report is old and no request of this proxy is there to bring a newer one:
+    /// a single request will find out.
+    pub(super) fn is_load_report_stale(&self, now: Duration) -> bool {
+        self.in_flight == 0 && now.saturating_sub(self.load_reported_at) > FULL_REPORT_TTL
+    }
+
+    /// Takes in a load report; returns the requests of other proxies for each unit of the server's
+    /// concurrency.
+    pub(super) fn record_load_report(&mut self, now: Duration, load_milli: u32) -> f64 {
+        // The server reports while the request of this response still counts as in flight here.
+        let reported = f64::from(load_milli) * f64::from(self.concurrency) / 1000.0;
+        let own = self.in_flight.saturating_sub(1) as f64;
+        self.others += OTHERS_WEIGHT * ((reported - own).max(0.0) - self.others);
+        self.load_milli = load_milli;
+        self.load_reported_at = now;
+        self.overdue_since = now;
+        (reported - own).max(0.0) / f64::from(self.concurrency.max(1))
+    }
+
+    /// How long the server takes as a multiple of the usual, by its responses or by those that are
+    /// overdue. `load` is the number of requests at the server.
+    pub(super) fn relative_latency(
+        &self,
+        now: Duration,
+        load: f64,
+        service_time_ms: f64,
+        round_trip_ms: f64,
+    ) -> f64 {
+        if self.in_flight == 0 {
+            return self.relative_latency.factor(now);
+        }
+        let overdue_ms =
+            now.saturating_sub(self.overdue_since).as_secs_f64() * 1000.0 - round_trip_ms;
+        let usual_ms = service_time_ms * slowdown(load, f64::from(self.concurrency.max(1)));
+        self.relative_latency.factor_when_overdue(now, overdue_ms / usual_ms)
+    }
+
+    /// Estimated number of requests at the server. As the load report grows old, other proxies'
+    /// requests are taken to be `usual` instead, or none where the server is in this proxy's subset.
+    pub(super) fn estimated_load(&self, now: Duration, distance: Distance, usual: f64) -> f64 {
+        let freshness = self.load_report_freshness(now);
+        let unknown = if distance == Distance::Subset { 0.0 } else { usual };
+        self.in_flight as f64 + freshness * self.others + (1.0 - freshness) * unknown
+    }
+
+    /// Weight of the last load report, from 1 when it is new to 0.
+    fn load_report_freshness(&self, now: Duration) -> f64 {
+        let age = now.saturating_sub(self.load_reported_at).as_secs_f64();
+        (1.0 - age / OTHERS_FADING_TIME_S).max(0.0)
+    }
+}
--- a/proxy/src/endpoints/tests.rs
+++ b/proxy/src/endpoints/tests.rs
@@ -226,7 +226,7 @@
     let servers: Endpoints<()> = Endpoints::default();
     let case = Case { servers, setup: setup(), emptied: Default::default() };
     let no_part = |_: &vanepath_config::endpoint_list::Server, _: &[usize]| {
-        SlowStartRate::of(1.0, Duration::from_secs(10), 1, 2)
+        SlowStartRate::new(1.0, Duration::from_secs(10), 1, 2)
     };
     case.servers.update(Duration::ZERO, TableRevision::new(1, 1), &case.setup, &list(), no_part);
     for entry in &case.servers.table.load().endpoints {
@@ -250,7 +250,7 @@
     moved.servers[0].address = "127.0.0.1:9999".parse().unwrap();
     let before = case.slot("s-b1");
     let rate = |_: &vanepath_config::endpoint_list::Server, _: &[usize]| {
-        SlowStartRate::of(2.0, Duration::from_secs(10), 0, 1)
+        SlowStartRate::new(2.0, Duration::from_secs(10), 0, 1)
     };
     case.servers.update(
         Duration::from_secs(1),
@@ -288,7 +288,7 @@
     }
     assert_eq!(case.look(1, 10, Some(RetryReason::Lost)), "none");
     assert_eq!(case.leaves("s-b1", 10), (false, false), "nowhere else is better");
-    case.servers.update_health(case.slot("s-a1"), |live| live.trust(now(10)));
+    case.servers.update_health(case.slot("s-a1"), |live| live.mark_healthy(now(10)));
     assert_eq!(case.leaves("s-b1", 10), (true, true), "in vain");
     case.servers.record_outcome(now(11), own, Ok(()));
     assert_eq!(case.servers.retry_reason(own, now(10)), RetryReason::Slow);
--- a/proxy/src/health/tests.rs
+++ b/proxy/src/health/tests.rs
@@ -8,26 +8,26 @@
 #[test]
 fn gone_comes_back_cold_and_a_freeze_does_not() {
     let mut server = ServerHealth::new(second(0.0));
-    server.good(second(0.0));
+    server.record_success(second(0.0));
     assert_eq!(server.phase, ServerPhase::Healthy);
-    server.bad(second(1.0), Failure::Silent);
+    server.record_failure(second(1.0), Failure::Silent);
     assert_eq!(server.phase, ServerPhase::Healthy, "one slow reply is no proof");
-    server.bad(second(1.5), Failure::Silent);
+    server.record_failure(second(1.5), Failure::Silent);
     assert_eq!(server.phase, ServerPhase::Suspect);
-    server.good(second(2.0));
+    server.record_success(second(2.0));
     assert_eq!(server.phase, ServerPhase::Suspect, "one good reply is no proof");
-    server.good(second(2.5));
+    server.record_success(second(2.5));
     assert_eq!(server.phase, ServerPhase::Healthy);
-    server.bad(second(3.0), Failure::Refused);
+    server.record_failure(second(3.0), Failure::Refused);
     assert_eq!(server.phase, ServerPhase::Suspect);
-    server.good(second(3.5));
-    server.good(second(4.0));
+    server.record_success(second(3.5));
+    server.record_success(second(4.0));
     assert_eq!(server.phase, ServerPhase::WarmingUp);
     // Turns away again while cold.
-    server.bad(second(4.5), Failure::Silent);
-    server.bad(second(5.0), Failure::Silent);
-    server.good(second(5.5));
-    server.good(second(6.0));
+    server.record_failure(second(4.5), Failure::Silent);
+    server.record_failure(second(5.0), Failure::Silent);
+    server.record_success(second(5.5));
+    server.record_success(second(6.0));
     assert_eq!(server.phase, ServerPhase::WarmingUp);
 }
 
@@ -35,35 +35,35 @@
 /// receipts make it whole.
 #[test]
 fn who_loses_its_work_limps_though_its_probes_are_good() {
-    let mut limping = [0, 0];
+    let mut degraded_turns = [0, 0];
     for (index, every) in [3, 10].into_iter().enumerate() {
         let mut server = ServerHealth::new(second(0.0));
         for turn in 1..=200 {
             let now = second(f64::from(turn) * 0.01);
-            server.good(now);
-            server.worked(now, turn % every != 0);
-            limping[index] += u32::from(server.is_degraded(now, false));
+            server.record_success(now);
+            server.record_request_result(now, turn % every != 0);
+            degraded_turns[index] += u32::from(server.is_degraded(now, false));
         }
     }
-    assert!(limping[0] > 150 && limping[1] == 0, "{limping:?}");
+    assert!(degraded_turns[0] > 150 && degraded_turns[1] == 0, "{degraded_turns:?}");
     let mut server = ServerHealth::new(second(0.0));
     for _ in 0..3 {
-        server.worked(second(1.0), false);
+        server.record_request_result(second(1.0), false);
     }
     assert!(server.is_degraded(second(3.9), true));
     assert!(!server.is_degraded(second(4.0), true) && server.is_degraded(second(4.0), false));
     for _ in 0..8 {
-        server.worked(second(5.0), true);
+        server.record_request_result(second(5.0), true);
     }
     assert!(server.is_degraded(second(5.0), false), "not at the first good ones");
     for _ in 0..4 {
-        server.worked(second(5.0), true);
+        server.record_request_result(second(5.0), true);
     }
     assert!(!server.is_degraded(second(5.0), false));
     for _ in 0..3 {
-        server.worked(second(6.0), false);
+        server.record_request_result(second(6.0), false);
     }
-    server.pulse(second(39.0), super::SlowStartRate::default());
+    server.tick(second(39.0), SlowStartRate::default());
     assert!(!server.is_degraded(second(39.0), false), "nobody tried it: taken for well");
 }
 
@@ -77,19 +77,19 @@
         let mut all: Vec<ServerHealth> =
             (0..proxies).map(|_| ServerHealth::new(second(0.0))).collect();
         for (rank, proxy) in all.iter_mut().enumerate() {
-            let cold = super::SlowStartRate::of(per_second, period, rank, proxies);
+            let cold = SlowStartRate::new(per_second, period, rank, proxies);
             // Each saw it come back at another moment.
             let seen_at = second(0.37 * rank as f64);
-            proxy.pulse(seen_at, cold);
+            proxy.tick(seen_at, cold);
             proxy.restart_slow_start(seen_at, seen_at);
         }
         let mut taken: Vec<f64> = Vec::new();
         for tick in 0..3200 {
             let now = second(f64::from(tick) * 0.005);
             for (rank, proxy) in all.iter_mut().enumerate() {
-                proxy.pulse(now, super::SlowStartRate::of(per_second, period, rank, proxies));
-                if proxy.may_take(now) {
-                    proxy.take(now);
+                proxy.tick(now, SlowStartRate::new(per_second, period, rank, proxies));
+                if proxy.accepts_request(now) {
+                    proxy.record_request(now);
                     taken.push(now.as_secs_f64());
                 }
             }
@@ -123,21 +123,21 @@
 fn by_traffic_one_good_answer_ends_a_doubt() {
     for by_traffic in [false, true] {
         let mut server = ServerHealth::new(second(0.0));
-        server.by_traffic = by_traffic;
-        server.trust(second(0.0));
+        server.is_judged_by_traffic = by_traffic;
+        server.mark_healthy(second(0.0));
         assert_eq!(server.phase, ServerPhase::Healthy);
-        assert!(!server.is_in_doubt());
-        server.bad(second(1.0), Failure::Broken);
-        assert!(server.is_in_doubt(), "a probe is due");
+        assert!(!server.needs_probe());
+        server.record_failure(second(1.0), Failure::Broken);
+        assert!(server.needs_probe(), "a probe is due");
         assert_eq!(server.phase, ServerPhase::Healthy);
-        server.bad(second(1.1), Failure::Broken);
+        server.record_failure(second(1.1), Failure::Broken);
         assert_eq!(server.phase, ServerPhase::Suspect);
-        server.good(second(1.5));
+        server.record_success(second(1.5));
         let phase = if by_traffic { ServerPhase::Healthy } else { ServerPhase::Suspect };
         assert_eq!(server.phase, phase);
-        server.good(second(1.6));
+        server.record_success(second(1.6));
         assert_eq!(server.phase, ServerPhase::Healthy);
-        assert!(!server.is_in_doubt());
+        assert!(!server.needs_probe());
     }
 }
 
@@ -145,17 +145,17 @@
 #[test]
 fn by_traffic_too_who_was_away_comes_back_cold() {
     let mut server = ServerHealth::new(second(0.0));
-    server.by_traffic = true;
-    server.trust(second(0.0));
-    server.bad(second(1.0), Failure::Refused);
+    server.is_judged_by_traffic = true;
+    server.mark_healthy(second(0.0));
+    server.record_failure(second(1.0), Failure::Refused);
     assert_eq!(server.phase, ServerPhase::Suspect);
-    server.good(second(1.2));
+    server.record_success(second(1.2));
     assert_eq!(server.phase, ServerPhase::WarmingUp);
     // The platform says that it is warm: its word counts, and what was before is forgotten.
-    server.trust(second(1.3));
+    server.mark_healthy(second(1.3));
     assert_eq!(server.phase, ServerPhase::Healthy);
-    assert!(!server.is_in_doubt() && !server.was_refused());
-    server.bad(second(1.4), Failure::Broken);
+    assert!(!server.needs_probe() && !server.was_refused());
+    server.record_failure(second(1.4), Failure::Broken);
     assert_eq!(
         server.phase,
         ServerPhase::Healthy,
@@ -167,13 +167,13 @@
 #[test]
 fn a_doubt_asks_for_a_probe_and_takes_no_work_away() {
     let mut server = ServerHealth::new(second(0.0));
-    server.by_traffic = true;
-    server.trust(second(0.0));
-    server.doubt();
-    assert!(server.is_in_doubt() && server.may_take(second(0.1)));
-    assert_eq!(server.probe_at(second(10.0)), second(0.0));
-    server.good(second(0.2));
-    assert!(!server.is_in_doubt());
+    server.is_judged_by_traffic = true;
+    server.mark_healthy(second(0.0));
+    server.request_probe();
+    assert!(server.needs_probe() && server.accepts_request(second(0.1)));
+    assert_eq!(server.next_probe_at(second(10.0)), second(0.0));
+    server.record_success(second(0.2));
+    assert!(!server.needs_probe());
 }
 
 /// A suspect that this proxy does not probe is tried again after a rest, and is suspect again if it is
@@ -182,14 +182,14 @@
 fn a_suspect_that_others_probe_is_tried_after_a_rest() {
     let ms = Duration::from_millis;
     let mut server = ServerHealth::new(ms(0));
-    server.trust(ms(0));
-    server.bad(ms(1000), Failure::Refused);
+    server.mark_healthy(ms(0));
+    server.record_failure(ms(1000), Failure::Refused);
     assert_eq!(server.phase, ServerPhase::Suspect);
-    server.retry(ms(2499));
+    server.retry_suspect(ms(2499));
     assert_eq!(server.phase, ServerPhase::Suspect);
-    server.retry(ms(2500));
+    server.retry_suspect(ms(2500));
     assert_eq!(server.phase, ServerPhase::Healthy);
-    server.bad(ms(2600), Failure::Refused);
+    server.record_failure(ms(2600), Failure::Refused);
     assert_eq!(server.phase, ServerPhase::Suspect);
 }
 
@@ -197,60 +197,63 @@
 /// not probe it, and got whatever came; as a last resort it got that at once.
 #[test]
 fn a_cold_server_that_failed_is_tried_again_at_its_modest_rate() {
-    let rate = SlowStartRate::of(5.1, second(3.0), 0, 72);
-    let every = rate.every.expect("the first has a part");
+    let rate = SlowStartRate::new(5.1, second(3.0), 0, 72);
+    let every = rate.interval.expect("the first has a part");
     for fails in [true, false] {
         let mut server = ServerHealth::new(second(0.0));
-        server.by_traffic = true;
-        server.pulse(second(0.0), rate);
+        server.is_judged_by_traffic = true;
+        server.tick(second(0.0), rate);
         server.restart_slow_start(second(0.0), Duration::ZERO);
         if fails {
-            server.bad(second(0.5), Failure::Refused);
+            server.record_failure(second(0.5), Failure::Refused);
         } else {
             // The others say so.
-            server.hear(second(0.5), true, None);
+            server.apply_cluster_view(second(0.5), true, None);
         }
         assert_eq!(server.phase, ServerPhase::Suspect);
         let mut sent = 0;
         for now_ms in 500..2900 {
             let now = Duration::from_millis(now_ms);
-            server.retry(now);
-            server.pulse(now, rate);
-            if server.next_at().is_none_or(|at| now >= at) {
-                server.take(now);
+            server.retry_suspect(now);
+            server.tick(now, rate);
+            if server.next_slow_start_request_at().is_none_or(|at| now >= at) {
+                server.record_request(now);
                 sent += 1;
             }
         }
         let most = (2400.0 / every.as_millis() as f64).ceil() as u32;
         assert!(sent <= most, "{sent} in 2.4 s, and {most} are its rate");
         assert_eq!(server.phase, ServerPhase::WarmingUp);
-        server.pulse(second(3.0), rate);
+        server.tick(second(3.0), rate);
         assert_eq!(server.phase, ServerPhase::SlowStart, "by the time at which it became cold");
-        server.pulse(second(6.0), rate);
-        assert_eq!((server.phase, server.next_at()), (ServerPhase::Healthy, None));
+        server.tick(second(6.0), rate);
+        assert_eq!(
+            (server.phase, server.next_slow_start_request_at()),
+            (ServerPhase::Healthy, None)
+        );
     }
     // Without a part it gets nothing from here.
     let mut server = ServerHealth::new(second(0.0));
-    server.by_traffic = true;
-    let none = SlowStartRate::of(5.1, second(3.0), 30, 72);
-    server.pulse(second(0.0), none);
+    server.is_judged_by_traffic = true;
+    let none = SlowStartRate::new(5.1, second(3.0), 30, 72);
+    server.tick(second(0.0), none);
     server.restart_slow_start(second(0.0), Duration::ZERO);
-    server.hear(second(0.5), true, None);
-    server.retry(second(2.1));
-    server.pulse(second(2.1), none);
-    assert_eq!(server.next_at(), Some(Duration::MAX));
+    server.apply_cluster_view(second(0.5), true, None);
+    server.retry_suspect(second(2.1));
+    server.tick(second(2.1), none);
+    assert_eq!(server.next_slow_start_request_at(), Some(Duration::MAX));
 }
 
 /// One that is a suspect for longer than it would have been cold is an ordinary suspect.
 #[test]
 fn a_suspect_is_bound_to_its_rate_no_longer_than_it_would_have_been_cold() {
-    let rate = SlowStartRate::of(5.1, second(3.0), 0, 72);
+    let rate = SlowStartRate::new(5.1, second(3.0), 0, 72);
     let mut server = ServerHealth::new(second(0.0));
-    server.pulse(second(0.0), rate);
+    server.tick(second(0.0), rate);
     server.restart_slow_start(second(0.0), Duration::ZERO);
-    server.bad(second(0.5), Failure::Refused);
-    server.pulse(second(5.9), rate);
-    assert!(server.next_at().is_some());
-    server.pulse(second(6.0), rate);
-    assert_eq!((server.phase, server.next_at()), (ServerPhase::Suspect, None));
+    server.record_failure(second(0.5), Failure::Refused);
+    server.tick(second(5.9), rate);
+    assert!(server.next_slow_start_request_at().is_some());
+    server.tick(second(6.0), rate);
+    assert_eq!((server.phase, server.next_slow_start_request_at()), (ServerPhase::Suspect, None));
 }
--- /dev/null
+++ b/proxy/src/latency_model/zone_pool.rs
@@ -0,0 +1,142 @@
+//! How loaded and how far the servers of a service are in a zone.
+
+use crate::load_balancing::Distance;
+use std::collections::HashMap;
+use std::time::Duration;
+
+/// Utilization by other proxies that is assumed where nothing is known.
+const INITIAL_UTILIZATION: f64 = 0.3;
+/// Weight of that assumption among the zones of a service.
+const INITIAL_UTILIZATION_WEIGHT: f64 = 0.2;
+/// Weight of a load report in a pool's utilization.
+const REPORT_WEIGHT: f64 = 0.2;
+/// Utilization above which a load report counts no more.
+const MAX_REPORTED_UTILIZATION: f64 = 1.5;
+/// Time in which a pool's utilization fades into what is usual.
+const FADING_TIME: Duration = Duration::from_secs(3);
+/// Weight of a connection that took longer than the least round trip.
+const SLOWER_CONNECTION_WEIGHT: f64 = 0.02;
+
+/// The servers of one service in one zone.
+#[derive(Clone, Debug)]
+pub struct ZonePool {
+    /// Requests of other proxies for each unit of concurrency.
+    utilization: f64,
+    updated_at: Duration,
+    round_trip_ms: Option<f64>,
+}
+
+impl Default for ZonePool {
+    fn default() -> ZonePool {
+        ZonePool {
+            utilization: INITIAL_UTILIZATION,
+            updated_at: Duration::ZERO,
+            round_trip_ms: None,
+        }
+    }
+}
+
+impl ZonePool {
+    /// Records a load report of one of its servers: so many requests of other proxies for each unit
+    /// of its concurrency.
+    pub fn record_load(&mut self, now: Duration, others: f64) {
+        self.utilization = self.utilization(now, INITIAL_UTILIZATION);
+        self.updated_at = now;
+        self.utilization +=
+            REPORT_WEIGHT * (others.min(MAX_REPORTED_UTILIZATION) - self.utilization);
+    }
+
+    /// Utilization of its servers by other proxies; `usual` where nothing new is known of the zone.
+    pub fn utilization(&self, now: Duration, usual: f64) -> f64 {
+        usual + (self.utilization - usual) * self.freshness(now)
+    }
+
+    /// Weight of what is known, from 1 when it is new to 0.
+    fn freshness(&self, now: Duration) -> f64 {
+        let age = now.saturating_sub(self.updated_at).as_secs_f64();
+        (1.0 - age / FADING_TIME.as_secs_f64()).max(0.0)
+    }
+
+    /// Records how long a connection took to open. The least is the round trip, the rest are queues
+    /// on the way.
+    pub fn record_connection(&mut self, connect_time: Duration) {
+        let connect_ms = connect_time.as_secs_f64() * 1000.0;
+        let before = self.round_trip_ms.unwrap_or(connect_ms);
+        self.round_trip_ms = Some(if connect_ms < before {
+            connect_ms
+        } else {
+            before + SLOWER_CONNECTION_WEIGHT * (connect_ms - before)
+        });
+    }
+
+    /// Round-trip time in milliseconds; a guess by distance before the first connection.
+    pub fn round_trip_ms(&self, distance: Distance) -> f64 {
+        self.round_trip_ms.unwrap_or(match distance {
+            Distance::Subset | Distance::Zone => 1.0,
+            Distance::Region => 2.0,
+            Distance::Far => 30.0,
+        })
+    }
+}
+
+/// A pool together with the name of its service.
+#[derive(Debug)]
+struct ServicePool {
+    service: String,
+    pool: ZonePool,
+}
+
+/// All pools of a proxy, found by service and zone.
+#[derive(Debug, Default)]
+pub struct ZonePools {
+    all: Vec<ServicePool>,
+    /// Indices into `all`, by service and zone.
+    by_service: HashMap<String, HashMap<String, usize>>,
+}
+
+impl ZonePools {
+    /// Index of the pool of this service in this zone; a new one if there is none.
+    pub fn find_or_insert(&mut self, service: &str, zone: &str) -> usize {
+        if let Some(index) = self.by_service.get(service).and_then(|zones| zones.get(zone)) {
+            return *index;
+        }
+        let index = self.all.len();
+        let zones = self.by_service.entry(service.to_string()).or_default();
+        zones.insert(zone.to_string(), index);
+        self.all.push(ServicePool { service: service.to_string(), pool: ZonePool::default() });
+        index
+    }
+
+    /// The pool at an index that [`ZonePools::find_or_insert`] returned.
+    pub fn get(&self, index: usize) -> &ZonePool {
+        &self.all[index].pool
+    }
+
+    /// Likewise, to record something.
+    pub fn get_mut(&mut self, index: usize) -> &mut ZonePool {
+        &mut self.all[index].pool
+    }
+
+    /// Utilization of a pool's servers by other proxies, as far as it is known.
+    pub fn utilization(&self, now: Duration, index: usize) -> f64 {
+        let ServicePool { service, pool } = &self.all[index];
+        pool.utilization(now, self.mean_utilization(now, service))
+    }
+
+    /// Mean utilization of a service's servers by other proxies.
+    pub fn mean_utilization(&self, now: Duration, service: &str) -> f64 {
+        let zones = self.by_service.get(service).into_iter().flat_map(|zones| zones.values());
+        mean_utilization(now, zones.map(|index| self.get(*index)))
+    }
+}
+
+/// Mean utilization of the pools that reported lately: what is expected of one that did not. A zone
+/// that comes back would draw all requests at once if it were taken to be idle.
+pub fn mean_utilization<'p>(now: Duration, pools: impl Iterator<Item = &'p ZonePool>) -> f64 {
+    let initial = (INITIAL_UTILIZATION * INITIAL_UTILIZATION_WEIGHT, INITIAL_UTILIZATION_WEIGHT);
+    let (sum, weight) = pools.fold(initial, |(sum, weight), pool| {
+        let freshness = pool.freshness(now);
+        (sum + freshness * pool.utilization, weight + freshness)
+    });
+    sum / weight
+}
--- a/proxy/src/load_balancing.rs
+++ b/proxy/src/load_balancing.rs
@@ -1,171 +1,193 @@
-//! The choice among servers that say how many requests each works on at one time (design 8.7): the one
-//! at which a request costs least, by the time that it takes there, the time that it takes from others
-//! who are with it, and the way of its bytes. Pure.
+//! The cost of a request at each of a service's servers, and the choice of the least (design 8.7).
+//!
+//! Servers say how many requests each works on at one time (their concurrency). The cost counts the
+//! time that the request takes at a server, the time that it takes from other requests there, and
+//! the transfer of its bytes. Pure.
 
-/// Where a server stands as seen from this proxy.
+use std::time::Duration;
+
+/// How far a server is from this proxy; the nearest come first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
-    /// In the zone, and in this proxy's part of it: few others send anything there, so what is in
-    /// hand here is what is with it.
-    Own,
+    /// In the own zone and in this proxy's subset of it: few other proxies send it requests, so that
+    /// those in flight from here are nearly all that it has.
+    Subset,
+    /// In the own zone.
     Zone,
+    /// In the own region.
     Region,
+    /// In another region.
     Far,
 }
 
 /// A server that may be given the request.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
+    /// Index of the endpoint in the routing table.
     pub index: usize,
+    /// How far the server is.
     pub distance: Distance,
-    /// Requests that are with it, those of other proxies estimated.
+    /// Requests that it has, those of other proxies estimated.
     pub load: f64,
-    pub slots: f64,
-    /// How long it takes for its work, as a multiple of what is usual in the service.
-    pub pace: f64,
-    /// There and back.
-    pub way_ms: f64,
-    /// A connection to it rests here that may be used.
+    /// Requests that it works on at one time.
+    pub concurrency: f64,
+    /// How long it takes for a request, as a multiple of what is usual in the service.
+    pub relative_latency: f64,
+    /// Round-trip time in milliseconds.
+    pub round_trip_ms: f64,
+    /// Whether there is an idle connection that the request may use.
     pub is_connected: bool,
 }
 
-/// What is known of a request before it is sent, by those like it.
+/// What is expected of a request before it is sent, by earlier ones of its class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestCost {
-    /// What a server of usual pace takes that has room.
-    pub work_ms: f64,
-    /// Request and answer together.
+    /// Time in milliseconds at a server of usual latency without congestion.
+    pub service_time_ms: f64,
+    /// Size of request and response together, in kilobytes.
     pub kilobytes: f64,
 }
 
-/// Waiting that a kilobyte is worth which stays in the zone.
-const KILOBYTE_MS: f64 = 30.0;
-/// What a new connection costs beside its way there and back, as a part of the work: its first packets
-/// wait in queues of their own, and are sent again after a second if they are lost.
-const OPEN: f64 = 0.35;
-/// One choice of so many looks away from that, so that a server which is new gets its part where
-/// others are never crowded.
-const OPENS_ANYWAY: u64 = 12;
-
-/// Whether this choice is such a one, by its draw.
-pub fn opens_anyway(random: u64) -> bool {
-    (random >> 32).is_multiple_of(OPENS_ANYWAY)
-}
-/// A server takes longer for everything as it fills up: what the last free slot costs, as a multiple of
-/// the first ones, with what the others there lose by it.
-const LAST_SLOT: f64 = 2.8;
-/// The same of a whole queue as long as its slots.
-const QUEUE: f64 = 3.0;
-/// How much longer a request takes with all slots in use.
-const FULL_TAKES: f64 = 1.6;
+/// Waiting time in milliseconds that is accepted to keep a kilobyte in the zone.
+const KILOBYTE_COST_MS: f64 = 30.0;
+/// What a new connection costs beside its round trip, as a part of the service time: its first
+/// packets wait in queues of their own, and are sent again after a second if they are lost.
+const CONNECTION_COST: f64 = 0.35;
+/// One selection of so many ignores whether there are connections, so that a new server gets its
+/// part where the others are never congested.
+const IGNORE_CONNECTIONS_RATIO: u64 = 12;
+/// Cost of the last free unit of concurrency, as a multiple of the first ones: a server takes longer
+/// for all its requests as it fills up.
+const FULL_CONGESTION: f64 = 2.8;
+/// What a queue as long as the concurrency adds to that.
+const QUEUE_CONGESTION: f64 = 3.0;
+/// How many times longer a request takes at a server that is full.
+const FULL_SLOWDOWN: f64 = 1.6;
+/// Utilization above which a server is full and would reject the request.
+pub const MAX_UTILIZATION: f64 = 4.0;
+
+/// Least part of the latency target that a request may be expected to take, for one that runs at
+/// most once: it is the more expensive one to reject.
+const MIN_TARGET_SHARE_AT_MOST_ONCE: f64 = 0.75;
+/// Likewise for an idempotent one.
+const MIN_TARGET_SHARE_IDEMPOTENT: f64 = 0.6;
 
 impl Candidate {
-    /// Its requests as a multiple of what it works on at one time, this one included.
-    fn fill(&self) -> f64 {
-        (self.load + 1.0) / self.slots
+    /// Requests for each unit of concurrency, this one included.
+    fn utilization(&self) -> f64 {
+        (self.load + 1.0) / self.concurrency
     }
 
-    /// When its answer can be expected, in milliseconds.
-    fn expected_ms(&self, job: &RequestCost) -> f64 {
-        let opened = if self.is_connected { 0.0 } else { self.way_ms };
-        let takes = job.work_ms * self.pace * lateness(self.load + 1.0, self.slots);
-        self.way_ms + opened + takes
+    /// Expected time to the response, in milliseconds.
+    fn expected_ms(&self, request: &RequestCost) -> f64 {
+        let connecting = if self.is_connected { 0.0 } else { self.round_trip_ms };
+        let serving = request.service_time_ms
+            * self.relative_latency
+            * slowdown(self.load + 1.0, self.concurrency);
+        self.round_trip_ms + connecting + serving
     }
 
-    /// It would stand in a queue here, and its answer come later than `limit_ms`. What finds a free
-    /// slot is never that: it shows how long requests take by now.
-    pub fn is_too_crowded(&self, job: &RequestCost, limit_ms: f64) -> bool {
-        self.load + 1.0 > self.slots && self.expected_ms(job) > limit_ms
+    /// Whether the request would be queued here and its response take longer than `limit_ms`. A
+    /// server with free capacity is never congested: its responses show how long requests take.
+    pub fn is_congested(&self, request: &RequestCost, limit_ms: f64) -> bool {
+        self.load + 1.0 > self.concurrency && self.expected_ms(request) > limit_ms
     }
 
-    /// What the request costs here, in milliseconds: to itself, to others, and for its bytes.
-    pub fn cost(&self, job: &RequestCost) -> f64 {
-        let carried = match self.distance {
-            Distance::Own | Distance::Zone => 0.0,
-            Distance::Region | Distance::Far => KILOBYTE_MS * job.kilobytes,
+    /// What the request costs here, in milliseconds: to itself, to other requests, and for its bytes.
+    pub fn cost(&self, request: &RequestCost) -> f64 {
+        let transfer = match self.distance {
+            Distance::Subset | Distance::Zone => 0.0,
+            Distance::Region | Distance::Far => KILOBYTE_COST_MS * request.kilobytes,
+        };
+        let connecting = if self.is_connected {
+            0.0
+        } else {
+            self.round_trip_ms + CONNECTION_COST * request.service_time_ms
         };
-        let opened = if self.is_connected { 0.0 } else { self.way_ms + OPEN * job.work_ms };
-        self.way_ms
-            + opened
-            + carried
-            + job.work_ms * self.pace * crowding(self.load + 1.0, self.slots)
+        self.round_trip_ms
+            + connecting
+            + transfer
+            + request.service_time_ms
+                * self.relative_latency
+                * congestion(self.load + 1.0, self.concurrency)
     }
 }
 
-/// Half of the slots, one at the least, are free of cost to others.
-fn roomy(slots: f64) -> f64 {
-    (slots / 2.0).max(1.0)
+/// Load up to which a request costs others nothing: half of the concurrency, one at the least.
+fn uncongested_load(concurrency: f64) -> f64 {
+    (concurrency / 2.0).max(1.0)
 }
 
-/// The cost of a request that makes it so many at a server, as a multiple of its work.
-fn crowding(load: f64, slots: f64) -> f64 {
-    let roomy = roomy(slots);
-    if load <= roomy {
-        // The emptier of two that have room.
-        0.9 + 0.1 * load / roomy
-    } else if load <= slots {
-        1.0 + (LAST_SLOT - 1.0) * (load - roomy) / (slots - roomy)
+/// Cost of the request that brings a server to this load, as a multiple of its service time.
+fn congestion(load: f64, concurrency: f64) -> f64 {
+    let uncongested = uncongested_load(concurrency);
+    if load <= uncongested {
+        // Of two uncongested servers the one with less load.
+        0.9 + 0.1 * load / uncongested
+    } else if load <= concurrency {
+        1.0 + (FULL_CONGESTION - 1.0) * (load - uncongested) / (concurrency - uncongested)
     } else {
-        LAST_SLOT + QUEUE * (load / slots - 1.0)
+        FULL_CONGESTION + QUEUE_CONGESTION * (load / concurrency - 1.0)
     }
 }
 
-/// How long a request takes that makes it so many at a server, as a multiple of its work: what is
-/// taken out before a server's pace is judged.
-pub fn lateness(load: f64, slots: f64) -> f64 {
-    let roomy = roomy(slots);
-    if load <= roomy {
+/// How many times longer a request takes that brings a server to this load. Response times are
+/// divided by it before servers are compared.
+pub fn slowdown(load: f64, concurrency: f64) -> f64 {
+    let uncongested = uncongested_load(concurrency);
+    if load <= uncongested {
         1.0
-    } else if load <= slots {
-        1.0 + (FULL_TAKES - 1.0) * (load - roomy) / (slots - roomy)
+    } else if load <= concurrency {
+        1.0 + (FULL_SLOWDOWN - 1.0) * (load - uncongested) / (concurrency - uncongested)
     } else {
-        FULL_TAKES * load / slots
+        FULL_SLOWDOWN * load / concurrency
     }
 }
 
-/// A request is let into a queue if it can be expected to be answered within such a part of its aim: all
-/// of it while queues come and go (`calm` 1), less where a crowd stands (0), for what is usual is the mean,
-/// and answers spread. One that runs at most once is the dearer one to send away.
-pub fn patience_ms(aim: std::time::Duration, is_once: bool, calm: f64) -> f64 {
-    let part = if is_once { 0.75 } else { 0.6 };
-    aim.as_secs_f64() * 1000.0 * (part + (1.0 - part) * calm)
+/// Whether the selection with this draw ignores which servers it has connections to.
+pub fn ignores_connections(random: u64) -> bool {
+    (random >> 32).is_multiple_of(IGNORE_CONNECTIONS_RATIO)
 }
 
-/// A server with more than that is full: it would turn the request away.
-pub const FILL_MOST: f64 = 4.0;
-
-/// The server for a request; `None` where all are full. Of those that cost the same the nearest one,
-/// and of equal ones the one that the draw falls on.
-pub fn choose(candidates: &[Candidate], job: &RequestCost, random: u64) -> Option<usize> {
-    let turn = random as usize % candidates.len().max(1);
-    let mut best: Option<(f64, Distance, usize)> = None;
-    for offset in 0..candidates.len() {
-        let one = &candidates[(turn + offset) % candidates.len()];
-        if one.fill() > FILL_MOST {
+/// Expected time in milliseconds up to which a request is queued: the whole latency target at a
+/// `tolerance` of 1, while queues come and go; less towards 0, where congestion persists, for the
+/// expectation is a mean and response times spread around it.
+pub fn max_response_time_ms(
+    latency_target: Duration,
+    is_at_most_once: bool,
+    tolerance: f64,
+) -> f64 {
+    let min_share =
+        if is_at_most_once { MIN_TARGET_SHARE_AT_MOST_ONCE } else { MIN_TARGET_SHARE_IDEMPOTENT };
+    latency_target.as_secs_f64() * 1000.0 * (min_share + (1.0 - min_share) * tolerance)
+}
+
+/// The candidate of least cost so far.
+#[derive(Clone, Copy)]
+struct Best {
+    cost: f64,
+    distance: Distance,
+    index: usize,
+}
+
+/// Index of the endpoint at which the request costs least; `None` where all are full. Of equal costs
+/// the nearest is chosen, and of equally near ones the first after the draw.
+pub fn choose(candidates: &[Candidate], request: &RequestCost, random: u64) -> Option<usize> {
+    let start = random as usize % candidates.len().max(1);
+    let mut best: Option<Best> = None;
+    for candidate in candidates[start..].iter().chain(&candidates[..start]) {
+        if candidate.utilization() > MAX_UTILIZATION {
             continue;
         }
-        let cost = one.cost(job);
-        let is_better = best.is_none_or(|(least, distance, _)| {
-            cost < least || (cost == least && one.distance < distance)
+        let cost = candidate.cost(request);
+        let is_better = best.is_none_or(|best| {
+            cost < best.cost || (cost == best.cost && candidate.distance < best.distance)
         });
         if is_better {
-            best = Some((cost, one.distance, one.index));
+            best = Some(Best { cost, distance: candidate.distance, index: candidate.index });
         }
     }
-    best.map(|best| best.2)
-}
-
-/// Which servers of a zone are this proxy's part: every server has about as many proxies as every other,
-/// and every proxy about as many servers. `proxies` are those of the zone, this one at `rank`; a server
-/// is at its place among `servers`.
-pub fn is_own(rank: usize, proxies: usize, place: usize, servers: usize) -> bool {
-    if proxies <= 1 || servers == 0 {
-        return true;
-    }
-    match servers >= proxies {
-        true => place % proxies == rank,
-        false => rank % servers == place,
-    }
+    best.map(|best| best.index)
 }
 
 #[cfg(test)]
--- a/proxy/src/load_balancing/tests.rs
+++ b/proxy/src/load_balancing/tests.rs
@@ -1,4 +1,4 @@
-use super::{Candidate, Distance, FILL_MOST, RequestCost, choose};
+use super::{Candidate, Distance, MAX_UTILIZATION, RequestCost, choose};
 
 /// Numbers that are the same in each run.
 struct Draw(u64);
@@ -19,12 +19,12 @@
         (0..count)
             .map(|index| Candidate {
                 index: 100 + index,
-                distance: [Distance::Own, Distance::Zone, Distance::Region, Distance::Far]
+                distance: [Distance::Subset, Distance::Zone, Distance::Region, Distance::Far]
                     [self.below(4) as usize],
                 load: self.below(80) as f64 / 4.0,
-                slots: (1 + self.below(6)) as f64,
-                pace: 0.5 + self.below(10) as f64 / 5.0,
-                way_ms: (1 + self.below(60)) as f64,
+                concurrency: (1 + self.below(6)) as f64,
+                relative_latency: 0.5 + self.below(10) as f64 / 5.0,
+                round_trip_ms: (1 + self.below(60)) as f64,
                 is_connected: self.below(2) == 0,
             })
             .collect()
@@ -32,19 +32,19 @@
 }
 
 const CASES: usize = 4000;
-const SMALL: RequestCost = RequestCost { work_ms: 150.0, kilobytes: 4.0 };
-const LARGE: RequestCost = RequestCost { work_ms: 130.0, kilobytes: 90.0 };
+const SMALL: RequestCost = RequestCost { service_time_ms: 150.0, kilobytes: 4.0 };
+const LARGE: RequestCost = RequestCost { service_time_ms: 130.0, kilobytes: 90.0 };
 
 fn each_case(mut check: impl FnMut(&[Candidate], &RequestCost, u64, Option<&Candidate>)) {
     let mut draw = Draw(11);
     for case in 0..CASES {
         let candidates = draw.candidates();
         let random = draw.next();
-        let job = if case % 2 == 0 { LARGE } else { SMALL };
-        let chosen = choose(&candidates, &job, random);
+        let request = if case % 2 == 0 { LARGE } else { SMALL };
+        let chosen = choose(&candidates, &request, random);
         let chosen = chosen
             .map(|index| candidates.iter().find(|one| one.index == index).expect("one of them"));
-        check(&candidates, &job, random, chosen);
+        check(&candidates, &request, random, chosen);
     }
 }
 
@@ -53,10 +53,13 @@
 fn one_with_room_is_found_and_a_full_one_never() {
     let mut none = 0;
     each_case(|candidates, _, _, chosen| {
-        let has_room = candidates.iter().any(|one| one.fill() <= FILL_MOST);
+        let has_room = candidates.iter().any(|one| one.utilization() <= MAX_UTILIZATION);
         assert_eq!(chosen.is_some(), has_room, "{candidates:?}");
         none += usize::from(chosen.is_none());
-        assert!(chosen.is_none_or(|one| one.fill() <= FILL_MOST), "{chosen:?} of {candidates:?}");
+        assert!(
+            chosen.is_none_or(|one| one.utilization() <= MAX_UTILIZATION),
+            "{chosen:?} of {candidates:?}"
+        );
     });
     assert!(none > 100 && none < CASES / 2, "{none} cases without room");
 }
@@ -65,20 +68,20 @@
 /// is emptiest, and none goes farther while a server of its pace has room nearer.
 #[test]
 fn the_least_cost_and_so_room_near_by_comes_first() {
-    each_case(|candidates, job, _, chosen| {
+    each_case(|candidates, request, _, chosen| {
         let Some(chosen) = chosen else { return };
-        let with_room = || candidates.iter().filter(|one| one.fill() <= FILL_MOST);
+        let with_room = || candidates.iter().filter(|one| one.utilization() <= MAX_UTILIZATION);
         for one in with_room() {
-            assert!(chosen.cost(job) <= one.cost(job), "{chosen:?} of {candidates:?}");
-            let is_alike = one.pace <= chosen.pace
-                && one.slots == chosen.slots
-                && one.way_ms <= chosen.way_ms
+            assert!(chosen.cost(request) <= one.cost(request), "{chosen:?} of {candidates:?}");
+            let is_alike = one.relative_latency <= chosen.relative_latency
+                && one.concurrency == chosen.concurrency
+                && one.round_trip_ms <= chosen.round_trip_ms
                 && one.is_connected >= chosen.is_connected;
             if is_alike && one.distance == chosen.distance {
                 assert!(chosen.load <= one.load, "{chosen:?} of {candidates:?}");
             }
             // Half of its slots are free without cost to others.
-            let has_room = one.load + 1.0 <= (one.slots / 2.0).max(1.0);
+            let has_room = one.load + 1.0 <= (one.concurrency / 2.0).max(1.0);
             let is_passed_over = one.distance < Distance::Region
                 && chosen.distance >= Distance::Region
                 && has_room
@@ -97,9 +100,9 @@
         index,
         distance: Distance::Zone,
         load,
-        slots: 4.0,
-        pace: 1.0,
-        way_ms: 1.0,
+        concurrency: 4.0,
+        relative_latency: 1.0,
+        round_trip_ms: 1.0,
         is_connected: true,
     }
 }
@@ -107,14 +110,14 @@
 /// Large answers stay in the zone until its servers have a queue twice as long as their slots.
 #[test]
 fn large_answers_stay_in_the_zone() {
-    each_case(|candidates, job, _, chosen| {
+    each_case(|candidates, request, _, chosen| {
         let Some(chosen) = chosen else { return };
-        if *job != LARGE || chosen.distance < Distance::Region {
+        if *request != LARGE || chosen.distance < Distance::Region {
             return;
         }
         let near = candidates.iter().filter(|one| one.distance < Distance::Region);
-        for one in near.filter(|one| one.pace <= 1.5) {
-            assert!(one.fill() > 2.0, "{chosen:?} of {candidates:?}");
+        for one in near.filter(|one| one.relative_latency <= 1.5) {
+            assert!(one.utilization() > 2.0, "{chosen:?} of {candidates:?}");
         }
     });
 }
@@ -123,12 +126,17 @@
 /// server's after a fast one's next.
 #[test]
 fn the_last_slot_is_left_where_others_have_room() {
-    let near = Candidate { slots: 3.0, ..candidate(0, 2.0) };
-    let far = Candidate { distance: Distance::Far, way_ms: 24.0, slots: 3.0, ..candidate(1, 0.5) };
+    let near = Candidate { concurrency: 3.0, ..candidate(0, 2.0) };
+    let far = Candidate {
+        distance: Distance::Far,
+        round_trip_ms: 24.0,
+        concurrency: 3.0,
+        ..candidate(1, 0.5)
+    };
     assert_eq!(choose(&[near, far], &SMALL, 0), Some(1));
     assert_eq!(choose(&[near, far], &LARGE, 0), Some(0));
-    let slow = Candidate { pace: 1.5, slots: 3.0, ..candidate(2, 0.0) };
-    let fast = Candidate { pace: 0.6, slots: 3.0, ..candidate(3, 1.0) };
+    let slow = Candidate { relative_latency: 1.5, concurrency: 3.0, ..candidate(2, 0.0) };
+    let fast = Candidate { relative_latency: 0.6, concurrency: 3.0, ..candidate(3, 1.0) };
     assert_eq!(choose(&[slow, fast], &SMALL, 0), Some(3));
     assert_eq!(choose(&[slow, Candidate { load: 4.0, ..fast }], &SMALL, 0), Some(2));
 }
@@ -136,34 +144,39 @@
 /// A queue in which a request would be late is too crowded for it; a free slot never is, however long
 /// requests take, for it shows when they no longer do.
 #[test]
-fn a_queue_is_too_crowded_where_it_would_be_late() {
-    let aim = std::time::Duration::from_millis(600);
-    let patience = |is_once, calm| super::patience_ms(aim, is_once, calm);
-    let (once, repeatable) = (patience(true, 0.0), patience(false, 0.0));
-    assert!(repeatable < once && once < 600.0);
-    assert_eq!((patience(true, 1.0), patience(false, 1.0)), (600.0, 600.0));
-    let slow = RequestCost { work_ms: 5000.0, ..SMALL };
-    assert!(!candidate(0, 3.0).is_too_crowded(&slow, repeatable));
-    assert!(candidate(0, 4.0).is_too_crowded(&slow, repeatable));
-    assert!(!candidate(0, 4.0).is_too_crowded(&SMALL, repeatable));
-    assert!(candidate(0, 8.0).is_too_crowded(&SMALL, repeatable));
-    assert!(!candidate(0, 6.0).is_too_crowded(&SMALL, once));
+fn a_queue_is_congested_where_it_would_be_late() {
+    let target = std::time::Duration::from_millis(600);
+    let limit_ms = |is_at_most_once, tolerance| {
+        super::max_response_time_ms(target, is_at_most_once, tolerance)
+    };
+    let (at_most_once, idempotent) = (limit_ms(true, 0.0), limit_ms(false, 0.0));
+    assert!(idempotent < at_most_once && at_most_once < 600.0);
+    assert_eq!((limit_ms(true, 1.0), limit_ms(false, 1.0)), (600.0, 600.0));
+    let slow = RequestCost { service_time_ms: 5000.0, ..SMALL };
+    assert!(!candidate(0, 3.0).is_congested(&slow, idempotent));
+    assert!(candidate(0, 4.0).is_congested(&slow, idempotent));
+    assert!(!candidate(0, 4.0).is_congested(&SMALL, idempotent));
+    assert!(candidate(0, 8.0).is_congested(&SMALL, idempotent));
+    assert!(!candidate(0, 6.0).is_congested(&SMALL, at_most_once));
 }
 
 /// Neither the draw nor the order of the candidates changes anything but which of equal ones it is.
 #[test]
 fn the_draw_decides_among_equals_only() {
     let mut draw = Draw(5);
-    each_case(|candidates, job, random, chosen| {
+    each_case(|candidates, request, random, chosen| {
         let Some(chosen) = chosen else { return };
         let mut shuffled = candidates.to_vec();
         for index in (1..shuffled.len()).rev() {
             shuffled.swap(index, draw.below(index as u64 + 1) as usize);
         }
         for random in [0, 1, random / 3, u64::MAX] {
-            let other = choose(&shuffled, job, random).expect("there is one");
+            let other = choose(&shuffled, request, random).expect("there is one");
             let other = candidates.iter().find(|one| one.index == other).expect("one of them");
-            assert_eq!((other.cost(job), other.distance), (chosen.cost(job), chosen.distance));
+            assert_eq!(
+                (other.cost(request), other.distance),
+                (chosen.cost(request), chosen.distance)
+            );
         }
     });
 }
@@ -185,7 +198,7 @@
 #[test]
 fn more_load_never_attracts() {
     let mut draw = Draw(17);
-    each_case(|candidates, job, random, chosen| {
+    each_case(|candidates, request, random, chosen| {
         if candidates.is_empty() {
             return;
         }
@@ -194,12 +207,12 @@
             let mut heavier = candidates.to_vec();
             match what {
                 0 => heavier[at].load += 1.0,
-                1 => heavier[at].pace *= 1.2,
+                1 => heavier[at].relative_latency *= 1.2,
                 2 => heavier[at].is_connected = false,
-                _ => heavier[at].way_ms += 5.0,
+                _ => heavier[at].round_trip_ms += 5.0,
             }
             let was_chosen = chosen.is_some_and(|one| one.index == candidates[at].index);
-            let is_chosen = choose(&heavier, job, random) == Some(candidates[at].index);
+            let is_chosen = choose(&heavier, request, random) == Some(candidates[at].index);
             assert!(was_chosen || !is_chosen, "{candidates:?} at {at}");
         }
     });
@@ -209,24 +222,24 @@
 #[test]
 fn a_rising_load_spreads_from_near_to_far() {
     let mut shown = String::new();
-    for job in [SMALL, LARGE] {
-        let all = [Distance::Own, Distance::Zone, Distance::Region, Distance::Far];
+    for request in [SMALL, LARGE] {
+        let all = [Distance::Subset, Distance::Zone, Distance::Region, Distance::Far];
         let mut candidates: Vec<Candidate> = all
             .into_iter()
             .enumerate()
             .map(|(index, distance)| Candidate {
                 distance,
-                slots: 2.0,
-                way_ms: [1.0, 1.0, 2.0, 24.0][index],
+                concurrency: 2.0,
+                round_trip_ms: [1.0, 1.0, 2.0, 24.0][index],
                 ..candidate(index, 0.0)
             })
             .collect();
         let mut order = String::new();
-        while let Some(index) = choose(&candidates, &job, 0) {
+        while let Some(index) = choose(&candidates, &request, 0) {
             candidates[index].load += 1.0;
             order += ["o", "z", "r", "f"][index];
         }
-        shown += &format!("{} kB: {order}\n", job.kilobytes);
+        shown += &format!("{} kB: {order}\n", request.kilobytes);
     }
     expect_test::expect![[r#"
         4 kB: ozrfozrfozrfozrfozrfozrfozrfozrf
@@ -234,24 +247,3 @@
     "#]]
     .assert_eq(&shown);
 }
-
-/// Parts are even: no proxy has more than one server more than another, and the other way round where
-/// there are fewer servers than proxies; nobody is left out.
-#[test]
-fn parts_of_a_zone_are_even_and_whole() {
-    for proxies in 1..20 {
-        for servers in 1..40 {
-            let owns = |rank: usize, place: usize| super::is_own(rank, proxies, place, servers);
-            let of_proxy: Vec<usize> = (0..proxies)
-                .map(|rank| (0..servers).filter(|place| owns(rank, *place)).count())
-                .collect();
-            let of_server: Vec<usize> = (0..servers)
-                .map(|place| (0..proxies).filter(|rank| owns(*rank, place)).count())
-                .collect();
-            for counts in [of_proxy, of_server] {
-                let (least, most) = (counts.iter().min().unwrap(), counts.iter().max().unwrap());
-                assert!(*least >= 1 && most - least <= 1, "{proxies} {servers}: {counts:?}");
-            }
-        }
-    }
-}
--- a/proxy/tests/cold_rate.rs
+++ b/proxy/tests/cold_rate.rs
@@ -59,10 +59,10 @@
                 let own = format!("p{own}");
                 let rank = sorted.iter().position(|one| one.3 == own).unwrap_or(sorted.len());
                 let wanted =
-                    SlowStartRate::of(3.0, Duration::from_millis(5000), rank, sorted.len());
+                    SlowStartRate::new(3.0, Duration::from_millis(5000), rank, sorted.len());
                 let found = vanepath_proxy::endpoints::slow_start_rate(&view, &own, &server, &[0]);
                 assert_eq!(found, wanted, "{own} of {daemons} for {}", server.id);
-                parts += usize::from(found.every.is_some());
+                parts += usize::from(found.interval.is_some());
             }
         }
     }
--- a/proxy/tests/resting.rs
+++ b/proxy/tests/resting.rs
@@ -118,7 +118,7 @@
 #[test]
 fn what_rests_stays_below_what_a_server_takes() {
     for proxies in 1..700 {
-        let all = vanepath_proxy::endpoints::idle_most(490, proxies) * proxies;
+        let all = vanepath_proxy::endpoints::max_idle_connections(490, proxies) * proxies;
         assert!(all <= 245 || all == proxies, "{proxies}: {all}");
     }
 }
