--- a/proxy/src/endpoints/tests.rs
+++ b/proxy/src/endpoints/tests.rs
@@ -1,9 +1,13 @@
 use super::{CurrentAttempt, Endpoints, Selection, SelectionContext, TableRevision};
 use crate::health::{Failure, SlowStartRate};
 use crate::retry_budget::RetryReason;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
 use std::time::Duration;
+use vanepath_config::endpoint_list::{EndpointList, Server};
+use vanepath_config::model::{Config, parse};
 
-const SETUP: &str = r#"{"classes": [{"name": "c", "urgency": 1, "kind": "repeatable"}],
+const CONFIG: &str = r#"{"classes": [{"name": "c", "urgency": 1, "kind": "repeatable"}],
           "services": [
             {"name": "s", "selector": "app = s", "livenessPath": "/", "serverRoom": 2},
             {"name": "t", "selector": "app = t", "livenessPath": "/"}],
@@ -12,16 +16,16 @@
              "regions": ["b"]},
             {"name": "r", "class": "c", "service": "s", "spill": ["t"]}]}"#;
 
-fn setup() -> std::sync::Arc<vanepath_config::model::Config> {
-    std::sync::Arc::new(vanepath_config::model::parse(SETUP.as_bytes()).unwrap())
+fn config() -> Arc<Config> {
+    Arc::new(parse(CONFIG.as_bytes()).unwrap())
 }
 
-fn list() -> vanepath_config::endpoint_list::EndpointList {
+fn endpoint_list() -> EndpointList {
     let mut servers = Vec::new();
     for (index, (zone, app)) in
         [("a1", "s"), ("a2", "s"), ("b1", "s"), ("a1", "t"), ("b1", "t")].iter().enumerate()
     {
-        servers.push(vanepath_config::endpoint_list::Server {
+        servers.push(Server {
             id: format!("{app}-{zone}"),
             address: format!("127.0.0.1:{}", 9000 + index).parse().unwrap(),
             region: zone[..1].to_string(),
@@ -32,46 +36,50 @@
             concurrency: 0,
         });
     }
-    vanepath_config::endpoint_list::EndpointList { revision: 1, servers }
+    EndpointList { revision: 1, servers }
 }
 
 struct Case {
-    servers: Endpoints<()>,
-    setup: std::sync::Arc<vanepath_config::model::Config>,
-    emptied: std::collections::BTreeSet<String>,
+    endpoints: Endpoints<()>,
+    config: Arc<Config>,
+    drained_zones: BTreeSet<String>,
 }
 
 fn case() -> Case {
-    let servers: Endpoints<()> = Endpoints::default();
-    let setup = setup();
-    servers.update(Duration::ZERO, TableRevision::new(1, 1), &setup, &list(), |_, _| {
-        SlowStartRate::default()
-    });
-    for entry in &servers.table.load().endpoints {
-        servers.record_success(Duration::ZERO, entry.slot);
+    let endpoints: Endpoints<()> = Endpoints::default();
+    let config = config();
+    endpoints.update(
+        Duration::ZERO,
+        TableRevision::new(1, 1),
+        &config,
+        &endpoint_list(),
+        |_, _| SlowStartRate::default(),
+    );
+    for endpoint in &endpoints.table.load().endpoints {
+        endpoints.record_success(Duration::ZERO, endpoint.slot);
     }
-    Case { servers, setup, emptied: Default::default() }
+    Case { endpoints, config, drained_zones: Default::default() }
 }
 
 impl Case {
-    fn pick(&self, rule: usize, now_s: u64) -> String {
-        self.look(rule, now_s, None)
+    fn select(&self, rule: usize, now_s: u64) -> String {
+        self.select_alternative(rule, now_s, None)
     }
 
-    fn look(&self, rule: usize, now_s: u64, looks: Option<RetryReason>) -> String {
-        let table = self.servers.table.load_full();
+    fn select_alternative(&self, rule: usize, now_s: u64, reason: Option<RetryReason>) -> String {
+        let table = self.endpoints.table.load_full();
         let service = table.config.rules[rule].service;
-        let want = SelectionContext {
+        let context = SelectionContext {
             rule,
             service,
-            drained_zones: &self.emptied,
+            drained_zones: &self.drained_zones,
             zone: "a1",
             region: "a",
             tried: &[],
-            only_alternative_for: looks,
+            only_alternative_for: reason,
             is_past_target: false,
         };
-        match self.servers.select(Duration::from_secs(now_s), &table, &want, 5) {
+        match self.endpoints.select(Duration::from_secs(now_s), &table, &context, 5) {
             Selection::Server { endpoint: index, .. } => table.endpoints[index].server.id.clone(),
             Selection::Wait(at) => format!("wait until {:.1} s", at.as_secs_f64()),
             Selection::Crowded => "crowded".to_string(),
@@ -79,15 +87,15 @@
         }
     }
 
-    /// Whether a lookup of the second rule leaves that server, to which it was sent then: with further goes
-    /// within the budget, and without.
-    fn leaves(&self, id: &str, sent_s: u64) -> (bool, bool) {
-        let table = self.servers.table.load_full();
+    /// Whether an idempotent request of the second rule, sent to this server at `sent_s`, switches to
+    /// another: with a retry within the budget, and without.
+    fn switches(&self, id: &str, sent_s: u64) -> (bool, bool) {
+        let table = self.endpoints.table.load_full();
         let slot = self.slot(id);
-        let want = SelectionContext {
+        let context = SelectionContext {
             rule: 1,
             service: table.config.rules[1].service,
-            drained_zones: &self.emptied,
+            drained_zones: &self.drained_zones,
             zone: "a1",
             region: "a",
             tried: &[slot],
@@ -95,240 +103,246 @@
             is_past_target: false,
         };
         let sent_at = Duration::from_secs(sent_s);
-        let leaves = |may| {
-            self.servers.should_switch(
+        let switches = |may| {
+            self.endpoints.should_switch(
                 sent_at,
                 &table,
-                &want,
+                &context,
                 CurrentAttempt { slot, sent_at },
                 |_| may,
             )
         };
-        (leaves(true), leaves(false))
+        (switches(true), switches(false))
     }
 
     fn slot(&self, id: &str) -> usize {
-        let table = self.servers.table.load();
-        table.endpoints.iter().find(|entry| entry.server.id == id).unwrap().slot
+        let table = self.endpoints.table.load();
+        table.endpoints.iter().find(|endpoint| endpoint.server.id == id).unwrap().slot
     }
 }
 
 #[test]
-fn near_first_then_spill_then_far_and_never_out_of_bounds() {
+fn near_servers_come_first_then_spillover_then_far_ones_and_never_outside_the_allowed_regions() {
     let case = case();
-    let order: Vec<String> = (0..8).map(|_| case.pick(1, 0)).collect();
+    let order: Vec<String> = (0..8).map(|_| case.select(1, 0)).collect();
     assert_eq!(
         order,
         ["s-a1", "s-a1", "s-a2", "s-a2", "t-a1", "t-a1", "t-a1", "t-a1"].map(String::from)
     );
-    assert_eq!(case.pick(0, 0), "s-b1");
+    assert_eq!(case.select(0, 0), "s-b1");
 }
 
 #[test]
-fn emptied_and_leaving_get_nothing_and_dead_ones_only_as_a_resort() {
+fn drained_zones_and_draining_servers_get_nothing_and_suspects_only_as_a_last_resort() {
     let mut case = case();
-    case.emptied.insert("a1".to_string());
-    assert_eq!(case.pick(1, 0), "s-a2");
-    case.emptied.insert("b1".to_string());
-    assert_eq!(case.pick(0, 0), "none");
-    case.emptied.clear();
+    case.drained_zones.insert("a1".to_string());
+    assert_eq!(case.select(1, 0), "s-a2");
+    case.drained_zones.insert("b1".to_string());
+    assert_eq!(case.select(0, 0), "none");
+    case.drained_zones.clear();
     for id in ["s-a1", "s-a2", "s-b1", "t-a1", "t-b1"] {
-        case.servers.record_failure(Duration::ZERO, case.slot(id), Failure::Refused);
+        case.endpoints.record_failure(Duration::ZERO, case.slot(id), Failure::Refused);
     }
-    assert_eq!(case.pick(1, 0), "s-a1", "a lookup tries one rather than drop");
-    let mut leaving = list();
-    for server in &mut leaving.servers {
+    assert_eq!(case.select(1, 0), "s-a1", "a lookup tries one rather than drop");
+    let mut draining = endpoint_list();
+    for server in &mut draining.servers {
         server.draining = true;
     }
     let now = Duration::ZERO;
-    case.servers.update(now, TableRevision::new(1, 2), &case.setup, &leaving, |_, _| {
+    case.endpoints.update(now, TableRevision::new(1, 2), &case.config, &draining, |_, _| {
         SlowStartRate::default()
     });
-    assert_eq!(case.pick(1, 0), "none");
+    assert_eq!(case.select(1, 0), "none");
 }
 
-/// Where every server told that it is full, the one with the fewest requests of ours gets the next
-/// one, wherever it is; and what told so a while ago is tried with one request.
+/// Where every server reports that it is full, the one with the fewest requests in flight gets the
+/// next one, wherever it is; and one whose report is old is tried with a single request.
 #[test]
-fn when_all_are_full_the_queue_is_spread_and_old_news_is_tried() {
+fn when_all_are_full_requests_are_spread_and_stale_load_reports_are_tried() {
     let case = case();
     for id in ["s-a1", "s-a2", "s-b1", "t-a1", "t-b1"] {
-        case.servers.observe_load(Duration::from_secs(10), case.slot(id), 1500);
+        case.endpoints.observe_load(Duration::from_secs(10), case.slot(id), 1500);
     }
-    let order: Vec<String> = (0..5).map(|_| case.pick(1, 10)).collect();
+    let order: Vec<String> = (0..5).map(|_| case.select(1, 10)).collect();
     let mut sorted = order.clone();
     sorted.sort();
     assert_eq!(sorted, ["s-a1", "s-a2", "s-b1", "t-a1", "t-b1"].map(String::from));
     assert_eq!(order[0], "s-a1", "the nearest of equal ones");
-    case.servers.release(case.slot("s-b1"));
-    assert_eq!(case.pick(0, 12), "s-b1", "it told two seconds ago, and nothing is there");
-    assert_eq!(case.pick(1, 12), "s-a1", "what is in hand there shows that it is full still");
+    case.endpoints.release(case.slot("s-b1"));
+    assert_eq!(case.select(0, 12), "s-b1", "it told two seconds ago, and nothing is there");
+    assert_eq!(case.select(1, 12), "s-a1", "what is in hand there shows that it is full still");
 }
 
-/// A flood is not piled up on the own zone's servers until they tell that they are full: from
-/// sixteen in one's hands on, those with far less come before it, wherever they are.
+/// A surge does not pile up on the own zone's servers until they report that they are full: from
+/// sixteen requests in flight at one server on, those with far fewer come before it, wherever they are.
 #[test]
-fn a_flood_goes_further_before_it_piles_up() {
+fn a_surge_spreads_to_later_tiers_before_it_piles_up() {
     let mut case = case();
-    let text = SETUP.replace(r#""serverRoom": 2"#, r#""serverRoom": 100"#);
-    let setup = std::sync::Arc::new(vanepath_config::model::parse(text.as_bytes()).unwrap());
-    case.servers.update(Duration::ZERO, TableRevision::new(1, 1), &setup, &list(), |_, _| {
-        SlowStartRate::default()
-    });
-    case.setup = setup;
-    let mut counts = std::collections::BTreeMap::<String, u32>::new();
+    let text = CONFIG.replace(r#""serverRoom": 2"#, r#""serverRoom": 100"#);
+    let config = Arc::new(parse(text.as_bytes()).unwrap());
+    case.endpoints.update(
+        Duration::ZERO,
+        TableRevision::new(1, 1),
+        &config,
+        &endpoint_list(),
+        |_, _| SlowStartRate::default(),
+    );
+    case.config = config;
+    let mut counts = BTreeMap::<String, u32>::new();
     for _ in 0..16 {
-        assert_eq!(case.pick(1, 0), "s-a1");
+        assert_eq!(case.select(1, 0), "s-a1");
     }
     for _ in 0..84 {
-        *counts.entry(case.pick(1, 0)).or_default() += 1;
+        *counts.entry(case.select(1, 0)).or_default() += 1;
     }
     let shown: Vec<String> = counts.iter().map(|(id, count)| format!("{id} {count}")).collect();
     expect_test::expect!["s-a1 36, s-a2 12, s-b1 12, t-a1 12, t-b1 12"]
         .assert_eq(&shown.join(", "));
 }
 
-/// A proxy that starts takes no work until it has looked round, and what has not replied by then
-/// comes after all that has, wherever it is.
+/// A proxy that starts is not ready until its servers were probed, and one that has not responded by
+/// then comes after all that have, wherever it is.
 #[test]
-fn what_was_not_heard_of_yet_comes_after_what_is_there() {
-    let servers: Endpoints<()> = Endpoints::default();
+fn servers_not_probed_yet_come_after_healthy_ones() {
+    let endpoints: Endpoints<()> = Endpoints::default();
     let ms = Duration::from_millis;
-    let case = Case { servers, setup: setup(), emptied: Default::default() };
-    case.servers.update(ms(1000), TableRevision::new(1, 1), &case.setup, &list(), |_, _| {
-        SlowStartRate::default()
-    });
-    assert!(!case.servers.is_ready(ms(1000), true, TableRevision::new(1, 1)));
+    let case = Case { endpoints, config: config(), drained_zones: Default::default() };
+    case.endpoints.update(
+        ms(1000),
+        TableRevision::new(1, 1),
+        &case.config,
+        &endpoint_list(),
+        |_, _| SlowStartRate::default(),
+    );
+    assert!(!case.endpoints.is_ready(ms(1000), true, TableRevision::new(1, 1)));
     for id in ["s-b1", "t-a1", "t-b1"] {
-        case.servers.record_success(ms(1010), case.slot(id));
+        case.endpoints.record_success(ms(1010), case.slot(id));
     }
     assert!(
-        !case.servers.is_ready(ms(1299), true, TableRevision::new(1, 1)),
+        !case.endpoints.is_ready(ms(1299), true, TableRevision::new(1, 1)),
         "two may still reply"
     );
-    let is_fit = |is_fresh, revision| case.servers.is_ready(ms(1300), is_fresh, revision);
-    assert!(is_fit(true, TableRevision::new(1, 1)));
+    let is_ready = |is_fresh, revision| case.endpoints.is_ready(ms(1300), is_fresh, revision);
+    assert!(is_ready(true, TableRevision::new(1, 1)));
     assert!(
-        !is_fit(false, TableRevision::new(1, 1))
-            && !is_fit(true, TableRevision::new(1, 2))
-            && !is_fit(true, TableRevision::new(2, 1))
+        !is_ready(false, TableRevision::new(1, 1))
+            && !is_ready(true, TableRevision::new(1, 2))
+            && !is_ready(true, TableRevision::new(2, 1))
     );
-    assert_eq!([case.pick(1, 2), case.pick(0, 2)], ["t-a1", "s-b1"].map(String::from));
+    assert_eq!([case.select(1, 2), case.select(0, 2)], ["t-a1", "s-b1"].map(String::from));
     for id in ["s-b1", "t-a1", "t-b1"] {
-        case.servers.record_failure(Duration::from_secs(2), case.slot(id), Failure::Refused);
+        case.endpoints.record_failure(Duration::from_secs(2), case.slot(id), Failure::Refused);
     }
-    assert_eq!(case.pick(1, 2), "s-a1", "better than what is dead");
+    assert_eq!(case.select(1, 2), "s-a1", "better than what is dead");
 }
 
-/// A cold server in whose rate this proxy has no part is not waited for, and hides no last resort.
+/// A server that is warming up, in whose rate this proxy has no share, is not waited for and hides no
+/// last resort.
 #[test]
-fn a_cold_server_of_others_hides_no_resort() {
-    let servers: Endpoints<()> = Endpoints::default();
-    let case = Case { servers, setup: setup(), emptied: Default::default() };
-    let no_part = |_: &vanepath_config::endpoint_list::Server, _: &[usize]| {
-        SlowStartRate::new(1.0, Duration::from_secs(10), 1, 2)
-    };
-    case.servers.update(Duration::ZERO, TableRevision::new(1, 1), &case.setup, &list(), no_part);
-    for entry in &case.servers.table.load().endpoints {
-        case.servers.record_success(Duration::ZERO, entry.slot);
+fn a_warming_up_server_without_a_share_hides_no_last_resort() {
+    let endpoints: Endpoints<()> = Endpoints::default();
+    let case = Case { endpoints, config: config(), drained_zones: Default::default() };
+    let no_share = |_: &Server, _: &[usize]| SlowStartRate::new(1.0, Duration::from_secs(10), 1, 2);
+    case.endpoints.update(
+        Duration::ZERO,
+        TableRevision::new(1, 1),
+        &case.config,
+        &endpoint_list(),
+        no_share,
+    );
+    for endpoint in &case.endpoints.table.load().endpoints {
+        case.endpoints.record_success(Duration::ZERO, endpoint.slot);
     }
-    case.servers.update_health(case.slot("s-a1"), |live| {
-        live.restart_slow_start(Duration::ZERO, Duration::ZERO)
+    case.endpoints.update_health(case.slot("s-a1"), |health| {
+        health.restart_slow_start(Duration::ZERO, Duration::ZERO)
     });
     for id in ["s-a2", "s-b1", "t-a1", "t-b1"] {
-        case.servers.record_failure(Duration::ZERO, case.slot(id), Failure::Refused);
+        case.endpoints.record_failure(Duration::ZERO, case.slot(id), Failure::Refused);
     }
-    assert_eq!(case.pick(1, 0), "s-a2");
-    assert_eq!(case.pick(0, 0), "s-b1");
+    assert_eq!(case.select(1, 0), "s-a2");
+    assert_eq!(case.select(0, 0), "s-b1");
 }
 
 #[test]
-fn a_server_at_a_new_address_is_cold_and_carries_nothing_over() {
+fn a_server_at_a_new_address_is_warming_up_and_keeps_no_state() {
     let case = case();
-    let mut moved = list();
+    let mut moved = endpoint_list();
     moved.servers.retain(|server| server.id == "s-b1");
     moved.servers[0].address = "127.0.0.1:9999".parse().unwrap();
-    let before = case.slot("s-b1");
-    let rate = |_: &vanepath_config::endpoint_list::Server, _: &[usize]| {
-        SlowStartRate::new(2.0, Duration::from_secs(10), 0, 1)
-    };
-    case.servers.update(
+    let previous_slot = case.slot("s-b1");
+    let rate = |_: &Server, _: &[usize]| SlowStartRate::new(2.0, Duration::from_secs(10), 0, 1);
+    case.endpoints.update(
         Duration::from_secs(1),
         TableRevision::new(1, 2),
-        &case.setup,
+        &case.config,
         &moved,
         rate,
     );
-    assert_ne!(case.slot("s-b1"), before);
-    assert_eq!(case.pick(0, 1), "wait until 1.5 s");
-    assert_eq!(case.pick(0, 2), "s-b1");
-    assert_eq!(case.pick(0, 2), "wait until 2.5 s");
+    assert_ne!(case.slot("s-b1"), previous_slot);
+    assert_eq!(case.select(0, 1), "wait until 1.5 s");
+    assert_eq!(case.select(0, 2), "s-b1");
+    assert_eq!(case.select(0, 2), "wait until 2.5 s");
 }
 
-/// A request at a server that answers others is slow, and looks for one with room. Where nothing comes
-/// from its server, one that is full will do, but none that looks dead; and if its own looks dead too it
-/// waits there in vain, and goes back to its caller where that is not within the budget. With nowhere else
-/// to go it waits.
+/// A request at a server that answers others is slow, and its alternative must have free capacity.
+/// Where its server answers nobody, a full one will do, but no suspect one; and if its own is suspect
+/// too the request waits there in vain, and goes back to its client where a retry is not within the
+/// budget. Without an alternative it waits.
 #[test]
-fn who_waits_at_a_silent_server_takes_a_full_one() {
+fn a_request_at_a_silent_server_accepts_a_full_alternative() {
     let case = case();
     let now = Duration::from_secs;
-    let own = case.slot("s-b1");
+    let slot = case.slot("s-b1");
     for id in ["s-a1", "s-a2", "t-a1", "t-b1", "s-b1"] {
-        case.servers.observe_load(now(10), case.slot(id), 1500);
+        case.endpoints.observe_load(now(10), case.slot(id), 1500);
     }
-    assert_eq!(case.servers.retry_reason(own, now(10)), RetryReason::Lost);
-    case.servers.record_outcome(now(9), own, Ok(()));
-    assert_eq!(case.servers.retry_reason(own, now(10)), RetryReason::Lost, "that was before");
-    assert_eq!(case.look(1, 10, Some(RetryReason::Slow)), "none");
-    assert_eq!(case.look(1, 10, Some(RetryReason::Lost)), "s-a1");
-    assert_eq!(case.leaves("s-b1", 10), (true, false), "it may still answer");
+    assert_eq!(case.endpoints.retry_reason(slot, now(10)), RetryReason::Lost);
+    case.endpoints.record_outcome(now(9), slot, Ok(()));
+    assert_eq!(case.endpoints.retry_reason(slot, now(10)), RetryReason::Lost, "that was before");
+    assert_eq!(case.select_alternative(1, 10, Some(RetryReason::Slow)), "none");
+    assert_eq!(case.select_alternative(1, 10, Some(RetryReason::Lost)), "s-a1");
+    assert_eq!(case.switches("s-b1", 10), (true, false), "it may still answer");
     for id in ["s-a1", "s-a2", "t-a1", "t-b1", "s-b1"] {
-        case.servers.record_failure(now(10), case.slot(id), Failure::Refused);
+        case.endpoints.record_failure(now(10), case.slot(id), Failure::Refused);
     }
-    assert_eq!(case.look(1, 10, Some(RetryReason::Lost)), "none");
-    assert_eq!(case.leaves("s-b1", 10), (false, false), "nowhere else is better");
-    case.servers.update_health(case.slot("s-a1"), |live| live.mark_healthy(now(10)));
-    assert_eq!(case.leaves("s-b1", 10), (true, true), "in vain");
-    case.servers.record_outcome(now(11), own, Ok(()));
-    assert_eq!(case.servers.retry_reason(own, now(10)), RetryReason::Slow);
-    assert!(!case.leaves("s-b1", 10).1);
+    assert_eq!(case.select_alternative(1, 10, Some(RetryReason::Lost)), "none");
+    assert_eq!(case.switches("s-b1", 10), (false, false), "nowhere else is better");
+    case.endpoints.update_health(case.slot("s-a1"), |health| health.mark_healthy(now(10)));
+    assert_eq!(case.switches("s-b1", 10), (true, true), "in vain");
+    case.endpoints.record_outcome(now(11), slot, Ok(()));
+    assert_eq!(case.endpoints.retry_reason(slot, now(10)), RetryReason::Slow);
+    assert!(!case.switches("s-b1", 10).1);
 }
 
-/// Incident 0017: a connection may take long to come up, and the server may be marked as leaving, go or have its
-/// zone emptied meanwhile: nothing is sent to it then.
+/// Incident 0017: a connection may take long to open, and meanwhile the server may start draining, be
+/// removed or have its zone drained: nothing is sent to it then.
 #[test]
-fn a_server_that_is_withdrawn_while_its_connection_comes_up_gets_nothing() {
+fn a_server_that_is_withdrawn_while_its_connection_opens_gets_nothing() {
     let case = case();
-    let chosen_from = case.servers.table.load_full();
-    let entry = chosen_from.endpoints[1].clone();
-    let is_withdrawn = |emptied: &std::collections::BTreeSet<String>| {
-        case.servers.is_withdrawn(&chosen_from, &entry, emptied)
+    let selected_from = case.endpoints.table.load_full();
+    let endpoint = selected_from.endpoints[1].clone();
+    let is_withdrawn = |drained_zones: &BTreeSet<String>| {
+        case.endpoints.is_withdrawn(&selected_from, &endpoint, drained_zones)
     };
-    assert!(!is_withdrawn(&case.emptied));
+    assert!(!is_withdrawn(&case.drained_zones));
     assert!(is_withdrawn(&["a2".to_string()].into()), "its zone is emptied");
-    let adopt =
-        |revision: u64, change: &dyn Fn(&mut vanepath_config::endpoint_list::EndpointList)| {
-            let mut list = list();
-            change(&mut list);
-            let now = Duration::from_secs(1);
-            case.servers.update(
-                now,
-                TableRevision::new(1, revision),
-                &case.setup,
-                &list,
-                |_, _| SlowStartRate::default(),
-            );
-        };
+    let adopt = |revision: u64, change: &dyn Fn(&mut EndpointList)| {
+        let mut list = endpoint_list();
+        change(&mut list);
+        let now = Duration::from_secs(1);
+        case.endpoints.update(now, TableRevision::new(1, revision), &case.config, &list, |_, _| {
+            SlowStartRate::default()
+        });
+    };
     adopt(2, &|list| list.servers[0].draining = true);
-    assert!(!is_withdrawn(&case.emptied), "it is another one that leaves");
+    assert!(!is_withdrawn(&case.drained_zones), "it is another one that leaves");
     adopt(3, &|list| list.servers[1].draining = true);
-    assert!(is_withdrawn(&case.emptied), "it leaves");
+    assert!(is_withdrawn(&case.drained_zones), "it leaves");
     adopt(4, &|list| {
         list.servers.remove(1);
     });
-    assert!(is_withdrawn(&case.emptied), "it is gone");
-    // Another server with its name and another address is another one.
+    assert!(is_withdrawn(&case.drained_zones), "it is gone");
+    // A server with the same id at another address is another one.
     adopt(5, &|list| list.servers[1].address = "127.0.0.1:9099".parse().unwrap());
-    assert!(is_withdrawn(&case.emptied), "its life is over");
+    assert!(is_withdrawn(&case.drained_zones), "its life is over");
 }
--- a/proxy/src/health/tests.rs
+++ b/proxy/src/health/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn gone_comes_back_cold_and_a_freeze_does_not() {
+fn a_refused_server_comes_back_warming_up_and_a_paused_one_does_not() {
     let mut server = ServerHealth::new(second(0.0));
     server.record_success(second(0.0));
     assert_eq!(server.phase, ServerPhase::Healthy);
@@ -23,7 +23,7 @@
     server.record_success(second(3.5));
     server.record_success(second(4.0));
     assert_eq!(server.phase, ServerPhase::WarmingUp);
-    // Turns away again while cold.
+    // Fails again while it is warming up.
     server.record_failure(second(4.5), Failure::Silent);
     server.record_failure(second(5.0), Failure::Silent);
     server.record_success(second(5.5));
@@ -31,10 +31,10 @@
     assert_eq!(server.phase, ServerPhase::WarmingUp);
 }
 
-/// One miss in three makes a server limp and one in ten does not; rested it is tried, and good
-/// receipts make it whole.
+/// One failed request in three makes a server degraded and one in ten does not; after its ejection
+/// it is tried, and successful requests restore it.
 #[test]
-fn who_loses_its_work_limps_though_its_probes_are_good() {
+fn a_server_that_loses_requests_is_degraded_though_its_probes_succeed() {
     let mut degraded_turns = [0, 0];
     for (index, every) in [3, 10].into_iter().enumerate() {
         let mut server = ServerHealth::new(second(0.0));
@@ -67,20 +67,20 @@
     assert!(!server.is_degraded(second(39.0), false), "nobody tried it: taken for well");
 }
 
-/// So many proxies together never exceed the modest rate while it is cold, in any second and
-/// wherever each one's turn falls, and hardly any of it is lost to whole numbers.
+/// All proxies together never exceed the slow-start rate while the server is warming up, in any second
+/// and wherever each one's share begins, and hardly any of it is lost to whole numbers.
 #[test]
-fn cold_rate_holds_for_the_fleet() {
+fn slow_start_rate_holds_for_all_proxies_together() {
     let mut shown = String::new();
     for (per_second, proxies) in [(10.0, 8), (10.0, 12), (5.0, 8), (2.5, 8), (0.5, 8), (40.0, 3)] {
         let period = second(8.0);
         let mut all: Vec<ServerHealth> =
             (0..proxies).map(|_| ServerHealth::new(second(0.0))).collect();
         for (rank, proxy) in all.iter_mut().enumerate() {
-            let cold = SlowStartRate::new(per_second, period, rank, proxies);
-            // Each saw it come back at another moment.
+            let rate = SlowStartRate::new(per_second, period, rank, proxies);
+            // Each proxy saw it come back at another time.
             let seen_at = second(0.37 * rank as f64);
-            proxy.tick(seen_at, cold);
+            proxy.tick(seen_at, rate);
             proxy.restart_slow_start(seen_at, seen_at);
         }
         let mut taken: Vec<f64> = Vec::new();
@@ -117,10 +117,10 @@
     .assert_eq(&shown);
 }
 
-/// Judged by its traffic a server is well again with the first good answer; judged by probes it takes
+/// Judged by its traffic a server is healthy again with the first success; judged by probes it takes
 /// two.
 #[test]
-fn by_traffic_one_good_answer_ends_a_doubt() {
+fn judged_by_traffic_one_success_ends_suspicion() {
     for by_traffic in [false, true] {
         let mut server = ServerHealth::new(second(0.0));
         server.is_judged_by_traffic = by_traffic;
@@ -141,9 +141,9 @@
     }
 }
 
-/// One that was away comes back cold all the same, also with the first good answer.
+/// One that was unreachable comes back warming up all the same, also with the first success.
 #[test]
-fn by_traffic_too_who_was_away_comes_back_cold() {
+fn judged_by_traffic_an_unreachable_server_comes_back_warming_up() {
     let mut server = ServerHealth::new(second(0.0));
     server.is_judged_by_traffic = true;
     server.mark_healthy(second(0.0));
@@ -151,7 +151,7 @@
     assert_eq!(server.phase, ServerPhase::Suspect);
     server.record_success(second(1.2));
     assert_eq!(server.phase, ServerPhase::WarmingUp);
-    // The platform says that it is warm: its word counts, and what was before is forgotten.
+    // The endpoint list says that it is warm: that counts, and earlier failures are forgotten.
     server.mark_healthy(second(1.3));
     assert_eq!(server.phase, ServerPhase::Healthy);
     assert!(!server.needs_probe() && !server.was_refused());
@@ -163,9 +163,9 @@
     );
 }
 
-/// Silence alone is a doubt and no more, and the next good answer ends it.
+/// A time-out alone only asks for a probe, and the next success ends that.
 #[test]
-fn a_doubt_asks_for_a_probe_and_takes_no_work_away() {
+fn a_time_out_requests_a_probe_and_takes_no_requests_away() {
     let mut server = ServerHealth::new(second(0.0));
     server.is_judged_by_traffic = true;
     server.mark_healthy(second(0.0));
@@ -176,10 +176,10 @@
     assert!(!server.needs_probe());
 }
 
-/// A suspect that this proxy does not probe is tried again after a rest, and is suspect again if it is
-/// still not there.
+/// A suspect server that this proxy does not probe is tried again after a delay, and is suspect again
+/// if it is still not there.
 #[test]
-fn a_suspect_that_others_probe_is_tried_after_a_rest() {
+fn a_suspect_that_others_probe_is_retried_after_a_delay() {
     let ms = Duration::from_millis;
     let mut server = ServerHealth::new(ms(0));
     server.mark_healthy(ms(0));
@@ -193,10 +193,10 @@
     assert_eq!(server.phase, ServerPhase::Suspect);
 }
 
-/// Incident 0018: a server that was cold when it failed was taken for well after a rest, by every proxy that does
-/// not probe it, and got whatever came; as a last resort it got that at once.
+/// Incident 0018: a server that was warming up when it failed was taken for healthy after a delay, by
+/// every proxy that does not probe it, and got all requests; as a last resort it got them at once.
 #[test]
-fn a_cold_server_that_failed_is_tried_again_at_its_modest_rate() {
+fn a_warming_up_server_that_failed_is_retried_at_its_slow_start_rate() {
     let rate = SlowStartRate::new(5.1, second(3.0), 0, 72);
     let every = rate.interval.expect("the first has a part");
     for fails in [true, false] {
@@ -207,7 +207,7 @@
         if fails {
             server.record_failure(second(0.5), Failure::Refused);
         } else {
-            // The others say so.
+            // The other proxies report it.
             server.apply_cluster_view(second(0.5), true, None);
         }
         assert_eq!(server.phase, ServerPhase::Suspect);
@@ -232,7 +232,7 @@
             (ServerPhase::Healthy, None)
         );
     }
-    // Without a part it gets nothing from here.
+    // Without a share it gets nothing from this proxy.
     let mut server = ServerHealth::new(second(0.0));
     server.is_judged_by_traffic = true;
     let none = SlowStartRate::new(5.1, second(3.0), 30, 72);
@@ -244,9 +244,9 @@
     assert_eq!(server.next_slow_start_request_at(), Some(Duration::MAX));
 }
 
-/// One that is a suspect for longer than it would have been cold is an ordinary suspect.
+/// One that is suspect for longer than its slow start would have taken is an ordinary suspect.
 #[test]
-fn a_suspect_is_bound_to_its_rate_no_longer_than_it_would_have_been_cold() {
+fn a_suspect_is_bound_to_its_slow_start_rate_no_longer_than_the_slow_start() {
     let rate = SlowStartRate::new(5.1, second(3.0), 0, 72);
     let mut server = ServerHealth::new(second(0.0));
     server.tick(second(0.0), rate);
--- a/proxy/src/latency_model/tests.rs
+++ b/proxy/src/latency_model/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn what_is_usual_follows_answers() {
+fn request_profile_follows_responses() {
     let mut profile = RequestProfile::new(true);
     assert!(profile.cost().kilobytes > RequestProfile::new(false).cost().kilobytes);
     for _ in 0..200 {
@@ -15,15 +15,16 @@
     }
     let cost = profile.cost();
     assert_eq!((cost.service_time_ms.round(), cost.kilobytes.round()), (170.0, 90.0));
-    // One answer that took long moves it by little, and one without a length says nothing of sizes.
+    // One slow response moves it by little, and one without a length says nothing of sizes.
     profile.record_response(1700.0, None);
     assert!((171.0..230.0).contains(&profile.cost().service_time_ms), "{:?}", profile.cost());
     assert_eq!(profile.cost().kilobytes.round(), 90.0);
 }
 
-/// A few who find a crowd change little; where half of all find one it stands, until it is gone.
+/// A few requests that find congestion change little; where half of all find it, it is persistent until
+/// it is gone.
 #[test]
-fn a_crowd_stands_where_half_of_all_find_one() {
+fn congestion_is_persistent_where_half_of_all_requests_find_it() {
     let mut profile = RequestProfile::new(false);
     assert_eq!(profile.tolerance(), 1.0);
     (0..200).for_each(|count| profile.record_congestion(count % 5 == 0));
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn a_slow_server_is_known_after_a_few_answers_and_forgotten_when_it_gets_none() {
+fn a_slow_server_is_known_after_a_few_responses_and_forgotten_without_any() {
     let mut relative_latency = RelativeLatency::default();
     assert_eq!(relative_latency.factor(ms(0)), 1.0);
     for count in 1..=6 {
@@ -48,7 +49,7 @@
     );
     assert!(relative_latency.factor(ms(3600)) < relative_latency.factor(ms(600)));
     assert_eq!(relative_latency.factor(ms(6600)), 1.0);
-    // It works as usual again.
+    // It takes the usual time again.
     for count in 7..=40 {
         relative_latency.record(ms(count * 100), 1.0);
     }
@@ -57,13 +58,13 @@
         "{}",
         relative_latency.factor(ms(4000))
     );
-    // However long one answer took.
+    // However long a single response took.
     relative_latency.record(ms(4100), 1e6);
     assert!(relative_latency.factor(ms(4100)) < 1.4, "{}", relative_latency.factor(ms(4100)));
 }
 
 #[test]
-fn a_server_that_owes_answers_is_slow_before_they_come_and_well_soon_after() {
+fn overdue_responses_make_a_server_slow_before_they_arrive_and_it_recovers_soon_after() {
     let mut relative_latency = RelativeLatency::default();
     for count in 1..=20 {
         relative_latency.record(ms(count * 100), 1.0);
@@ -76,14 +77,14 @@
     for count in 1..=10 {
         relative_latency.record(ms(2000 + count * 100), 5.0);
     }
-    // After a pause one good answer counts as much as all before it.
+    // After a pause one fast response counts as much as all before it.
     assert!(relative_latency.factor(ms(3000)) > 2.5, "{}", relative_latency.factor(ms(3000)));
     relative_latency.record(ms(5500), 1.0);
     assert!(relative_latency.factor(ms(5500)) < 1.8, "{}", relative_latency.factor(ms(5500)));
 }
 
 #[test]
-fn a_zone_is_as_full_as_its_servers_told_until_that_is_old() {
+fn zone_utilization_follows_load_reports_until_they_are_old() {
     let mut pool = ZonePool::default();
     for count in 0..30 {
         pool.record_load(ms(count * 10), 0.9);
@@ -96,9 +97,9 @@
     assert_eq!(pool.utilization(ms(9000), 0.3), 0.3);
 }
 
-/// A zone of which nothing is known is taken to be like the others, not empty.
+/// A zone of which nothing is known is taken to be like the others, not idle.
 #[test]
-fn a_zone_that_comes_back_is_as_full_as_the_others() {
+fn a_zone_that_comes_back_is_as_utilized_as_the_others() {
     let unknown = super::mean_utilization(ms(0), [].iter());
     let mut pools = vec![ZonePool::default(); 3];
     for pool in &mut pools[..2] {
@@ -107,12 +108,12 @@
     let usual = super::mean_utilization(ms(5300), pools.iter());
     assert!(usual > 1.0 && unknown < 0.4, "{usual} {unknown}");
     assert!(pools[2].utilization(ms(5300), usual) > 1.0);
-    // Long after, the guess.
+    // Long after, the initial assumption.
     assert!((super::mean_utilization(ms(60_000), pools.iter()) - unknown).abs() < 0.01);
 }
 
 #[test]
-fn the_way_is_the_least_that_a_connection_took() {
+fn round_trip_time_is_the_least_connect_time() {
     let mut pool = ZonePool::default();
     assert!(pool.round_trip_ms(Distance::Far) > pool.round_trip_ms(Distance::Zone));
     for took in [40, 24, 90, 30] {
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn pools_and_classes_are_found_by_their_names() {
+fn pools_and_profiles_are_found_by_their_names() {
     let mut pools = ZonePools::default();
     let first = pools.find_or_insert("s", "a1");
     assert_ne!(pools.find_or_insert("s", "b1"), first);
@@ -137,7 +138,7 @@
         pools.mean_utilization(ms(9030), "s") > 0.9 && pools.mean_utilization(ms(9030), "t") < 0.4
     );
 
-    // What is not known of a zone is the service's mean.
+    // An unknown zone is taken to be at the service's mean.
     let other = pools.find_or_insert("s", "b1");
     assert!(pools.utilization(ms(9030), other) > 0.9 && pools.utilization(ms(90_000), other) < 0.4);
 
--- a/proxy/src/load_balancing/tests.rs
+++ b/proxy/src/load_balancing/tests.rs
@@ -1,6 +1,6 @@
 use super::{Candidate, Distance, MAX_UTILIZATION, RequestCost, choose};
 
-/// Numbers that are the same in each run.
+/// A deterministic source of numbers.
 struct Draw(u64);
 
 impl Draw {
@@ -48,9 +48,9 @@
     }
 }
 
-/// Somebody is chosen as long as somebody has room, and never one that is full.
+/// A candidate is chosen as long as one has capacity, and never one that is full.
 #[test]
-fn one_with_room_is_found_and_a_full_one_never() {
+fn a_candidate_with_capacity_is_chosen_and_a_full_one_never() {
     let mut none = 0;
     each_case(|candidates, _, _, chosen| {
         let has_room = candidates.iter().any(|one| one.utilization() <= MAX_UTILIZATION);
@@ -64,10 +64,10 @@
     assert!(none > 100 && none < CASES / 2, "{none} cases without room");
 }
 
-/// The one that is chosen costs least; among servers of one pace and one distance that is the one that
-/// is emptiest, and none goes farther while a server of its pace has room nearer.
+/// The chosen candidate costs least. Among servers of equal latency and distance that is the one with
+/// the least load, and no request goes farther while such a server has free capacity nearer.
 #[test]
-fn the_least_cost_and_so_room_near_by_comes_first() {
+fn the_least_cost_and_so_near_capacity_comes_first() {
     each_case(|candidates, request, _, chosen| {
         let Some(chosen) = chosen else { return };
         let with_room = || candidates.iter().filter(|one| one.utilization() <= MAX_UTILIZATION);
@@ -80,7 +80,7 @@
             if is_alike && one.distance == chosen.distance {
                 assert!(chosen.load <= one.load, "{chosen:?} of {candidates:?}");
             }
-            // Half of its slots are free without cost to others.
+            // Half of its concurrency costs others nothing.
             let has_room = one.load + 1.0 <= (one.concurrency / 2.0).max(1.0);
             let is_passed_over = one.distance < Distance::Region
                 && chosen.distance >= Distance::Region
@@ -89,7 +89,7 @@
             assert!(!is_passed_over, "{chosen:?} of {candidates:?}");
         }
     });
-    // A tenth of the work at the most is what an emptier server farther off can win.
+    // A farther server with less load gains a tenth of the service time at the most.
     let near = Candidate { index: 0, distance: Distance::Zone, ..candidate(0, 1.0) };
     let far = Candidate { index: 1, distance: Distance::Region, ..candidate(1, 0.0) };
     assert_eq!(choose(&[near, far], &SMALL, 0), Some(0));
@@ -107,9 +107,9 @@
     }
 }
 
-/// Large answers stay in the zone until its servers have a queue twice as long as their slots.
+/// Large responses stay in the zone until its servers have twice as many requests as their concurrency.
 #[test]
-fn large_answers_stay_in_the_zone() {
+fn large_responses_stay_in_the_zone() {
     each_case(|candidates, request, _, chosen| {
         let Some(chosen) = chosen else { return };
         if *request != LARGE || chosen.distance < Distance::Region {
@@ -122,10 +122,10 @@
     });
 }
 
-/// The last slot of a server near by is taken after roomy ones of the region and far away, and a slow
-/// server's after a fast one's next.
+/// The last free unit of a near server is used after uncongested ones of the region and far away, and
+/// a slow server's first one after a fast server's next.
 #[test]
-fn the_last_slot_is_left_where_others_have_room() {
+fn the_last_free_unit_is_left_where_others_have_capacity() {
     let near = Candidate { concurrency: 3.0, ..candidate(0, 2.0) };
     let far = Candidate {
         distance: Distance::Far,
@@ -141,8 +141,8 @@
     assert_eq!(choose(&[slow, Candidate { load: 4.0, ..fast }], &SMALL, 0), Some(2));
 }
 
-/// A queue in which a request would be late is too crowded for it; a free slot never is, however long
-/// requests take, for it shows when they no longer do.
+/// A server is congested for a request that would be late in its queue; one with free capacity never
+/// is, however long requests take, for its responses show when they no longer do.
 #[test]
 fn a_queue_is_congested_where_it_would_be_late() {
     let target = std::time::Duration::from_millis(600);
@@ -181,9 +181,9 @@
     });
 }
 
-/// Of equal ones each gets its part.
+/// Of equal candidates each gets its part.
 #[test]
-fn equals_share() {
+fn equal_candidates_share_the_requests() {
     let candidates: Vec<Candidate> = (0..5).map(|index| candidate(index, 1.0)).collect();
     let mut draw = Draw(3);
     let mut counts = [0; 5];
@@ -193,8 +193,8 @@
     assert!(counts.iter().all(|count| (850..1150).contains(count)), "{counts:?}");
 }
 
-/// More load on one, a slower pace, no connection or a longer way never draws requests to it that would have gone
-/// elsewhere.
+/// More load, a higher latency, no connection or a longer round trip never draws requests to a server
+/// that would have gone elsewhere.
 #[test]
 fn more_load_never_attracts() {
     let mut draw = Draw(17);
@@ -218,7 +218,7 @@
     });
 }
 
-/// One request after the other, none of which ends: where they go.
+/// Where requests go one after the other, none of which ends.
 #[test]
 fn a_rising_load_spreads_from_near_to_far() {
     let mut shown = String::new();
--- /dev/null
+++ b/proxy/tests/idle_connections.rs
@@ -0,0 +1,122 @@
+//! Which idle connections are used again, by the public interface of the endpoints.
+
+use std::time::Duration;
+use vanepath_proxy::endpoints::{
+    Endpoints, IdleConnection, MAX_IDLE_TIME, SETTLE_TIME, TableRevision, max_idle_connections,
+};
+use vanepath_proxy::health::{Failure, SlowStartRate};
+
+const CONFIG: &str = r#"{"classes": [{"name": "c", "urgency": 1, "kind": "repeatable"}],
+    "services": [{"name": "s", "selector": "all", "livenessPath": "/"}],
+    "rules": [{"name": "r", "class": "c", "service": "s"}]}"#;
+
+/// Endpoints with one server, and its slot; a connection is its name.
+fn endpoints() -> (Endpoints<&'static str>, usize) {
+    let config = vanepath_config::model::parse(CONFIG.as_bytes()).unwrap();
+    let list = vanepath_config::endpoint_list::parse(
+        br#"{"revision": 1, "servers": [{"id": "i", "address": "127.0.0.1:9", "region": "a",
+             "zone": "a1", "state": "ready"}]}"#,
+    );
+    let endpoints = Endpoints::default();
+    let list = list.unwrap();
+    let rate = |_: &vanepath_config::endpoint_list::Server, _: &[usize]| SlowStartRate::default();
+    endpoints.update(
+        Duration::ZERO,
+        TableRevision::new(1, 1),
+        &std::sync::Arc::new(config),
+        &list,
+        rate,
+    );
+    let slot = endpoints.table.load().endpoints[0].slot;
+    (endpoints, slot)
+}
+
+fn ms(count: u64) -> Duration {
+    Duration::from_millis(count)
+}
+
+fn idle(
+    connection: &'static str,
+    keep_alive: Duration,
+    is_used: bool,
+) -> IdleConnection<&'static str> {
+    IdleConnection { connection, verified_at: ms(0), idle_since: ms(1000), keep_alive, is_used }
+}
+
+fn taken(endpoints: &Endpoints<&'static str>, slot: usize, now: Duration) -> Option<&'static str> {
+    endpoints.take_idle(now, slot, |_| true).map(|idle| idle.connection)
+}
+
+/// Well before its server closes it, a connection is no longer used: a request that is written at that
+/// moment would be lost.
+#[test]
+fn no_connection_is_used_that_its_server_may_be_about_to_close() {
+    for (kept_ms, idle_ms, is_used) in [
+        (2000, 1299, true),
+        (2000, 1300, false),
+        (2000, 1999, false),
+        (2000, 2500, false),
+        (1000, 299, true),
+        (1000, 300, false),
+        (500, 30, false),
+        (60_000, 19_999, true),
+        (60_000, MAX_IDLE_TIME.as_millis() as u64, false),
+    ] {
+        let (endpoints, slot) = endpoints();
+        endpoints.put_idle(slot, idle("one", ms(kept_ms), true));
+        let found = taken(&endpoints, slot, ms(1000 + idle_ms));
+        assert_eq!(found.is_some(), is_used, "kept for {kept_ms} ms, rested {idle_ms}");
+        // A connection that is passed over is closed, and not there later either.
+        assert_eq!(taken(&endpoints, slot, ms(1050)), None);
+    }
+}
+
+/// Right after a response a connection settles a little, so that surplus bytes show.
+#[test]
+fn no_connection_is_used_before_it_has_settled() {
+    let (endpoints, slot) = endpoints();
+    endpoints.put_idle(slot, idle("one", ms(5000), true));
+    assert_eq!(taken(&endpoints, slot, ms(1000) + SETTLE_TIME - ms(1)), None);
+    assert_eq!(taken(&endpoints, slot, ms(1000) + SETTLE_TIME), Some("one"));
+    assert_eq!(
+        taken(&endpoints, slot, ms(1000) + SETTLE_TIME),
+        None,
+        "it is used by one at a time"
+    );
+}
+
+/// A server that sent bytes that belong to no request gets one request on each connection: used
+/// connections are not kept, and those that are idle are closed.
+#[test]
+fn a_desynchronized_servers_connections_carry_one_request() {
+    let (endpoints, slot) = endpoints();
+    endpoints.put_idle(slot, idle("before", ms(5000), true));
+    assert!(endpoints.mark_desynchronized(slot), "that is new");
+    assert!(!endpoints.mark_desynchronized(slot) && endpoints.is_desynchronized(slot));
+    assert_eq!(taken(&endpoints, slot, ms(1100)), None);
+    endpoints.put_idle(slot, idle("used", ms(5000), true));
+    assert_eq!(taken(&endpoints, slot, ms(1100)), None);
+    endpoints.put_idle(slot, idle("greeted only", ms(5000), false));
+    assert_eq!(taken(&endpoints, slot, ms(1100)), Some("greeted only"));
+}
+
+/// A refused connection shows that nobody is there: connections from before are no longer trusted.
+#[test]
+fn a_refused_connection_closes_idle_ones() {
+    let (endpoints, slot) = endpoints();
+    endpoints.put_idle(slot, idle("one", ms(5000), true));
+    endpoints.record_failure(ms(1050), slot, Failure::Broken);
+    endpoints.put_idle(slot, idle("two", ms(5000), true));
+    endpoints.record_failure(ms(1060), slot, Failure::Refused);
+    assert_eq!(taken(&endpoints, slot, ms(1100)), None);
+}
+
+/// However many proxies there are, all their idle connections to a server are no more than half of what
+/// it takes, as long as each may keep one at all.
+#[test]
+fn idle_connections_stay_below_the_servers_limit() {
+    for proxies in 1..700 {
+        let all = max_idle_connections(490, proxies) * proxies;
+        assert!(all <= 245 || all == proxies, "{proxies}: {all}");
+    }
+}
