--- a/proxy/src/endpoints/connections.rs
+++ b/proxy/src/endpoints/connections.rs
@@ -43,7 +43,7 @@
 
     /// Whether a request that may run at most once may use it: not on a connection that its server
     /// may be about to close.
-    pub fn is_kept_for_once(&self, now: Duration) -> bool {
+    pub fn is_safe_for_at_most_once(&self, now: Duration) -> bool {
         self.idle_time(now) <= self.keep_alive / 2
     }
 }
@@ -58,8 +58,11 @@
     /// Whether there is an idle connection that a request could use now.
     pub(super) fn has_usable_connection(&self, now: Duration, is_at_most_once: bool) -> bool {
         self.idle.iter().any(|idle| {
-            let is_alive =
-                if is_at_most_once { idle.is_kept_for_once(now) } else { idle.is_alive(now) };
+            let is_alive = if is_at_most_once {
+                idle.is_safe_for_at_most_once(now)
+            } else {
+                idle.is_alive(now)
+            };
             idle.idle_time(now) >= SETTLE_TIME && is_alive
         })
     }
@@ -84,7 +87,7 @@
         })?
     }
 
-    /// Keeps a connection for reuse, or closes it where there is no room for it or where the server
+    /// Keeps a connection for reuse, or closes it where enough are idle or where the server
     /// is desynchronized.
     pub fn put_idle(&self, slot: usize, idle: IdleConnection<C>) {
         self.with(slot, |state| {
--- a/proxy/src/endpoints/probes.rs
+++ b/proxy/src/endpoints/probes.rs
@@ -22,7 +22,7 @@
 const REGION_PROBE_INTERVAL: Duration = Duration::from_millis(3000);
 /// Likewise by all other proxies.
 const REMOTE_PROBE_INTERVAL: Duration = Duration::from_millis(10_000);
-/// How often a server is probed whose health is in doubt.
+/// How often a server is probed whose health is uncertain.
 const SUSPECT_PROBE_INTERVAL: Duration = Duration::from_millis(400);
 /// Likewise where no other servers are probed.
 const SUSPECT_ONLY_PROBE_INTERVAL: Duration = Duration::from_millis(500);
@@ -113,7 +113,7 @@
     }
 }
 
-/// What a tick found to do and to report.
+/// What a tick found.
 #[derive(Debug, Default)]
 pub struct TickOutcome {
     /// Indices of the endpoints that want a probe now; each is marked as being probed.
--- a/proxy/src/endpoints/selection/least_cost.rs
+++ b/proxy/src/endpoints/selection/least_cost.rs
@@ -1,7 +1,7 @@
 //! Selection of the endpoint at which a request costs least, among servers that say how many
 //! requests each works on at one time ([`crate::load_balancing`]).
 
-use super::{Selection, SelectionContext, SlowStartWait, is_idempotent};
+use super::{Selection, SelectionContext, SelectionPass, SlowStartWait, is_idempotent};
 use crate::endpoints::{Endpoint, EndpointState, Endpoints, RoutingTable};
 use crate::health::ServerPhase;
 use crate::latency_model::ZonePools;
@@ -15,23 +15,27 @@
 /// How often the next best candidate is tried where the chosen one was taken meanwhile.
 const RESERVATION_ATTEMPTS: usize = 3;
 
-/// The candidates by the health of their servers, the best first.
+/// The candidates of each pass, by the health of their servers.
 #[derive(Debug, Default)]
-struct HealthTiers {
-    tiers: [Vec<Candidate>; 3],
+struct Candidates {
+    preferred: Vec<Candidate>,
+    fallback: Vec<Candidate>,
+    /// Suspect servers.
+    last_resort: Vec<Candidate>,
 }
 
-impl HealthTiers {
-    /// Index of the tier of healthy servers.
-    const HEALTHY: usize = 0;
-    /// Index of the tier of servers that are not probed yet or that are degraded.
-    const DOUBTFUL: usize = 1;
-    /// Index of the tier of suspect servers.
-    const SUSPECT: usize = 2;
+impl Candidates {
+    fn of_pass(&mut self, pass: SelectionPass) -> &mut Vec<Candidate> {
+        match pass {
+            SelectionPass::Preferred => &mut self.preferred,
+            SelectionPass::Fallback => &mut self.fallback,
+            SelectionPass::LastResort => &mut self.last_resort,
+        }
+    }
 
     /// The candidates that are not suspect.
     fn usable(&self) -> impl Iterator<Item = &Candidate> {
-        self.tiers[Self::HEALTHY].iter().chain(&self.tiers[Self::DOUBTFUL])
+        self.preferred.iter().chain(&self.fallback)
     }
 }
 
@@ -83,19 +87,21 @@
         let mut candidates = self.candidates(&mut slow_start);
         let limit_ms = self.response_time_limit_ms(&candidates);
         let mut is_crowded = false;
-        for (tier, candidates) in candidates.tiers.iter_mut().enumerate() {
-            if tier == HealthTiers::SUSPECT && (self.is_alternative_only() || is_crowded) {
+        for pass in SelectionPass::ALL {
+            let is_last_resort = pass == SelectionPass::LastResort;
+            if is_last_resort && (self.is_alternative_only() || is_crowded) {
                 break;
             }
+            let candidates = candidates.of_pass(pass);
             if let Some(limit_ms) = limit_ms {
                 let before = candidates.len();
                 candidates.retain(|one| !one.is_congested(&self.cost, limit_ms));
                 is_crowded |= candidates.len() < before;
             }
-            if let Some(endpoint) = self.pick(candidates, tier == HealthTiers::SUSPECT) {
+            if let Some(endpoint) = self.pick(candidates, is_last_resort) {
                 return Selection::Server { endpoint, service: self.context.service };
             }
-            if tier == HealthTiers::DOUBTFUL
+            if pass == SelectionPass::Fallback
                 && let Some(earliest) = slow_start.earliest
                 && !self.is_alternative_only()
                 && !is_crowded
@@ -107,8 +113,8 @@
     }
 
     /// All endpoints that may take the request, as the latency model sees them.
-    fn candidates(&self, slow_start: &mut SlowStartWait) -> HealthTiers {
-        let mut candidates = HealthTiers::default();
+    fn candidates(&self, slow_start: &mut SlowStartWait) -> Candidates {
+        let mut candidates = Candidates::default();
         let pools = self.endpoints.lock_pools();
         let usual_utilization = pools.mean_utilization(self.now, &self.service.name);
         for index in &self.table.by_service[self.context.service] {
@@ -120,20 +126,21 @@
                 if !slow_start.must_wait(self.now, &state.health) {
                     let candidate =
                         self.candidate(*index, endpoint, state, &pools, usual_utilization);
-                    candidates.tiers[self.tier(state)].push(candidate);
+                    candidates.of_pass(self.pass(state)).push(candidate);
                 }
             });
         }
         candidates
     }
 
-    fn tier(&self, state: &EndpointState<C>) -> usize {
+    /// The pass that may select the endpoint.
+    fn pass(&self, state: &EndpointState<C>) -> SelectionPass {
         let allows_trial = self.is_idempotent && state.in_flight == 0;
         match state.health.phase {
-            ServerPhase::Suspect => HealthTiers::SUSPECT,
-            ServerPhase::Unknown => HealthTiers::DOUBTFUL,
-            _ if state.health.is_degraded(self.now, allows_trial) => HealthTiers::DOUBTFUL,
-            _ => HealthTiers::HEALTHY,
+            ServerPhase::Suspect => SelectionPass::LastResort,
+            ServerPhase::Unknown => SelectionPass::Fallback,
+            _ if state.health.is_degraded(self.now, allows_trial) => SelectionPass::Fallback,
+            _ => SelectionPass::Preferred,
         }
     }
 
@@ -180,7 +187,7 @@
 
     /// The response time above which the request is not put into a queue; `None` without a latency
     /// target. Records whether the request found congestion everywhere.
-    fn response_time_limit_ms(&self, candidates: &HealthTiers) -> Option<f64> {
+    fn response_time_limit_ms(&self, candidates: &Candidates) -> Option<f64> {
         // A request that a server may have had goes on; a new one can come back.
         let may_be_late = match self.context.only_alternative_for {
             Some(reason) => reason == RetryReason::Lost,
--- a/proxy/src/endpoints/selection/mod.rs
+++ b/proxy/src/endpoints/selection/mod.rs
@@ -77,14 +77,19 @@
 /// The passes of a selection; each takes endpoints that the one before did not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SelectionPass {
-    /// Endpoints that are known to be healthy.
+    /// Endpoints whose servers are known to be healthy or in slow start.
     Preferred,
     /// Endpoints that are not probed yet or that are degraded.
     Fallback,
-    /// All endpoints, also full and suspect ones.
+    /// Suspect endpoints and, in the selection by tiers, full ones.
     LastResort,
 }
 
+impl SelectionPass {
+    const ALL: [SelectionPass; 3] =
+        [SelectionPass::Preferred, SelectionPass::Fallback, SelectionPass::LastResort];
+}
+
 /// Endpoints that are passed over because their slow-start rate allows no request yet.
 #[derive(Debug, Default)]
 struct SlowStartWait {
@@ -98,7 +103,7 @@
         let Some(next_at) = health.next_slow_start_request_at().filter(|at| now < *at) else {
             return false;
         };
-        // A server in whose rate this proxy has no part is not waited for.
+        // A server in whose rate this proxy has no share is not waited for.
         if next_at < Duration::MAX {
             self.earliest = Some(self.earliest.map_or(next_at, |at| at.min(next_at)));
         }
--- a/proxy/src/endpoints/selection/tiered.rs
+++ b/proxy/src/endpoints/selection/tiered.rs
@@ -93,7 +93,7 @@
 impl<C> TieredSelection<'_, C> {
     fn select(mut self) -> Selection {
         let tiers = self.tiers();
-        for pass in [SelectionPass::Preferred, SelectionPass::Fallback, SelectionPass::LastResort] {
+        for pass in SelectionPass::ALL {
             let selected = match pass {
                 SelectionPass::Preferred | SelectionPass::Fallback => {
                     self.select_in_tiers(pass, &tiers)
--- a/proxy/src/endpoints/slow_start.rs
+++ b/proxy/src/endpoints/slow_start.rs
@@ -1,4 +1,4 @@
-//! A proxy's part in the rate of a server that is warming up (design 8.6).
+//! A proxy's share in the rate of a server that is warming up (design 8.6).
 
 use super::rendezvous::RendezvousRank;
 use super::{RoutingTable, proxy_nodes};
@@ -25,7 +25,7 @@
     }
 }
 
-/// The part of the proxy named `own` in a server's slow-start rate. The nearest proxies come first,
+/// The share of the proxy named `own` in a server's slow-start rate. The nearest proxies come first,
 /// since they would select the server first; among equally near ones rendezvous hashing decides.
 /// `services` are indices into the configuration's services.
 pub fn slow_start_rate(
--- a/proxy/src/endpoints/state.rs
+++ b/proxy/src/endpoints/state.rs
@@ -29,7 +29,7 @@
     /// Requests that the server works on at one time, by the endpoint list; 0: not known.
     pub(super) concurrency: u32,
     /// Average of other proxies' requests at the server, by its latest load reports.
-    pub(super) others: f64,
+    pub(super) others_in_flight: f64,
     /// How long the server takes, relative to others of its service.
     pub relative_latency: RelativeLatency,
     /// Since when it has requests in flight and sent no response.
@@ -67,7 +67,7 @@
             load_milli: 0,
             load_reported_at: Duration::ZERO,
             concurrency,
-            others: 0.0,
+            others_in_flight: 0.0,
             relative_latency: RelativeLatency::default(),
             overdue_since: now,
             last_response_at: Duration::ZERO,
@@ -102,7 +102,8 @@
         // The server reports while the request of this response still counts as in flight here.
         let reported = f64::from(load_milli) * f64::from(self.concurrency) / 1000.0;
         let own = self.in_flight.saturating_sub(1) as f64;
-        self.others += OTHERS_WEIGHT * ((reported - own).max(0.0) - self.others);
+        self.others_in_flight +=
+            OTHERS_WEIGHT * ((reported - own).max(0.0) - self.others_in_flight);
         self.load_milli = load_milli;
         self.load_reported_at = now;
         self.overdue_since = now;
@@ -132,7 +133,7 @@
     pub(super) fn estimated_load(&self, now: Duration, distance: Distance, usual: f64) -> f64 {
         let freshness = self.load_report_freshness(now);
         let unknown = if distance == Distance::Subset { 0.0 } else { usual };
-        self.in_flight as f64 + freshness * self.others + (1.0 - freshness) * unknown
+        self.in_flight as f64 + freshness * self.others_in_flight + (1.0 - freshness) * unknown
     }
 
     /// Weight of the last load report, from 1 when it is new to 0.
--- a/proxy/src/forward.rs
+++ b/proxy/src/forward.rs
@@ -1043,7 +1043,10 @@
                 self.proxy.servers.put_idle(slot, idle);
                 break;
             }
-            if kind == Idempotency::NonIdempotent && !is_greeted && !idle.is_kept_for_once(now) {
+            if kind == Idempotency::NonIdempotent
+                && !is_greeted
+                && !idle.is_safe_for_at_most_once(now)
+            {
                 continue;
             }
             if is_greeted
--- a/proxy/src/health/mod.rs
+++ b/proxy/src/health/mod.rs
@@ -65,7 +65,7 @@
     /// When the slow-start rate allows the next request.
     next_request_at: Duration,
     slow_start_rate: SlowStartRate,
-    /// Judged by the traffic that it gets; it is probed only while its health is in doubt.
+    /// Judged by the traffic that it gets; it is probed only while its health is uncertain.
     pub is_judged_by_traffic: bool,
     outliers: OutlierDetection,
 }
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Whether its health is in doubt, which only a probe can settle.
+    /// Whether its health is uncertain, which only a probe can settle.
     pub fn needs_probe(&self) -> bool {
         self.phase == ServerPhase::Suspect
             || self.is_probe_requested
@@ -336,7 +336,7 @@
         self.next_request_at = now + interval / 2_u32.pow(doublings.min(16));
     }
 
-    /// When it wants a probe: at once (zero) if its health is in doubt, else `interval` after the
+    /// When it wants a probe: at once (zero) if its health is uncertain, else `interval` after the
     /// last success.
     pub fn next_probe_at(&self, interval: Duration) -> Duration {
         match self.last_success_at {
--- a/proxy/src/health/outlier_detection.rs
+++ b/proxy/src/health/outlier_detection.rs
@@ -11,7 +11,7 @@
 const MAX_FAILURE_SCORE: u32 = 12;
 /// How long a degraded server is ejected after a failure; then single requests try it.
 const EJECTION_TIME: Duration = Duration::from_secs(3);
-/// How long after the end of its ejection a server that got no request counts as well again.
+/// How long after the end of its ejection a server that got no request no longer counts as degraded.
 const DEGRADED_EXPIRY: Duration = Duration::from_secs(30);
 
 /// The failed requests of one server.
--- a/proxy/src/health/tests.rs
+++ b/proxy/src/health/tests.rs
@@ -198,7 +198,7 @@
 #[test]
 fn a_warming_up_server_that_failed_is_retried_at_its_slow_start_rate() {
     let rate = SlowStartRate::new(5.1, second(3.0), 0, 72);
-    let every = rate.interval.expect("the first has a part");
+    let interval = rate.interval.expect("the first has a part");
     for fails in [true, false] {
         let mut server = ServerHealth::new(second(0.0));
         server.is_judged_by_traffic = true;
@@ -221,7 +221,7 @@
                 sent += 1;
             }
         }
-        let most = (2400.0 / every.as_millis() as f64).ceil() as u32;
+        let most = (2400.0 / interval.as_millis() as f64).ceil() as u32;
         assert!(sent <= most, "{sent} in 2.4 s, and {most} are its rate");
         assert_eq!(server.phase, ServerPhase::WarmingUp);
         server.tick(second(3.0), rate);
--- a/proxy/src/latency_model/request_profile.rs
+++ b/proxy/src/latency_model/request_profile.rs
@@ -17,8 +17,8 @@
 /// Share of requests that find congestion from which on it counts as persistent.
 const PERSISTENT_CONGESTION_SHARE: f64 = 0.5;
 
-/// Number of services, and of classes for each, that are kept at the most: their names come and go
-/// with configurations.
+/// Number of services, and of classes for each, that are stored at the most: their names
+/// change with configurations.
 const MAX_PROFILES: usize = 4096;
 
 /// What is learned of the requests of one class at one service.
--- a/proxy/src/latency_model/zone_pool.rs
+++ b/proxy/src/latency_model/zone_pool.rs
@@ -10,7 +10,7 @@
 const INITIAL_UTILIZATION_WEIGHT: f64 = 0.2;
 /// Weight of a load report in a pool's utilization.
 const REPORT_WEIGHT: f64 = 0.2;
-/// Utilization above which a load report counts no more.
+/// Utilization at which a load report is capped.
 const MAX_REPORTED_UTILIZATION: f64 = 1.5;
 /// Time in which a pool's utilization fades into what is usual.
 const FADING_TIME: Duration = Duration::from_secs(3);
@@ -57,8 +57,8 @@
         (1.0 - age / FADING_TIME.as_secs_f64()).max(0.0)
     }
 
-    /// Records how long a connection took to open. The least is the round trip, the rest are queues
-    /// on the way.
+    /// Records how long a connection took to open. The least is the round trip; more than
+    /// that was queueing on the network.
     pub fn record_connection(&mut self, connect_time: Duration) {
         let connect_ms = connect_time.as_secs_f64() * 1000.0;
         let before = self.round_trip_ms.unwrap_or(connect_ms);
