--- a/proxy/src/health/tests.rs
+++ b/proxy/src/health/tests.rs
@@ -6,90 +6,90 @@
 }
 
 #[test]
-fn gone_comes_back_cold_and_a_freeze_does_not() {
+fn a_refused_server_comes_back_warming_up_and_a_paused_one_does_not() {
     let mut server = ServerHealth::new(second(0.0));
-    server.good(second(0.0));
+    server.record_success(second(0.0));
     assert_eq!(server.phase, ServerPhase::Healthy);
-    server.bad(second(1.0), Failure::Silent);
+    server.record_failure(second(1.0), Failure::Silent);
     assert_eq!(server.phase, ServerPhase::Healthy, "one slow reply is no proof");
-    server.bad(second(1.5), Failure::Silent);
+    server.record_failure(second(1.5), Failure::Silent);
     assert_eq!(server.phase, ServerPhase::Suspect);
-    server.good(second(2.0));
+    server.record_success(second(2.0));
     assert_eq!(server.phase, ServerPhase::Suspect, "one good reply is no proof");
-    server.good(second(2.5));
+    server.record_success(second(2.5));
     assert_eq!(server.phase, ServerPhase::Healthy);
-    server.bad(second(3.0), Failure::Refused);
+    server.record_failure(second(3.0), Failure::Refused);
     assert_eq!(server.phase, ServerPhase::Suspect);
-    server.good(second(3.5));
-    server.good(second(4.0));
+    server.record_success(second(3.5));
+    server.record_success(second(4.0));
     assert_eq!(server.phase, ServerPhase::WarmingUp);
-    // Turns away again while cold.
-    server.bad(second(4.5), Failure::Silent);
-    server.bad(second(5.0), Failure::Silent);
-    server.good(second(5.5));
-    server.good(second(6.0));
+    // Fails again while it is warming up.
+    server.record_failure(second(4.5), Failure::Silent);
+    server.record_failure(second(5.0), Failure::Silent);
+    server.record_success(second(5.5));
+    server.record_success(second(6.0));
     assert_eq!(server.phase, ServerPhase::WarmingUp);
 }
 
-/// One miss in three makes a server limp and one in ten does not; rested it is tried, and good
-/// receipts make it whole.
+/// One failed request in three makes a server degraded and one in ten does not; after its ejection
+/// it is tried, and successful requests restore it.
 #[test]
-fn who_loses_its_work_limps_though_its_probes_are_good() {
-    let mut limping = [0, 0];
+fn a_server_that_loses_requests_is_degraded_though_its_probes_succeed() {
+    let mut degraded_turns = [0, 0];
     for (index, every) in [3, 10].into_iter().enumerate() {
         let mut server = ServerHealth::new(second(0.0));
         for turn in 1..=200 {
             let now = second(f64::from(turn) * 0.01);
-            server.good(now);
-            server.worked(now, turn % every != 0);
-            limping[index] += u32::from(server.is_limping(now, false));
+            server.record_success(now);
+            server.record_request_result(now, turn % every != 0);
+            degraded_turns[index] += u32::from(server.is_degraded(now, false));
         }
     }
-    assert!(limping[0] > 150 && limping[1] == 0, "{limping:?}");
+    assert!(degraded_turns[0] > 150 && degraded_turns[1] == 0, "{degraded_turns:?}");
     let mut server = ServerHealth::new(second(0.0));
     for _ in 0..3 {
-        server.worked(second(1.0), false);
+        server.record_request_result(second(1.0), false);
     }
-    assert!(server.is_limping(second(3.9), true));
-    assert!(!server.is_limping(second(4.0), true) && server.is_limping(second(4.0), false));
+    assert!(server.is_degraded(second(3.9), true));
+    assert!(!server.is_degraded(second(4.0), true) && server.is_degraded(second(4.0), false));
     for _ in 0..8 {
-        server.worked(second(5.0), true);
+        server.record_request_result(second(5.0), true);
     }
-    assert!(server.is_limping(second(5.0), false), "not at the first good ones");
+    assert!(server.is_degraded(second(5.0), false), "not at the first good ones");
     for _ in 0..4 {
-        server.worked(second(5.0), true);
+        server.record_request_result(second(5.0), true);
     }
-    assert!(!server.is_limping(second(5.0), false));
+    assert!(!server.is_degraded(second(5.0), false));
     for _ in 0..3 {
-        server.worked(second(6.0), false);
+        server.record_request_result(second(6.0), false);
     }
-    server.pulse(second(39.0), super::SlowStartRate::default());
-    assert!(!server.is_limping(second(39.0), false), "nobody tried it: taken for well");
+    server.tick(second(39.0), SlowStartRate::default());
+    assert!(!server.is_degraded(second(39.0), false), "nobody tried it: taken for well");
 }
 
-/// So many proxies together never exceed the modest rate while it is cold, in any second and
-/// wherever each one's turn falls, and hardly any of it is lost to whole numbers.
+/// All proxies together never exceed the slow-start rate while the server is warming up, in any second
+/// and wherever each one's share begins, and hardly any of it is lost to whole numbers.
 #[test]
-fn cold_rate_holds_for_the_fleet() {
+fn slow_start_rate_holds_for_all_proxies_together() {
     let mut shown = String::new();
     for (per_second, proxies) in [(10.0, 8), (10.0, 12), (5.0, 8), (2.5, 8), (0.5, 8), (40.0, 3)] {
         let period = second(8.0);
         let mut all: Vec<ServerHealth> =
             (0..proxies).map(|_| ServerHealth::new(second(0.0))).collect();
         for (rank, proxy) in all.iter_mut().enumerate() {
-            let cold = super::SlowStartRate::of(per_second, period, rank, proxies);
-            // Each saw it come back at another moment.
+            let rate = SlowStartRate::new(per_second, period, rank, proxies);
+            // Each proxy saw it come back at another time.
             let seen_at = second(0.37 * rank as f64);
-            proxy.pulse(seen_at, cold);
+            proxy.tick(seen_at, rate);
             proxy.restart_slow_start(seen_at, seen_at);
         }
         let mut taken: Vec<f64> = Vec::new();
         for tick in 0..3200 {
             let now = second(f64::from(tick) * 0.005);
             for (rank, proxy) in all.iter_mut().enumerate() {
-                proxy.pulse(now, super::SlowStartRate::of(per_second, period, rank, proxies));
-                if proxy.may_take(now) {
-                    proxy.take(now);
+                proxy.tick(now, SlowStartRate::new(per_second, period, rank, proxies));
+                if proxy.accepts_request(now) {
+                    proxy.record_request(now);
                     taken.push(now.as_secs_f64());
                 }
             }
@@ -117,45 +117,45 @@
     .assert_eq(&shown);
 }
 
-/// Judged by its traffic a server is well again with the first good answer; judged by probes it takes
+/// Judged by its traffic a server is healthy again with the first success; judged by probes it takes
 /// two.
 #[test]
-fn by_traffic_one_good_answer_ends_a_doubt() {
+fn judged_by_traffic_one_success_ends_suspicion() {
     for by_traffic in [false, true] {
         let mut server = ServerHealth::new(second(0.0));
-        server.by_traffic = by_traffic;
-        server.trust(second(0.0));
+        server.is_judged_by_traffic = by_traffic;
+        server.mark_healthy(second(0.0));
         assert_eq!(server.phase, ServerPhase::Healthy);
-        assert!(!server.is_in_doubt());
-        server.bad(second(1.0), Failure::Broken);
-        assert!(server.is_in_doubt(), "a probe is due");
+        assert!(!server.needs_probe());
+        server.record_failure(second(1.0), Failure::Broken);
+        assert!(server.needs_probe(), "a probe is due");
         assert_eq!(server.phase, ServerPhase::Healthy);
-        server.bad(second(1.1), Failure::Broken);
+        server.record_failure(second(1.1), Failure::Broken);
         assert_eq!(server.phase, ServerPhase::Suspect);
-        server.good(second(1.5));
+        server.record_success(second(1.5));
         let phase = if by_traffic { ServerPhase::Healthy } else { ServerPhase::Suspect };
         assert_eq!(server.phase, phase);
-        server.good(second(1.6));
+        server.record_success(second(1.6));
         assert_eq!(server.phase, ServerPhase::Healthy);
-        assert!(!server.is_in_doubt());
+        assert!(!server.needs_probe());
     }
 }
 
-/// One that was away comes back cold all the same, also with the first good answer.
+/// One that was unreachable comes back warming up all the same, also with the first success.
 #[test]
-fn by_traffic_too_who_was_away_comes_back_cold() {
+fn judged_by_traffic_an_unreachable_server_comes_back_warming_up() {
     let mut server = ServerHealth::new(second(0.0));
-    server.by_traffic = true;
-    server.trust(second(0.0));
-    server.bad(second(1.0), Failure::Refused);
+    server.is_judged_by_traffic = true;
+    server.mark_healthy(second(0.0));
+    server.record_failure(second(1.0), Failure::Refused);
     assert_eq!(server.phase, ServerPhase::Suspect);
-    server.good(second(1.2));
+    server.record_success(second(1.2));
     assert_eq!(server.phase, ServerPhase::WarmingUp);
-    // The platform says that it is warm: its word counts, and what was before is forgotten.
-    server.trust(second(1.3));
+    // The endpoint list says that it is warm: that counts, and earlier failures are forgotten.
+    server.mark_healthy(second(1.3));
     assert_eq!(server.phase, ServerPhase::Healthy);
-    assert!(!server.is_in_doubt() && !server.was_refused());
-    server.bad(second(1.4), Failure::Broken);
+    assert!(!server.needs_probe() && !server.was_refused());
+    server.record_failure(second(1.4), Failure::Broken);
     assert_eq!(
         server.phase,
         ServerPhase::Healthy,
@@ -163,94 +163,97 @@
     );
 }
 
-/// Silence alone is a doubt and no more, and the next good answer ends it.
+/// A time-out alone only asks for a probe, and the next success ends that.
 #[test]
-fn a_doubt_asks_for_a_probe_and_takes_no_work_away() {
+fn a_time_out_requests_a_probe_and_takes_no_requests_away() {
     let mut server = ServerHealth::new(second(0.0));
-    server.by_traffic = true;
-    server.trust(second(0.0));
-    server.doubt();
-    assert!(server.is_in_doubt() && server.may_take(second(0.1)));
-    assert_eq!(server.probe_at(second(10.0)), second(0.0));
-    server.good(second(0.2));
-    assert!(!server.is_in_doubt());
+    server.is_judged_by_traffic = true;
+    server.mark_healthy(second(0.0));
+    server.request_probe();
+    assert!(server.needs_probe() && server.accepts_request(second(0.1)));
+    assert_eq!(server.next_probe_at(second(10.0)), second(0.0));
+    server.record_success(second(0.2));
+    assert!(!server.needs_probe());
 }
 
-/// A suspect that this proxy does not probe is tried again after a rest, and is suspect again if it is
-/// still not there.
+/// A suspect server that this proxy does not probe is tried again after a delay, and is suspect again
+/// if it is still not there.
 #[test]
-fn a_suspect_that_others_probe_is_tried_after_a_rest() {
+fn a_suspect_that_others_probe_is_retried_after_a_delay() {
     let ms = Duration::from_millis;
     let mut server = ServerHealth::new(ms(0));
-    server.trust(ms(0));
-    server.bad(ms(1000), Failure::Refused);
+    server.mark_healthy(ms(0));
+    server.record_failure(ms(1000), Failure::Refused);
     assert_eq!(server.phase, ServerPhase::Suspect);
-    server.retry(ms(2499));
+    server.retry_suspect(ms(2499));
     assert_eq!(server.phase, ServerPhase::Suspect);
-    server.retry(ms(2500));
+    server.retry_suspect(ms(2500));
     assert_eq!(server.phase, ServerPhase::Healthy);
-    server.bad(ms(2600), Failure::Refused);
+    server.record_failure(ms(2600), Failure::Refused);
     assert_eq!(server.phase, ServerPhase::Suspect);
 }
 
-/// Incident 0018: a server that was cold when it failed was taken for well after a rest, by every proxy that does
-/// not probe it, and got whatever came; as a last resort it got that at once.
+/// Incident 0018: a server that was warming up when it failed was taken for healthy after a delay, by
+/// every proxy that does not probe it, and got all requests; as a last resort it got them at once.
 #[test]
-fn a_cold_server_that_failed_is_tried_again_at_its_modest_rate() {
-    let rate = SlowStartRate::of(5.1, second(3.0), 0, 72);
-    let every = rate.every.expect("the first has a part");
+fn a_warming_up_server_that_failed_is_retried_at_its_slow_start_rate() {
+    let rate = SlowStartRate::new(5.1, second(3.0), 0, 72);
+    let interval = rate.interval.expect("the first has a part");
     for fails in [true, false] {
         let mut server = ServerHealth::new(second(0.0));
-        server.by_traffic = true;
-        server.pulse(second(0.0), rate);
+        server.is_judged_by_traffic = true;
+        server.tick(second(0.0), rate);
         server.restart_slow_start(second(0.0), Duration::ZERO);
         if fails {
-            server.bad(second(0.5), Failure::Refused);
+            server.record_failure(second(0.5), Failure::Refused);
         } else {
-            // The others say so.
-            server.hear(second(0.5), true, None);
+            // The other proxies report it.
+            server.apply_cluster_view(second(0.5), true, None);
         }
         assert_eq!(server.phase, ServerPhase::Suspect);
         let mut sent = 0;
         for now_ms in 500..2900 {
             let now = Duration::from_millis(now_ms);
-            server.retry(now);
-            server.pulse(now, rate);
-            if server.next_at().is_none_or(|at| now >= at) {
-                server.take(now);
+            server.retry_suspect(now);
+            server.tick(now, rate);
+            if server.next_slow_start_request_at().is_none_or(|at| now >= at) {
+                server.record_request(now);
                 sent += 1;
             }
         }
-        let most = (2400.0 / every.as_millis() as f64).ceil() as u32;
+        let most = (2400.0 / interval.as_millis() as f64).ceil() as u32;
         assert!(sent <= most, "{sent} in 2.4 s, and {most} are its rate");
         assert_eq!(server.phase, ServerPhase::WarmingUp);
-        server.pulse(second(3.0), rate);
+        server.tick(second(3.0), rate);
         assert_eq!(server.phase, ServerPhase::SlowStart, "by the time at which it became cold");
-        server.pulse(second(6.0), rate);
-        assert_eq!((server.phase, server.next_at()), (ServerPhase::Healthy, None));
+        server.tick(second(6.0), rate);
+        assert_eq!(
+            (server.phase, server.next_slow_start_request_at()),
+            (ServerPhase::Healthy, None)
+        );
     }
-    // Without a part it gets nothing from here.
+    // Without a share it gets nothing from this proxy.
     let mut server = ServerHealth::new(second(0.0));
-    server.by_traffic = true;
-    let none = SlowStartRate::of(5.1, second(3.0), 30, 72);
-    server.pulse(second(0.0), none);
+    server.is_judged_by_traffic = true;
+    let none = SlowStartRate::new(5.1, second(3.0), 30, 72);
+    server.tick(second(0.0), none);
     server.restart_slow_start(second(0.0), Duration::ZERO);
-    server.hear(second(0.5), true, None);
-    server.retry(second(2.1));
-    server.pulse(second(2.1), none);
-    assert_eq!(server.next_at(), Some(Duration::MAX));
+    server.apply_cluster_view(second(0.5), true, None);
+    server.retry_suspect(second(2.1));
+    server.tick(second(2.1), none);
+    assert_eq!(server.next_slow_start_request_at(), Some(Duration::MAX));
 }
 
-/// One that is a suspect for longer than it would have been cold is an ordinary suspect.
+/// One that is suspect for longer than its slow start would have taken is an ordinary suspect.
 #[test]
-fn a_suspect_is_bound_to_its_rate_no_longer_than_it_would_have_been_cold() {
-    let rate = SlowStartRate::of(5.1, second(3.0), 0, 72);
+fn a_suspect_is_bound_to_its_slow_start_rate_no_longer_than_the_slow_start() {
+    let rate = SlowStartRate::new(5.1, second(3.0), 0, 72);
     let mut server = ServerHealth::new(second(0.0));
-    server.pulse(second(0.0), rate);
+    server.tick(second(0.0), rate);
     server.restart_slow_start(second(0.0), Duration::ZERO);
-    server.bad(second(0.5), Failure::Refused);
-    server.pulse(second(5.9), rate);
-    assert!(server.next_at().is_some());
-    server.pulse(second(6.0), rate);
-    assert_eq!((server.phase, server.next_at()), (ServerPhase::Suspect, None));
+    server.record_failure(second(0.5), Failure::Refused);
+    server.tick(second(5.9), rate);
+    assert!(server.next_slow_start_request_at().is_some());
+    server.tick(second(6.0), rate);
+    assert_eq!((server.phase, server.next_slow_start_request_at()), (ServerPhase::Suspect, None));
 }
