--- a/cluster/src/node.rs
+++ b/cluster/src/node.rs
@@ -126,7 +126,7 @@
         let word = core.committed.clone();
         let mut setup = before.config.clone();
         if word.config_revision != before.committed.config_revision {
-            match before.wire_format.setup(&word.document) {
+            match before.wire_format.parse_config(&word.document) {
                 Ok(parsed) => {
                     setup = Arc::new(parsed);
                     notes.push(format!("setup of revision {} is in force", word.config_revision));
--- a/config-check/src/main.rs
+++ b/config-check/src/main.rs
@@ -55,7 +55,7 @@
             if as_json {
                 let value = jzon::object! {
                     "valid": false,
-                    "faults": vanepath_config::json_reader::faults_as_json(&faults),
+                    "faults": vanepath_config::json_reader::validation_errors_as_json(&faults),
                 };
                 println!("{}", value.pretty(2));
             } else {
--- a/config/src/endpoint_list.rs
+++ b/config/src/endpoint_list.rs
@@ -105,21 +105,21 @@
 pub fn parse(bytes: &[u8]) -> Result<EndpointList, Vec<crate::ValidationError>> {
     let mut reader = crate::json_reader::JsonReader::default();
     if bytes.len() > MAX_BYTES {
-        reader.fault("$", "too large");
-        return Err(reader.faults);
+        reader.reject("$", "too large");
+        return Err(reader.errors);
     }
     let mut list = EndpointList::default();
     if let Some(document) = reader.document(bytes)
         && let Some(object) = reader.object("$", &document, &["revision", "servers"])
     {
         if object.get("revision").is_none() {
-            reader.fault("$.revision", "missing");
+            reader.reject("$.revision", "missing");
         }
         if object.get("servers").is_none() {
-            reader.fault("$.servers", "missing");
+            reader.reject("$.servers", "missing");
         }
         list.revision =
-            reader.whole("$.revision", object.get("revision"), 0, 1 << 53).unwrap_or_default();
+            reader.integer("$.revision", object.get("revision"), 0, 1 << 53).unwrap_or_default();
         let mut ids = std::collections::HashSet::new();
         let mut addresses = std::collections::HashSet::new();
         let entries = reader.array("$.servers", object.get("servers"), MAX_SERVERS);
@@ -127,16 +127,16 @@
             let path = format!("$.servers[{index}]");
             if let Some(server) = server(&mut reader, &path, entry) {
                 if !ids.insert(server.id.clone()) {
-                    reader.fault(&format!("{path}.id"), "named twice");
+                    reader.reject(&format!("{path}.id"), "named twice");
                 }
                 if !addresses.insert(server.address) {
-                    reader.fault(&format!("{path}.address"), "in use by another server");
+                    reader.reject(&format!("{path}.address"), "in use by another server");
                 }
                 list.servers.push(server);
             }
         }
     }
-    if reader.faults.is_empty() { Ok(list) } else { Err(reader.faults) }
+    if reader.errors.is_empty() { Ok(list) } else { Err(reader.errors) }
 }
 
 fn server(
@@ -151,30 +151,30 @@
     let zone = reader.name(&format!("{path}.zone"), object.get("zone"));
     let address_path = format!("{path}.address");
     let address =
-        reader.needed(&address_path, object.get("address"), 64).and_then(|text| {
+        reader.required_string(&address_path, object.get("address"), 64).and_then(|text| {
             match text.parse::<std::net::SocketAddr>() {
                 Ok(address) if address.port() != 0 && !address.ip().is_unspecified() => {
                     Some(address)
                 }
                 _ => {
-                    reader.fault(&address_path, "must be an IP number and a port");
+                    reader.reject(&address_path, "must be an IP number and a port");
                     None
                 }
             }
         });
     let labels = labels(reader, &format!("{path}.labels"), object.get("labels"));
     let state_path = format!("{path}.state");
-    let leaving = match reader.needed(&state_path, object.get("state"), 16) {
+    let leaving = match reader.required_string(&state_path, object.get("state"), 16) {
         Some("ready") => Some(false),
         Some("leaving") => Some(true),
         Some(_) => {
-            reader.fault(&state_path, "must be ready or leaving");
+            reader.reject(&state_path, "must be ready or leaving");
             None
         }
         None => None,
     };
     let cold = reader.boolean(&format!("{path}.cold"), object.get("cold")).unwrap_or(false);
-    let slots = reader.whole(&format!("{path}.slots"), object.get("slots"), 0, 1 << 20);
+    let slots = reader.integer(&format!("{path}.slots"), object.get("slots"), 0, 1 << 20);
     Some(Server {
         id: id?,
         address: address?,
@@ -207,19 +207,19 @@
     let mut labels = std::collections::BTreeMap::new();
     let Some(value) = value else { return labels };
     let Some(object) = value.as_object() else {
-        reader.fault(path, "must be an object");
+        reader.reject(path, "must be an object");
         return labels;
     };
     for (key, value) in object.iter() {
         let key_path = format!("{path}.{key}");
         if !crate::selector::is_label(key) || key == "zone" || key == "region" {
-            reader.fault(&key_path, "not usable as a label's key");
+            reader.reject(&key_path, "not usable as a label's key");
         }
-        if let Some(text) = reader.text(&key_path, Some(value), 63) {
+        if let Some(text) = reader.string(&key_path, Some(value), 63) {
             if crate::selector::is_label(text) {
                 labels.insert(key.to_string(), text.to_string());
             } else {
-                reader.fault(&key_path, "not usable as a label's value");
+                reader.reject(&key_path, "not usable as a label's value");
             }
         }
     }
--- a/config/src/json_reader.rs
+++ b/config/src/json_reader.rs
@@ -15,18 +15,18 @@
 /// Collects faults while values are read.
 #[derive(Default)]
 pub struct JsonReader {
-    pub faults: Vec<ValidationError>,
+    pub errors: Vec<ValidationError>,
 }
 
 impl JsonReader {
-    pub fn fault(&mut self, path: &str, message: impl Into<String>) {
-        self.faults.push(ValidationError { path: path.to_string(), message: message.into() });
+    pub fn reject(&mut self, path: &str, message: impl Into<String>) {
+        self.errors.push(ValidationError { path: path.to_string(), message: message.into() });
     }
 
     /// Parses bytes to a value; duplicate keys, which `jzon` silently folds, are faults (3.2).
     pub fn document(&mut self, bytes: &[u8]) -> Option<jzon::JsonValue> {
         let Ok(text) = std::str::from_utf8(bytes) else {
-            self.fault("$", "not UTF-8");
+            self.reject("$", "not UTF-8");
             return None;
         };
         // The depth walked later is bounded here, before any recursion.
@@ -36,7 +36,7 @@
                 Some(value)
             }
             Err(error) => {
-                self.fault("$", format!("not JSON: {error}"));
+                self.reject("$", format!("not JSON: {error}"));
                 None
             }
         }
@@ -49,12 +49,12 @@
         known: &[&str],
     ) -> Option<&'v jzon::object::Object> {
         let Some(object) = value.as_object() else {
-            self.fault(path, "must be an object");
+            self.reject(path, "must be an object");
             return None;
         };
         for (key, _) in object.iter() {
             if !known.contains(&key) {
-                self.fault(&format!("{path}.{key}"), "unknown key");
+                self.reject(&format!("{path}.{key}"), "unknown key");
             }
         }
         Some(object)
@@ -71,18 +71,18 @@
             Some(value) => match value.as_array() {
                 Some(array) if array.len() <= most => array,
                 Some(_) => {
-                    self.fault(path, format!("more than {most} entries"));
+                    self.reject(path, format!("more than {most} entries"));
                     &[]
                 }
                 None => {
-                    self.fault(path, "must be an array");
+                    self.reject(path, "must be an array");
                     &[]
                 }
             },
         }
     }
 
-    pub fn text<'v>(
+    pub fn string<'v>(
         &mut self,
         path: &str,
         value: Option<&'v jzon::JsonValue>,
@@ -92,35 +92,35 @@
         match text {
             Some(text) if text.len() <= most && !text.chars().any(char::is_control) => Some(text),
             Some(_) => {
-                self.fault(path, format!("longer than {most} bytes or with control characters"));
+                self.reject(path, format!("longer than {most} bytes or with control characters"));
                 None
             }
             None => {
-                self.fault(path, "must be a string");
+                self.reject(path, "must be a string");
                 None
             }
         }
     }
 
-    pub fn needed<'v>(
+    pub fn required_string<'v>(
         &mut self,
         path: &str,
         value: Option<&'v jzon::JsonValue>,
         most: usize,
     ) -> Option<&'v str> {
         if value.is_none() {
-            self.fault(path, "missing");
+            self.reject(path, "missing");
         }
-        self.text(path, value, most)
+        self.string(path, value, most)
     }
 
     /// A name: lower case letters, digits, `-` and `_`, 1 to 63 of them.
     pub fn name(&mut self, path: &str, value: Option<&jzon::JsonValue>) -> Option<String> {
-        let text = self.needed(path, value, 63)?;
+        let text = self.required_string(path, value, 63)?;
         if is_name(text) {
             Some(text.to_string())
         } else {
-            self.fault(path, "must be 1 to 63 of a-z, 0-9, '-' and '_'");
+            self.reject(path, "must be 1 to 63 of a-z, 0-9, '-' and '_'");
             None
         }
     }
@@ -129,7 +129,7 @@
         let value = value?;
         let read = value.as_bool();
         if read.is_none() {
-            self.fault(path, "must be true or false");
+            self.reject(path, "must be true or false");
         }
         read
     }
@@ -143,18 +143,18 @@
     ) -> Option<f64> {
         let value = value?;
         let Some(number) = value.as_f64() else {
-            self.fault(path, "must be a number");
+            self.reject(path, "must be a number");
             return None;
         };
         if number.is_finite() && number >= low && number <= high {
             Some(number)
         } else {
-            self.fault(path, format!("must be from {low} to {high}"));
+            self.reject(path, format!("must be from {low} to {high}"));
             None
         }
     }
 
-    pub fn whole(
+    pub fn integer(
         &mut self,
         path: &str,
         value: Option<&jzon::JsonValue>,
@@ -165,7 +165,7 @@
         if number.fract() == 0.0 {
             Some(number as u64)
         } else {
-            self.fault(path, "must be a whole number");
+            self.reject(path, "must be a whole number");
             None
         }
     }
@@ -225,7 +225,7 @@
                                 Level::Array(index) => path += &format!("[{index}]"),
                             }
                         }
-                        reader.fault(&format!("{path}.{key}"), "duplicate key");
+                        reader.reject(&format!("{path}.{key}"), "duplicate key");
                     }
                 }
             }
@@ -236,7 +236,7 @@
 }
 
 /// Faults as the JSON list that every interface shows.
-pub fn faults_as_json(faults: &[ValidationError]) -> jzon::JsonValue {
+pub fn validation_errors_as_json(faults: &[ValidationError]) -> jzon::JsonValue {
     jzon::JsonValue::Array(
         faults
             .iter()
--- a/config/src/model.rs
+++ b/config/src/model.rs
@@ -79,7 +79,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Preference {
-    pub places: crate::selector::Selector,
+    pub zones: crate::selector::Selector,
     pub share: f64,
 }
 
@@ -103,7 +103,7 @@
     /// The prefix stands for itself alone: `/stock/` does not take `/stock`.
     pub literal_prefix: bool,
     /// Services by weight, `service` among them; empty: `service` alone.
-    pub weighted_services: Vec<(usize, f64)>,
+    pub weighted_services: Vec<WeightedService>,
     /// Servers that one request may be sent to.
     pub max_attempts: u32,
     /// Instead of the class's.
@@ -113,6 +113,15 @@
     pub latency_target: Option<std::time::Duration>,
 }
 
+/// A service that gets a part of a rule's requests.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct WeightedService {
+    /// Index of the service.
+    pub service: usize,
+    /// Its part, in proportion to the sum of the rule's weights.
+    pub weight: f64,
+}
+
 /// Unless a rule says otherwise.
 pub const DEFAULT_MAX_ATTEMPTS: u32 = 4;
 
@@ -124,15 +133,18 @@
 
     /// The service for one request, drawn by weight.
     pub fn pick_service(&self, random: u64) -> usize {
-        let sum: f64 = self.weighted_services.iter().map(|one| one.1).sum();
+        let sum: f64 = self.weighted_services.iter().map(|one| one.weight).sum();
         let mut at = (random >> 11) as f64 / (1_u64 << 53) as f64 * sum;
-        for (service, weight) in self.weighted_services.iter().filter(|one| one.1 > 0.0) {
-            at -= weight;
+        for one in self.weighted_services.iter().filter(|one| one.weight > 0.0) {
+            at -= one.weight;
             if at < 0.0 {
-                return *service;
+                return one.service;
             }
         }
-        self.weighted_services.iter().rfind(|one| one.1 > 0.0).map_or(self.service, |one| one.0)
+        self.weighted_services
+            .iter()
+            .rfind(|one| one.weight > 0.0)
+            .map_or(self.service, |one| one.service)
     }
 
     pub fn allows_region(&self, region: &str) -> bool {
@@ -204,18 +216,18 @@
 pub fn parse(bytes: &[u8]) -> Result<Config, Vec<crate::ValidationError>> {
     let mut reader = crate::json_reader::JsonReader::default();
     if bytes.len() > MAX_BYTES {
-        reader.fault("$", format!("larger than {MAX_BYTES} bytes"));
-        return Err(reader.faults);
+        reader.reject("$", format!("larger than {MAX_BYTES} bytes"));
+        return Err(reader.errors);
     }
     let mut setup = Config::default();
     if let Some(document) = reader.document(bytes)
         && let Some(object) =
             reader.object("$", &document, &["version", "classes", "services", "places", "rules"])
     {
-        setup.version = reader.whole("$.version", object.get("version"), 1, 1 << 53);
+        setup.version = reader.integer("$.version", object.get("version"), 1, 1 << 53);
         for key in ["classes", "services", "rules"] {
             if object.get(key).is_none_or(|value| value.as_array().is_some_and(Vec::is_empty)) {
-                reader.fault(&format!("$.{key}"), "must have at least one entry");
+                reader.reject(&format!("$.{key}"), "must have at least one entry");
             }
         }
         places(&mut reader, object.get("places"), &mut setup);
@@ -236,14 +248,14 @@
         setup.build_rule_index();
         for index in 0..setup.rules.len() {
             if let Some(above) = setup.covered_by(index) {
-                reader.fault(
+                reader.reject(
                     &format!("$.rules[{index}].match"),
                     format!("can never match: rule '{}' above takes all of it", above.name),
                 );
             }
         }
     }
-    if reader.faults.is_empty() { Ok(setup) } else { Err(reader.faults) }
+    if reader.errors.is_empty() { Ok(setup) } else { Err(reader.errors) }
 }
 
 fn entries(value: Option<&jzon::JsonValue>) -> &[jzon::JsonValue] {
@@ -265,7 +277,7 @@
         let name = entry.as_object().and_then(|object| object.get("name"));
         let name = name.and_then(|name| name.as_str()).unwrap_or_default().to_string();
         if !name.is_empty() && names.contains_key(&name) {
-            reader.fault(&format!("{path}[{index}].name"), format!("'{name}' is named twice"));
+            reader.reject(&format!("{path}[{index}].name"), format!("'{name}' is named twice"));
         }
         names.entry(name).or_insert(index);
     }
@@ -278,10 +290,10 @@
     value: Option<&jzon::JsonValue>,
     names: &Names,
 ) -> Option<usize> {
-    let name = reader.needed(path, value, 63)?;
+    let name = reader.required_string(path, value, 63)?;
     let found = names.get(name).copied();
     if found.is_none() {
-        reader.fault(path, format!("there is no '{name}'"));
+        reader.reject(path, format!("there is no '{name}'"));
     }
     found
 }
@@ -302,7 +314,7 @@
             crate::endpoint_list::labels(reader, &format!("{path}.labels"), object.get("labels"));
         if let (Some(zone), Some(region)) = (zone, region) {
             if setup.zones.iter().any(|place| place.name == zone) {
-                reader.fault(&format!("{path}.zone"), format!("'{zone}' is named twice"));
+                reader.reject(&format!("{path}.zone"), format!("'{zone}' is named twice"));
             }
             setup.zones.push(Zone { name: zone, region, labels });
         }
@@ -332,24 +344,24 @@
     let empty = jzon::object::Object::new();
     let object = object.unwrap_or(&empty);
     let name = reader.name(&at("name"), object.get("name")).unwrap_or_default();
-    let kind = match reader.needed(&at("kind"), object.get("kind"), 16).map(str::parse) {
+    let kind = match reader.required_string(&at("kind"), object.get("kind"), 16).map(str::parse) {
         Some(Ok(kind)) => kind,
         Some(Err(_)) => {
-            reader.fault(&at("kind"), "must be repeatable or once");
+            reader.reject(&at("kind"), "must be repeatable or once");
             Idempotency::NonIdempotent
         }
         None => Idempotency::NonIdempotent,
     };
     if object.get("urgency").is_none() {
-        reader.fault(&at("urgency"), "missing");
+        reader.reject(&at("urgency"), "missing");
     }
-    let urgency = reader.whole(&at("urgency"), object.get("urgency"), 0, 100).unwrap_or(100);
-    let room = reader.whole(&at("room"), object.get("room"), 1, 100_000).unwrap_or(1024);
-    let queue = reader.whole(&at("queue"), object.get("queue"), 0, 100_000).unwrap_or(4096);
+    let urgency = reader.integer(&at("urgency"), object.get("urgency"), 0, 100).unwrap_or(100);
+    let room = reader.integer(&at("room"), object.get("room"), 1, 100_000).unwrap_or(1024);
+    let queue = reader.integer(&at("queue"), object.get("queue"), 0, 100_000).unwrap_or(4096);
     let body_most = reader
-        .whole(&at("bodyMostBytes"), object.get("bodyMostBytes"), 0, 1 << 40)
+        .integer(&at("bodyMostBytes"), object.get("bodyMostBytes"), 0, 1 << 40)
         .unwrap_or(16 << 20);
-    let deadline_ms = reader.whole(&at("deadlineMs"), object.get("deadlineMs"), 100, 600_000);
+    let deadline_ms = reader.integer(&at("deadlineMs"), object.get("deadlineMs"), 100, 600_000);
     let mut borrows = Vec::new();
     for (index, entry) in reader.array(&at("borrows"), object.get("borrows"), 64).iter().enumerate()
     {
@@ -357,12 +369,12 @@
         if let Some(object) = reader.object(&path, entry, &["from", "most"]) {
             let from = reference(reader, &format!("{path}.from"), object.get("from"), class_names);
             if object.get("most").is_none() {
-                reader.fault(&format!("{path}.most"), "missing");
+                reader.reject(&format!("{path}.most"), "missing");
             }
-            let most = reader.whole(&format!("{path}.most"), object.get("most"), 1, 100_000);
+            let most = reader.integer(&format!("{path}.most"), object.get("most"), 1, 100_000);
             if let (Some(class), Some(most)) = (from, most) {
                 if borrows.iter().any(|borrow: &Borrow| borrow.class == class) {
-                    reader.fault(&format!("{path}.from"), "named twice");
+                    reader.reject(&format!("{path}.from"), "named twice");
                 }
                 borrows.push(Borrow { class, max_slots: most });
             }
@@ -391,7 +403,7 @@
         while let Some(next) = open.pop() {
             if next == index {
                 let path = format!("$.classes[{index}].borrows");
-                reader.fault(&path, "the borrowing comes back to this class");
+                reader.reject(&path, "the borrowing comes back to this class");
                 break;
             }
             if next < seen.len() && !std::mem::replace(&mut seen[next], true) {
@@ -422,25 +434,28 @@
     let object = reader.object(path, entry, &known).unwrap_or(&empty);
     let name = reader.name(&at("name"), object.get("name")).unwrap_or_default();
     if object.get("selector").is_none() {
-        reader.fault(&at("selector"), "missing");
+        reader.reject(&at("selector"), "missing");
     }
     let selector = selector(reader, &at("selector"), object.get("selector"), false);
-    let liveness_path = reader.needed(&at("livenessPath"), object.get("livenessPath"), 256);
+    let liveness_path =
+        reader.required_string(&at("livenessPath"), object.get("livenessPath"), 256);
     let liveness_path = liveness_path.unwrap_or("/").to_string();
     if !is_path(&liveness_path) {
-        reader.fault(&at("livenessPath"), "must start with '/' and be plain URL characters");
+        reader.reject(&at("livenessPath"), "must start with '/' and be plain URL characters");
     }
-    let identity_header = match reader.text(&at("identityHeader"), object.get("identityHeader"), 64)
-    {
-        Some(header) if header.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-') => {
-            header.to_ascii_lowercase()
-        }
-        Some(_) => {
-            reader.fault(&at("identityHeader"), "not a header's name");
-            String::new()
-        }
-        None => "server-id".to_string(),
-    };
+    let identity_header =
+        match reader.string(&at("identityHeader"), object.get("identityHeader"), 64) {
+            Some(header)
+                if header.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-') =>
+            {
+                header.to_ascii_lowercase()
+            }
+            Some(_) => {
+                reader.reject(&at("identityHeader"), "not a header's name");
+                String::new()
+            }
+            None => "server-id".to_string(),
+        };
     let mut cold_rate = 5.0;
     let mut cold_period_ms = 10_000;
     if let Some(cold) = object.get("cold")
@@ -450,19 +465,19 @@
         cold_rate =
             reader.number(&rate_path, object.get("ratePerSecond"), 0.1, 1e6).unwrap_or(cold_rate);
         cold_period_ms = reader
-            .whole(&at("cold.periodMs"), object.get("periodMs"), 0, 600_000)
+            .integer(&at("cold.periodMs"), object.get("periodMs"), 0, 600_000)
             .unwrap_or(cold_period_ms);
     }
     let server_room =
-        reader.whole(&at("serverRoom"), object.get("serverRoom"), 1, 10_000).unwrap_or(64);
+        reader.integer(&at("serverRoom"), object.get("serverRoom"), 1, 10_000).unwrap_or(64);
     let connections_path = at("connectionsMost");
     let connections_most =
-        reader.whole(&connections_path, object.get("connectionsMost"), 1, 1 << 20).unwrap_or(0);
-    let probes_in_doubt_only = match reader.text(&at("probes"), object.get("probes"), 16) {
+        reader.integer(&connections_path, object.get("connectionsMost"), 1, 1 << 20).unwrap_or(0);
+    let probes_in_doubt_only = match reader.string(&at("probes"), object.get("probes"), 16) {
         Some("in-doubt") => true,
         Some("always") | None => false,
         Some(_) => {
-            reader.fault(&at("probes"), "must be always or in-doubt");
+            reader.reject(&at("probes"), "must be always or in-doubt");
             false
         }
     };
@@ -491,17 +506,17 @@
     relative: bool,
 ) -> crate::selector::Selector {
     let all = crate::selector::Selector::all();
-    let Some(text) = reader.text(path, value, 1024) else {
+    let Some(text) = reader.string(path, value, 1024) else {
         return all;
     };
     match crate::selector::Selector::parse(text) {
         Ok(selector) if !relative && selector.is_relative() => {
-            reader.fault(path, "@zone and @region have no meaning here");
+            reader.reject(path, "@zone and @region have no meaning here");
             all
         }
         Ok(selector) => selector,
         Err(message) => {
-            reader.fault(path, format!("selector: {message}"));
+            reader.reject(path, format!("selector: {message}"));
             all
         }
     }
@@ -537,11 +552,11 @@
     let class = reference(reader, &at("class"), object.get("class"), class_names);
     let split = split(reader, &at("split"), object.get("split"), service_names);
     let service = match split.first() {
-        Some(first) if object.get("service").is_none() => Some(first.0),
+        Some(first) if object.get("service").is_none() => Some(first.service),
         _ => reference(reader, &at("service"), object.get("service"), service_names),
     };
     if object.get("split").is_some() && object.get("service").is_some() {
-        reader.fault(&at("split"), "either service or split");
+        reader.reject(&at("split"), "either service or split");
     }
     let anywhere_path = at("carriedAnywhere");
     let carried_anywhere =
@@ -549,9 +564,9 @@
     let literal_path = at("literalPrefix");
     let literal_prefix =
         reader.boolean(&literal_path, object.get("literalPrefix")).unwrap_or(false);
-    let attempts = reader.whole(&at("attempts"), object.get("attempts"), 1, 64);
-    let deadline_ms = reader.whole(&at("deadlineMs"), object.get("deadlineMs"), 100, 600_000);
-    let aim_ms = reader.whole(&at("aimMs"), object.get("aimMs"), 1, 600_000);
+    let attempts = reader.integer(&at("attempts"), object.get("attempts"), 1, 64);
+    let deadline_ms = reader.integer(&at("deadlineMs"), object.get("deadlineMs"), 100, 600_000);
+    let aim_ms = reader.integer(&at("aimMs"), object.get("aimMs"), 1, 600_000);
 
     let mut methods = Vec::new();
     let mut host = None;
@@ -562,7 +577,7 @@
         let listed = reader.array(&at("match.methods"), object.get("methods"), 16);
         for (index, method) in listed.iter().enumerate() {
             let path = at(&format!("match.methods[{index}]"));
-            match reader.text(&path, Some(method), 16) {
+            match reader.string(&path, Some(method), 16) {
                 Some(method)
                     if !method.is_empty()
                         && method != "CONNECT"
@@ -570,25 +585,26 @@
                 {
                     methods.push(method.to_string());
                 }
-                Some(_) => reader.fault(&path, "not a method that can be carried"),
+                Some(_) => reader.reject(&path, "not a method that can be carried"),
                 None => {}
             }
         }
         if object.get("methods").is_some() && listed.is_empty() {
-            reader.fault(&at("match.methods"), "can never match: no method");
+            reader.reject(&at("match.methods"), "can never match: no method");
         }
-        host = reader.text(&at("match.host"), object.get("host"), 253).map(str::to_string);
+        host = reader.string(&at("match.host"), object.get("host"), 253).map(str::to_string);
         if host.as_deref().is_some_and(|host| {
             host.is_empty()
                 || !host.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-.".contains(&byte))
         }) {
-            reader.fault(&at("match.host"), "not a host's name");
+            reader.reject(&at("match.host"), "not a host's name");
         }
-        if let Some(prefix) = reader.text(&at("match.pathPrefix"), object.get("pathPrefix"), 1024) {
+        if let Some(prefix) = reader.string(&at("match.pathPrefix"), object.get("pathPrefix"), 1024)
+        {
             if is_path(prefix) {
                 path_prefix = prefix.to_string();
             } else {
-                reader.fault(&at("match.pathPrefix"), "can never match: not a path");
+                reader.reject(&at("match.pathPrefix"), "can never match: not a path");
             }
         }
     }
@@ -598,7 +614,7 @@
         let path = at(&format!("spill[{index}]"));
         if let Some(other) = reference(reader, &path, Some(value), service_names) {
             if Some(other) == service || spill.contains(&other) {
-                reader.fault(&path, "named twice");
+                reader.reject(&path, "named twice");
             }
             spill.push(other);
         }
@@ -611,13 +627,13 @@
         if let Some(region) = reader.name(&path, Some(value)) {
             let known = setup.zones.iter().any(|place| place.region == region);
             if !setup.zones.is_empty() && !known {
-                reader.fault(&path, format!("no place lies in region '{region}'"));
+                reader.reject(&path, format!("no place lies in region '{region}'"));
             }
             regions.push(region);
         }
     }
     if object.get("regions").is_some() && listed.is_empty() {
-        reader.fault(&at("regions"), "an empty bound lets nothing be served");
+        reader.reject(&at("regions"), "an empty bound lets nothing be served");
     }
 
     let mut prefer = Vec::new();
@@ -633,25 +649,25 @@
             };
             let places_path = format!("{path}.places");
             if object.get("places").is_none() {
-                reader.fault(&places_path, "missing");
+                reader.reject(&places_path, "missing");
             }
             let places = selector(reader, &places_path, object.get("places"), true);
             if !places.is_relative() && !setup.zones.is_empty() {
                 let view = crate::selector::ClientLocation::default();
                 if !setup.zones.iter().any(|place| places.matches(place, view)) {
-                    reader.fault(&places_path, "matches no place");
+                    reader.reject(&places_path, "matches no place");
                 }
             }
             let share_path = format!("{path}.share");
             if object.get("share").is_none() {
-                reader.fault(&share_path, "missing");
+                reader.reject(&share_path, "missing");
             }
             let share = reader.number(&share_path, object.get("share"), 0.0, 100.0).unwrap_or(0.0);
-            preferences.push(Preference { places, share });
+            preferences.push(Preference { zones: places, share });
         }
         let sum: f64 = preferences.iter().map(|one| one.share).sum();
         if (sum - 100.0).abs() > 1e-6 {
-            reader.fault(&path, format!("the shares add up to {sum}, not 100"));
+            reader.reject(&path, format!("the shares add up to {sum}, not 100"));
         }
         prefer.push(preferences);
     }
@@ -680,8 +696,8 @@
     path: &str,
     value: Option<&jzon::JsonValue>,
     service_names: &std::collections::HashMap<String, usize>,
-) -> Vec<(usize, f64)> {
-    let mut split: Vec<(usize, f64)> = Vec::new();
+) -> Vec<WeightedService> {
+    let mut split: Vec<WeightedService> = Vec::new();
     for (index, entry) in reader.array(path, value, 64).iter().enumerate() {
         let path = format!("{path}[{index}]");
         let Some(object) = reader.object(&path, entry, &["service", "weight"]) else { continue };
@@ -689,18 +705,18 @@
         let service = reference(reader, &format!("{path}.service"), name, service_names);
         let weight_path = format!("{path}.weight");
         if object.get("weight").is_none() {
-            reader.fault(&weight_path, "missing");
+            reader.reject(&weight_path, "missing");
         }
         let weight = reader.number(&weight_path, object.get("weight"), 0.0, 1e9);
         if let (Some(service), Some(weight)) = (service, weight) {
-            if split.iter().any(|one| one.0 == service) {
-                reader.fault(&path, "named twice");
+            if split.iter().any(|one| one.service == service) {
+                reader.reject(&path, "named twice");
             }
-            split.push((service, weight));
+            split.push(WeightedService { service, weight });
         }
     }
-    if !split.is_empty() && split.iter().all(|one| one.1 <= 0.0) {
-        reader.fault(path, "no weight is above 0");
+    if !split.is_empty() && split.iter().all(|one| one.weight <= 0.0) {
+        reader.reject(path, "no weight is above 0");
     }
     split
 }
--- a/config/src/model/tests.rs
+++ b/config/src/model/tests.rs
@@ -163,7 +163,9 @@
         "rules": [{"name": "r", "class": "c", "service": "s"}]}"#;
     let mut rule = super::parse(text.as_bytes()).unwrap().rules.remove(0);
     rule.service = 7;
-    rule.weighted_services = weights.iter().copied().enumerate().collect();
+    let weighted = weights.iter().copied().enumerate();
+    rule.weighted_services =
+        weighted.map(|(service, weight)| super::WeightedService { service, weight }).collect();
     rule
 }
 
--- a/config/src/settings.rs
+++ b/config/src/settings.rs
@@ -161,7 +161,7 @@
                 setup.services.len(),
                 setup.rules.len()
             ))),
-            Err(faults) => Err(report(&format!("{file} would be refused"), &faults)),
+            Err(faults) => Err(validation_report(&format!("{file} would be refused"), &faults)),
         };
     }
 
@@ -197,7 +197,7 @@
     }
     let settings = check(role, &values, &mut reader);
     match settings {
-        Some(mut settings) if reader.faults.is_empty() => {
+        Some(mut settings) if reader.errors.is_empty() => {
             settings.arguments = arguments.to_vec();
             settings.file = matches.opt_str("settings").map(std::path::PathBuf::from);
             settings.rescue = role == Role::Store && matches.opt_present("rescue");
@@ -207,12 +207,12 @@
                 Ok(Invocation::Run(Box::new(settings)))
             }
         }
-        _ => Err(report("the settings cannot be used", &reader.faults)),
+        _ => Err(validation_report("the settings cannot be used", &reader.errors)),
     }
 }
 
 /// A list of faults as one message for the operator.
-pub fn report(title: &str, faults: &[crate::ValidationError]) -> miette::Report {
+pub fn validation_report(title: &str, faults: &[crate::ValidationError]) -> miette::Report {
     let lines: Vec<String> = faults.iter().map(|fault| format!("  {fault}")).collect();
     miette::miette!("{title}\n{}", lines.join("\n"))
 }
@@ -238,16 +238,16 @@
             .or(sibling_listen);
     for (key, address) in [("advertise", advertise), ("siblingAdvertise", sibling_advertise)] {
         if address.is_some_and(|address| address.ip().is_unspecified()) {
-            reader.fault(&format!("$.{key}"), "others cannot reach an unspecified address");
+            reader.reject(&format!("$.{key}"), "others cannot reach an unspecified address");
         }
     }
     if listen.is_some() && listen == sibling_listen {
-        reader.fault("$.siblingListen", "the same as listen");
+        reader.reject("$.siblingListen", "the same as listen");
     }
-    let seed_port = reader.whole("$.seedPort", values.get("seedPort"), 1, 65_535);
+    let seed_port = reader.integer("$.seedPort", values.get("seedPort"), 1, 65_535);
     let mut seeds = Vec::new();
     if values.get("seeds").is_none() {
-        reader.fault("$.seeds", "missing");
+        reader.reject("$.seeds", "missing");
     }
     let listed = reader.array("$.seeds", values.get("seeds"), 3);
     for (index, value) in listed.iter().enumerate() {
@@ -257,40 +257,40 @@
                 seed.set_port(port as u16);
             }
             if seeds.contains(&seed) {
-                reader.fault(&path, "named twice");
+                reader.reject(&path, "named twice");
             }
             seeds.push(seed);
         }
     }
     if values.get("seeds").is_some() && listed.is_empty() {
-        reader.fault("$.seeds", "at least one is needed");
+        reader.reject("$.seeds", "at least one is needed");
     }
     let data_folder =
-        reader.text("$.dataFolder", values.get("dataFolder"), 4096).map(std::path::PathBuf::from);
-    let losses = reader.whole("$.storeLosses", values.get("storeLosses"), 0, 7);
+        reader.string("$.dataFolder", values.get("dataFolder"), 4096).map(std::path::PathBuf::from);
+    let losses = reader.integer("$.storeLosses", values.get("storeLosses"), 0, 7);
     if losses.is_some() && values.get("stores").is_some() {
-        reader.fault("$.storeLosses", "either stores or storeLosses");
+        reader.reject("$.storeLosses", "either stores or storeLosses");
     }
     // A majority is left after that many losses.
     let held = losses.map_or(3, |losses| 2 * losses + 1);
-    let stores = reader.whole("$.stores", values.get("stores"), 1, 15).unwrap_or(held);
+    let stores = reader.integer("$.stores", values.get("stores"), 1, 15).unwrap_or(held);
     if stores.is_multiple_of(2) {
-        reader.fault("$.stores", "must be odd");
+        reader.reject("$.stores", "must be odd");
     }
     let first_start = reader.boolean("$.firstStart", values.get("firstStart")).unwrap_or(true);
     if role == Role::Store && values.get("dataFolder").is_none() {
-        reader.fault("$.dataFolder", "missing");
+        reader.reject("$.dataFolder", "missing");
     }
-    let platform = reader.text("$.platform", values.get("platform"), 1024).map(str::to_string);
+    let platform = reader.string("$.platform", values.get("platform"), 1024).map(str::to_string);
     if let Some(platform) = &platform
         && split_url(platform).is_none()
     {
-        reader.fault("$.platform", "must be http://IP:PORT/PATH");
+        reader.reject("$.platform", "must be http://IP:PORT/PATH");
     }
     if role == Role::Registry && values.get("platform").is_none() {
-        reader.fault("$.platform", "missing");
+        reader.reject("$.platform", "missing");
     }
-    let grace_ms = reader.whole("$.graceMs", values.get("graceMs"), 0, 600_000).unwrap_or(10_000);
+    let grace_ms = reader.integer("$.graceMs", values.get("graceMs"), 0, 600_000).unwrap_or(10_000);
     let pages_listen = address(reader, "$.pagesListen", values.get("pagesListen"), false, false);
     let directory_listen =
         address(reader, "$.directoryListen", values.get("directoryListen"), false, false);
@@ -332,13 +332,13 @@
     let mut zones = std::collections::BTreeMap::new();
     let Some(value) = value else { return zones };
     let Some(object) = value.as_object() else {
-        reader.fault("$.zones", "must be an object");
+        reader.reject("$.zones", "must be an object");
         return zones;
     };
     for (zone, region) in object.iter() {
         let path = format!("$.zones.{zone}");
         if !crate::json_reader::is_name(zone) {
-            reader.fault(&path, "not a zone's name");
+            reader.reject(&path, "not a zone's name");
         }
         if let Some(region) = reader.name(&path, Some(region)) {
             zones.insert(zone.to_string(), region);
@@ -356,7 +356,7 @@
         && let Some(object) = reader.object("$.retries", value, &["ratio", "windowMs", "extra"])
     {
         let ratio = reader.number("$.retries.ratio", object.get("ratio"), 0.0, 10.0);
-        let window_ms = reader.whole("$.retries.windowMs", object.get("windowMs"), 100, 600_000);
+        let window_ms = reader.integer("$.retries.windowMs", object.get("windowMs"), 100, 600_000);
         let extra = reader.number("$.retries.extra", object.get("extra"), 0.0, 1e9);
         retries.ratio = ratio.unwrap_or(retries.ratio);
         retries.window = window_ms.map_or(retries.window, std::time::Duration::from_millis);
@@ -373,16 +373,16 @@
     needed: bool,
 ) -> Option<std::net::SocketAddr> {
     if value.is_none() && needed {
-        reader.fault(path, "missing");
+        reader.reject(path, "missing");
     }
-    let text = reader.text(path, value, 64)?;
+    let text = reader.string(path, value, 64)?;
     match text.parse::<std::net::SocketAddr>() {
-        Ok(address) if address.port() == 0 => reader.fault(path, "port 0 cannot be used"),
+        Ok(address) if address.port() == 0 => reader.reject(path, "port 0 cannot be used"),
         Ok(address) if reachable && address.ip().is_unspecified() => {
-            reader.fault(path, "others cannot reach an unspecified address");
+            reader.reject(path, "others cannot reach an unspecified address");
         }
         Ok(address) => return Some(address),
-        Err(_) => reader.fault(path, format!("'{text}' is not an IP number and a port")),
+        Err(_) => reader.reject(path, format!("'{text}' is not an IP number and a port")),
     }
     None
 }
--- a/config/src/wire_format.rs
+++ b/config/src/wire_format.rs
@@ -47,7 +47,10 @@
     ///
     /// # Errors
     /// Every fault with its path; then nothing of the document is taken.
-    fn setup(&self, bytes: &[u8]) -> Result<crate::model::Config, Vec<crate::ValidationError>>;
+    fn parse_config(
+        &self,
+        bytes: &[u8],
+    ) -> Result<crate::model::Config, Vec<crate::ValidationError>>;
 
     /// Reads one page of the platform list; `path` is that of the list as the settings have it,
     /// `zones` the region of each zone.
@@ -91,7 +94,10 @@
         &HEADERS
     }
 
-    fn setup(&self, bytes: &[u8]) -> Result<crate::model::Config, Vec<crate::ValidationError>> {
+    fn parse_config(
+        &self,
+        bytes: &[u8],
+    ) -> Result<crate::model::Config, Vec<crate::ValidationError>> {
         crate::model::parse(bytes)
     }
 
--- a/proxy/src/forward.rs
+++ b/proxy/src/forward.rs
@@ -496,7 +496,7 @@
 /// The drawn service in the setup in force, or what the rule has by now.
 fn service_of(table: &crate::endpoints::RoutingTable, rule: usize, drawn: &str) -> usize {
     let facts = &table.config.rules[rule];
-    let split = facts.weighted_services.iter().map(|one| one.0);
+    let split = facts.weighted_services.iter().map(|one| one.service);
     let mut allowed = split.filter(|index| table.config.services[*index].name == drawn);
     allowed.next().unwrap_or(facts.service)
 }
--- a/registry/src/api.rs
+++ b/registry/src/api.rs
@@ -308,7 +308,7 @@
         }
         Err(_) => return fault(StatusCode::BAD_REQUEST, "the body broke off"),
     };
-    let version = match registry.daemon.settings.wire_format.setup(&bytes) {
+    let version = match registry.daemon.settings.wire_format.parse_config(&bytes) {
         Ok(setup) => setup.version,
         Err(faults) => {
             registry.tally.increment(Counter::SetupsRefusedInvalid);
@@ -327,7 +327,7 @@
 fn refused(status: StatusCode, faults: &[vanepath_config::ValidationError]) -> Receipt {
     let value = jzon::object! {
         "outcome": "nothing-done",
-        "faults": vanepath_config::json_reader::faults_as_json(faults),
+        "faults": vanepath_config::json_reader::validation_errors_as_json(faults),
     };
     node::json_response(status, &value)
 }
--- a/registry/src/steering.rs
+++ b/registry/src/steering.rs
@@ -143,7 +143,7 @@
         .iter()
         .enumerate()
         .map(|(index, tier)| {
-            let listed = tier.iter().map(|one| (one.places.clone(), one.share)).collect();
+            let listed = tier.iter().map(|one| (one.zones.clone(), one.share)).collect();
             (format!("preference {}", index + 1), listed)
         })
         .collect();
