--- a/config/src/endpoint_list.rs
+++ b/config/src/endpoint_list.rs
@@ -1,23 +1,45 @@
-//! The platform list: which servers exist and which are leaving (design 4).
+//! The endpoint list: which servers exist and which are draining (design 4).
 
-#[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
+use crate::ValidationError;
+use crate::json_reader::{JsonReader, ObjectReader};
+use crate::selector::{Labelled, is_label};
+use crate::stable_hash;
+use jzon::JsonValue;
+use serde::{Deserialize, Serialize};
+use std::collections::{BTreeMap, HashMap, HashSet};
+use std::net::SocketAddr;
+
+/// The most servers of a list: three times 4,500 (docs/CAPACITY.md), with some to spare.
+pub const MAX_SERVERS: usize = 16_384;
+
+/// The largest document in bytes.
+pub const MAX_BYTES: usize = 8 << 20;
+
+/// A server of the list. The names in `serde` attributes are wire names of earlier versions.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
+    /// Unique in the list.
     pub id: String,
-    pub address: std::net::SocketAddr,
+    /// Where it takes requests, unique in the list.
+    pub address: SocketAddr,
+    /// The region in which it runs.
     pub region: String,
+    /// The zone in which it runs.
     pub zone: String,
-    pub labels: std::collections::BTreeMap<String, String>,
+    /// Further labels, which selectors can name.
+    pub labels: BTreeMap<String, String>,
+    /// It finishes what it has and gets no new requests.
     #[serde(rename = "leaving")]
     pub draining: bool,
-    /// Just started: it bears its modest rate only.
+    /// Just started: it bears the rate of its service's slow start only.
     #[serde(rename = "cold")]
     pub warming_up: bool,
-    /// Requests that it works on at one time; 0: not told.
+    /// Requests that it works on at one time; 0: unknown.
     #[serde(rename = "slots")]
     pub concurrency: u32,
 }
 
-impl crate::selector::Labelled for Server {
+impl Labelled for Server {
     fn label(&self, key: &str) -> Option<&str> {
         match key {
             "zone" => Some(&self.zone),
@@ -27,69 +49,72 @@
     }
 }
 
-#[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
+/// All servers of the fleet at one revision.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointList {
+    /// Rises with each change.
     pub revision: u64,
+    /// In the order in which they were listed first.
     pub servers: Vec<Server>,
 }
 
-/// Three times 4,500 servers (docs/CAPACITY.md), with room for labels.
 /// What changed from one revision of a list to a later one.
-#[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointListDelta {
+    /// The revision that it starts from.
     pub base: u64,
+    /// The revision that it leads to.
     pub revision: u64,
-    /// New or different.
+    /// Servers that are new or different.
     pub changed: Vec<Server>,
-    /// Ids.
+    /// Ids of the servers that are gone.
     pub removed: Vec<String>,
-    /// Of the list that it leads to: two readers may have given one revision to different lists.
+    /// Digest of the list that it leads to: two readers may have given one revision to different lists.
     pub digest: u64,
 }
 
 impl EndpointList {
-    /// Of its servers, whatever their order.
+    /// A digest of the servers, whatever their order.
     pub fn digest(&self) -> u64 {
-        let one = |server: &Server| {
+        let server_digest = |server: &Server| {
             let flags =
                 [server.draining, server.warming_up].map(|flag| if flag { "1" } else { "0" });
             let address = server.address.to_string();
-            crate::stable_hash(&[&server.id, &address, &server.zone, flags[0], flags[1]])
+            stable_hash(&[&server.id, &address, &server.zone, flags[0], flags[1]])
         };
-        self.servers.iter().map(one).fold(0, u64::wrapping_add)
+        self.servers.iter().map(server_digest).fold(0, u64::wrapping_add)
     }
 
-    /// From `base` to this list.
+    /// The delta that leads from `base` to this list.
     pub fn since(&self, base: &EndpointList) -> EndpointListDelta {
-        let before: std::collections::HashMap<&str, &Server> =
+        let before: HashMap<&str, &Server> =
             base.servers.iter().map(|server| (server.id.as_str(), server)).collect();
-        let now: std::collections::HashSet<&str> =
-            self.servers.iter().map(|server| server.id.as_str()).collect();
-        let is_same = |server: &&Server| before.get(server.id.as_str()) != Some(server);
-        let gone = base.servers.iter().filter(|server| !now.contains(server.id.as_str()));
+        let now: HashSet<&str> = self.servers.iter().map(|server| server.id.as_str()).collect();
+        let is_changed = |server: &&Server| before.get(server.id.as_str()) != Some(server);
+        let removed = base.servers.iter().filter(|server| !now.contains(server.id.as_str()));
         EndpointListDelta {
             base: base.revision,
             revision: self.revision,
-            changed: self.servers.iter().filter(is_same).cloned().collect(),
-            removed: gone.map(|server| server.id.clone()).collect(),
+            changed: self.servers.iter().filter(is_changed).cloned().collect(),
+            removed: removed.map(|server| server.id.clone()).collect(),
             digest: self.digest(),
         }
     }
 
-    /// The list that a delta leads to; `None` where it does not lead there from this one.
+    /// The list that a delta leads to; `None` where it does not lead there from this one, so that the
+    /// whole list is needed.
     pub fn with(&self, delta: &EndpointListDelta) -> Option<EndpointList> {
         if delta.base != self.revision {
             return None;
         }
-        let mut changed: std::collections::HashMap<&str, &Server> =
+        let mut changed: HashMap<&str, &Server> =
             delta.changed.iter().map(|server| (server.id.as_str(), server)).collect();
-        let removed: std::collections::HashSet<&str> =
-            delta.removed.iter().map(String::as_str).collect();
-        let kept = self.servers.iter().filter(|server| !removed.contains(server.id.as_str()));
-        let mut servers: Vec<Server> = kept
+        let removed: HashSet<&str> = delta.removed.iter().map(String::as_str).collect();
+        let remaining = self.servers.iter().filter(|server| !removed.contains(server.id.as_str()));
+        let mut servers: Vec<Server> = remaining
             .map(|server| changed.remove(server.id.as_str()).unwrap_or(server).clone())
             .collect();
-        // In the order in which they were told.
+        // What is left of `changed` is new, and keeps the delta's order.
         servers.extend(
             delta.changed.iter().filter(|one| changed.contains_key(one.id.as_str())).cloned(),
         );
@@ -98,113 +123,109 @@
     }
 }
 
-pub const MAX_SERVERS: usize = 16_384;
-pub const MAX_BYTES: usize = 8 << 20;
-
-/// Reads the platform's document; one fault anywhere refuses the whole of it.
-pub fn parse(bytes: &[u8]) -> Result<EndpointList, Vec<crate::ValidationError>> {
-    let mut reader = crate::json_reader::JsonReader::default();
+/// Reads and checks the document of the list.
+///
+/// # Errors
+/// All validation errors; then no part of the list may be used.
+pub fn parse(bytes: &[u8]) -> Result<EndpointList, Vec<ValidationError>> {
+    let mut reader = JsonReader::default();
+    let mut list = EndpointList::default();
     if bytes.len() > MAX_BYTES {
         reader.reject("$", "too large");
-        return Err(reader.errors);
-    }
-    let mut list = EndpointList::default();
-    if let Some(document) = reader.document(bytes)
-        && let Some(object) = reader.object("$", &document, &["revision", "servers"])
-    {
-        if object.get("revision").is_none() {
-            reader.reject("$.revision", "missing");
+    } else if let Some(document) = reader.document(bytes) {
+        let known = ["revision", "servers"];
+        if let Some(mut object) = ObjectReader::of_value(&mut reader, "$", &document, &known) {
+            list = read_list(&mut object);
         }
-        if object.get("servers").is_none() {
-            reader.reject("$.servers", "missing");
+    }
+    reader.into_result(list)
+}
+
+fn read_list(object: &mut ObjectReader<'_, '_>) -> EndpointList {
+    object.require("revision");
+    object.require("servers");
+    let revision = object.integer("revision", 0, 1 << 53).unwrap_or_default();
+    let mut servers = Vec::new();
+    let mut ids = HashSet::new();
+    let mut addresses = HashSet::new();
+    for (index, entry) in object.array("servers", MAX_SERVERS).iter().enumerate() {
+        let path = format!("$.servers[{index}]");
+        let Some(server) = read_server(object.reader, &path, entry) else { continue };
+        if !ids.insert(server.id.clone()) {
+            object.reader.reject(&format!("{path}.id"), "named twice");
         }
-        list.revision =
-            reader.integer("$.revision", object.get("revision"), 0, 1 << 53).unwrap_or_default();
-        let mut ids = std::collections::HashSet::new();
-        let mut addresses = std::collections::HashSet::new();
-        let entries = reader.array("$.servers", object.get("servers"), MAX_SERVERS);
-        for (index, entry) in entries.iter().enumerate() {
-            let path = format!("$.servers[{index}]");
-            if let Some(server) = server(&mut reader, &path, entry) {
-                if !ids.insert(server.id.clone()) {
-                    reader.reject(&format!("{path}.id"), "named twice");
-                }
-                if !addresses.insert(server.address) {
-                    reader.reject(&format!("{path}.address"), "in use by another server");
-                }
-                list.servers.push(server);
-            }
+        if !addresses.insert(server.address) {
+            object.reader.reject(&format!("{path}.address"), "in use by another server");
         }
+        servers.push(server);
     }
-    if reader.errors.is_empty() { Ok(list) } else { Err(reader.errors) }
+    EndpointList { revision, servers }
 }
 
-fn server(
-    reader: &mut crate::json_reader::JsonReader,
-    path: &str,
-    entry: &jzon::JsonValue,
-) -> Option<Server> {
+fn read_server(reader: &mut JsonReader, path: &str, entry: &JsonValue) -> Option<Server> {
     let known = ["id", "address", "region", "zone", "labels", "state", "cold", "slots"];
-    let object = reader.object(path, entry, &known)?;
-    let id = reader.name(&format!("{path}.id"), object.get("id"));
-    let region = reader.name(&format!("{path}.region"), object.get("region"));
-    let zone = reader.name(&format!("{path}.zone"), object.get("zone"));
-    let address_path = format!("{path}.address");
-    let address =
-        reader.required_string(&address_path, object.get("address"), 64).and_then(|text| {
-            match text.parse::<std::net::SocketAddr>() {
-                Ok(address) if address.port() != 0 && !address.ip().is_unspecified() => {
-                    Some(address)
-                }
-                _ => {
-                    reader.reject(&address_path, "must be an IP number and a port");
-                    None
-                }
-            }
-        });
-    let labels = labels(reader, &format!("{path}.labels"), object.get("labels"));
-    let state_path = format!("{path}.state");
-    let leaving = match reader.required_string(&state_path, object.get("state"), 16) {
-        Some("ready") => Some(false),
-        Some("leaving") => Some(true),
-        Some(_) => {
-            reader.reject(&state_path, "must be ready or leaving");
-            None
-        }
-        None => None,
-    };
-    let cold = reader.boolean(&format!("{path}.cold"), object.get("cold")).unwrap_or(false);
-    let slots = reader.integer(&format!("{path}.slots"), object.get("slots"), 0, 1 << 20);
+    let mut object = ObjectReader::of_value(reader, path, entry, &known)?;
+    // In the order in which validation errors are reported.
+    let id = object.name("id");
+    let region = object.name("region");
+    let zone = object.name("zone");
+    let address = read_address(&mut object);
+    let (labels_path, labels) = (object.path_of("labels"), object.get("labels"));
+    let labels = read_labels(object.reader, &labels_path, labels);
+    let draining = read_draining(&mut object);
+    let warming_up = object.boolean("cold").unwrap_or(false);
+    let concurrency = object.integer("slots", 0, 1 << 20);
     Some(Server {
         id: id?,
         address: address?,
         region: region?,
         zone: zone?,
         labels,
-        draining: leaving?,
-        warming_up: cold,
-        concurrency: slots.unwrap_or(0) as u32,
+        draining: draining?,
+        warming_up,
+        concurrency: concurrency.unwrap_or(0) as u32,
     })
 }
 
-/// Labels as the platform's document and the status show them.
-pub fn labels_as_json<'l>(
-    labels: impl IntoIterator<Item = (&'l String, &'l String)>,
-) -> jzon::JsonValue {
-    let mut value = jzon::JsonValue::new_object();
+fn read_address(object: &mut ObjectReader<'_, '_>) -> Option<SocketAddr> {
+    let address = object.required_string("address", 64)?.parse::<SocketAddr>();
+    match address {
+        Ok(address) if address.port() != 0 && !address.ip().is_unspecified() => Some(address),
+        _ => {
+            object.reject("address", "must be an IP number and a port");
+            None
+        }
+    }
+}
+
+fn read_draining(object: &mut ObjectReader<'_, '_>) -> Option<bool> {
+    match object.required_string("state", 16)? {
+        "ready" => Some(false),
+        "leaving" => Some(true),
+        _ => {
+            object.reject("state", "must be ready or leaving");
+            None
+        }
+    }
+}
+
+/// Labels as the list's document and the status show them.
+pub fn labels_as_json<'l>(labels: impl IntoIterator<Item = (&'l String, &'l String)>) -> JsonValue {
+    let mut value = JsonValue::new_object();
     for (key, label) in labels {
         value[key.as_str()] = label.as_str().into();
     }
     value
 }
 
-/// Labels of servers and places; `zone` and `region` are always the place's own.
-pub fn labels(
-    reader: &mut crate::json_reader::JsonReader,
+/// Reads the labels of servers and zones; the labels `zone` and `region` are always given by the zone, and
+/// are rejected here.
+pub(crate) fn read_labels(
+    reader: &mut JsonReader,
     path: &str,
-    value: Option<&jzon::JsonValue>,
-) -> std::collections::BTreeMap<String, String> {
-    let mut labels = std::collections::BTreeMap::new();
+    value: Option<&JsonValue>,
+) -> BTreeMap<String, String> {
+    let mut labels = BTreeMap::new();
     let Some(value) = value else { return labels };
     let Some(object) = value.as_object() else {
         reader.reject(path, "must be an object");
@@ -212,11 +233,11 @@
     };
     for (key, value) in object.iter() {
         let key_path = format!("{path}.{key}");
-        if !crate::selector::is_label(key) || key == "zone" || key == "region" {
+        if !is_label(key) || key == "zone" || key == "region" {
             reader.reject(&key_path, "not usable as a label's key");
         }
         if let Some(text) = reader.string(&key_path, Some(value), 63) {
-            if crate::selector::is_label(text) {
+            if is_label(text) {
                 labels.insert(key.to_string(), text.to_string());
             } else {
                 reader.reject(&key_path, "not usable as a label's value");
--- a/config/src/execution_status.rs
+++ b/config/src/execution_status.rs
@@ -1,5 +1,6 @@
-//! What became of a request: the one fact a caller must be able to trust (design 8.2).
+//! Whether a request was run: the one fact that a client must be able to trust (design 8.2).
 
+/// What is known of a request's execution; its text stands in the header [`HEADER`].
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumString, strum::IntoStaticStr,
 )]
@@ -7,11 +8,12 @@
 pub enum ExecutionStatus {
     /// No byte of the request reached a server, and none ever will.
     NotRun,
-    /// Some of it may have reached a server; nobody can tell from here.
+    /// Some of it may have reached a server; the proxy cannot know.
     MayHaveRun,
-    /// A server replied to it.
+    /// A server responded to it.
     Ran,
 }
 
-/// The header in which a proxy states its verdict.
+/// The response header in which a proxy states the execution status. Its name is part of the published
+/// protocol.
 pub const HEADER: &str = "vanepath-verdict";
--- /dev/null
+++ b/config/src/json_reader/object_reader.rs
@@ -0,0 +1,128 @@
+//! Reading of one object's keys, each with the path that it has in the document.
+
+use super::JsonReader;
+use jzon::JsonValue;
+use jzon::object::Object;
+
+/// Reads the keys of one object. The methods are those of [`JsonReader`], with a key in place of a path
+/// and a value.
+pub struct ObjectReader<'r, 'v> {
+    /// Collects the validation errors.
+    pub reader: &'r mut JsonReader,
+    path: String,
+    object: Option<&'v Object>,
+}
+
+impl<'r, 'v> ObjectReader<'r, 'v> {
+    /// A reader of an object at this path.
+    pub fn new(reader: &'r mut JsonReader, path: &str, object: &'v Object) -> ObjectReader<'r, 'v> {
+        ObjectReader { reader, path: path.to_string(), object: Some(object) }
+    }
+
+    /// A reader of a value that must be an object with no other keys than the known ones; `None` if it is
+    /// no object.
+    pub fn of_value(
+        reader: &'r mut JsonReader,
+        path: &str,
+        value: &'v JsonValue,
+        known_keys: &[&str],
+    ) -> Option<ObjectReader<'r, 'v>> {
+        let object = reader.object(path, value, known_keys)?;
+        Some(ObjectReader::new(reader, path, object))
+    }
+
+    /// As [`ObjectReader::of_value`], but a value that is no object is read as an object without keys, so
+    /// that what it lacks is reported too.
+    pub fn of_value_or_empty(
+        reader: &'r mut JsonReader,
+        path: &str,
+        value: &'v JsonValue,
+        known_keys: &[&str],
+    ) -> ObjectReader<'r, 'v> {
+        let object = reader.object(path, value, known_keys);
+        ObjectReader { reader, path: path.to_string(), object }
+    }
+
+    /// The path of a key's value in the document.
+    pub fn path_of(&self, key: &str) -> String {
+        format!("{}.{key}", self.path)
+    }
+
+    /// A key's value, unchecked.
+    pub fn get(&self, key: &str) -> Option<&'v JsonValue> {
+        self.object?.get(key)
+    }
+
+    /// Records a validation error of a key.
+    pub fn reject(&mut self, key: &str, message: impl Into<String>) {
+        let path = self.path_of(key);
+        self.reader.reject(&path, message);
+    }
+
+    /// Rejects the absence of a key.
+    pub fn require(&mut self, key: &str) {
+        if self.get(key).is_none() {
+            self.reject(key, "missing");
+        }
+    }
+
+    /// A reader of the object within, if there is one.
+    pub fn object(&mut self, key: &str, known_keys: &[&str]) -> Option<ObjectReader<'_, 'v>> {
+        let (path, value) = (self.path_of(key), self.get(key)?);
+        ObjectReader::of_value(self.reader, &path, value, known_keys)
+    }
+
+    /// See [`JsonReader::array`].
+    pub fn array(&mut self, key: &str, max_entries: usize) -> &'v [JsonValue] {
+        let (path, value) = (self.path_of(key), self.get(key));
+        self.reader.array(&path, value, max_entries)
+    }
+
+    /// See [`JsonReader::string`].
+    pub fn string(&mut self, key: &str, max_bytes: usize) -> Option<&'v str> {
+        let (path, value) = (self.path_of(key), self.get(key));
+        self.reader.string(&path, value, max_bytes)
+    }
+
+    /// See [`JsonReader::required_string`].
+    pub fn required_string(&mut self, key: &str, max_bytes: usize) -> Option<&'v str> {
+        self.require(key);
+        self.string(key, max_bytes)
+    }
+
+    /// See [`JsonReader::name`].
+    pub fn name(&mut self, key: &str) -> Option<String> {
+        let (path, value) = (self.path_of(key), self.get(key));
+        self.reader.name(&path, value)
+    }
+
+    /// See [`JsonReader::boolean`].
+    pub fn boolean(&mut self, key: &str) -> Option<bool> {
+        let (path, value) = (self.path_of(key), self.get(key));
+        self.reader.boolean(&path, value)
+    }
+
+    /// See [`JsonReader::number`].
+    pub fn number(&mut self, key: &str, min: f64, max: f64) -> Option<f64> {
+        let (path, value) = (self.path_of(key), self.get(key));
+        self.reader.number(&path, value, min, max)
+    }
+
+    /// As [`ObjectReader::number`]; its absence is rejected.
+    pub fn required_number(&mut self, key: &str, min: f64, max: f64) -> Option<f64> {
+        self.require(key);
+        self.number(key, min, max)
+    }
+
+    /// See [`JsonReader::integer`].
+    pub fn integer(&mut self, key: &str, min: u64, max: u64) -> Option<u64> {
+        let (path, value) = (self.path_of(key), self.get(key));
+        self.reader.integer(&path, value, min, max)
+    }
+
+    /// As [`ObjectReader::integer`]; its absence is rejected.
+    pub fn required_integer(&mut self, key: &str, min: u64, max: u64) -> Option<u64> {
+        self.require(key);
+        self.integer(key, min, max)
+    }
+}
--- a/config/src/load_report.rs
+++ b/config/src/load_report.rs
@@ -1,40 +1,59 @@
-//! The demand that servers tell in their receipts (design 8.7): the published
-//! `endpoint-load-metrics` header, in its text or its JSON form.
+//! The load that servers report in their responses (design 8.7): the published `endpoint-load-metrics`
+//! header of ORCA (Open Request Cost Aggregation), in its text or its JSON form.
 
+/// The response header of a load report.
 pub const HEADER: &str = "endpoint-load-metrics";
 
-/// Thousandths of the server's capacity in use; `None` where the value cannot be trusted.
+const MAX_BYTES: usize = 4096;
+
+/// The utilization of a server; 1 is its whole capacity.
+#[derive(Default)]
+struct Utilization {
+    application: Option<f64>,
+    cpu: Option<f64>,
+}
+
+/// Thousandths of the server's capacity in use; `None` where the value cannot be trusted: a report is
+/// advice, and whatever is wrong with it, the server is treated as one that reports nothing.
 pub fn parse(text: &str) -> Option<u32> {
-    if text.len() > 4096 {
+    if text.len() > MAX_BYTES {
         return None;
     }
-    let (format, rest) = text.trim().split_once(' ')?;
-    let mut application = None;
-    let mut cpu = None;
-    match format {
-        "TEXT" => {
-            for pair in rest.split(',') {
-                let (key, value) = pair.split_once('=')?;
-                match key.trim() {
-                    "application_utilization" => application = Some(value.trim().parse().ok()?),
-                    "cpu_utilization" => cpu = Some(value.trim().parse().ok()?),
-                    _ => {}
-                }
+    let (format, report) = text.trim().split_once(' ')?;
+    let utilization = match format {
+        "TEXT" => parse_text(report)?,
+        "JSON" => parse_json(report)?,
+        _ => return None,
+    };
+    // What the application itself says of its load counts before its processor's.
+    let load = utilization.application.or(utilization.cpu)?;
+    (load.is_finite() && (0.0..=100.0).contains(&load)).then(|| (load * 1000.0).round() as u32)
+}
+
+fn parse_text(report: &str) -> Option<Utilization> {
+    let mut utilization = Utilization::default();
+    for pair in report.split(',') {
+        let (key, value) = pair.split_once('=')?;
+        match key.trim() {
+            "application_utilization" => {
+                utilization.application = Some(value.trim().parse().ok()?);
             }
+            "cpu_utilization" => utilization.cpu = Some(value.trim().parse().ok()?),
+            _ => {}
         }
-        "JSON" => {
-            let value = jzon::parse(rest).ok()?;
-            let read = |key: &str| {
-                value.as_object()?.get(key).map(|value| value.as_f64().unwrap_or(f64::NAN))
-            };
-            application = read("application_utilization");
-            cpu = read("cpu_utilization");
-        }
-        _ => return None,
     }
-    let demand: f64 = application.or(cpu)?;
-    (demand.is_finite() && (0.0..=100.0).contains(&demand))
-        .then(|| (demand * 1000.0).round() as u32)
+    Some(utilization)
+}
+
+fn parse_json(report: &str) -> Option<Utilization> {
+    let value = jzon::parse(report).ok()?;
+    // A value of another type is no number, and makes the report invalid.
+    let number =
+        |key: &str| value.as_object()?.get(key).map(|value| value.as_f64().unwrap_or(f64::NAN));
+    Some(Utilization {
+        application: number("application_utilization"),
+        cpu: number("cpu_utilization"),
+    })
 }
 
 #[cfg(test)]
--- a/config/src/model/tests.rs
+++ b/config/src/model/tests.rs
@@ -20,33 +20,33 @@
                  {"places": "cost = low", "share": 30}]]}]
 }"#;
 
-fn faults(text: &str) -> String {
+fn errors(text: &str) -> String {
     match super::parse(text.as_bytes()) {
         Ok(_) => "taken".to_string(),
-        Err(faults) => faults.iter().map(|fault| fault.to_string()).collect::<Vec<_>>().join("\n"),
+        Err(errors) => errors.iter().map(|error| error.to_string()).collect::<Vec<_>>().join("\n"),
     }
 }
 
 #[test]
-fn good_setup_is_taken_and_routes() {
-    let setup = super::parse(GOOD.as_bytes()).unwrap();
-    assert_eq!(setup.rule_for("POST", "h", "/orders/7"), Some(0));
-    assert_eq!(setup.rule_for("POST", "h", "/ordersx"), Some(2));
-    assert_eq!(setup.rule_for("GET", "h", "/papers"), Some(1));
-    assert_eq!(setup.rule_for("GET", "h", "/papers/1?x=2"), Some(1));
-    assert_eq!(setup.rule_for("GET", "h", "/orders"), Some(2));
+fn a_valid_config_is_accepted_and_routes() {
+    let config = super::parse(GOOD.as_bytes()).unwrap();
+    assert_eq!(config.rule_for("POST", "h", "/orders/7"), Some(0));
+    assert_eq!(config.rule_for("POST", "h", "/ordersx"), Some(2));
+    assert_eq!(config.rule_for("GET", "h", "/papers"), Some(1));
+    assert_eq!(config.rule_for("GET", "h", "/papers/1?x=2"), Some(1));
+    assert_eq!(config.rule_for("GET", "h", "/orders"), Some(2));
 }
 
-/// The one that operators are shown is taken.
+/// The one that operators are shown is valid.
 #[test]
-fn the_example_of_the_docs_is_taken() {
+fn the_example_of_the_docs_is_accepted() {
     let text = include_str!("../../../docs/setup.example.json");
-    assert_eq!(faults(text), "taken");
+    assert_eq!(errors(text), "taken");
 }
 
-/// Each kind of fault, one at a time, put into the good setup.
+/// Each kind of error, one at a time, put into the valid configuration.
 #[test]
-fn each_fault_is_named_by_its_path() {
+fn each_validation_error_names_its_path() {
     let mut shown = String::new();
     for (from, to) in [
         (r#""urgency": 1"#, r#""urgency": 1, "colour": 2"#),
@@ -78,12 +78,12 @@
     ] {
         assert!(GOOD.contains(from), "{from}");
         shown +=
-            &format!("{to}\n    {}\n", faults(&GOOD.replace(from, to)).replace('\n', "\n    "));
+            &format!("{to}\n    {}\n", errors(&GOOD.replace(from, to)).replace('\n', "\n    "));
     }
     for text in ["", "[]", "{}", "{\"classes\": {}}", "{\"a\":1}}"] {
-        shown += &format!("{text}\n    {}\n", faults(text).replace('\n', "\n    "));
+        shown += &format!("{text}\n    {}\n", errors(text).replace('\n', "\n    "));
     }
-    shown += &faults(&" ".repeat(super::MAX_BYTES + 1));
+    shown += &errors(&" ".repeat(super::MAX_BYTES + 1));
     assert!(super::parse("[".repeat(100_000).as_bytes()).is_err());
     expect_test::expect![[r#"
         "urgency": 1, "colour": 2
@@ -157,7 +157,7 @@
     .assert_eq(&shown);
 }
 
-fn split(weights: &[f64]) -> super::Rule {
+fn weighted_rule(weights: &[f64]) -> super::Rule {
     let text = r#"{"classes": [{"name": "c", "urgency": 1, "kind": "once"}],
         "services": [{"name": "s", "selector": "all", "livenessPath": "/"}],
         "rules": [{"name": "r", "class": "c", "service": "s"}]}"#;
@@ -174,7 +174,7 @@
 fn services_are_drawn_by_weight() {
     let mut shown = String::new();
     for weights in [&[90.0, 10.0][..], &[0.5, 0.25, 0.25], &[0.0, 3.0, 0.0, 1.0], &[1e-9, 1e9]] {
-        let rule = split(weights);
+        let rule = weighted_rule(weights);
         let mut counts = vec![0; weights.len()];
         let mut random = 1_u64;
         for _ in 0..10_000 {
@@ -195,15 +195,18 @@
 /// At the ends of the draw too.
 #[test]
 fn no_draw_falls_outside() {
-    assert_eq!(split(&[]).pick_service(5), 7, "without a split the rule's own service");
+    assert_eq!(weighted_rule(&[]).pick_service(5), 7, "without a split the rule's own service");
     for weights in [&[0.0, 2.0, 0.0][..], &[0.0, 1e-300, 0.0], &[0.0, 0.1, 0.0]] {
         for random in [0, 1, u64::MAX / 2, u64::MAX] {
-            assert_eq!(split(weights).pick_service(random), 1, "{weights:?} at {random}");
+            assert_eq!(weighted_rule(weights).pick_service(random), 1, "{weights:?} at {random}");
         }
     }
-    assert_eq!(split(&[0.0, 0.0]).pick_service(9), 7, "nobody has any weight");
+    assert_eq!(weighted_rule(&[0.0, 0.0]).pick_service(9), 7, "nobody has any weight");
     assert_eq!(
-        [split(&[1.0, 1.0]).pick_service(0), split(&[1.0, 1.0]).pick_service(u64::MAX)],
+        [
+            weighted_rule(&[1.0, 1.0]).pick_service(0),
+            weighted_rule(&[1.0, 1.0]).pick_service(u64::MAX)
+        ],
         [0, 1]
     );
 }
--- /dev/null
+++ b/config/src/selector/error.rs
@@ -0,0 +1,69 @@
+//! What can be wrong with a selector's text.
+
+use super::parser::MAX_TEXT_BYTES;
+use std::fmt;
+
+/// What the grammar has where another token stands.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Expected {
+    /// This very token.
+    Token(&'static str),
+    /// The key of a label.
+    LabelKey,
+    /// The value of a label.
+    LabelValue,
+}
+
+impl fmt::Display for Expected {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Expected::Token(token) => write!(out, "'{token}'"),
+            Expected::LabelKey => out.write_str("a label's key"),
+            Expected::LabelValue => out.write_str("a value"),
+        }
+    }
+}
+
+/// Why a text is no selector.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum SelectorError {
+    /// The text has too many bytes.
+    TooLong,
+    /// Parentheses or negations are nested too deeply.
+    NestedTooDeeply,
+    /// A character that no token has.
+    UnexpectedCharacter(char),
+    /// A `!` without the `=` that makes it an operator.
+    IncompleteOperator,
+    /// A token after the selector's end.
+    UnexpectedToken(String),
+    /// Something else was expected in place of a token, or of the text's end (`None`).
+    Expected {
+        /// What the grammar has here.
+        expected: Expected,
+        /// The token that stands here.
+        found: Option<String>,
+    },
+}
+
+impl fmt::Display for SelectorError {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            SelectorError::TooLong => write!(out, "a selector has at most {MAX_TEXT_BYTES} bytes"),
+            SelectorError::NestedTooDeeply => out.write_str("nested too deeply"),
+            SelectorError::UnexpectedCharacter(character) => {
+                write!(out, "unexpected character '{}'", character.escape_default())
+            }
+            SelectorError::IncompleteOperator => out.write_str("'!' must be followed by '='"),
+            SelectorError::UnexpectedToken(token) => write!(out, "unexpected '{token}'"),
+            SelectorError::Expected { expected, found: Some(token) } => {
+                write!(out, "expected {expected} where '{token}' stands")
+            }
+            SelectorError::Expected { expected, found: None } => {
+                write!(out, "expected {expected} at the end")
+            }
+        }
+    }
+}
+
+impl std::error::Error for SelectorError {}
--- a/config/src/selector/tests.rs
+++ b/config/src/selector/tests.rs
@@ -1,10 +1,10 @@
 #[test]
-fn selectors_read_as_written() {
+fn selectors_are_parsed_and_evaluated_as_written() {
     let labels: std::collections::BTreeMap<String, String> =
         [("app", "orders"), ("zone", "a1"), ("region", "a")]
             .map(|(key, value)| (key.to_string(), value.to_string()))
             .into();
-    let view = super::ClientLocation { zone: "a1", region: "b" };
+    let location = super::ClientLocation { zone: "a1", region: "b" };
     let mut shown = String::new();
     for text in [
         "app = orders",
@@ -21,8 +21,8 @@
         "app = 'x'",
     ] {
         let outcome = match super::Selector::parse(text) {
-            Ok(selector) => selector.matches(&labels, view).to_string(),
-            Err(message) => message,
+            Ok(selector) => selector.matches(&labels, location).to_string(),
+            Err(error) => error.to_string(),
         };
         shown += &format!("{text:40} {outcome}\n");
     }
--- a/config/src/settings/tests.rs
+++ b/config/src/settings/tests.rs
@@ -3,12 +3,12 @@
     match super::start(role, &arguments) {
         Ok(super::Invocation::Run(_)) => "runs".to_string(),
         Ok(super::Invocation::Print(text)) => text,
-        Err(report) => report.to_string(),
+        Err(error) => error.to_string(),
     }
 }
 
 #[test]
-fn flags_alone_are_enough_and_faults_name_the_key() {
+fn flags_alone_are_enough_and_errors_name_the_key() {
     let good = [
         "--name=p1",
         "--region=a",
--- a/config/src/wire_format.rs
+++ b/config/src/wire_format.rs
@@ -1,79 +1,84 @@
-//! How the documents and headers of the world outside read (design 2.3): the product's own way, or
-//! that of a platform which it runs on. A dialect translates and decides nothing.
+//! How documents and headers of the outside world are written (design 2.3): in the product's own format,
+//! or in that of a platform that it runs on. A format translates and decides nothing.
 
+use crate::endpoint_list::{self, Server};
+use crate::model::{self, Config};
+use crate::{ValidationError, execution_status, load_report};
 use std::collections::BTreeMap;
+use std::time::Duration;
 
-/// The names of headers, in lower case. `None`: the dialect has no such header.
+/// The names of headers, in lower case. `None`: the format has no such header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeaderNames {
-    /// Names a request; a server gives it back, which tells its answer from another's.
+    /// Identifies a request; a server repeats it, which tells its response from another's.
     pub request_id: Option<&'static str>,
     /// The milliseconds that the client still waits.
     pub deadline: &'static str,
-    /// Servers are told what is left of the deadline under the same name.
+    /// Servers get what is left of the deadline under the same name.
     pub forwards_deadline: bool,
-    /// Names the server that a request is meant for; every other one turns it away. Without it a
-    /// connection begins with a liveness check in which the server names itself.
+    /// Names the server that a request is meant for; every other one rejects it. Without it a connection
+    /// begins with a health check in which the server names itself.
     pub target: Option<&'static str>,
-    /// Stands in an answer of a server that did not run the request, and never will.
+    /// Stands in a response of a server that did not run the request, and never will.
     pub not_run: Option<&'static str>,
     /// Stands in every success of a server; one without it is not passed on.
     pub response_seal: Option<&'static str>,
-    /// Tells a server's load.
+    /// A server's load.
     pub load: &'static str,
-    /// In the answer to a liveness check: how many milliseconds the server stays cold.
+    /// In the response to a health check: how many milliseconds the server keeps warming up.
     pub warm_up_left: Option<&'static str>,
-    /// The verdict, told to clients.
+    /// The execution status, for clients.
     pub execution_status: Option<&'static str>,
-    /// An answer without a length may end with its connection, and one that was cut short ends with a
-    /// reset. Otherwise an answer whose end cannot be told is not passed on.
+    /// A response without a length may end with its connection, and one that was cut short ends with a
+    /// reset. Otherwise a response whose end cannot be known is not passed on.
     pub close_ends_response: bool,
 }
 
-/// One page of a platform list.
+/// One page of an endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointListPage {
-    /// Where the platform numbers its lists; else the reader does.
+    /// Where the platform numbers its lists; otherwise the reader does.
     pub revision: Option<u64>,
-    pub servers: Vec<crate::endpoint_list::Server>,
-    /// The path of the next page.
+    /// The page's part of the servers.
+    pub servers: Vec<Server>,
+    /// The path of the next page; `None`: this is the last one.
     pub next: Option<String>,
 }
 
+/// A format of documents and headers.
 pub trait WireFormat: Send + Sync {
+    /// The names of its headers.
     fn headers(&self) -> &HeaderNames;
 
     /// Reads and checks an operator's configuration.
     ///
     /// # Errors
-    /// Every fault with its path; then nothing of the document is taken.
-    fn parse_config(
-        &self,
-        bytes: &[u8],
-    ) -> Result<crate::model::Config, Vec<crate::ValidationError>>;
+    /// All validation errors; then no part of the document may be used.
+    fn parse_config(&self, bytes: &[u8]) -> Result<Config, Vec<ValidationError>>;
 
-    /// Reads one page of the platform list; `path` is that of the list as the settings have it,
-    /// `zones` the region of each zone.
+    /// Reads one page of the endpoint list; `path` is that of the list as the settings have it, `zones`
+    /// the region of each zone.
     ///
     /// # Errors
-    /// Every fault with its path; then nothing of the list is believed.
+    /// All validation errors; then no part of the list may be used.
     fn page(
         &self,
         bytes: &[u8],
         path: &str,
         zones: &BTreeMap<String, String>,
-    ) -> Result<EndpointListPage, Vec<crate::ValidationError>>;
+    ) -> Result<EndpointListPage, Vec<ValidationError>>;
 
-    /// Thousandths of a server's capacity in use, from the load header's text.
+    /// Thousandths of a server's capacity in use, from the load header's text; `None` if that is invalid.
     fn load(&self, text: &str) -> Option<u32>;
 
-    /// A `Retry-After` for so long a pause.
-    fn retry_after(&self, pause: std::time::Duration) -> String;
+    /// The value of a `Retry-After` header (RFC 9110, 10.2.3) for a pause.
+    fn retry_after(&self, pause: Duration) -> String;
 }
 
-/// The product's own dialect.
+/// The product's own format.
 pub struct NativeFormat;
 
+/// The one value of [`NativeFormat`].
 pub static NATIVE_FORMAT: NativeFormat = NativeFormat;
 
 const HEADERS: HeaderNames = HeaderNames {
@@ -83,9 +88,9 @@
     target: None,
     not_run: None,
     response_seal: None,
-    load: crate::load_report::HEADER,
+    load: load_report::HEADER,
     warm_up_left: None,
-    execution_status: Some(crate::execution_status::HEADER),
+    execution_status: Some(execution_status::HEADER),
     close_ends_response: false,
 };
 
@@ -94,11 +99,8 @@
         &HEADERS
     }
 
-    fn parse_config(
-        &self,
-        bytes: &[u8],
-    ) -> Result<crate::model::Config, Vec<crate::ValidationError>> {
-        crate::model::parse(bytes)
+    fn parse_config(&self, bytes: &[u8]) -> Result<Config, Vec<ValidationError>> {
+        model::parse(bytes)
     }
 
     fn page(
@@ -106,22 +108,22 @@
         bytes: &[u8],
         _path: &str,
         _zones: &BTreeMap<String, String>,
-    ) -> Result<EndpointListPage, Vec<crate::ValidationError>> {
-        let list = crate::endpoint_list::parse(bytes)?;
+    ) -> Result<EndpointListPage, Vec<ValidationError>> {
+        let list = endpoint_list::parse(bytes)?;
         Ok(EndpointListPage { revision: Some(list.revision), servers: list.servers, next: None })
     }
 
     fn load(&self, text: &str) -> Option<u32> {
-        crate::load_report::parse(text)
+        load_report::parse(text)
     }
 
     /// Whole seconds, as the published protocol has it.
-    fn retry_after(&self, pause: std::time::Duration) -> String {
+    fn retry_after(&self, pause: Duration) -> String {
         (pause.as_millis().div_ceil(1000).max(1)).to_string()
     }
 }
 
-/// A dialect that a program was started with.
+/// The format that a program was started with.
 #[derive(Clone, Copy)]
 pub struct SelectedFormat(pub &'static dyn WireFormat);
 
@@ -133,7 +135,7 @@
 
 impl std::fmt::Debug for SelectedFormat {
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(out, "Spoken({:?})", self.0.headers())
+        write!(out, "SelectedFormat({:?})", self.0.headers())
     }
 }
 
--- a/config/tests/routes.rs
+++ b/config/tests/rule_index.rs
@@ -1,4 +1,4 @@
-//! The index of the rules finds what the walk over all of them finds.
+//! The index of the rules finds what a linear search of all of them finds.
 
 use vanepath_config::model;
 
@@ -50,7 +50,7 @@
     listed
 }
 
-fn setup_text(rules: &[String]) -> String {
+fn config_text(rules: &[String]) -> String {
     format!(
         r#"{{"classes": [{{"name": "c", "urgency": 1, "kind": "repeatable"}}],
             "services": [{{"name": "s", "selector": "all", "livenessPath": "/"}}],
@@ -59,19 +59,19 @@
     )
 }
 
-/// What routes by the index routes as the walk over all rules does.
+/// Requests get the rule by the index that a linear search gives them.
 #[test]
-fn the_index_finds_what_the_walk_finds() {
+fn the_index_finds_what_a_linear_search_finds() {
     let mut random = Random(11);
     let (mut matched, mut unmatched) = (0, 0);
     for round in 0..300 {
         let mut rules = some_rules(&mut random, 1 + round % 40);
-        // Without those that are covered, which are refused.
-        let setup = loop {
-            match model::parse(setup_text(&rules).as_bytes()) {
-                Ok(setup) => break setup,
-                Err(faults) => {
-                    let covered = faults[0].path.strip_prefix("$.rules[").unwrap();
+        // Without those that are shadowed, which are rejected.
+        let config = loop {
+            match model::parse(config_text(&rules).as_bytes()) {
+                Ok(config) => break config,
+                Err(errors) => {
+                    let covered = errors[0].path.strip_prefix("$.rules[").unwrap();
                     rules.remove(covered.strip_suffix("].match").unwrap().parse().unwrap());
                 }
             }
@@ -85,8 +85,8 @@
                 _ => {}
             }
             let (method, host) = (random.one(&METHODS), random.one(&HOSTS));
-            let walked = setup.rules.iter().position(|rule| rule.matches(method, host, &path));
-            assert_eq!(setup.rule_for(method, host, &path), walked, "{method} {host} {path}");
+            let walked = config.rules.iter().position(|rule| rule.matches(method, host, &path));
+            assert_eq!(config.rule_for(method, host, &path), walked, "{method} {host} {path}");
             matched += usize::from(walked.is_some());
             unmatched += usize::from(walked.is_none());
         }
@@ -94,16 +94,16 @@
     assert!(matched > 10_000 && unmatched > 10_000, "{matched} {unmatched}");
 }
 
-/// Which rules are covered, and by which first, as the walk over all pairs says. What one rule covers is
-/// told by the one public way there is: a setup of those two rules alone is refused.
+/// Which rules are shadowed, and by which first, as a search of all pairs says. Whether one rule shadows
+/// another is known by the one public way there is: a configuration of these two alone is rejected.
 #[test]
-fn the_same_rules_are_covered_and_by_the_same() {
+fn the_index_finds_the_same_shadowed_rules_as_a_search_of_all_pairs() {
     let mut random = Random(5);
     let mut covered = 0;
     for _ in 0..120 {
         let rules = some_rules(&mut random, 12);
         let is_covering = |above: &String, rule: &String| {
-            model::parse(setup_text(&[above.clone(), rule.clone()]).as_bytes()).is_err()
+            model::parse(config_text(&[above.clone(), rule.clone()]).as_bytes()).is_err()
         };
         let mut walked = Vec::new();
         for index in 0..rules.len() {
@@ -114,9 +114,9 @@
                 ));
             }
         }
-        let found: Vec<String> = match model::parse(setup_text(&rules).as_bytes()) {
+        let found: Vec<String> = match model::parse(config_text(&rules).as_bytes()) {
             Ok(_) => Vec::new(),
-            Err(faults) => faults.iter().map(ToString::to_string).collect(),
+            Err(errors) => errors.iter().map(ToString::to_string).collect(),
         };
         assert_eq!(found, walked);
         covered += walked.len();
--- a/config/tests/settings_names.rs
+++ b/config/tests/settings_names.rs
@@ -1,9 +1,9 @@
-//! The keys of the settings files, as the operators' files have them (design 2.2): each is taken by the
+//! The keys of the settings files, as the operators' files have them (design 2.2): each is accepted by the
 //! roles that have it and by no other.
 
 use vanepath_config::settings::{Invocation, Role, start};
 
-/// Each key with a value, and the roles that take it beside what every file needs.
+/// Each key with a value, and the roles that accept it beside what every file needs.
 const KEYS: [(&str, &str, &[Role]); 15] = [
     ("advertise", r#""127.0.0.1:8000""#, &[Role::Proxy, Role::Registry, Role::Store]),
     ("siblingAdvertise", r#""127.0.0.1:8001""#, &[Role::Proxy, Role::Registry, Role::Store]),
@@ -31,12 +31,12 @@
         r#""siblingListen": "127.0.0.1:7001""#.to_string(),
         r#""seeds": ["127.0.0.1:7101"]"#.to_string(),
     ];
-    for (needed, needed_value, needed_role) in [
+    for (required, required_value, required_role) in [
         ("dataFolder", r#""/tmp/data""#, Role::Store),
         ("platform", r#""http://127.0.0.1:9000/servers""#, Role::Registry),
     ] {
-        if role == needed_role && key != needed {
-            fields.push(format!(r#""{needed}": {needed_value}"#));
+        if role == required_role && key != required {
+            fields.push(format!(r#""{required}": {required_value}"#));
         }
     }
     fields.push(format!(r#""{key}": {value}"#));
@@ -50,12 +50,12 @@
     match outcome {
         Ok(Invocation::Print(_)) => Ok(()),
         Ok(Invocation::Run(_)) => panic!("it was to be checked only"),
-        Err(report) => Err(report.to_string()),
+        Err(error) => Err(error.to_string()),
     }
 }
 
 #[test]
-fn each_key_is_taken_by_its_roles_alone() {
+fn each_key_is_accepted_by_its_roles_alone() {
     for (key, value, roles) in KEYS {
         for role in [Role::Proxy, Role::Registry, Role::Store] {
             let outcome = check(role, key, value);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_key_that_there_is_not_is_named() {
+fn an_unknown_key_is_named() {
     for role in [Role::Proxy, Role::Registry, Role::Store] {
         let message = check(role, "nothing", "1").expect_err("no such key");
         assert!(message.contains("$.nothing"), "{message}");
