--- a/proxy/src/admission.rs
+++ b/proxy/src/admission.rs
@@ -1,201 +1,254 @@
-//! Classes of service: room, borrowing and bounded queues by urgency and deadline (design 8.4).
+//! Admission control by class of service: concurrency limits, borrowing between classes, and bounded
+//! queues ordered by priority and deadline (design 8.4). Pure: the caller supplies time and wakes
+//! the requests that it is told to wake.
 
+use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
+use vanepath_config::model::Config;
 
-/// Of a lender's room so much stays free for the lender itself.
-const KEPT_PART: u64 = 8;
+/// One part in so many of a lending class's concurrency limit is never lent.
+const RESERVED_FRACTION_DIVISOR: u64 = 8;
 
-/// A taken place in a class's room; `lender` is the class whose room it is.
+/// A slot in use: one request in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionSlot {
+    /// The index of the class of the request.
     pub class: usize,
+    /// The index of the class whose concurrency limit the request counts against; the same as
+    /// `class` unless the slot is borrowed.
     pub lender: usize,
 }
 
+/// A queued request that has been admitted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Woken {
+    /// The ticket from [`Admission::Queued`].
+    pub ticket: u64,
+    /// The slot that the request holds from now on.
+    pub slot: AdmissionSlot,
+}
+
+/// How much of a class is in use.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ClassUsage {
+    /// The name of the class.
+    pub name: String,
+    /// The concurrency limit of the class on this proxy, in requests.
+    pub max_in_flight: u64,
+    /// Requests that count against the limit, those of borrowing classes included.
+    pub in_flight: u64,
+    /// Requests of the class that wait for a slot.
+    pub queued: u64,
+}
+
+/// How much of another class's limit a class may use.
+#[derive(Clone, Debug)]
+struct BorrowLimit {
+    lender: usize,
+    max_slots: u64,
+}
+
 #[derive(Clone, Debug, Default)]
-struct Room {
+struct ClassSlots {
     name: String,
-    room: u64,
-    queue: u64,
-    urgency: u64,
-    borrows: Vec<(usize, u64)>,
-    used: u64,
-    waiting: u64,
-    /// How many of its requests sit in each other class's room.
-    loans: std::collections::BTreeMap<usize, u64>,
+    max_in_flight: u64,
+    max_queued: u64,
+    priority: u64,
+    borrow_limits: Vec<BorrowLimit>,
+    in_flight: u64,
+    queued: u64,
+    /// Slots that requests of this class hold, by lending class.
+    borrowed: BTreeMap<usize, u64>,
 }
 
-impl Room {
-    /// Takes nothing more in, until a setup says otherwise.
+impl ClassSlots {
+    /// Admits nothing more until a config sets limits again.
     fn close(&mut self) {
-        self.room = 0;
-        self.queue = 0;
-        self.urgency = u64::MAX;
-        self.borrows.clear();
+        self.max_in_flight = 0;
+        self.max_queued = 0;
+        self.priority = u64::MAX;
+        self.borrow_limits.clear();
     }
 
-    /// No slot that is out names this room, and nobody waits for it.
-    fn is_empty(&self) -> bool {
-        self.used == 0 && self.waiting == 0 && self.loans.values().all(|loans| *loans == 0)
+    /// Whether no slot in use refers to this class and no request is queued for it.
+    fn is_idle(&self) -> bool {
+        self.in_flight == 0 && self.queued == 0 && self.borrowed.values().all(|slots| *slots == 0)
     }
 }
 
+/// The sort key of the queue: the most urgent priority first, then the earliest deadline, then the
+/// order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
-    urgency: u64,
+struct QueuePosition {
+    priority: u64,
     deadline: Duration,
-    number: u64,
+    ticket: u64,
 }
 
-/// Waiting requests by number; the shell wakes whom `release` names.
+/// Admits requests up to the limit of their class and queues the others.
 #[derive(Default)]
 pub struct AdmissionControl {
-    /// A slot names rooms by their places here, which never move.
-    rooms: Vec<Room>,
-    /// The rooms of the setup's classes, in its order.
-    in_order: Vec<usize>,
-    queue: std::collections::BTreeMap<Place, usize>,
-    next_number: u64,
+    /// Slots in use refer to classes by their index here, which never changes.
+    classes: Vec<ClassSlots>,
+    /// The indices of the active config's classes, in its order.
+    config_order: Vec<usize>,
+    queue: BTreeMap<QueuePosition, usize>,
+    last_ticket: u64,
 }
 
+/// The answer to a request that asks for a slot.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Admission {
-    Taken(AdmissionSlot),
-    /// Waits under this number until it is woken, leaves, or its deadline passes.
-    Waits(u64),
-    /// The queue is full.
-    Dropped,
+    /// The request holds this slot until it is released.
+    Admitted(AdmissionSlot),
+    /// The request waits under this ticket until it is woken, leaves, or its deadline passes.
+    Queued(u64),
+    /// The queue of the class is full.
+    QueueFull,
 }
 
 impl AdmissionControl {
-    /// Goes over to a new setup. A class keeps its place among the rooms for as long as anything of
-    /// it is in hand or waiting, whatever the order of the setup's classes: slots that are out name
-    /// places. A class that is gone keeps its room until it is empty.
-    pub fn adopt(&mut self, setup: &vanepath_config::model::Config) {
-        for room in &mut self.rooms {
-            room.close();
+    /// Switches to a new config. A class keeps its index for as long as any of its requests is in
+    /// flight or queued, whatever the order of the config's classes, because slots in use refer to
+    /// indices. A class that is gone keeps its index until it is idle.
+    pub fn adopt(&mut self, config: &Config) {
+        for class in &mut self.classes {
+            class.close();
         }
-        // Every class that goes on has its place before a new one takes an empty one.
+        // Classes that continue keep their index before a new one reuses that of an idle class.
         let known: Vec<Option<usize>> =
-            setup.classes.iter().map(|class| self.index(&class.name)).collect();
-        let mut kept: std::collections::HashSet<usize> = known.iter().flatten().copied().collect();
-        self.in_order.clear();
-        for (class, known) in setup.classes.iter().zip(known) {
-            let place = known.unwrap_or_else(|| self.place_for_new(&kept));
-            kept.insert(place);
-            self.rooms[place].name = class.name.clone();
-            self.in_order.push(place);
+            config.classes.iter().map(|class| self.index(&class.name)).collect();
+        let mut reserved: HashSet<usize> = known.iter().flatten().copied().collect();
+        self.config_order.clear();
+        for (class, known) in config.classes.iter().zip(known) {
+            let index = known.unwrap_or_else(|| self.allocate_index(&reserved));
+            reserved.insert(index);
+            self.classes[index].name = class.name.clone();
+            self.config_order.push(index);
         }
-        for (class, place) in setup.classes.iter().zip(&self.in_order) {
-            let borrows = class.borrows.iter().map(|one| (self.in_order[one.class], one.max_slots));
-            let room = &mut self.rooms[*place];
-            room.room = class.max_in_flight;
-            room.queue = class.max_queued;
-            room.urgency = class.priority;
-            room.borrows = borrows.collect();
+        for (class, index) in config.classes.iter().zip(&self.config_order) {
+            let borrow_limits = class.borrows.iter().map(|borrow| BorrowLimit {
+                lender: self.config_order[borrow.class],
+                max_slots: borrow.max_slots,
+            });
+            let slots = &mut self.classes[*index];
+            slots.max_in_flight = class.max_in_flight;
+            slots.max_queued = class.max_queued;
+            slots.priority = class.priority;
+            slots.borrow_limits = borrow_limits.collect();
         }
     }
 
-    /// A place of which no slot is out and for which nobody waits; a further one if there is none.
-    fn place_for_new(&mut self, kept: &std::collections::HashSet<usize>) -> usize {
-        let is_free = |place: &usize| !kept.contains(place) && self.rooms[*place].is_empty();
-        if let Some(place) = (0..self.rooms.len()).find(is_free) {
-            return place;
+    /// The index of an idle class that is not reserved, or a new one if there is none.
+    fn allocate_index(&mut self, reserved: &HashSet<usize>) -> usize {
+        let is_free = |index: &usize| !reserved.contains(index) && self.classes[*index].is_idle();
+        if let Some(index) = (0..self.classes.len()).find(is_free) {
+            return index;
         }
-        self.rooms.push(Room::default());
-        self.rooms.len() - 1
+        self.classes.push(ClassSlots::default());
+        self.classes.len() - 1
     }
 
-    /// The place of a class by name.
+    /// The index of a class by name.
     pub fn index(&self, name: &str) -> Option<usize> {
-        self.rooms.iter().position(|room| room.name == name)
+        self.classes.iter().position(|class| class.name == name)
     }
 
-    fn free(&self, class: usize) -> Option<AdmissionSlot> {
-        let room = &self.rooms[class];
-        if room.used < room.room {
+    /// A free slot for a request of this class: one of its own, or else a borrowed one.
+    fn free_slot(&self, class: usize) -> Option<AdmissionSlot> {
+        let own = &self.classes[class];
+        if own.in_flight < own.max_in_flight {
             return Some(AdmissionSlot { class, lender: class });
         }
-        room.borrows.iter().find_map(|(lender, most)| {
-            let other = &self.rooms[*lender];
-            let lent = room.loans.get(lender).copied().unwrap_or_default();
-            let spare = other.room - other.room / KEPT_PART;
-            (lent < *most && other.used < spare).then_some(AdmissionSlot { class, lender: *lender })
+        own.borrow_limits.iter().find_map(|limit| {
+            let lender = &self.classes[limit.lender];
+            let borrowed = own.borrowed.get(&limit.lender).copied().unwrap_or_default();
+            let lendable = lender.max_in_flight - lender.max_in_flight / RESERVED_FRACTION_DIVISOR;
+            (borrowed < limit.max_slots && lender.in_flight < lendable)
+                .then_some(AdmissionSlot { class, lender: limit.lender })
         })
     }
 
-    fn take(&mut self, slot: AdmissionSlot) {
-        self.rooms[slot.lender].used += 1;
+    fn occupy(&mut self, slot: AdmissionSlot) {
+        self.classes[slot.lender].in_flight += 1;
         if slot.lender != slot.class {
-            *self.rooms[slot.class].loans.entry(slot.lender).or_default() += 1;
+            *self.classes[slot.class].borrowed.entry(slot.lender).or_default() += 1;
         }
     }
 
+    /// Admits a request of this class (an index) or queues it. `deadline` is a time on the clock of
+    /// the node.
     pub fn enter(&mut self, class: usize, deadline: Duration) -> Admission {
-        if let Some(slot) = self.free(class) {
-            self.take(slot);
-            return Admission::Taken(slot);
+        if let Some(slot) = self.free_slot(class) {
+            self.occupy(slot);
+            return Admission::Admitted(slot);
         }
-        let room = &mut self.rooms[class];
-        if room.waiting >= room.queue {
-            return Admission::Dropped;
+        let slots = &mut self.classes[class];
+        if slots.queued >= slots.max_queued {
+            return Admission::QueueFull;
         }
-        room.waiting += 1;
-        self.next_number += 1;
-        let place = Place { urgency: room.urgency, deadline, number: self.next_number };
-        self.queue.insert(place, class);
-        Admission::Waits(self.next_number)
+        slots.queued += 1;
+        self.last_ticket += 1;
+        let position =
+            QueuePosition { priority: slots.priority, deadline, ticket: self.last_ticket };
+        self.queue.insert(position, class);
+        Admission::Queued(self.last_ticket)
     }
 
-    /// A waiting request whose caller left or whose deadline passed.
-    pub fn leave(&mut self, number: u64) {
-        let found = self.queue.iter().find(|(place, _)| place.number == number);
-        if let Some((place, class)) = found.map(|(place, class)| (*place, *class)) {
-            self.queue.remove(&place);
-            self.rooms[class].waiting -= 1;
+    /// Removes a queued request whose client disconnected or whose deadline passed.
+    pub fn leave(&mut self, ticket: u64) {
+        let found = self.queue.iter().find(|(position, _)| position.ticket == ticket);
+        if let Some((position, class)) = found.map(|(position, class)| (*position, *class)) {
+            self.queue.remove(&position);
+            self.classes[class].queued -= 1;
         }
     }
 
-    /// Gives a slot back. The most urgent request that can go now gets one: its number.
-    pub fn release(&mut self, slot: AdmissionSlot) -> Vec<(u64, AdmissionSlot)> {
-        self.rooms[slot.lender].used -= 1;
+    /// Frees a slot and admits whichever queued requests now fit.
+    pub fn release(&mut self, slot: AdmissionSlot) -> Vec<Woken> {
+        self.classes[slot.lender].in_flight -= 1;
         if slot.lender != slot.class
-            && let Some(loans) = self.rooms[slot.class].loans.get_mut(&slot.lender)
+            && let Some(borrowed) = self.classes[slot.class].borrowed.get_mut(&slot.lender)
         {
-            *loans -= 1;
+            *borrowed -= 1;
         }
         self.wake()
     }
 
-    /// Whoever of the waiting can go now.
-    pub fn wake(&mut self) -> Vec<(u64, AdmissionSlot)> {
+    /// Admits the queued requests that fit, in the order of the queue.
+    pub fn wake(&mut self) -> Vec<Woken> {
         let mut woken = Vec::new();
-        let waiting: Vec<(Place, usize)> =
-            self.queue.iter().map(|(place, class)| (*place, *class)).collect();
-        let mut full = vec![false; self.rooms.len()];
-        for (place, class) in waiting {
-            if full[class] {
+        let queued: Vec<(QueuePosition, usize)> =
+            self.queue.iter().map(|(position, class)| (*position, *class)).collect();
+        let mut is_full = vec![false; self.classes.len()];
+        for (position, class) in queued {
+            if is_full[class] {
                 continue;
             }
-            match self.free(class) {
+            match self.free_slot(class) {
                 Some(slot) => {
-                    self.take(slot);
-                    self.queue.remove(&place);
-                    self.rooms[class].waiting -= 1;
-                    woken.push((place.number, slot));
+                    self.occupy(slot);
+                    self.queue.remove(&position);
+                    self.classes[class].queued -= 1;
+                    woken.push(Woken { ticket: position.ticket, slot });
                 }
-                None => full[class] = true,
+                None => is_full[class] = true,
             }
         }
         woken
     }
 
-    /// Name, room, requests in hand and waiting of each class, in the order of the setup.
-    pub fn counts(&self) -> Vec<(String, u64, u64, u64)> {
-        self.in_order
+    /// The usage of each class, in the order of the config.
+    pub fn usage(&self) -> Vec<ClassUsage> {
+        self.config_order
             .iter()
-            .map(|place| &self.rooms[*place])
-            .map(|room| (room.name.clone(), room.room, room.used, room.waiting))
+            .map(|index| &self.classes[*index])
+            .map(|class| ClassUsage {
+                name: class.name.clone(),
+                max_in_flight: class.max_in_flight,
+                in_flight: class.in_flight,
+                queued: class.queued,
+            })
             .collect()
     }
 }
--- a/proxy/src/bandwidth_limiter.rs
+++ b/proxy/src/bandwidth_limiter.rs
@@ -1,36 +1,57 @@
-//! The gate for large answers (design 8.10): where a machine's link is narrow, what is written of them
-//! is held to a part of it, so that small answers never wait behind a whole one. Pure.
+//! The rate limiter for large responses (design 8.10): where a machine's link is narrow, large
+//! responses use only a part of it, so that small ones never wait behind a whole large one. Pure.
 
+use std::fmt;
 use std::time::Duration;
 
-/// Of the link's rate.
-const PART: f64 = 0.8;
-/// So much may be on its way at one time; small answers wait no longer than that takes.
-const AHEAD: Duration = Duration::from_millis(10);
-/// A large answer is written in pieces of so many bytes at the most.
-pub const PIECE: usize = 8 << 10;
+/// The share of the link's rate that large responses may use.
+const LINK_SHARE: f64 = 0.8;
+/// How much may be on its way at one time, as the time it takes to send: small responses wait no
+/// longer than that.
+const MAX_BACKLOG: Duration = Duration::from_millis(10);
+/// The largest piece, in bytes, in which a large response is written.
+pub const MAX_CHUNK_BYTES: usize = 8 << 10;
 
-/// Shared by all large answers of one proxy.
+/// The limiter has no capacity for the piece yet.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Throttled {
+    /// When to try again, on the clock of the node.
+    pub retry_at: Duration,
+}
+
+impl fmt::Display for Throttled {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(out, "throttled until {:?}", self.retry_at)
+    }
+}
+
+impl std::error::Error for Throttled {}
+
+/// Shared by all large responses of one proxy.
 #[derive(Debug)]
 pub struct BandwidthLimiter {
     bytes_per_s: f64,
     /// When all that was let through will be written.
-    free_at: Duration,
+    drained_at: Duration,
 }
 
 impl BandwidthLimiter {
-    /// `link_mbps`: millions of bits a second, as the settings have it.
-    pub fn new(link_mbps: f64) -> BandwidthLimiter {
-        BandwidthLimiter { bytes_per_s: link_mbps * 1e6 / 8.0 * PART, free_at: Duration::ZERO }
+    /// A limiter for a link of `link_megabits` million bits per second.
+    pub fn new(link_megabits: f64) -> BandwidthLimiter {
+        let bytes_per_s = link_megabits * 1e6 / 8.0 * LINK_SHARE;
+        BandwidthLimiter { bytes_per_s, drained_at: Duration::ZERO }
     }
 
-    /// Lets a piece of so many bytes through, or says when to come back.
-    pub fn pass(&mut self, now: Duration, bytes: usize) -> Result<(), Duration> {
-        if self.free_at > now + AHEAD {
-            return Err(self.free_at - AHEAD);
+    /// Lets a piece of so many bytes through.
+    ///
+    /// # Errors
+    /// [`Throttled`] while the backlog is at its bound; nothing is counted then.
+    pub fn try_pass(&mut self, now: Duration, bytes: usize) -> Result<(), Throttled> {
+        if self.drained_at > now + MAX_BACKLOG {
+            return Err(Throttled { retry_at: self.drained_at - MAX_BACKLOG });
         }
-        let takes = Duration::from_secs_f64(bytes as f64 / self.bytes_per_s);
-        self.free_at = self.free_at.max(now) + takes;
+        let duration = Duration::from_secs_f64(bytes as f64 / self.bytes_per_s);
+        self.drained_at = self.drained_at.max(now) + duration;
         Ok(())
     }
 }
--- a/proxy/src/client_deadlines.rs
+++ b/proxy/src/client_deadlines.rs
@@ -1,29 +1,31 @@
-//! Which requests have been tried before (design 8.7): callers say how long they still wait, and who comes
-//! back waits no longer than what its earlier tries left of that. Pure.
+//! Which requests are likely retries of the client (design 8.7): clients state how long they still
+//! wait, and one that retries states no more than its earlier attempts left of that. Pure.
 
+use std::collections::HashMap;
 use std::time::Duration;
 
-/// What a rule's callers said counts for one to two times as long.
-const HOLDS: Duration = Duration::from_secs(15);
-/// Rules remembered at the most; more begin anew.
-const RULES_MOST: usize = 8192;
+/// The longest deadline of a rule is remembered for one to two times as long.
+const WINDOW: Duration = Duration::from_secs(15);
+/// The number of rules remembered; beyond it all are forgotten.
+const MAX_RULES: usize = 8192;
 
+/// The longest deadline that clients of one rule stated, in this window and the one before.
 #[derive(Clone, Copy, Debug)]
-struct Said {
-    most: Duration,
-    before: Duration,
-    since: Duration,
+struct LongestDeadline {
+    current: Duration,
+    previous: Duration,
+    window_started_at: Duration,
 }
 
-/// The longest that callers of each rule, by its name, said lately that they wait.
+/// The longest deadlines that clients of each rule, by its name, stated lately.
 #[derive(Debug, Default)]
 pub struct ClientDeadlines {
-    by_rule: std::collections::HashMap<String, Said>,
+    by_rule: HashMap<String, LongestDeadline>,
 }
 
 impl ClientDeadlines {
-    /// A request of this rule came, whose caller waits for `left` more: whether it is late already, that
-    /// is, has used up its aim with earlier tries as far as is known.
+    /// Records a request of this rule whose client waits for `left` more. Returns whether, as far as
+    /// is known, earlier attempts of the client have used up the latency target `aim` already.
     pub fn is_past_aim(
         &mut self,
         now: Duration,
@@ -32,19 +34,20 @@
         aim: Option<Duration>,
     ) -> bool {
         if !self.by_rule.contains_key(rule) {
-            if self.by_rule.len() >= RULES_MOST {
+            if self.by_rule.len() >= MAX_RULES {
                 self.by_rule.clear();
             }
-            let said = Said { most: left, before: left, since: now };
-            self.by_rule.insert(rule.to_string(), said);
+            let longest = LongestDeadline { current: left, previous: left, window_started_at: now };
+            self.by_rule.insert(rule.to_string(), longest);
         }
-        let Some(said) = self.by_rule.get_mut(rule) else { return false };
-        if now.saturating_sub(said.since) >= HOLDS {
-            *said = Said { most: left, before: said.most, since: now };
+        let Some(longest) = self.by_rule.get_mut(rule) else { return false };
+        if now.saturating_sub(longest.window_started_at) >= WINDOW {
+            let previous = longest.current;
+            *longest = LongestDeadline { current: left, previous, window_started_at: now };
         }
-        said.most = said.most.max(left);
-        let whole = said.most.max(said.before);
-        aim.is_some_and(|aim| whole - left >= aim)
+        longest.current = longest.current.max(left);
+        let full_deadline = longest.current.max(longest.previous);
+        aim.is_some_and(|aim| full_deadline - left >= aim)
     }
 }
 
--- a/proxy/src/forward.rs
+++ b/proxy/src/forward.rs
@@ -1,7 +1,7 @@
 //! Carries one request along the chart (design 8.1). The shell round `chart`, `classes`,
 //! `servers` and `budget`.
 
-use crate::admission::{Admission as Entered, AdmissionControl, AdmissionSlot};
+use crate::admission::{Admission as Entered, AdmissionControl, AdmissionSlot, Woken};
 use crate::endpoints::{Endpoints, IdleConnection, Selection, SelectionContext};
 use crate::health::Failure;
 use crate::lifecycle::{AfterFailure, AttemptError, Rejection, RequestLifecycle, RequestState};
@@ -139,8 +139,8 @@
     }
 
     /// Hands slots to those that `classes` woke. One whose caller left meanwhile gives it back.
-    pub fn wake(&self, mut woken: Vec<(u64, AdmissionSlot)>) {
-        while let Some((number, slot)) = woken.pop() {
+    pub fn wake(&self, mut woken: Vec<Woken>) {
+        while let Some(Woken { ticket: number, slot }) = woken.pop() {
             let waiting = self.waiting.lock().expect("no panic under this lock").remove(&number);
             let is_lost = waiting.is_none_or(|waiting| waiting.send((slot, ())).is_err());
             if is_lost {
@@ -295,8 +295,8 @@
         Rejection::TooLarge => Counter::RefusedTooLarge,
         Rejection::Misplaced => Counter::RefusedMisplaced,
         Rejection::NotReady => Counter::RefusedNotReady,
-        Rejection::BelowFloor => Counter::RefusedBelowFloor,
-        Rejection::NoRoom => Counter::RefusedNoRoom,
+        Rejection::BelowReadIndex => Counter::RefusedBelowFloor,
+        Rejection::QueueFull => Counter::RefusedNoRoom,
         Rejection::NoServer => Counter::RefusedNoServer,
         Rejection::Crowded => Counter::RefusedCrowded,
         Rejection::NoBudget => Counter::RefusedNoBudget,
@@ -396,7 +396,7 @@
     let held = enter(proxy, &class.name, deadline).await?;
     let drawn = table.config.rules[rule].pick_service(proxy.random());
     let drawn = table.config.services[drawn].name.clone();
-    proxy.budget.lock().expect("no panic under this lock").took(proxy.now(), &drawn);
+    proxy.budget.lock().expect("no panic under this lock").record_request(proxy.now(), &drawn);
 
     let until_late = || tokio::time::Instant::now() + deadline.saturating_sub(proxy.now());
     let read_body = read_body(incoming, class.max_body_bytes);
@@ -409,7 +409,7 @@
     let mut tried: Vec<usize> = Vec::new();
     let mut held = Some(held);
     loop {
-        chart.state = RequestState::Choosing;
+        chart.state = RequestState::Selecting;
         if chart.attempts > 0 {
             // It may have stood still since the first go.
             let ready = await_ready(proxy, proxy.now());
@@ -469,7 +469,7 @@
                     chart.may_have_run = true;
                     continue;
                 }
-                chart.state = RequestState::Answering;
+                chart.state = RequestState::Responding;
                 proxy.tally.increment(Counter::Done);
                 let gated = class.bulk && proxy.gate.is_some();
                 return Ok(pass(proxy, reply, in_hand, held.take(), gated));
@@ -576,7 +576,7 @@
     };
     while !is_fit() {
         if proxy.daemon.table.load().is_stalled {
-            return Err(Rejection::BelowFloor);
+            return Err(Rejection::BelowReadIndex);
         }
         if proxy.now().saturating_sub(received_at) >= vanepath_cluster::gossip::READINESS_TIMEOUT {
             return Err(Rejection::NotReady);
@@ -605,14 +605,14 @@
             return Err(Rejection::NotReady);
         };
         match classes.enter(index, deadline) {
-            Entered::Taken(slot) => {
+            Entered::Admitted(slot) => {
                 if slot.class != slot.lender {
                     proxy.tally.increment(Counter::Borrowed);
                 }
                 return Ok(Held { proxy: proxy.clone(), slot });
             }
-            Entered::Dropped => return Err(Rejection::NoRoom),
-            Entered::Waits(number) => {
+            Entered::QueueFull => return Err(Rejection::QueueFull),
+            Entered::Queued(number) => {
                 // Under the same lock: nobody is woken before they can be reached.
                 let mut waiting = proxy.waiting.lock().expect("no panic under this lock");
                 waiting.insert(number, sender);
@@ -855,7 +855,7 @@
         chart.state = RequestState::Connecting;
         let connected = tokio::time::timeout_at(until, self.connection(chart.idempotency)).await;
         let (mut sender, greeted_at) = connected.unwrap_or(Err(AttemptError::NotConnected))?;
-        chart.state = RequestState::Greeted;
+        chart.state = RequestState::Verified;
         if self.is_withdrawn() {
             self.proxy.tally.increment(Counter::GoesWithdrawn);
             return Err(AttemptError::Withdrawn);
@@ -1143,10 +1143,10 @@
     let Some(gate) = gate else { return };
     loop {
         let now = proxy.now();
-        let passed = gate.lock().expect("no panic under this lock").pass(now, bytes);
+        let passed = gate.lock().expect("no panic under this lock").try_pass(now, bytes);
         match passed {
             Ok(()) => return,
-            Err(until) => tokio::time::sleep(until.saturating_sub(now)).await,
+            Err(throttled) => tokio::time::sleep(throttled.retry_at.saturating_sub(now)).await,
         }
     }
 }
@@ -1237,7 +1237,7 @@
         false => tail.boxed_unsync(),
         true => {
             let proxy = proxy.clone();
-            let pass = move |bytes| -> crate::throttled_body::Passing {
+            let pass = move |bytes| -> crate::throttled_body::BandwidthPermit {
                 let proxy = proxy.clone();
                 Box::pin(async move { pass_gate(&proxy, &proxy.gate, bytes).await })
             };
--- a/proxy/src/lifecycle.rs
+++ b/proxy/src/lifecycle.rs
@@ -1,71 +1,99 @@
-//! The way of a request through the proxy: a chart of named states, and what follows from each
-//! outcome of a go (design 8.1, 8.2). Pure; the shell in `carry` moves along it.
+//! The lifecycle of a request in the proxy: its states, and what follows from each outcome of an
+//! attempt (design 8.1, 8.2). Pure; [`crate::forward`] moves along it.
 
+use hyper::StatusCode;
+use std::time::Duration;
 use vanepath_config::ExecutionStatus;
-use vanepath_config::model::Idempotency;
+use vanepath_config::model::{DEFAULT_MAX_ATTEMPTS, Idempotency};
 
+/// Where a request is on its way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum RequestState {
+    /// Its head was read.
     Received,
+    /// A rule was found for it.
     Matched,
+    /// It waits for a slot of its class, or its body is being read.
     Queued,
-    Choosing,
+    /// A server is being selected.
+    Selecting,
+    /// A connection to the selected server is being made or taken from the idle ones.
     Connecting,
-    Greeted,
+    /// The connection leads to the server that was meant.
+    Verified,
+    /// Some of it may have been written to the connection.
     Sent,
-    Answering,
+    /// The response is being relayed to the client.
+    Responding,
+    /// The response was relayed.
     Done,
-    Refused(Rejection),
 }
 
-/// Why a request ends here.
+/// Why a request ends without a response of a server. The names are part of the protocol: clients
+/// read them in the field "error" of the answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Rejection {
+    /// The request is invalid, or could be read in two ways.
     #[default]
     Malformed,
+    /// No rule matches it.
     Unmatched,
+    /// Its head is over the limit.
     HeadTooLarge,
+    /// Its body is over the limit of its class.
     TooLarge,
+    /// Its rule does not allow forwarding from this proxy's region.
     Misplaced,
+    /// This proxy does not know the committed config yet.
     NotReady,
-    /// Just started, it cannot learn what its earlier life went by, and others take work (design 5.8).
-    BelowFloor,
-    NoRoom,
+    /// This proxy just started and cannot learn the read index of its earlier incarnation, while
+    /// others accept work (design 5.8).
+    #[strum(serialize = "below-floor")]
+    BelowReadIndex,
+    /// The queue of its class is full.
+    #[strum(serialize = "no-room")]
+    QueueFull,
+    /// No server is left that could be tried.
     NoServer,
-    /// Every server has a queue in which it would be late.
+    /// Every server has a queue in which the request would miss its deadline.
     Crowded,
+    /// The retry budget is used up.
     NoBudget,
+    /// Its deadline passed.
     Late,
+    /// A server received it, and the response was lost.
     Lost,
 }
 
-/// How one go ended without a receipt that can be passed on.
+/// How an attempt ended without a response that can be relayed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumIter)]
 #[strum(serialize_all = "kebab-case")]
 pub enum AttemptError {
     /// No connection, or not to the server that was meant.
     NotConnected,
-    /// The server is not to be used any more: it was marked as leaving, or its zone was emptied, while the
-    /// connection to it came up.
+    /// The server may not be used any more: it began to drain, or its zone was drained, while the
+    /// connection to it was made.
     Withdrawn,
     /// The connection ended before any byte of the request was written.
     NotSent,
-    /// The server says that it did not run it and never will, or that it is another server.
+    /// The server states that it did not run the request and never will, or that it is another server.
     TurnedAway,
-    /// Lost after at least one byte may have been written.
+    /// The connection was lost after at least one byte may have been written.
     LostAfterSend,
-    /// What came is no answer to this request.
+    /// The response does not belong to this request.
     Misanswered,
-    /// The server was silent for too long after the request was sent.
+    /// No response came in time after the request was sent.
     Silent,
-    /// The receipt was cut short or could not be proved whole, before any of it was passed on.
+    /// The response was cut short or its end could not be proved, before any of it was relayed.
     Truncated,
 }
 
+impl std::error::Error for AttemptError {}
+
 impl AttemptError {
-    /// Whether the server has surely not run it, and never will.
+    /// Whether the server has surely not run the request, and never will.
     pub fn is_not_sent(self) -> bool {
         matches!(
             self,
@@ -77,34 +105,43 @@
     }
 }
 
+/// What follows from a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterFailure {
+    /// Another attempt is made.
     Retry,
+    /// The request ends.
     Reject(Rejection),
 }
 
+/// What is known of one request.
 #[derive(Debug)]
 pub struct RequestLifecycle {
+    /// Where it is.
     pub state: RequestState,
+    /// Whether it may run more than once, by its class.
     pub idempotency: Idempotency,
-    /// Whether the request can be told a second time word for word.
+    /// Whether all of it is kept, so that it can be sent a second time.
     pub is_replayable: bool,
+    /// Attempts so far, those that reached no server included.
     pub attempts: u32,
-    /// Goes in which the request was sent to a server, and how many there may be.
+    /// Attempts in which the request was sent to a server.
     pub sends: u32,
+    /// How many such attempts the rule allows.
     pub max_sends: u32,
-    /// When it was last sent to one, where it was.
-    pub sent_at: std::time::Duration,
-    /// Some byte of it may have reached a server.
+    /// When it was last sent to a server, on the clock of the node.
+    pub sent_at: Duration,
+    /// Whether any byte of it may have reached a server that may have run it.
     pub may_have_run: bool,
 }
 
-/// Goes that find nobody there come on top of those that a rule allows.
-const GOES_IN_VAIN_MOST: u32 = 4;
-/// No server is left for being slow sooner than that.
-const LEAVE_AFTER: std::time::Duration = std::time::Duration::from_millis(300);
+/// Attempts that reach no server come on top of those that a rule allows.
+const MAX_UNSENT_ATTEMPTS: u32 = 4;
+/// The least time before a request switches away from a slow server.
+const MIN_SWITCH_DELAY: Duration = Duration::from_millis(300);
 
 impl RequestLifecycle {
+    /// A request that was just received.
     pub fn new() -> RequestLifecycle {
         RequestLifecycle {
             state: RequestState::Received,
@@ -112,63 +149,66 @@
             is_replayable: false,
             attempts: 0,
             sends: 0,
-            max_sends: vanepath_config::model::DEFAULT_MAX_ATTEMPTS,
-            sent_at: std::time::Duration::ZERO,
+            max_sends: DEFAULT_MAX_ATTEMPTS,
+            sent_at: Duration::ZERO,
             may_have_run: false,
         }
     }
 
-    /// Whether a further go is within the rule's bound.
+    /// Whether one more attempt is within the rule's bound.
     pub fn may_retry(&self) -> bool {
-        self.sends < self.max_sends && self.attempts < self.max_sends + GOES_IN_VAIN_MOST
+        self.sends < self.max_sends && self.attempts < self.max_sends + MAX_UNSENT_ATTEMPTS
     }
 
+    /// What can be said of the request having run.
     pub fn execution_status(&self) -> ExecutionStatus {
         match self.state {
-            RequestState::Answering | RequestState::Done => ExecutionStatus::Ran,
+            RequestState::Responding | RequestState::Done => ExecutionStatus::Ran,
             _ if self.may_have_run => ExecutionStatus::MayHaveRun,
             _ => ExecutionStatus::NotRun,
         }
     }
 
-    /// After how long without a reply a request that is with a server looks for another one, again
-    /// and again: `left` is what remains of its time. Never for one that must not go twice.
-    pub fn switch_after(&self, left: std::time::Duration) -> Option<std::time::Duration> {
-        let may =
+    /// After how long without a response a request that was sent looks for another server, again and
+    /// again: a third of `left`, what remains of its time. `None` for one that must not be sent
+    /// twice, or whose time is too short.
+    pub fn switch_after(&self, left: Duration) -> Option<Duration> {
+        let may_switch =
             self.idempotency == Idempotency::Idempotent && self.is_replayable && self.may_retry();
-        let pause = (left / 3).max(LEAVE_AFTER);
-        (may && pause < left).then_some(pause)
+        let delay = (left / 3).max(MIN_SWITCH_DELAY);
+        (may_switch && delay < left).then_some(delay)
     }
 
-    /// After a go that missed. `may_go` takes one from the retry budget; it is asked last, and not at all where
-    /// this proxy itself let go of a server that nothing was sent to.
+    /// Records a failed attempt and decides what follows. `try_take_retry` takes one retry from the
+    /// budget; it is called last, and not at all where this proxy itself withdrew from a server that
+    /// nothing was sent to.
     pub fn attempt_failed(
         &mut self,
-        miss: AttemptError,
+        error: AttemptError,
         is_late: bool,
-        may_go: impl FnOnce() -> bool,
+        try_take_retry: impl FnOnce() -> bool,
     ) -> AfterFailure {
-        let untouched = miss.is_not_sent();
-        if !untouched {
+        let is_not_sent = error.is_not_sent();
+        if !is_not_sent {
             self.may_have_run = true;
         }
-        let refusal = match miss {
+        let rejection = match error {
             _ if is_late => Rejection::Late,
-            _ if untouched => Rejection::NoServer,
+            _ if is_not_sent => Rejection::NoServer,
             AttemptError::Silent => Rejection::Late,
             _ => Rejection::Lost,
         };
         let may_repeat = match self.idempotency {
-            Idempotency::Idempotent => self.is_replayable || untouched,
-            // A filing goes on only while provably no byte of it was sent.
-            Idempotency::NonIdempotent => untouched && !self.may_have_run,
+            Idempotency::Idempotent => self.is_replayable || is_not_sent,
+            // Retried only while provably no server has received it.
+            Idempotency::NonIdempotent => is_not_sent && !self.may_have_run,
         };
         if is_late || !may_repeat || !self.may_retry() {
-            return AfterFailure::Reject(refusal);
+            return AfterFailure::Reject(rejection);
         }
-        if miss != AttemptError::Withdrawn && !may_go() {
+        if error != AttemptError::Withdrawn && !try_take_retry() {
             return AfterFailure::Reject(if self.may_have_run {
-                refusal
+                rejection
             } else {
                 Rejection::NoBudget
             });
@@ -184,35 +224,35 @@
 }
 
 impl Rejection {
-    /// The status for it, given whether the request may have run (design 8.3).
-    pub fn status(self, verdict: ExecutionStatus) -> hyper::StatusCode {
+    /// The HTTP status, given whether the request may have run (design 8.3).
+    pub fn status(self, execution_status: ExecutionStatus) -> StatusCode {
         match self {
-            Rejection::Malformed => hyper::StatusCode::BAD_REQUEST,
-            Rejection::Unmatched => hyper::StatusCode::NOT_FOUND,
-            Rejection::HeadTooLarge => hyper::StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
-            Rejection::TooLarge => hyper::StatusCode::PAYLOAD_TOO_LARGE,
-            Rejection::Misplaced | Rejection::BelowFloor => hyper::StatusCode::MISDIRECTED_REQUEST,
-            _ if verdict == ExecutionStatus::NotRun => hyper::StatusCode::SERVICE_UNAVAILABLE,
-            Rejection::Late => hyper::StatusCode::GATEWAY_TIMEOUT,
-            _ => hyper::StatusCode::BAD_GATEWAY,
+            Rejection::Malformed => StatusCode::BAD_REQUEST,
+            Rejection::Unmatched => StatusCode::NOT_FOUND,
+            Rejection::HeadTooLarge => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
+            Rejection::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            Rejection::Misplaced | Rejection::BelowReadIndex => StatusCode::MISDIRECTED_REQUEST,
+            _ if execution_status == ExecutionStatus::NotRun => StatusCode::SERVICE_UNAVAILABLE,
+            Rejection::Late => StatusCode::GATEWAY_TIMEOUT,
+            _ => StatusCode::BAD_GATEWAY,
         }
     }
 
-    /// When it makes sense to come back, with so much of its time left. Those whom a crowd sent away
-    /// come back by and by, as the draw has it, and in time to be served.
-    pub fn retry_after(self, left: std::time::Duration, draw: u64) -> Option<std::time::Duration> {
-        let after_ms = match self {
+    /// When it makes sense to retry, with `left` remaining of the request's time. Clients that met
+    /// overloaded servers are spread by `draw`, a random number, and retry early enough to be served.
+    pub fn retry_after(self, left: Duration, draw: u64) -> Option<Duration> {
+        let delay_ms = match self {
             Rejection::Crowded => {
                 let drawn_ms = 600 + draw % 401;
                 drawn_ms.min(left.as_millis() as u64 / 4)
             }
-            Rejection::NoServer | Rejection::NoRoom => 100,
-            Rejection::NotReady | Rejection::BelowFloor => 300,
+            Rejection::NoServer | Rejection::QueueFull => 100,
+            Rejection::NotReady | Rejection::BelowReadIndex => 300,
             Rejection::NoBudget => 500,
             Rejection::Late => 1000,
             _ => return None,
         };
-        Some(std::time::Duration::from_millis(after_ms))
+        Some(Duration::from_millis(delay_ms))
     }
 }
 
--- a/proxy/src/shell.rs
+++ b/proxy/src/shell.rs
@@ -309,11 +309,11 @@
                 .await;
             return;
         }
-        let counts = proxy.classes.lock().expect("no panic under this lock").counts();
+        let counts = proxy.classes.lock().expect("no panic under this lock").usage();
         let detail = wire::ProxyObservations {
             servers: sights,
-            in_flight: counts.iter().map(|one| one.2 as u32).collect(),
-            queued: counts.iter().map(|one| one.3 as u32).collect(),
+            in_flight: counts.iter().map(|class| class.in_flight as u32).collect(),
+            queued: counts.iter().map(|class| class.queued as u32).collect(),
             request_rates: proxy.request_counts.lock().expect("no panic under this lock").tell(now),
         };
         let _ = proxy
@@ -443,10 +443,10 @@
         .classes
         .lock()
         .expect("no panic under this lock")
-        .counts()
+        .usage()
         .into_iter()
-        .map(|(name, room, used, waiting)| {
-            jzon::object! { "name": name, "room": room, "used": used, "waiting": waiting }
+        .map(|class| {
+            jzon::object! { "name": class.name, "room": class.max_in_flight, "used": class.in_flight, "waiting": class.queued }
         })
         .collect();
     let status = jzon::object! {
--- a/proxy/src/throttled_body.rs
+++ b/proxy/src/throttled_body.rs
@@ -1,38 +1,41 @@
-//! A body whose data passes a gate, piece by piece (design 8.10): each piece by its own length, and only
-//! once it is there to be written.
+//! A body whose data waits for bandwidth piece by piece (design 8.10): each piece is charged once, by
+//! its own length, when it is there to be written.
 
-use crate::bandwidth_limiter::PIECE;
+use crate::bandwidth_limiter::MAX_CHUNK_BYTES;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
 
-/// Done when so many bytes may go through.
-pub type Passing = Pin<Box<dyn Future<Output = ()> + Send>>;
+/// Completes when the bytes that it was made for may be written.
+pub type BandwidthPermit = Pin<Box<dyn Future<Output = ()> + Send>>;
 
+/// A body that asks for permission before each piece of at most [`MAX_CHUNK_BYTES`].
 pub struct ThrottledBody<B, P> {
     body: B,
-    /// Asks the gate for so many bytes.
-    pass: P,
+    /// Requests permission for so many bytes.
+    request_permit: P,
     /// What was read and is not written yet.
-    next: Option<Frame<Bytes>>,
-    passing: Option<Passing>,
+    unsent: Option<Frame<Bytes>>,
+    /// The permission that the first piece of `unsent` waits for.
+    permit: Option<BandwidthPermit>,
 }
 
-impl<B, P: Fn(usize) -> Passing> ThrottledBody<B, P> {
-    pub fn new(body: B, pass: P) -> ThrottledBody<B, P> {
-        ThrottledBody { body, pass, next: None, passing: None }
+impl<B, P: Fn(usize) -> BandwidthPermit> ThrottledBody<B, P> {
+    /// Throttles `body`; `request_permit` is called once for each piece, with its length in bytes.
+    pub fn new(body: B, request_permit: P) -> ThrottledBody<B, P> {
+        ThrottledBody { body, request_permit, unsent: None, permit: None }
     }
 }
 
-fn length(frame: &Frame<Bytes>) -> usize {
+fn data_length(frame: &Frame<Bytes>) -> usize {
     frame.data_ref().map_or(0, Bytes::len)
 }
 
 impl<B, P> Body for ThrottledBody<B, P>
 where
     B: Body<Data = Bytes> + Unpin,
-    P: Fn(usize) -> Passing + Unpin,
+    P: Fn(usize) -> BandwidthPermit + Unpin,
 {
     type Data = Bytes;
     type Error = B::Error;
@@ -42,24 +45,24 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, B::Error>>> {
         let this = &mut *self;
-        let next = match this.next.take() {
-            Some(next) => next,
+        let frame = match this.unsent.take() {
+            Some(frame) => frame,
             None => match ready!(Pin::new(&mut this.body).poll_frame(context)) {
-                Some(Ok(next)) => next,
+                Some(Ok(frame)) => frame,
                 end => return Poll::Ready(end),
             },
         };
-        let bytes = length(&next).min(PIECE);
-        let passing = this.passing.get_or_insert_with(|| (this.pass)(bytes));
-        if passing.as_mut().poll(context).is_pending() {
-            this.next = Some(next);
+        let bytes = data_length(&frame).min(MAX_CHUNK_BYTES);
+        let permit = this.permit.get_or_insert_with(|| (this.request_permit)(bytes));
+        if permit.as_mut().poll(context).is_pending() {
+            this.unsent = Some(frame);
             return Poll::Pending;
         }
-        this.passing = None;
-        Poll::Ready(Some(Ok(match next.into_data() {
+        this.permit = None;
+        Poll::Ready(Some(Ok(match frame.into_data() {
             Ok(mut data) => {
-                if data.len() > PIECE {
-                    this.next = Some(Frame::data(data.split_off(PIECE)));
+                if data.len() > MAX_CHUNK_BYTES {
+                    this.unsent = Some(Frame::data(data.split_off(MAX_CHUNK_BYTES)));
                 }
                 Frame::data(data)
             }
@@ -68,19 +71,19 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        let ahead = self.next.as_ref().map_or(0, length) as u64;
+        let unsent = self.unsent.as_ref().map_or(0, data_length) as u64;
         let mut hint = self.body.size_hint();
         match hint.exact() {
-            Some(exact) => SizeHint::with_exact(exact + ahead),
+            Some(exact) => SizeHint::with_exact(exact + unsent),
             None => {
-                hint.set_lower(hint.lower() + ahead);
+                hint.set_lower(hint.lower() + unsent);
                 hint
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        self.next.is_none() && self.body.is_end_stream()
+        self.unsent.is_none() && self.body.is_end_stream()
     }
 }
 
--- a/proxy/src/throttled_body/tests.rs
+++ b/proxy/src/throttled_body/tests.rs
@@ -1,4 +1,4 @@
-use super::{Passing, ThrottledBody};
+use super::{BandwidthPermit, ThrottledBody};
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame};
@@ -6,14 +6,14 @@
 use std::sync::{Arc, Mutex};
 use std::task::{Context, Poll};
 
-/// Frames of these lengths; before each, so many times nothing is there yet.
-struct Drip {
+/// Frames of these lengths; before each, so many polls are pending.
+struct SlowBody {
     lengths: Vec<usize>,
     pauses: usize,
     paused: usize,
 }
 
-impl Body for Drip {
+impl Body for SlowBody {
     type Data = Bytes;
     type Error = std::convert::Infallible;
 
@@ -35,34 +35,33 @@
     }
 }
 
-/// What each piece was passed with, and each piece that came.
-fn paced(lengths: &[usize], pauses: usize) -> (Vec<usize>, Vec<usize>) {
-    let passed = Arc::new(Mutex::new(Vec::new()));
-    let told = passed.clone();
-    let pass = move |bytes: usize| -> Passing {
-        told.lock().unwrap().push(bytes);
-        // The gate is not open at once.
+/// The lengths that permits were requested for, and those of the pieces that came.
+fn throttled(lengths: &[usize], pauses: usize) -> (Vec<usize>, Vec<usize>) {
+    let requested = Arc::new(Mutex::new(Vec::new()));
+    let record = requested.clone();
+    let request_permit = move |bytes: usize| -> BandwidthPermit {
+        record.lock().unwrap().push(bytes);
+        // The permit is not granted at once.
         Box::pin(tokio::task::yield_now())
     };
-    let body = Drip { lengths: lengths.to_vec(), pauses, paused: 0 };
-    let mut body = ThrottledBody::new(body, pass);
+    let body = SlowBody { lengths: lengths.to_vec(), pauses, paused: 0 };
+    let mut body = ThrottledBody::new(body, request_permit);
     let mut came = Vec::new();
     tokio::runtime::Builder::new_current_thread().build().unwrap().block_on(async {
         while let Some(frame) = body.frame().await {
             came.push(frame.unwrap().into_data().unwrap().len());
         }
     });
-    let passed = passed.lock().unwrap().clone();
-    (passed, came)
+    let requested = requested.lock().unwrap().clone();
+    (requested, came)
 }
 
-/// A body that comes by and by takes no more of the gate than its bytes, however often it is asked for in
-/// vain.
+/// A slow body is charged for no more than its bytes, however often it is polled in vain.
 #[test]
-fn each_byte_passes_once() {
+fn each_byte_is_charged_once() {
     for pauses in [0, 1, 5] {
-        let (passed, came) = paced(&[1000, 20_000, 0, 8192, 8193], pauses);
-        assert_eq!(passed, [1000, 8192, 8192, 3616, 0, 8192, 8192, 1], "after {pauses} pauses");
-        assert_eq!(came, passed);
+        let (requested, came) = throttled(&[1000, 20_000, 0, 8192, 8193], pauses);
+        assert_eq!(requested, [1000, 8192, 8192, 3616, 0, 8192, 8192, 1], "after {pauses} pauses");
+        assert_eq!(came, requested);
     }
 }
--- a/testbed/src/sim/data.rs
+++ b/testbed/src/sim/data.rs
@@ -15,7 +15,7 @@
 use vanepath_cluster::{gossip, wire};
 use vanepath_config::ExecutionStatus;
 use vanepath_config::model::Idempotency;
-use vanepath_proxy::admission::{Admission as Entered, AdmissionControl, AdmissionSlot};
+use vanepath_proxy::admission::{Admission as Entered, AdmissionControl, AdmissionSlot, Woken};
 use vanepath_proxy::endpoints::{
     Endpoints, IdleConnection, RoutingTable, Selection, SelectionContext,
 };
--- a/testbed/src/sim/data/proxies.rs
+++ b/testbed/src/sim/data/proxies.rs
@@ -73,11 +73,11 @@
         let mut detail = None;
         let is_news = pulsed.has_changes || std::mem::take(&mut proxy.moved);
         if proxy.telling.is_due(now, is_news) {
-            let counts = proxy.classes.counts();
+            let usage = proxy.classes.usage();
             detail = Some(wire::ProxyObservations {
                 servers: proxy.servers.observations(now),
-                in_flight: counts.iter().map(|one| one.2 as u32).collect(),
-                queued: counts.iter().map(|one| one.3 as u32).collect(),
+                in_flight: usage.iter().map(|class| class.in_flight as u32).collect(),
+                queued: usage.iter().map(|class| class.queued as u32).collect(),
                 request_rates: proxy.request_counts.tell(now),
             });
         }
@@ -240,7 +240,7 @@
             let Duty::Proxy(proxy) = &self.daemons[index].duty else { return };
             let Some(own) = proxy.ways.get(&way) else { return };
             if self.daemons[index].view.is_stalled {
-                return self.end_way(index, way, Err(Rejection::BelowFloor));
+                return self.end_way(index, way, Err(Rejection::BelowReadIndex));
             }
             if now.saturating_sub(own.received_at) >= gossip::READINESS_TIMEOUT {
                 return self.end_way(index, way, Err(Rejection::NotReady));
@@ -278,7 +278,7 @@
             return self.end_way(index, way, Err(Rejection::NoServer));
         }
         proxy.request_counts.took(facts.service);
-        proxy.budget.took(now);
+        proxy.budget.record_request(now);
         self.world.took.push(self.net.now);
         own.chart.state = RequestState::Queued;
         let late = own.deadline.saturating_sub(now);
@@ -288,9 +288,9 @@
         };
         let entered = proxy.classes.enter(class_index, own.deadline);
         match entered {
-            Entered::Taken(slot) => own.held = Some(slot),
-            Entered::Dropped => return self.end_way(index, way, Err(Rejection::NoRoom)),
-            Entered::Waits(number) => {
+            Entered::Admitted(slot) => own.held = Some(slot),
+            Entered::QueueFull => return self.end_way(index, way, Err(Rejection::QueueFull)),
+            Entered::Queued(number) => {
                 own.waits = Some(number);
                 proxy.waiting.insert(number, way);
             }
@@ -302,10 +302,10 @@
         }
     }
 
-    pub(super) fn wake_ways(&mut self, index: usize, woken: Vec<(u64, AdmissionSlot)>) {
-        for (number, slot) in woken {
+    pub(super) fn wake_ways(&mut self, index: usize, woken: Vec<Woken>) {
+        for Woken { ticket, slot } in woken {
             let Duty::Proxy(proxy) = &mut self.daemons[index].duty else { return };
-            let Some(way) = proxy.waiting.remove(&number) else { continue };
+            let Some(way) = proxy.waiting.remove(&ticket) else { continue };
             if let Some(own) = proxy.ways.get_mut(&way) {
                 own.waits = None;
                 own.held = Some(slot);
@@ -327,7 +327,7 @@
         if now >= own.deadline {
             return self.end_way(index, way, Err(Rejection::Late));
         }
-        own.chart.state = RequestState::Choosing;
+        own.chart.state = RequestState::Selecting;
         let latest = proxy.servers.table.load_full();
         if !Arc::ptr_eq(&latest.config, &own.table.config) {
             let request = &self.world.requests[own.request];
@@ -425,7 +425,7 @@
                         }
                     });
                 }
-                own.chart.state = RequestState::Greeted;
+                own.chart.state = RequestState::Verified;
                 own.connection = Some((connection, now));
                 self.way_work(index, way);
             }
