--- a/proxy/src/connector.rs
+++ b/proxy/src/connector.rs
@@ -1,92 +1,119 @@
-//! Connections to servers: the first exchange of each is a liveness check in which the server
-//! names itself, and the connection is that server's for life (design 8.6).
+//! Connections to servers. Where the wire format has no header that names the target, the first
+//! exchange on each connection is a health check in which the server names itself, and the
+//! connection belongs to that server from then on (design 8.6).
 
-use crate::endpoints::{Endpoint, IdleConnection};
+use crate::endpoints::{Endpoint, MAX_IDLE_TIME};
 use crate::health::Failure;
-use http_body_util::BodyExt;
+use bytes::Bytes;
+use http_body_util::{BodyExt, Limited};
+use hyper::client::conn::http1;
+use hyper::http::response;
+use hyper::{HeaderMap, Request, StatusCode, header};
+use hyper_util::rt::TokioIo;
+use std::error::Error;
+use std::net::SocketAddr;
 use std::time::Duration;
+use tokio::net::TcpSocket;
+use tokio::time::timeout;
 use vanepath_cluster::node;
+use vanepath_config::model::Service;
 use vanepath_config::wire_format::SelectedFormat;
 
-pub type Sender = hyper::client::conn::http1::SendRequest<node::Body>;
-pub type Resting = IdleConnection<Sender>;
+/// Sends requests over one connection.
+pub type Sender = http1::SendRequest<node::Body>;
 
-/// For a connection and for a greeting: many times what the farthest region takes.
+/// The time-out for a connection, and for a health check on it: many times the round trip to the
+/// farthest region.
 pub const TIMEOUT: Duration = Duration::from_millis(600);
-/// For a connection within the region.
-const LIMIT_NEAR: Duration = Duration::from_millis(250);
-const GREETING_MOST: usize = 64 << 10;
+/// The time-out for a connection within the region.
+const SAME_REGION_TIMEOUT: Duration = Duration::from_millis(250);
+/// The largest body of a response to a health check, in bytes.
+const MAX_HEALTH_CHECK_BYTES: usize = 64 << 10;
+/// The receive buffer where the link is narrow, in bytes: how much a server may send ahead of the
+/// reader (design 8.10).
+const NARROW_LINK_RECEIVE_BUFFER: u32 = 16 << 10;
+/// The buffer of the HTTP library, in bytes.
+const MAX_BUFFER_BYTES: usize = 64 << 10;
 
-/// What a liveness check found.
+/// What a server stated in its response to a health check.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HandshakeResponse {
-    pub says_cold: bool,
-    pub demand_milli: Option<u32>,
+    /// It is still warming up.
+    pub is_warming_up: bool,
+    /// Its load in thousandths of its capacity, where it stated one.
+    pub load_milli: Option<u32>,
 }
 
-/// A new connection, greeted. `untidy` is called if it ever brings bytes that nobody asked for.
+/// Makes a connection and verifies the identity of the server. `on_surplus_bytes` is called if the
+/// connection ever brings bytes that belong to no request.
+///
+/// # Errors
+/// The sign that this gives against the server.
 pub async fn connect(
-    dialect: SelectedFormat,
-    entry: &Endpoint,
-    service: &vanepath_config::model::Service,
-    untidy: impl FnOnce() + Send + 'static,
+    format: SelectedFormat,
+    endpoint: &Endpoint,
+    service: &Service,
+    on_surplus_bytes: impl FnOnce() + Send + 'static,
 ) -> Result<(Sender, HandshakeResponse), Failure> {
-    let mut sender = open(entry, true, false, untidy).await?;
-    let greeted = greet(dialect, &mut sender, entry, service).await?;
-    Ok((sender, greeted))
+    let mut sender = open(endpoint, true, false, on_surplus_bytes).await?;
+    let response = verify_identity(format, &mut sender, endpoint, service).await?;
+    Ok((sender, response))
 }
 
-/// What a server may send ahead of the reader, where the link is narrow (design 8.10).
-const WINDOW_NARROW: u32 = 16 << 10;
-
-/// A new connection that nothing was said on yet.
+/// Makes a connection on which nothing is sent yet. `on_surplus_bytes` is called if it ever brings
+/// bytes that belong to no request.
+///
+/// # Errors
+/// [`Failure::Refused`] if nobody accepts, [`Failure::Silent`] after the time-out, and
+/// [`Failure::Broken`] if the connection ends at once.
 pub async fn open(
-    entry: &Endpoint,
+    endpoint: &Endpoint,
     is_far: bool,
     is_narrow: bool,
-    untidy: impl FnOnce() + Send + 'static,
+    on_surplus_bytes: impl FnOnce() + Send + 'static,
 ) -> Result<Sender, Failure> {
-    let limit = if is_far { TIMEOUT } else { LIMIT_NEAR };
-    let socket = match entry.server.address {
-        std::net::SocketAddr::V4(_) => tokio::net::TcpSocket::new_v4(),
-        std::net::SocketAddr::V6(_) => tokio::net::TcpSocket::new_v6(),
+    let limit = if is_far { TIMEOUT } else { SAME_REGION_TIMEOUT };
+    let socket = match endpoint.server.address {
+        SocketAddr::V4(_) => TcpSocket::new_v4(),
+        SocketAddr::V6(_) => TcpSocket::new_v6(),
     };
-    // No descriptor is left: that says nothing of the server, and may pass.
+    // This process has no file descriptor left: no sign against the server, and it may pass.
     let socket = socket.map_err(|_| Failure::Silent)?;
     if is_narrow {
-        let _ = socket.set_recv_buffer_size(WINDOW_NARROW);
+        let _ = socket.set_recv_buffer_size(NARROW_LINK_RECEIVE_BUFFER);
     }
-    let connected = tokio::time::timeout(limit, socket.connect(entry.server.address));
-    let stream = match connected.await {
+    let stream = match timeout(limit, socket.connect(endpoint.server.address)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(_)) => return Err(Failure::Refused),
         Err(_) => return Err(Failure::Silent),
     };
     let _ = stream.set_nodelay(true);
-    let mut builder = hyper::client::conn::http1::Builder::new();
-    builder.preserve_header_case(true).max_buf_size(64 << 10);
-    let handshake = builder.handshake(hyper_util::rt::TokioIo::new(stream)).await;
+    let mut builder = http1::Builder::new();
+    builder.preserve_header_case(true).max_buf_size(MAX_BUFFER_BYTES);
+    let handshake = builder.handshake(TokioIo::new(stream)).await;
     let (sender, connection) = handshake.map_err(|_| Failure::Broken)?;
     tokio::spawn(async move {
-        // Ends when either side closes, or on the first byte that nobody asked for.
+        // Ends when either side closes, or on the first byte that belongs to no request.
         if connection.await.is_err_and(|error| is_surplus(&error)) {
-            untidy();
+            on_surplus_bytes();
         }
     });
     Ok(sender)
 }
 
-/// For how long the server keeps a resting connection, as it says (RFC 9112 and its `Keep-Alive`).
-pub fn kept_for(headers: &hyper::HeaderMap) -> Duration {
-    let told = headers.get("keep-alive").and_then(|value| value.to_str().ok());
-    let told = told.and_then(|text| {
+/// For how long the server keeps an idle connection, by its `Keep-Alive` header (RFC 2068,
+/// section 19.7.1).
+pub fn keep_alive_timeout(headers: &HeaderMap) -> Duration {
+    let stated = headers.get("keep-alive").and_then(|value| value.to_str().ok());
+    let stated = stated.and_then(|text| {
         let mut pairs = text.split(',').filter_map(|pair| pair.trim().split_once('='));
         pairs.find(|(key, _)| key.eq_ignore_ascii_case("timeout"))?.1.trim().parse().ok()
     });
-    told.map_or(crate::endpoints::MAX_IDLE_TIME, Duration::from_secs)
+    stated.map_or(MAX_IDLE_TIME, Duration::from_secs)
 }
 
-/// The library has a name for every other end of a connection; this one comes without a cause.
+/// Whether the connection ended on bytes that belong to no request. The library has a name for every
+/// other end; this one comes without a name and a cause.
 fn is_surplus(error: &hyper::Error) -> bool {
     let is_named = error.is_closed()
         || error.is_canceled()
@@ -96,74 +123,90 @@
         || error.is_body_write_aborted()
         || error.is_shutdown()
         || error.is_timeout();
-    !is_named && std::error::Error::source(error).is_none()
+    !is_named && error.source().is_none()
 }
 
-/// The liveness check on a connection that is open.
-pub async fn greet(
-    dialect: SelectedFormat,
+/// Checks over an open connection that its server is healthy and is the one that is meant.
+///
+/// # Errors
+/// [`Failure::Broken`] if the connection ends, [`Failure::Silent`] after the time-out,
+/// [`Failure::Unwell`] if the server answers that it is unhealthy, and [`Failure::Refused`] if
+/// another server has the address.
+pub async fn verify_identity(
+    format: SelectedFormat,
     sender: &mut Sender,
-    entry: &Endpoint,
-    service: &vanepath_config::model::Service,
+    endpoint: &Endpoint,
+    service: &Service,
 ) -> Result<HandshakeResponse, Failure> {
-    match tokio::time::timeout(TIMEOUT, greet_unbounded(dialect, sender, entry, service)).await {
+    let exchange = exchange_health_check(format, sender, endpoint, service);
+    match timeout(TIMEOUT, exchange).await {
         Ok(outcome) => outcome,
         Err(_) => Err(Failure::Silent),
     }
 }
 
-async fn greet_unbounded(
-    dialect: SelectedFormat,
+async fn exchange_health_check(
+    format: SelectedFormat,
     sender: &mut Sender,
-    entry: &Endpoint,
-    service: &vanepath_config::model::Service,
+    endpoint: &Endpoint,
+    service: &Service,
 ) -> Result<HandshakeResponse, Failure> {
     sender.ready().await.map_err(|_| Failure::Broken)?;
-    let request = hyper::Request::builder()
+    let request = Request::builder()
         .method("GET")
         .uri(service.health_check_path.as_str())
-        .header(hyper::header::HOST, entry.server.address.to_string())
-        .header("vanepath-liveness", entry.server.id.as_str())
-        .body(node::body(bytes::Bytes::new()))
+        .header(header::HOST, endpoint.server.address.to_string())
+        .header("vanepath-liveness", endpoint.server.id.as_str())
+        .body(node::body(Bytes::new()))
         .map_err(|_| Failure::Unwell)?;
-    let receipt = sender.send_request(request).await.map_err(|_| Failure::Broken)?;
-    let (head, body) = receipt.into_parts();
+    let response = sender.send_request(request).await.map_err(|_| Failure::Broken)?;
+    let (head, body) = response.into_parts();
     if !is_framed(&head) {
         return Err(Failure::Unwell);
     }
-    let body = http_body_util::Limited::new(body, GREETING_MOST);
+    let body = Limited::new(body, MAX_HEALTH_CHECK_BYTES);
     body.collect().await.map_err(|_| Failure::Unwell)?;
     if !head.status.is_success() {
         return Err(Failure::Unwell);
     }
-    if !service.identity_header.is_empty() {
-        let named = head.headers.get(service.identity_header.as_str());
-        if named.is_none_or(|named| named.as_bytes() != entry.server.id.as_bytes()) {
-            // Somebody else has the address now.
-            return Err(Failure::Refused);
-        }
+    if !names_endpoint(&head.headers, endpoint, service) {
+        return Err(Failure::Refused);
     }
     sender.ready().await.map_err(|_| Failure::Broken)?;
-    let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
-    let cold_left = dialect.headers().warm_up_left.and_then(text);
-    let is_cold = cold_left.is_some_and(|left| left.trim().parse::<f64>().is_ok_and(|ms| ms > 0.0));
-    Ok(HandshakeResponse {
-        says_cold: is_cold || text("server-state") == Some("cold"),
-        demand_milli: text(dialect.headers().load).and_then(|load| dialect.load(load)),
-    })
+    Ok(read_server_state(format, &head.headers))
+}
+
+/// Whether the server names itself as the one that is meant; otherwise another has its address now.
+fn names_endpoint(headers: &HeaderMap, endpoint: &Endpoint, service: &Service) -> bool {
+    if service.identity_header.is_empty() {
+        return true;
+    }
+    let stated = headers.get(service.identity_header.as_str());
+    stated.is_some_and(|stated| stated.as_bytes() == endpoint.server.id.as_bytes())
+}
+
+fn read_server_state(format: SelectedFormat, headers: &HeaderMap) -> HandshakeResponse {
+    let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
+    let warm_up_left = format.headers().warm_up_left.and_then(text);
+    let has_warm_up_left =
+        warm_up_left.is_some_and(|left| left.trim().parse::<f64>().is_ok_and(|ms| ms > 0.0));
+    HandshakeResponse {
+        is_warming_up: has_warm_up_left || text("server-state") == Some("cold"),
+        load_milli: text(format.headers().load).and_then(|load| format.load(load)),
+    }
 }
 
-/// Whether the end of the receipt's body can be told from a broken connection: by its length,
-/// by chunks, or because there is none.
-pub fn is_framed(head: &hyper::http::response::Parts) -> bool {
-    let is_bodiless = head.status == hyper::StatusCode::NO_CONTENT
-        || head.status == hyper::StatusCode::NOT_MODIFIED;
-    let chunked = head
+/// Whether the end of the response's body can be told from a broken connection: by its length,
+/// by chunks, or because there is no body (RFC 9112, section 6.3).
+pub fn is_framed(head: &response::Parts) -> bool {
+    let is_bodiless =
+        head.status == StatusCode::NO_CONTENT || head.status == StatusCode::NOT_MODIFIED;
+    let is_chunked = head
         .headers
-        .get_all(hyper::header::TRANSFER_ENCODING)
+        .get_all(header::TRANSFER_ENCODING)
         .iter()
         .next_back()
         .and_then(|value| value.to_str().ok())
         .is_some_and(|value| value.to_ascii_lowercase().trim_end().ends_with("chunked"));
-    is_bodiless || chunked || head.headers.contains_key(hyper::header::CONTENT_LENGTH)
+    is_bodiless || is_chunked || head.headers.contains_key(header::CONTENT_LENGTH)
 }
--- a/proxy/src/forward.rs
+++ b/proxy/src/forward.rs
@@ -505,12 +505,12 @@
 /// most once waits for its turn.
 pub fn begin(
     proxy: &Arc<Proxy>,
-    head: &crate::pipelining::Head,
+    head: &crate::pipelining::RequestHead,
 ) -> Option<tokio::task::JoinHandle<hyper::Response<Body>>> {
     if head.method != "GET" && head.method != "HEAD" {
         return None;
     }
-    let host = head.fields.iter().find(|(name, _)| name.eq_ignore_ascii_case("host"))?;
+    let host = head.headers.iter().find(|(name, _)| name.eq_ignore_ascii_case("host"))?;
     let host = std::str::from_utf8(&host.1).ok()?;
     let host = host.split(':').next().unwrap_or(host);
     let table = proxy.servers.table.load();
@@ -519,7 +519,7 @@
     if class.idempotency != Idempotency::Idempotent {
         return None;
     }
-    let request = head.request()?;
+    let request = head.to_request()?;
     Some(tokio::spawn(carry(proxy.clone(), request)))
 }
 
@@ -920,7 +920,7 @@
         if !head.status.is_server_error() {
             self.hear_time(&head.headers, told, sent_at, lateness);
         }
-        let kept_for = crate::connector::kept_for(&head.headers);
+        let kept_for = crate::connector::keep_alive_timeout(&head.headers);
         let mut reply = Reply {
             head,
             read: Default::default(),
@@ -1050,7 +1050,7 @@
                 && kind == Idempotency::NonIdempotent
                 && now.saturating_sub(idle.verified_at) > GREETED_LATELY
             {
-                match crate::connector::greet(
+                match crate::connector::verify_identity(
                     dialect,
                     &mut idle.connection,
                     self.entry,
@@ -1092,7 +1092,7 @@
                         return Err(AttemptError::NotConnected);
                     }
                 }
-                if greeted.says_cold {
+                if greeted.is_warming_up {
                     self.proxy.servers.update_health(slot, |liveness| {
                         if liveness.phase == crate::health::ServerPhase::Healthy {
                             liveness.restart_slow_start(now, Duration::ZERO);
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -1,4 +1,4 @@
-//! The proxy: carries requests, keeps nothing on disk (design 8).
+//! The proxy: forwards requests to servers, stores nothing on disk (design 8).
 
 pub mod admission;
 pub mod bandwidth_limiter;
--- /dev/null
+++ b/proxy/src/pipelining/mod.rs
@@ -0,0 +1,157 @@
+//! HTTP pipelining: requests that a client sends before the response to an earlier one (design 8.9,
+//! RFC 9112, section 9.3.2). The HTTP library reads the requests of a connection one after the other.
+//! Bytes behind the present request are therefore scanned while it is in flight, and idempotent
+//! requests among them are started at once. The library still reads every request itself, in order,
+//! and receives the response of one that was started here.
+
+mod scanner;
+mod stream;
+
+pub use scanner::{RequestHead, RequestScanner};
+pub use stream::{PipelinedStream, TrackedBody};
+
+use bytes::BytesMut;
+use std::collections::BTreeMap;
+use std::io;
+use std::pin::Pin;
+use std::sync::{Arc, Mutex, MutexGuard};
+use std::task::{Context, Poll};
+use tokio::io::{AsyncRead, ReadBuf};
+use tokio::net::TcpStream;
+use tokio::task::JoinHandle;
+use vanepath_cluster::node::Body;
+
+/// The most bytes that are read ahead of the library.
+const MAX_READ_AHEAD_BYTES: usize = 64 << 10;
+/// The most requests of one connection that are started before their turn.
+const MAX_STARTED_REQUESTS: u64 = 16;
+/// The size of one read from the connection, in bytes.
+const READ_CHUNK_BYTES: usize = 4096;
+
+/// The response to a request that was started before its turn.
+pub type Response = hyper::Response<Body>;
+
+/// Starts a request that need not wait for its turn; `None` for any other.
+pub type StartRequest = dyn Fn(&RequestHead) -> Option<JoinHandle<Response>> + Send + Sync;
+
+/// A request that was started before its turn; dropping it cancels the request.
+struct StartedRequest {
+    method: String,
+    target: String,
+    task: Option<JoinHandle<Response>>,
+}
+
+impl Drop for StartedRequest {
+    fn drop(&mut self) {
+        if let Some(task) = &self.task {
+            task.abort();
+        }
+    }
+}
+
+struct ConnectionState {
+    stream: TcpStream,
+    /// What was read ahead of the library.
+    unread: BytesMut,
+    is_closed: bool,
+    error: Option<io::Error>,
+    scanner: RequestScanner,
+    /// How many requests the library has passed to the service.
+    received: u64,
+    /// Whether the last of them is still in flight.
+    is_busy: bool,
+    /// By number of the request on the connection.
+    started: BTreeMap<u64, StartedRequest>,
+}
+
+/// One client's connection, read ahead of the library.
+#[derive(Clone)]
+pub struct Pipeline(Arc<Mutex<ConnectionState>>);
+
+impl Pipeline {
+    /// Takes over a connection on which nothing was read yet.
+    pub fn new(stream: TcpStream) -> Pipeline {
+        Pipeline(Arc::new(Mutex::new(ConnectionState {
+            stream,
+            unread: BytesMut::new(),
+            is_closed: false,
+            error: None,
+            scanner: RequestScanner::default(),
+            received: 0,
+            is_busy: false,
+            started: BTreeMap::new(),
+        })))
+    }
+
+    fn state(&self) -> MutexGuard<'_, ConnectionState> {
+        self.0.lock().expect("no panic under this lock")
+    }
+
+    /// Reads what is available while a request is in flight, and starts with `start` the requests
+    /// that need not wait for their turn. To be polled by the task that polls the library's
+    /// connection.
+    pub fn poll(
+        &self,
+        context: &mut Context<'_>,
+        start: &dyn Fn(&RequestHead) -> Option<JoinHandle<Response>>,
+    ) {
+        let mut state = self.state();
+        while state.is_busy && !state.is_closed && state.unread.len() < MAX_READ_AHEAD_BYTES {
+            let mut chunk = [0; READ_CHUNK_BYTES];
+            let mut buffer = ReadBuf::new(&mut chunk);
+            match Pin::new(&mut state.stream).poll_read(context, &mut buffer) {
+                Poll::Pending => break,
+                Poll::Ready(Ok(())) if buffer.filled().is_empty() => state.is_closed = true,
+                Poll::Ready(Ok(())) => {
+                    let heads = state.scanner.scan(buffer.filled());
+                    state.unread.extend_from_slice(buffer.filled());
+                    state.start_requests(&heads, start);
+                }
+                Poll::Ready(Err(error)) => {
+                    state.is_closed = true;
+                    state.error = Some(error);
+                }
+            }
+        }
+    }
+
+    /// Records that the library passes its next request to the service. Returns the task of the
+    /// request if it was started already.
+    pub fn receive(&self, method: &str, target: &str) -> Option<JoinHandle<Response>> {
+        let mut state = self.state();
+        state.received += 1;
+        state.is_busy = true;
+        let number = state.received;
+        let mut started = state.started.remove(&number)?;
+        let is_same = started.method == method && started.target == target;
+        if is_same { started.task.take() } else { None }
+    }
+
+    /// Records that the response to the request in flight was written or given up.
+    pub fn finish(&self) {
+        self.state().is_busy = false;
+    }
+}
+
+impl ConnectionState {
+    fn start_requests(
+        &mut self,
+        heads: &[RequestHead],
+        start: &dyn Fn(&RequestHead) -> Option<JoinHandle<Response>>,
+    ) {
+        for head in heads {
+            // The library reaches the next request by itself where none is in flight.
+            let is_next = !self.is_busy && head.number == self.received + 1;
+            let is_in_range =
+                head.number > self.received && head.number <= self.received + MAX_STARTED_REQUESTS;
+            if is_next || !is_in_range {
+                continue;
+            }
+            if let Some(task) = start(head) {
+                let (method, target) = (head.method.clone(), head.target.clone());
+                let request = StartedRequest { method, target, task: Some(task) };
+                self.started.insert(head.number, request);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/proxy/src/pipelining/scanner.rs
@@ -0,0 +1,126 @@
+//! Finds the heads of requests in the bytes of a connection. Pure.
+
+use super::MAX_READ_AHEAD_BYTES;
+use bytes::{Buf, Bytes, BytesMut};
+use vanepath_cluster::node::{self, Body};
+
+/// The most header fields of one head.
+const MAX_HEADERS: usize = 64;
+
+/// The head of a request without a body.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RequestHead {
+    /// The number of the request on its connection, from 1.
+    pub number: u64,
+    /// As in the request line.
+    pub method: String,
+    /// The request target, as in the request line.
+    pub target: String,
+    /// Names and values in the order of the request.
+    pub headers: Vec<(String, Vec<u8>)>,
+}
+
+/// Follows the requests of one connection through its bytes.
+#[derive(Debug, Default)]
+pub struct RequestScanner {
+    /// The head that is not complete yet.
+    partial_head: BytesMut,
+    /// The bytes that are left of a body.
+    body_left: u64,
+    /// The requests so far.
+    count: u64,
+    /// Where the next request begins cannot be told any more.
+    has_lost_track: bool,
+}
+
+impl RequestScanner {
+    /// Scans the next bytes. Returns the heads without bodies that became complete; all others are
+    /// counted.
+    pub fn scan(&mut self, mut bytes: &[u8]) -> Vec<RequestHead> {
+        let mut found = Vec::new();
+        while !bytes.is_empty() && !self.has_lost_track {
+            if self.body_left > 0 {
+                let skipped = (bytes.len() as u64).min(self.body_left);
+                self.body_left -= skipped;
+                bytes = &bytes[skipped as usize..];
+                continue;
+            }
+            self.partial_head.extend_from_slice(bytes);
+            bytes = &[];
+            self.scan_heads(&mut found);
+        }
+        if self.has_lost_track || self.partial_head.len() > MAX_READ_AHEAD_BYTES {
+            self.has_lost_track = true;
+            self.partial_head.clear();
+        }
+        found
+    }
+
+    /// Consumes the complete heads that were read, and what is there of their bodies.
+    fn scan_heads(&mut self, found: &mut Vec<RequestHead>) {
+        while !self.has_lost_track && self.body_left == 0 && !self.partial_head.is_empty() {
+            let Some(length) = self.parse_head(found) else { break };
+            self.partial_head.advance(length);
+            let skipped = (self.partial_head.len() as u64).min(self.body_left);
+            self.body_left -= skipped;
+            self.partial_head.advance(skipped as usize);
+        }
+    }
+
+    /// The length of the first head, if it is complete.
+    fn parse_head(&mut self, found: &mut Vec<RequestHead>) -> Option<usize> {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut request = httparse::Request::new(&mut headers);
+        let length = match request.parse(&self.partial_head) {
+            Ok(httparse::Status::Complete(length)) => length,
+            Ok(httparse::Status::Partial) => return None,
+            Err(_) => {
+                self.has_lost_track = true;
+                return None;
+            }
+        };
+        self.count += 1;
+        let mut has_body = false;
+        for header in request.headers.iter() {
+            let is = |name: &str| header.name.eq_ignore_ascii_case(name);
+            if is("content-length") {
+                has_body = true;
+                let text = std::str::from_utf8(header.value).unwrap_or_default();
+                match text.trim().parse::<u64>() {
+                    Ok(size) => self.body_left = size,
+                    Err(_) => self.has_lost_track = true,
+                }
+            }
+            // Only the library can tell whether and where more requests follow.
+            let is_last = is("connection") && header.value.eq_ignore_ascii_case(b"close");
+            if is("transfer-encoding") || is("upgrade") || is("expect") || is_last {
+                has_body = true;
+                self.has_lost_track = true;
+            }
+        }
+        if !has_body && request.version == Some(1) {
+            let headers = request.headers.iter();
+            found.push(RequestHead {
+                number: self.count,
+                method: request.method.unwrap_or_default().to_string(),
+                target: request.path.unwrap_or_default().to_string(),
+                headers: headers
+                    .map(|header| (header.name.to_string(), header.value.to_vec()))
+                    .collect(),
+            });
+        }
+        Some(length)
+    }
+}
+
+impl RequestHead {
+    /// The request as the library would give it; `None` where the library would reject it.
+    pub fn to_request(&self) -> Option<hyper::Request<Body>> {
+        let mut request =
+            hyper::Request::builder().method(self.method.as_str()).uri(self.target.as_str());
+        for (name, value) in &self.headers {
+            request = request.header(name.as_str(), value.as_slice());
+        }
+        request.body(node::body(Bytes::new())).ok()
+    }
+}
--- /dev/null
+++ b/proxy/src/pipelining/stream.rs
@@ -0,0 +1,106 @@
+//! The connection as the library reads and writes it, and the end of each response.
+
+use super::{Pipeline, StartRequest};
+use bytes::{Buf, Bytes};
+use hyper::body::{Frame, SizeHint};
+use std::io::{self, IoSlice};
+use std::pin::Pin;
+use std::task::{Context, Poll, ready};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use vanepath_cluster::node::{Body, BodyError};
+
+/// The connection for the library: first what was read ahead, then what the client sends.
+pub struct PipelinedStream {
+    /// The connection.
+    pub pipeline: Pipeline,
+    /// Starts the requests that are found in what the library reads.
+    pub start: Box<StartRequest>,
+}
+
+impl AsyncRead for PipelinedStream {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let mut state = self.pipeline.state();
+        if !state.unread.is_empty() {
+            let length = state.unread.len().min(buffer.remaining());
+            buffer.put_slice(&state.unread[..length]);
+            state.unread.advance(length);
+            return Poll::Ready(Ok(()));
+        }
+        if state.is_closed {
+            return Poll::Ready(state.error.take().map_or(Ok(()), Err));
+        }
+        let before = buffer.filled().len();
+        ready!(Pin::new(&mut state.stream).poll_read(context, buffer))?;
+        let heads = state.scanner.scan(&buffer.filled()[before..]);
+        state.start_requests(&heads, &*self.start);
+        Poll::Ready(Ok(()))
+    }
+}
+
+impl AsyncWrite for PipelinedStream {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        Pin::new(&mut self.pipeline.state().stream).poll_write(context, bytes)
+    }
+
+    fn poll_write_vectored(
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        parts: &[IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        Pin::new(&mut self.pipeline.state().stream).poll_write_vectored(context, parts)
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        true
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.pipeline.state().stream).poll_flush(context)
+    }
+
+    fn poll_shutdown(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.pipeline.state().stream).poll_shutdown(context)
+    }
+}
+
+/// The body of a response; finishes its request on the pipeline when it is dropped, written or not.
+pub struct TrackedBody {
+    /// The body itself.
+    pub body: Body,
+    /// The connection that it is written to.
+    pub pipeline: Pipeline,
+}
+
+impl Drop for TrackedBody {
+    fn drop(&mut self) {
+        self.pipeline.finish();
+    }
+}
+
+impl hyper::body::Body for TrackedBody {
+    type Data = Bytes;
+    type Error = BodyError;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
+        Pin::new(&mut self.body).poll_frame(context)
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        self.body.size_hint()
+    }
+
+    fn is_end_stream(&self) -> bool {
+        self.body.is_end_stream()
+    }
+}
--- a/proxy/src/shell.rs
+++ b/proxy/src/shell.rs
@@ -100,9 +100,9 @@
 ) {
     let ahead = crate::pipelining::Pipeline::new(stream);
     let (beginner, handed) = (proxy.clone(), ahead.clone());
-    let io = crate::pipelining::Io {
-        ahead: ahead.clone(),
-        begin: Box::new(move |head| crate::forward::begin(&beginner, head)),
+    let io = crate::pipelining::PipelinedStream {
+        pipeline: ahead.clone(),
+        start: Box::new(move |head| crate::forward::begin(&beginner, head)),
     };
     let server = proxy.clone();
     let service = hyper::service::service_fn(move |request| {
@@ -110,7 +110,10 @@
         async move {
             let answer = take(&proxy, &ahead, request, has_pages).await;
             let watch = |body| {
-                http_body_util::BodyExt::boxed_unsync(crate::pipelining::Watched { body, ahead })
+                http_body_util::BodyExt::boxed_unsync(crate::pipelining::TrackedBody {
+                    body,
+                    pipeline: ahead,
+                })
             };
             Ok::<_, std::convert::Infallible>(answer.map(watch))
         }
@@ -126,7 +129,7 @@
             is_stopping = true;
             connection.as_mut().graceful_shutdown();
         }
-        let begin = |head: &crate::pipelining::Head| crate::forward::begin(&proxy, head);
+        let begin = |head: &crate::pipelining::RequestHead| crate::forward::begin(&proxy, head);
         ahead.poll(context, &begin);
         let polled = connection.as_mut().poll(context).map(|_| ());
         if polled.is_pending() {
@@ -146,7 +149,7 @@
     has_pages: bool,
 ) -> hyper::Response<node::Body> {
     let target = request.uri().path_and_query().map_or("", |target| target.as_str());
-    let begun = ahead.take(request.method().as_str(), target);
+    let begun = ahead.receive(request.method().as_str(), target);
     let own = request.uri().path().strip_prefix(crate::forward::OWN_PREFIX);
     if let Some(path) = own.filter(|_| !has_pages) {
         return answer_own(proxy, &format!("/{path}"));
@@ -165,11 +168,11 @@
 
 /// A request that was begun before its turn, and ends when nobody waits for it any more.
 struct Wanted {
-    task: tokio::task::JoinHandle<crate::pipelining::Answer>,
+    task: tokio::task::JoinHandle<crate::pipelining::Response>,
 }
 
 impl Future for Wanted {
-    type Output = Result<crate::pipelining::Answer, tokio::task::JoinError>;
+    type Output = Result<crate::pipelining::Response, tokio::task::JoinError>;
 
     fn poll(
         mut self: std::pin::Pin<&mut Self>,
@@ -343,7 +346,7 @@
         is_used = idle.is_used;
         kept_for = idle.keep_alive;
         let mut sender = idle.connection;
-        match crate::connector::greet(dialect, &mut sender, &entry, &service).await {
+        match crate::connector::verify_identity(dialect, &mut sender, &entry, &service).await {
             Ok(greeted) => outcome = Some(Ok((sender, greeted))),
             // Closed while it rested, which says nothing of the server.
             Err(Failure::Broken) => {}
@@ -362,11 +365,11 @@
     match outcome {
         Ok((connection, greeted)) => {
             proxy.note_good(entry.slot, &entry.server.id);
-            if let Some(demand_milli) = greeted.demand_milli {
+            if let Some(demand_milli) = greeted.load_milli {
                 proxy.servers.observe_load(now, entry.slot, demand_milli);
             }
             let moved = proxy.servers.update_health(entry.slot, |liveness| {
-                if greeted.says_cold && liveness.phase == ServerPhase::Healthy {
+                if greeted.is_warming_up && liveness.phase == ServerPhase::Healthy {
                     liveness.restart_slow_start(now, Duration::ZERO);
                 }
             });
