--- a/proxy/src/admission.rs
+++ b/proxy/src/admission.rs
@@ -1,6 +1,6 @@
 //! Admission control by class of service: concurrency limits, borrowing between classes, and bounded
-//! queues ordered by priority and deadline (design 8.4). Pure: the caller supplies time and wakes
-//! the requests that it is told to wake.
+//! queues ordered by priority and deadline (design 8.4). Pure: the user of this module supplies the
+//! time and wakes the requests that are returned to it.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
@@ -96,7 +96,7 @@
     last_ticket: u64,
 }
 
-/// The answer to a request that asks for a slot.
+/// The outcome for a request that needs a slot.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Admission {
     /// The request holds this slot until it is released.
--- a/proxy/src/connector.rs
+++ b/proxy/src/connector.rs
@@ -196,7 +196,7 @@
     }
 }
 
-/// Whether the end of the response's body can be told from a broken connection: by its length,
+/// Whether the end of the response's body can be distinguished from a broken connection: by its length,
 /// by chunks, or because there is no body (RFC 9112, section 6.3).
 pub fn is_framed(head: &response::Parts) -> bool {
     let is_bodiless =
--- /dev/null
+++ b/proxy/src/forward/admission.rs
@@ -0,0 +1,116 @@
+//! Waiting until this proxy is ready, and for a slot of the request's class (design 5.5, 8.4).
+
+use super::{Counter, Proxy};
+use crate::admission::{Admission, AdmissionSlot};
+use crate::endpoints::revision_of;
+use crate::lifecycle::Rejection;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::oneshot;
+use vanepath_cluster::gossip::READINESS_TIMEOUT;
+
+/// How often readiness is checked again.
+const READINESS_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+
+/// A slot of a class in use; released when dropped, however the request ends.
+pub(super) struct AdmissionPermit {
+    proxy: Arc<Proxy>,
+    slot: AdmissionSlot,
+}
+
+impl Drop for AdmissionPermit {
+    fn drop(&mut self) {
+        self.proxy.release_slot(self.slot);
+    }
+}
+
+/// A request in the queue of its class; leaves the queue when dropped.
+struct QueueEntry {
+    proxy: Arc<Proxy>,
+    ticket: u64,
+}
+
+impl Drop for QueueEntry {
+    fn drop(&mut self) {
+        let mut queued = self.proxy.queued.lock().expect("no panic under this lock");
+        let was_queued = queued.remove(&self.ticket).is_some();
+        drop(queued);
+        if was_queued {
+            let mut admission = self.proxy.admission.lock().expect("no panic under this lock");
+            admission.leave(self.ticket);
+        }
+    }
+}
+
+/// Waits until this node knows the committed config, and after a pause of the process has heard
+/// from its peers again (design 5.5).
+///
+/// # Errors
+/// [`Rejection::BelowReadIndex`] while the node is stalled, [`Rejection::NotReady`] after
+/// [`READINESS_TIMEOUT`] since `received_at`.
+pub(super) async fn wait_until_ready(
+    proxy: &Proxy,
+    received_at: Duration,
+) -> Result<(), Rejection> {
+    while !is_ready(proxy) {
+        if proxy.node.table.load().is_stalled {
+            return Err(Rejection::BelowReadIndex);
+        }
+        if proxy.now().saturating_sub(received_at) >= READINESS_TIMEOUT {
+            return Err(Rejection::NotReady);
+        }
+        tokio::time::sleep(READINESS_CHECK_INTERVAL).await;
+    }
+    Ok(())
+}
+
+fn is_ready(proxy: &Proxy) -> bool {
+    let view = proxy.node.table.load();
+    proxy.node.is_awake()
+        && proxy.endpoints.is_ready(proxy.now(), view.is_fresh, revision_of(&view))
+}
+
+/// Takes a slot of the class, waiting in its queue until the deadline if need be.
+///
+/// # Errors
+/// [`Rejection::NotReady`] if the class is not known here yet, [`Rejection::QueueFull`], and
+/// [`Rejection::Late`] if the deadline passes first.
+pub(super) async fn admit(
+    proxy: &Arc<Proxy>,
+    class: &str,
+    deadline: Duration,
+) -> Result<AdmissionPermit, Rejection> {
+    let (sender, mut receiver) = oneshot::channel();
+    let ticket = {
+        let mut admission = proxy.admission.lock().expect("no panic under this lock");
+        let Some(index) = admission.index(class) else {
+            return Err(Rejection::NotReady);
+        };
+        match admission.enter(index, deadline) {
+            Admission::Admitted(slot) => {
+                if slot.class != slot.lender {
+                    proxy.counters.increment(Counter::Borrowed);
+                }
+                return Ok(AdmissionPermit { proxy: proxy.clone(), slot });
+            }
+            Admission::QueueFull => return Err(Rejection::QueueFull),
+            Admission::Queued(ticket) => {
+                // Under the same lock, so that no request is woken before it can be reached.
+                let mut queued = proxy.queued.lock().expect("no panic under this lock");
+                queued.insert(ticket, sender);
+                ticket
+            }
+        }
+    };
+    proxy.counters.increment(Counter::Queued);
+    let entry = QueueEntry { proxy: proxy.clone(), ticket };
+    let limit = deadline.saturating_sub(proxy.now());
+    let woken = tokio::time::timeout(limit, &mut receiver).await;
+    // Out of the queue from here on; a slot that came at the last moment is in the channel.
+    drop(entry);
+    let slot = match woken {
+        Ok(Ok(slot)) => Some(slot),
+        _ => receiver.try_recv().ok(),
+    };
+    slot.map(|slot| AdmissionPermit { proxy: proxy.clone(), slot }).ok_or(Rejection::Late)
+}
--- /dev/null
+++ b/proxy/src/forward/mod.rs
@@ -0,0 +1,120 @@
+//! Forwards one request to a server and relays the response (design 8.1). The decisions are made by
+//! the pure modules ([`crate::lifecycle`], [`crate::admission`], [`crate::endpoints`],
+//! [`crate::retry_budget`]); this module carries them out.
+
+mod admission;
+mod attempt;
+mod connection;
+mod guards;
+mod headers;
+mod rejection;
+mod request_body;
+mod response;
+mod retry;
+mod routing;
+mod state;
+mod upstream_request;
+mod validation;
+
+pub use state::{Counter, Counters, Proxy};
+
+use crate::lifecycle::{Rejection, RequestLifecycle, RequestState};
+use crate::pipelining::{self, RequestHead};
+use admission::{admit, wait_until_ready};
+use guards::ClientDisconnectGuard;
+use hyper::header::{self, HeaderValue};
+use hyper::{Request, Response};
+use rejection::RejectionDetails;
+use request_body::read_body_before;
+use retry::AttemptLoop;
+use routing::{RequestTarget, RequestTiming, Route};
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use tokio::task::JoinHandle;
+use upstream_request::UpstreamRequest;
+use validation::{check_declared_length, validate_head};
+use vanepath_cluster::node::Body;
+use vanepath_config::model::Idempotency;
+
+/// Paths that start with this are the proxy's own pages.
+pub const OWN_PREFIX: &str = "/vanepath/";
+
+/// Forwards a request. Always answers: with the response of a server, or with a rejection.
+pub async fn forward(proxy: Arc<Proxy>, request: Request<Body>) -> Response<Body> {
+    proxy.counters.increment(Counter::Requests);
+    let mut disconnect_guard = ClientDisconnectGuard::new(&proxy);
+    let mut lifecycle = RequestLifecycle::new();
+    let mut details = RejectionDetails::default();
+    let outcome = handle(&proxy, request, &mut lifecycle, &mut details).await;
+    disconnect_guard.disarm();
+    let mut response = outcome.unwrap_or_else(|rejection| {
+        rejection::respond(&proxy, rejection, lifecycle.execution_status(), &details)
+    });
+    if proxy.is_draining.load(Ordering::Relaxed) {
+        response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+    }
+    response
+}
+
+/// The phases of a request, from its head to the response that is relayed. On an error `lifecycle`
+/// and `details` hold what else the answer states.
+async fn handle(
+    proxy: &Arc<Proxy>,
+    request: Request<Body>,
+    lifecycle: &mut RequestLifecycle,
+    details: &mut RejectionDetails,
+) -> Result<Response<Body>, Rejection> {
+    let received_at = proxy.now();
+    let (mut head, incoming) = request.into_parts();
+    let host = validate_head(&mut head).inspect_err(|_| details.closes_connection = true)?;
+    wait_until_ready(proxy, received_at).await?;
+
+    let route = Route::find(proxy, RequestTarget::new(&head, host), details)?;
+    let class = route.class().clone();
+    record_match(proxy, &route, lifecycle);
+    let timing = RequestTiming::new(proxy, &route, &head.headers, received_at);
+    details.time_left = timing.limit;
+    check_declared_length(&incoming, &class).inspect_err(|_| details.closes_connection = true)?;
+
+    lifecycle.state = RequestState::Queued;
+    let permit = admit(proxy, &class.name, timing.deadline).await?;
+    let service_name = route.pick_service(proxy);
+    let body =
+        read_body_before(proxy, timing.deadline, incoming, class.max_body_bytes, details).await?;
+    lifecycle.is_replayable = body.is_replayable();
+    let mut upstream_request = UpstreamRequest::new(proxy, head, body);
+
+    let attempts = AttemptLoop::new(proxy, route, class, timing, service_name, permit);
+    attempts.run(lifecycle, details, &mut upstream_request).await
+}
+
+/// Notes what the matched rule says of the request.
+fn record_match(proxy: &Proxy, route: &Route, lifecycle: &mut RequestLifecycle) {
+    lifecycle.state = RequestState::Matched;
+    lifecycle.idempotency = route.class().idempotency;
+    lifecycle.max_sends = route.rule().max_attempts;
+    let mut request_rates = proxy.request_rates.lock().expect("no panic under this lock");
+    request_rates.took(route.rule().service);
+}
+
+/// Starts an idempotent request that stands behind another one on its connection (design 8.9);
+/// `None` for any other, which waits for its turn.
+pub fn start_pipelined(
+    proxy: &Arc<Proxy>,
+    head: &RequestHead,
+) -> Option<JoinHandle<pipelining::Response>> {
+    if head.method != "GET" && head.method != "HEAD" {
+        return None;
+    }
+    let host = head.headers.iter().find(|(name, _)| name.eq_ignore_ascii_case("host"))?;
+    let host = std::str::from_utf8(&host.1).ok()?;
+    let host = host.split(':').next().unwrap_or(host);
+    let table = proxy.endpoints.table.load();
+    let rule = table.config.rule_for(&head.method, host, &head.target)?;
+    let class = &table.config.classes[table.config.rules[rule].class];
+    if class.idempotency != Idempotency::Idempotent {
+        return None;
+    }
+    let request = head.to_request()?;
+    Some(tokio::spawn(forward(proxy.clone(), request)))
+}
--- /dev/null
+++ b/proxy/src/forward/rejection.rs
@@ -0,0 +1,89 @@
+//! Rejections as HTTP responses: status, body and headers (design 8.3).
+
+use super::{Counter, Proxy};
+use crate::lifecycle::Rejection;
+use hyper::Response;
+use hyper::header::{self, HeaderValue};
+use jzon::JsonValue;
+use std::time::Duration;
+use vanepath_cluster::node::{self, Body};
+use vanepath_config::ExecutionStatus;
+
+/// What the answer to a rejected request states besides the reason.
+#[derive(Default)]
+pub(super) struct RejectionDetails {
+    /// Proxies that may forward the request instead.
+    pub places: Vec<JsonValue>,
+    /// What happened, for people.
+    pub detail: String,
+    /// The client's connection ends with the answer.
+    pub closes_connection: bool,
+    /// What is left of the request's time.
+    pub time_left: Duration,
+}
+
+/// Counts the rejection and answers it.
+pub(super) fn respond(
+    proxy: &Proxy,
+    rejection: Rejection,
+    execution_status: ExecutionStatus,
+    details: &RejectionDetails,
+) -> Response<Body> {
+    count(proxy, rejection, execution_status);
+    let format = proxy.node.settings.wire_format;
+    let status_name: &'static str = execution_status.into();
+    let body = json_body(rejection, status_name, details);
+    let mut response = node::json_response(rejection.status(execution_status), &body);
+    let headers = response.headers_mut();
+    if let Some(name) = format.headers().execution_status {
+        headers.insert(name, HeaderValue::from_static(status_name));
+    }
+    if execution_status == ExecutionStatus::NotRun
+        && let Some(delay) = rejection.retry_after(details.time_left, proxy.random())
+        && let Ok(delay) = HeaderValue::from_str(&format.retry_after(delay))
+    {
+        headers.insert(header::RETRY_AFTER, delay);
+    }
+    if details.closes_connection || rejection == Rejection::Malformed {
+        headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
+    }
+    response
+}
+
+fn json_body(
+    rejection: Rejection,
+    status_name: &'static str,
+    details: &RejectionDetails,
+) -> JsonValue {
+    let reason: &'static str = rejection.into();
+    let mut body = jzon::object! { "error": reason, "verdict": status_name };
+    if !details.places.is_empty() {
+        body["places"] = JsonValue::Array(details.places.clone());
+    }
+    if !details.detail.is_empty() {
+        body["detail"] = details.detail.as_str().into();
+    }
+    body
+}
+
+fn count(proxy: &Proxy, rejection: Rejection, execution_status: ExecutionStatus) {
+    proxy.counters.increment(match rejection {
+        Rejection::Malformed => Counter::RejectedMalformed,
+        Rejection::Unmatched => Counter::RejectedUnmatched,
+        Rejection::HeadTooLarge => Counter::RejectedHeadTooLarge,
+        Rejection::TooLarge => Counter::RejectedTooLarge,
+        Rejection::Misplaced => Counter::RejectedMisplaced,
+        Rejection::NotReady => Counter::RejectedNotReady,
+        Rejection::BelowReadIndex => Counter::RejectedBelowReadIndex,
+        Rejection::QueueFull => Counter::RejectedQueueFull,
+        Rejection::NoServer => Counter::RejectedNoServer,
+        Rejection::Crowded => Counter::RejectedCrowded,
+        Rejection::NoBudget => Counter::RejectedNoBudget,
+        Rejection::Late => Counter::RejectedLate,
+        Rejection::Lost => Counter::RejectedLost,
+    });
+    proxy.counters.increment(match execution_status {
+        ExecutionStatus::MayHaveRun => Counter::StatusMayHaveRun,
+        _ => Counter::StatusNotRun,
+    });
+}
--- /dev/null
+++ b/proxy/src/forward/response.rs
@@ -0,0 +1,235 @@
+//! The response of a server on its way to the client: small ones are buffered first, so that one
+//! that breaks off can still be fetched elsewhere; the others are relayed as they come.
+
+use super::admission::AdmissionPermit;
+use super::guards::InFlightGuard;
+use super::headers::strip_hop_by_hop;
+use super::{Counter, Proxy};
+use crate::bandwidth_limiter::{BandwidthLimiter, Throttled};
+use crate::connector::Sender;
+use crate::endpoints::IdleConnection;
+use crate::lifecycle::AttemptError;
+use crate::throttled_body::{BandwidthPermit, ThrottledBody};
+use bytes::Bytes;
+use http_body_util::BodyExt;
+use hyper::Response;
+use hyper::body::{Body as HttpBody, Frame, Incoming, SizeHint};
+use hyper::header::{self, HeaderValue};
+use hyper::http::response;
+use std::collections::VecDeque;
+use std::pin::Pin;
+use std::sync::{Arc, Mutex};
+use std::task::{Context, Poll, ready};
+use std::time::Duration;
+use vanepath_cluster::node::{Body, BodyError};
+use vanepath_config::ExecutionStatus;
+
+/// Responses up to this size, in bytes, are buffered completely before they are relayed.
+const MAX_BUFFERED_BYTES: usize = 64 << 10;
+
+/// A response whose head was received.
+pub(super) struct UpstreamResponse {
+    pub head: response::Parts,
+    pub body: UpstreamBody,
+}
+
+/// A response's body that was received in part or completely, and the connection that it comes on.
+pub(super) struct UpstreamBody {
+    pub buffered: VecDeque<Frame<Bytes>>,
+    /// What is not received yet; `None` once the body is complete or broken off.
+    pub rest: Option<Incoming>,
+    /// Idle again after the body, unless it breaks off.
+    pub connection: Option<Sender>,
+    /// When the server last proved its identity on the connection.
+    pub verified_at: Duration,
+    /// How long the server keeps the connection while it is idle.
+    pub keep_alive: Duration,
+    /// The slot of the server.
+    pub slot: usize,
+    /// The server is in another zone than this proxy.
+    pub is_other_zone: bool,
+}
+
+/// Reads frames until the body is complete or too large to buffer; those of large responses as the
+/// bandwidth allows. May be cancelled between frames.
+///
+/// # Errors
+/// [`AttemptError::Truncated`] if the body breaks off.
+pub(super) async fn buffer_response(
+    proxy: &Proxy,
+    body: &mut UpstreamBody,
+    is_bulk: bool,
+) -> Result<(), AttemptError> {
+    let mut buffered_bytes = 0;
+    while let Some(rest) = &mut body.rest {
+        match rest.frame().await {
+            None => body.rest = None,
+            Some(Err(_)) => return Err(AttemptError::Truncated),
+            Some(Ok(frame)) => {
+                let length = data_length(&frame);
+                buffered_bytes += length;
+                body.buffered.push_back(frame);
+                if buffered_bytes > MAX_BUFFERED_BYTES {
+                    return Ok(());
+                }
+                if is_bulk {
+                    wait_for_bandwidth(proxy, &proxy.upstream_limiter, length).await;
+                }
+            }
+        }
+    }
+    Ok(())
+}
+
+/// Waits until so many bytes may pass the limiter, where there is one.
+async fn wait_for_bandwidth(
+    proxy: &Proxy,
+    limiter: &Option<Mutex<BandwidthLimiter>>,
+    bytes: usize,
+) {
+    let Some(limiter) = limiter else { return };
+    loop {
+        let now = proxy.now();
+        let passed = limiter.lock().expect("no panic under this lock").try_pass(now, bytes);
+        match passed {
+            Ok(()) => return,
+            Err(Throttled { retry_at }) => {
+                tokio::time::sleep(retry_at.saturating_sub(now)).await;
+            }
+        }
+    }
+}
+
+fn data_length(frame: &Frame<Bytes>) -> usize {
+    frame.data_ref().map_or(0, Bytes::len)
+}
+
+/// Relays a response; its body holds the guards until it is complete or given up.
+pub(super) fn relay(
+    proxy: &Arc<Proxy>,
+    response: UpstreamResponse,
+    guards: (InFlightGuard, AdmissionPermit),
+    is_throttled: bool,
+) -> Response<Body> {
+    let mut head = response.head;
+    strip_hop_by_hop(&mut head.headers);
+    if let Some(name) = proxy.node.settings.wire_format.headers().execution_status {
+        head.headers.insert(name, HeaderValue::from_static(ExecutionStatus::Ran.into()));
+    }
+    let content_length = head
+        .headers
+        .get(header::CONTENT_LENGTH)
+        .and_then(|value| value.to_str().ok()?.parse().ok());
+    let mut body = RelayedBody {
+        proxy: proxy.clone(),
+        upstream: response.body,
+        content_length,
+        guards: Some(guards),
+    };
+    if body.upstream.rest.is_none() {
+        // Received already: the server and the class are free, however slow the client is.
+        body.complete();
+    }
+    Response::from_parts(
+        head,
+        if is_throttled { throttle(proxy, body) } else { body.boxed_unsync() },
+    )
+}
+
+/// Writes the body to the client as the bandwidth allows.
+fn throttle(proxy: &Arc<Proxy>, body: RelayedBody) -> Body {
+    let proxy = proxy.clone();
+    let request_permit = move |bytes| -> BandwidthPermit {
+        let proxy = proxy.clone();
+        Box::pin(async move { wait_for_bandwidth(&proxy, &proxy.downstream_limiter, bytes).await })
+    };
+    ThrottledBody::new(body, request_permit).boxed_unsync()
+}
+
+/// The body of a response on its way to the client.
+struct RelayedBody {
+    proxy: Arc<Proxy>,
+    upstream: UpstreamBody,
+    content_length: Option<u64>,
+    /// Of the server and of the class; gone once the body is received.
+    guards: Option<(InFlightGuard, AdmissionPermit)>,
+}
+
+impl RelayedBody {
+    /// The body is received: its connection is idle, and the guards are released.
+    fn complete(&mut self) {
+        self.upstream.rest = None;
+        if let Some(connection) = self.upstream.connection.take() {
+            let idle = IdleConnection {
+                connection,
+                verified_at: self.upstream.verified_at,
+                idle_since: self.proxy.now(),
+                keep_alive: self.upstream.keep_alive,
+                is_used: true,
+            };
+            self.proxy.endpoints.put_idle(self.upstream.slot, idle);
+        }
+        self.guards = None;
+    }
+
+    /// The body broke off. The client must see that, so its connection breaks too.
+    fn abort(&mut self) {
+        self.upstream.rest = None;
+        self.upstream.connection = None;
+        self.proxy.counters.increment(Counter::ResponsesAborted);
+    }
+
+    fn poll_next(
+        &mut self,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        if let Some(frame) = self.upstream.buffered.pop_front() {
+            return Poll::Ready(Some(Ok(frame)));
+        }
+        let Some(rest) = &mut self.upstream.rest else { return Poll::Ready(None) };
+        Poll::Ready(match ready!(Pin::new(rest).poll_frame(context)) {
+            Some(Ok(frame)) => Some(Ok(frame)),
+            Some(Err(error)) => {
+                self.abort();
+                Some(Err(BodyError::from(error)))
+            }
+            None => {
+                self.complete();
+                None
+            }
+        })
+    }
+}
+
+impl HttpBody for RelayedBody {
+    type Data = Bytes;
+    type Error = BodyError;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        let frame = ready!(self.poll_next(context));
+        if let Some(Ok(frame)) = &frame
+            && self.upstream.is_other_zone
+        {
+            self.proxy.counters.add(Counter::BytesOtherZone, data_length(frame) as u64);
+        }
+        Poll::Ready(frame)
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        if self.upstream.rest.is_none() {
+            let buffered = self.upstream.buffered.iter().filter_map(|frame| frame.data_ref());
+            return SizeHint::with_exact(buffered.map(|data| data.len() as u64).sum());
+        }
+        match self.content_length {
+            Some(length) => SizeHint::with_exact(length),
+            None => SizeHint::default(),
+        }
+    }
+
+    fn is_end_stream(&self) -> bool {
+        self.upstream.rest.is_none() && self.upstream.buffered.is_empty()
+    }
+}
--- /dev/null
+++ b/proxy/src/forward/routing.rs
@@ -0,0 +1,186 @@
+//! The rule, the service and the deadline of a request.
+
+use super::Proxy;
+use super::rejection::RejectionDetails;
+use crate::endpoints::{RoutingTable, SelectionContext, eligible_proxies};
+use crate::lifecycle::Rejection;
+use hyper::header::HeaderMap;
+use hyper::http::request;
+use jzon::JsonValue;
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use std::time::Duration;
+use vanepath_cluster::node::ClusterView;
+use vanepath_cluster::wire::NodeInfo;
+use vanepath_config::model::{Class, Rule};
+
+/// What rules are matched against.
+pub(super) struct RequestTarget {
+    method: String,
+    host: String,
+    /// With the query.
+    path: String,
+}
+
+impl RequestTarget {
+    /// `host` comes without a port.
+    pub fn new(head: &request::Parts, host: String) -> RequestTarget {
+        let path = head.uri.path_and_query().map_or("/", |path| path.as_str()).to_string();
+        RequestTarget { method: head.method.to_string(), host, path }
+    }
+}
+
+/// The rule that a request goes by, in the routing table that it was found in.
+pub(super) struct Route {
+    pub table: Arc<RoutingTable>,
+    /// The index of the rule.
+    pub rule: usize,
+    target: RequestTarget,
+}
+
+impl Route {
+    /// Finds the rule in the newest table.
+    ///
+    /// # Errors
+    /// [`Rejection::Unmatched`], and [`Rejection::Misplaced`] where the rule does not allow this
+    /// proxy to forward; `details` names proxies that may.
+    pub fn find(
+        proxy: &Proxy,
+        target: RequestTarget,
+        details: &mut RejectionDetails,
+    ) -> Result<Route, Rejection> {
+        let table = proxy.endpoints.table.load_full();
+        let rule = find_rule(proxy, &table, &target, details)?;
+        Ok(Route { table, rule, target })
+    }
+
+    /// Switches to the newest table, and finds the rule again if it has another config.
+    ///
+    /// # Errors
+    /// As for [`Route::find`].
+    pub fn refresh(
+        &mut self,
+        proxy: &Proxy,
+        details: &mut RejectionDetails,
+    ) -> Result<(), Rejection> {
+        let latest = proxy.endpoints.table.load_full();
+        if !Arc::ptr_eq(&latest.config, &self.table.config) {
+            self.rule = find_rule(proxy, &latest, &self.target, details)?;
+        }
+        self.table = latest;
+        Ok(())
+    }
+
+    /// The rule itself.
+    pub fn rule(&self) -> &Rule {
+        &self.table.config.rules[self.rule]
+    }
+
+    /// The class of the rule.
+    pub fn class(&self) -> &Class {
+        &self.table.config.classes[self.rule().class]
+    }
+
+    /// Draws a service by the weights of the rule and counts the request towards its retry budget.
+    /// Returns the name, which outlives a change of the config.
+    pub fn pick_service(&self, proxy: &Proxy) -> String {
+        let service = self.rule().pick_service(proxy.random());
+        let name = self.table.config.services[service].name.clone();
+        let mut budgets = proxy.retry_budgets.lock().expect("no panic under this lock");
+        budgets.record_request(proxy.now(), &name);
+        name
+    }
+
+    /// The index of the drawn service in this table, or of the rule's main service if the rule does
+    /// not have the drawn one any more.
+    pub fn service_index(&self, name: &str) -> usize {
+        let rule = self.rule();
+        let services = &self.table.config.services;
+        let weighted = rule.weighted_services.iter().map(|service| service.0);
+        let mut named = weighted.filter(|index| services[*index].name == name);
+        named.next().unwrap_or(rule.service)
+    }
+
+    /// What the selection of a server for this request goes by.
+    pub fn selection_context<'c>(
+        &self,
+        proxy: &'c Proxy,
+        service: usize,
+        drained_zones: &'c BTreeSet<String>,
+        tried: &'c [usize],
+    ) -> SelectionContext<'c> {
+        SelectionContext {
+            rule: self.rule,
+            service,
+            drained_zones,
+            zone: &proxy.node.settings.zone,
+            region: &proxy.node.settings.region,
+            tried,
+            only_alternative_for: None,
+            is_past_target: false,
+        }
+    }
+}
+
+fn find_rule(
+    proxy: &Proxy,
+    table: &RoutingTable,
+    target: &RequestTarget,
+    details: &mut RejectionDetails,
+) -> Result<usize, Rejection> {
+    let index = table
+        .config
+        .rule_for(&target.method, &target.host, &target.path)
+        .ok_or(Rejection::Unmatched)?;
+    let rule = &table.config.rules[index];
+    if !rule.may_forward_from(&proxy.node.settings.region) {
+        details.places = eligible_locations(&proxy.node.table.load(), rule);
+        return Err(Rejection::Misplaced);
+    }
+    Ok(index)
+}
+
+/// The proxies that may forward requests of this rule, as the answer to a rejected one lists them.
+fn eligible_locations(view: &ClusterView, rule: &Rule) -> Vec<JsonValue> {
+    let location = |node: &NodeInfo| {
+        jzon::object! {
+            "zone": node.zone.as_str(),
+            "region": node.region.as_str(),
+            "address": node.address.to_string(),
+        }
+    };
+    eligible_proxies(view, rule).map(location).collect()
+}
+
+/// How much time a request has.
+#[derive(Clone, Copy)]
+pub(super) struct RequestTiming {
+    /// Counted from its arrival: the limit of its rule or class, or the client's own if that is shorter.
+    pub limit: Duration,
+    /// The end of that time on the clock of the node.
+    pub deadline: Duration,
+    /// Earlier attempts of the client have used up the latency target, as far as is known.
+    pub is_past_latency_target: bool,
+}
+
+impl RequestTiming {
+    /// Reads the client's own limit from the headers and records it.
+    pub fn new(
+        proxy: &Proxy,
+        route: &Route,
+        headers: &HeaderMap,
+        received_at: Duration,
+    ) -> RequestTiming {
+        let rule = route.rule();
+        let configured = rule.deadline.unwrap_or(route.class().deadline);
+        let stated = headers
+            .get(proxy.node.settings.wire_format.headers().deadline)
+            .and_then(|value| value.to_str().ok()?.parse().ok())
+            .map_or(configured, Duration::from_millis);
+        let limit = configured.min(stated);
+        let mut client_deadlines = proxy.client_deadlines.lock().expect("no panic under this lock");
+        let is_past_latency_target =
+            client_deadlines.is_past_aim(received_at, &rule.name, stated, rule.latency_target);
+        RequestTiming { limit, deadline: received_at + limit, is_past_latency_target }
+    }
+}
--- /dev/null
+++ b/proxy/src/forward/state.rs
@@ -0,0 +1,274 @@
+//! What all requests of a proxy share, and what it counts.
+
+use crate::admission::{AdmissionControl, AdmissionSlot, Woken};
+use crate::bandwidth_limiter::BandwidthLimiter;
+use crate::client_deadlines::ClientDeadlines;
+use crate::connector::Sender;
+use crate::endpoints::Endpoints;
+use crate::health::Failure;
+use crate::lifecycle::AttemptError;
+use crate::request_rates::RequestRates;
+use crate::retry_budget::{RetryBudgets, RetryReason};
+use std::collections::HashMap;
+use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+use vanepath_cluster::node::{self, Node};
+
+vanepath_cluster::counters! {
+    /// What a proxy counts. The names in the metrics are those of earlier versions.
+    pub enum Counter {
+        /// Requests received.
+        Requests,
+        /// Requests answered with the response of a server.
+        #[strum(serialize = "done")]
+        Completed,
+        /// Requests whose client disconnected before it got anything.
+        #[strum(serialize = "callersLeft")]
+        ClientDisconnects,
+        /// Requests rejected as invalid.
+        #[strum(serialize = "refusedMalformed")]
+        RejectedMalformed,
+        /// Requests that no rule matches.
+        #[strum(serialize = "refusedUnmatched")]
+        RejectedUnmatched,
+        /// Requests whose head is over the limit.
+        #[strum(serialize = "refusedHeadTooLarge")]
+        RejectedHeadTooLarge,
+        /// Requests whose body is over the limit.
+        #[strum(serialize = "refusedTooLarge")]
+        RejectedTooLarge,
+        /// Requests that may not be forwarded from this region.
+        #[strum(serialize = "refusedMisplaced")]
+        RejectedMisplaced,
+        /// Requests that came before this proxy was ready.
+        #[strum(serialize = "refusedNotReady")]
+        RejectedNotReady,
+        /// Requests that came while the read index was not reached.
+        #[strum(serialize = "refusedBelowFloor")]
+        RejectedBelowReadIndex,
+        /// Requests that found the queue of their class full.
+        #[strum(serialize = "refusedNoRoom")]
+        RejectedQueueFull,
+        /// Requests for which no server was left.
+        #[strum(serialize = "refusedNoServer")]
+        RejectedNoServer,
+        /// Requests that would have missed their deadline in every server's queue.
+        #[strum(serialize = "refusedCrowded")]
+        RejectedCrowded,
+        /// Requests that the retry budget had nothing left for.
+        #[strum(serialize = "refusedNoBudget")]
+        RejectedNoBudget,
+        /// Requests whose deadline passed.
+        #[strum(serialize = "refusedLate")]
+        RejectedLate,
+        /// Requests whose response was lost.
+        #[strum(serialize = "refusedLost")]
+        RejectedLost,
+        /// Rejections of requests that did not run.
+        #[strum(serialize = "verdictNotRun")]
+        StatusNotRun,
+        /// Rejections of requests that may have run.
+        #[strum(serialize = "verdictMayHaveRun")]
+        StatusMayHaveRun,
+        /// Attempts, the first of each request included.
+        #[strum(serialize = "goes")]
+        Attempts,
+        /// Attempts after the first of their request.
+        #[strum(serialize = "furtherGoes")]
+        Retries,
+        /// Attempts given up before anything was sent, since the server was withdrawn.
+        #[strum(serialize = "goesWithdrawn")]
+        AttemptsWithdrawn,
+        /// Attempts at servers of another zone.
+        #[strum(serialize = "goesOtherZone")]
+        AttemptsOtherZone,
+        /// Attempts at servers of another region.
+        #[strum(serialize = "goesOtherRegion")]
+        AttemptsOtherRegion,
+        /// Bytes of response bodies from other zones.
+        BytesOtherZone,
+        /// Connections to servers that were begun.
+        ConnectionsOpened,
+        /// Connections to servers that were not made.
+        ConnectionsFailed,
+        /// Idle connections used again.
+        ConnectionsReused,
+        /// Health checks.
+        Probes,
+        /// Health checks that failed.
+        ProbesFailed,
+        /// Responses cut short before any of it was relayed.
+        #[strum(serialize = "receiptsTruncated")]
+        ResponsesTruncated,
+        /// Responses cut short while they were relayed.
+        #[strum(serialize = "receiptsAborted")]
+        ResponsesAborted,
+        /// Connections that brought bytes that belong to no request.
+        SurplusBytes,
+        /// Load reports that could not be read.
+        #[strum(serialize = "demandReportsBad")]
+        LoadReportsInvalid,
+        /// Requests admitted to another class's slot at once.
+        Borrowed,
+        /// Requests that waited for a slot.
+        Queued,
+    }
+}
+
+/// The counters of a proxy.
+pub type Counters = vanepath_cluster::counters::Counters<Counter>;
+
+/// From this rate of the link on, in megabits per second, large responses are not throttled.
+const WIDE_LINK_MEGABITS: f64 = 100.0;
+
+/// What all requests of a proxy share.
+pub struct Proxy {
+    /// This program as a member of the cluster.
+    pub node: Arc<Node>,
+    /// The servers and the routing table.
+    pub endpoints: Endpoints<Sender>,
+    /// Concurrency limits and queues of the classes.
+    pub admission: Mutex<AdmissionControl>,
+    /// Queued requests by ticket.
+    pub(super) queued: Mutex<HashMap<u64, oneshot::Sender<AdmissionSlot>>>,
+    /// The retry budgets of the services.
+    pub retry_budgets: Mutex<RetryBudgets>,
+    /// What the metrics show.
+    pub counters: Arc<Counters>,
+    /// Whether this proxy accepts requests.
+    pub is_ready: AtomicBool,
+    /// Whether this proxy shuts down.
+    pub is_draining: AtomicBool,
+    /// Whether a server's phase changed that registries do not know of yet.
+    pub has_unreported_changes: AtomicBool,
+    /// How many proxies share the retry budgets.
+    pub live_proxies: AtomicUsize,
+    /// Requests per second by service.
+    pub request_rates: Mutex<RequestRates>,
+    pub(super) client_deadlines: Mutex<ClientDeadlines>,
+    /// Throttles large responses to clients, where the link is narrow.
+    pub(super) downstream_limiter: Option<Mutex<BandwidthLimiter>>,
+    /// Throttles the reading of large responses from servers, where the link is narrow.
+    pub(super) upstream_limiter: Option<Mutex<BandwidthLimiter>>,
+    random_state: AtomicU64,
+}
+
+impl Proxy {
+    /// A proxy without servers and classes, which the maintenance actor brings.
+    pub fn new(node: Arc<Node>) -> Proxy {
+        let proves_answers = node.settings.wire_format.headers().request_id.is_some();
+        let mut endpoints = Endpoints::default();
+        endpoints.proves_answers = proves_answers;
+        let retry_budget = node.settings.retry_budget;
+        let narrow_link = node.settings.link_megabits.filter(|rate| *rate < WIDE_LINK_MEGABITS);
+        let limiter = || narrow_link.map(|rate| Mutex::new(BandwidthLimiter::new(rate)));
+        Proxy {
+            node,
+            endpoints,
+            admission: Mutex::default(),
+            queued: Mutex::default(),
+            retry_budgets: Mutex::new(RetryBudgets::new(retry_budget)),
+            counters: Arc::default(),
+            is_ready: AtomicBool::new(false),
+            is_draining: AtomicBool::new(false),
+            has_unreported_changes: AtomicBool::new(false),
+            live_proxies: AtomicUsize::new(1),
+            request_rates: Mutex::default(),
+            client_deadlines: Mutex::default(),
+            downstream_limiter: limiter(),
+            upstream_limiter: limiter(),
+            random_state: AtomicU64::new(node::random()),
+        }
+    }
+
+    /// The next random number (SplitMix64).
+    pub(super) fn random(&self) -> u64 {
+        let mut mixed = self.random_state.fetch_add(0x9e37_79b9_7f4a_7c15, Ordering::Relaxed);
+        mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        mixed ^ (mixed >> 31)
+    }
+
+    /// The time on the clock of the node.
+    pub(super) fn now(&self) -> Duration {
+        self.node.clock.now()
+    }
+
+    /// A time on the clock of the node as one of the runtime's timers; at once if it has passed.
+    pub(super) fn timer_instant(&self, at: Duration) -> Instant {
+        Instant::now() + at.saturating_sub(self.now())
+    }
+
+    /// Hands slots to the requests that admission control has woken. The slot of a request whose
+    /// client disconnected meanwhile is released again.
+    pub fn wake(&self, mut woken: Vec<Woken>) {
+        while let Some(Woken { ticket, slot }) = woken.pop() {
+            let request = self.queued.lock().expect("no panic under this lock").remove(&ticket);
+            let is_gone = request.is_none_or(|request| request.send(slot).is_err());
+            if is_gone {
+                let mut admission = self.admission.lock().expect("no panic under this lock");
+                woken.extend(admission.release(slot));
+            }
+        }
+    }
+
+    pub(super) fn release_slot(&self, slot: AdmissionSlot) {
+        let woken = self.admission.lock().expect("no panic under this lock").release(slot);
+        self.wake(woken);
+    }
+
+    /// Takes one retry from the budget of the service, if there is one left.
+    pub(super) fn try_take_retry(&self, service: &str, reason: RetryReason) -> bool {
+        let live_proxies = self.live_proxies.load(Ordering::Relaxed);
+        let mut budgets = self.retry_budgets.lock().expect("no panic under this lock");
+        budgets.try_take(self.now(), service, live_proxies, reason)
+    }
+
+    /// Records a sign against the server with this slot and id.
+    pub fn record_failure(&self, slot: usize, id: &str, failure: Failure) {
+        if let Some(phase) = self.endpoints.record_failure(self.now(), slot, failure) {
+            self.has_unreported_changes.store(true, Ordering::Relaxed);
+            log::info!("server {id} is {phase}: {failure:?}");
+        }
+    }
+
+    /// Records that the server with this slot and id passed a health check.
+    pub fn record_success(&self, slot: usize, id: &str) {
+        if let Some(phase) = self.endpoints.record_success(self.now(), slot) {
+            self.has_unreported_changes.store(true, Ordering::Relaxed);
+            log::info!("server {id} is {phase}");
+        }
+    }
+
+    /// Records what became of a request that was given to the server with this slot and id.
+    pub(super) fn record_outcome(&self, slot: usize, id: &str, outcome: Result<(), AttemptError>) {
+        if let Some(phase) = self.endpoints.record_outcome(self.now(), slot, outcome) {
+            self.has_unreported_changes.store(true, Ordering::Relaxed);
+            match outcome {
+                Ok(()) => log::info!("server {id} is {phase}"),
+                Err(error) => log::info!("server {id} is {phase}: {error}"),
+            }
+        }
+    }
+
+    /// What to do when a connection to this server brings bytes that belong to no request: the
+    /// server counts as desynchronized.
+    pub fn on_surplus_bytes(
+        self: &Arc<Self>,
+        slot: usize,
+        id: &str,
+    ) -> impl FnOnce() + Send + 'static {
+        let (proxy, id) = (self.clone(), id.to_string());
+        move || {
+            proxy.counters.increment(Counter::SurplusBytes);
+            if proxy.endpoints.mark_desynchronized(slot) {
+                log::info!(
+                    "server {id} sent surplus bytes: one request per connection from now on"
+                );
+            }
+        }
+    }
+}
--- /dev/null
+++ b/proxy/src/forward/upstream_request.rs
@@ -0,0 +1,48 @@
+//! The request as it is sent to servers.
+
+use super::Proxy;
+use super::headers::strip_hop_by_hop;
+use super::request_body::ReplayableBody;
+use crate::lifecycle::AttemptError;
+use hyper::header::{self, HeaderMap, HeaderValue};
+use hyper::http::request;
+use hyper::{Method, Request, Uri};
+use vanepath_cluster::node::Body;
+
+/// A request in the form in which it is sent to a server, once or several times.
+pub(super) struct UpstreamRequest {
+    pub method: Method,
+    uri: Uri,
+    /// Without those that name the server or the time that is left, which differ by attempt.
+    pub headers: HeaderMap,
+    body: ReplayableBody,
+}
+
+impl UpstreamRequest {
+    /// Removes the headers that concern only the client's connection.
+    pub fn new(proxy: &Proxy, head: request::Parts, body: ReplayableBody) -> UpstreamRequest {
+        let mut headers = head.headers;
+        strip_hop_by_hop(&mut headers);
+        headers.remove(proxy.node.settings.wire_format.headers().deadline);
+        if let ReplayableBody::Buffered(bytes) = &body {
+            // The length that was read counts, not the one that was stated.
+            let had_length = headers.remove(header::CONTENT_LENGTH).is_some();
+            if had_length || !bytes.is_empty() {
+                headers.insert(header::CONTENT_LENGTH, HeaderValue::from(bytes.len()));
+            }
+        }
+        UpstreamRequest { method: head.method, uri: head.uri, headers, body }
+    }
+
+    /// The request for the next attempt.
+    ///
+    /// # Errors
+    /// [`AttemptError::NotSent`] if its body cannot be sent again.
+    pub fn next(&mut self) -> Result<Request<Body>, AttemptError> {
+        let mut request = Request::new(self.body.next()?);
+        *request.method_mut() = self.method.clone();
+        *request.uri_mut() = self.uri.clone();
+        *request.headers_mut() = self.headers.clone();
+        Ok(request)
+    }
+}
--- a/proxy/src/pipelining/scanner.rs
+++ b/proxy/src/pipelining/scanner.rs
@@ -29,7 +29,7 @@
     body_left: u64,
     /// The requests so far.
     count: u64,
-    /// Where the next request begins cannot be told any more.
+    /// Where the next request begins is not known any more.
     has_lost_track: bool,
 }
 
@@ -91,7 +91,7 @@
                     Err(_) => self.has_lost_track = true,
                 }
             }
-            // Only the library can tell whether and where more requests follow.
+            // Only the library knows whether and where more requests follow.
             let is_last = is("connection") && header.value.eq_ignore_ascii_case(b"close");
             if is("transfer-encoding") || is("upgrade") || is("expect") || is_last {
                 has_body = true;
--- a/proxy/src/retry_budget/tests.rs
+++ b/proxy/src/retry_budget/tests.rs
@@ -18,7 +18,7 @@
         let mut retries = 0;
         for _ in 0..requests {
             budget.record_request(now);
-            // Every request asks for three retries.
+            // Every request wants three retries.
             retries += (0..3).filter(|_| budget.try_take(now, 8, RetryReason::Lost)).count() as u64;
         }
         history.push((now_ms, requests, retries));
--- /dev/null
+++ b/proxy/src/shell/connections.rs
@@ -0,0 +1,106 @@
+//! Serves the connections of clients, read ahead of the HTTP library (design 8.9).
+
+use super::status;
+use crate::forward::{self, OWN_PREFIX, Proxy};
+use crate::pipelining::{Pipeline, PipelinedStream, RequestHead, Response, TrackedBody};
+use http_body_util::BodyExt;
+use hyper::Request;
+use hyper::body::Incoming;
+use hyper::service::service_fn;
+use hyper_util::rt::TokioIo;
+use std::convert::Infallible;
+use std::future::poll_fn;
+use std::pin::Pin;
+use std::sync::Arc;
+use std::task::{Context, Poll};
+use tokio::net::TcpStream;
+use tokio::sync::watch;
+use tokio::task::{JoinError, JoinHandle};
+use vanepath_cluster::node::{BodyError, HttpSettings};
+
+/// Serves one client's connection until it ends; `stop` ends it after the request in flight.
+pub(super) async fn serve_connection(
+    proxy: Arc<Proxy>,
+    stream: TcpStream,
+    stop: watch::Receiver<bool>,
+    http: HttpSettings,
+    has_admin_listener: bool,
+) {
+    let pipeline = Pipeline::new(stream);
+    let (starter, service_pipeline) = (proxy.clone(), pipeline.clone());
+    let stream = PipelinedStream {
+        pipeline: pipeline.clone(),
+        start: Box::new(move |head| forward::start_pipelined(&starter, head)),
+    };
+    let server = proxy.clone();
+    let service = service_fn(move |request| {
+        let (proxy, pipeline) = (server.clone(), service_pipeline.clone());
+        async move {
+            let response = respond(&proxy, &pipeline, request, has_admin_listener).await;
+            let track = |body| TrackedBody { body, pipeline }.boxed_unsync();
+            Ok::<_, Infallible>(response.map(track))
+        }
+    });
+    let connection = http.builder().serve_connection(TokioIo::new(stream), service);
+    tokio::pin!(connection);
+    let mut stopped = stop.clone();
+    let stopping = async move { stopped.wait_for(|stop| *stop).await.is_ok() };
+    tokio::pin!(stopping);
+    let mut is_stopping = false;
+    poll_fn(|context| {
+        if !is_stopping && stopping.as_mut().poll(context).is_ready() {
+            is_stopping = true;
+            connection.as_mut().graceful_shutdown();
+        }
+        let start = |head: &RequestHead| forward::start_pipelined(&proxy, head);
+        pipeline.poll(context, &start);
+        let polled = connection.as_mut().poll(context).map(|_| ());
+        if polled.is_pending() {
+            // The library may have received a request just now: read ahead of it too.
+            pipeline.poll(context, &start);
+        }
+        polled
+    })
+    .await;
+}
+
+/// Answers one request as the library passes it.
+async fn respond(
+    proxy: &Arc<Proxy>,
+    pipeline: &Pipeline,
+    request: Request<Incoming>,
+    has_admin_listener: bool,
+) -> Response {
+    let target = request.uri().path_and_query().map_or("", |target| target.as_str());
+    let started = pipeline.receive(request.method().as_str(), target);
+    let own_path = request.uri().path().strip_prefix(OWN_PREFIX);
+    if let Some(path) = own_path.filter(|_| !has_admin_listener) {
+        return status::own_page(proxy, &format!("/{path}"));
+    }
+    if let Some(task) = started
+        && let Ok(response) = (AbortOnDrop { task }).await
+    {
+        return response;
+    }
+    let request = request.map(|body| body.map_err(BodyError::from).boxed_unsync());
+    forward::forward(proxy.clone(), request).await
+}
+
+/// A request that was started before its turn, and is cancelled when nobody waits for it any more.
+struct AbortOnDrop {
+    task: JoinHandle<Response>,
+}
+
+impl Future for AbortOnDrop {
+    type Output = Result<Response, JoinError>;
+
+    fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Self::Output> {
+        Pin::new(&mut self.task).poll(context)
+    }
+}
+
+impl Drop for AbortOnDrop {
+    fn drop(&mut self) {
+        self.task.abort();
+    }
+}
--- /dev/null
+++ b/proxy/src/shell/maintenance.rs
@@ -0,0 +1,191 @@
+//! The maintenance actor: on each tick it brings servers, classes and readiness to what the
+//! cluster's view says, starts the health checks that are due, and reports what this proxy observes.
+
+use super::probing::probe;
+use crate::endpoints::{
+    ObservationReporter, ProbeSchedule, TableRevision, live_proxies, revision_of, slow_start_rate,
+};
+use crate::forward::Proxy;
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+use tokio::time::MissedTickBehavior;
+use vanepath_cluster::node::{ClusterView, Deliver};
+use vanepath_cluster::{gossip, wire};
+
+/// The time between two ticks; a change of the view brings one at once.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// How often this proxy's subset of the servers is assigned again.
+const SUBSET_INTERVAL: Duration = Duration::from_secs(2);
+
+/// Starts the actor and its ticks.
+pub(super) fn spawn(proxy: Arc<Proxy>) {
+    let mut view = proxy.node.view.clone();
+    let actor = xtra::spawn_tokio(MaintenanceActor::new(proxy), xtra::Mailbox::unbounded());
+    tokio::spawn(async move {
+        let mut interval = tokio::time::interval(TICK_INTERVAL);
+        interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        loop {
+            tokio::select! {
+                _ = interval.tick() => {}
+                Ok(()) = view.changed() => {}
+            }
+            if actor.send(Tick).await.is_err() {
+                return;
+            }
+        }
+    });
+}
+
+#[derive(xtra::Actor)]
+struct MaintenanceActor {
+    proxy: Arc<Proxy>,
+    /// What the routing table was made from.
+    revision: TableRevision,
+    /// The traffic-shift plan that was applied last, and to which table.
+    plan: Option<(wire::PlanVersion, TableRevision)>,
+    probe_schedule: ProbeSchedule,
+    reporter: ObservationReporter,
+    /// The table and the number of live nodes for which the subset was assigned last.
+    subset: Option<(TableRevision, usize)>,
+    subset_due_at: Duration,
+}
+
+struct Tick;
+
+impl xtra::Handler<Tick> for MaintenanceActor {
+    type Return = ();
+
+    async fn handle(&mut self, _: Tick, _: &mut xtra::Context<Self>) {
+        let view = self.proxy.node.table.load_full();
+        let now = self.proxy.node.clock.now();
+        self.adopt(now, &view);
+        self.tick_endpoints(now, &view);
+        self.publish(now, &view).await;
+    }
+}
+
+impl MaintenanceActor {
+    fn new(proxy: Arc<Proxy>) -> MaintenanceActor {
+        MaintenanceActor {
+            proxy,
+            revision: TableRevision::new(u64::MAX, u64::MAX),
+            plan: None,
+            probe_schedule: ProbeSchedule::default(),
+            reporter: ObservationReporter::default(),
+            subset: None,
+            subset_due_at: Duration::ZERO,
+        }
+    }
+
+    /// Brings classes and the routing table to a new config or endpoint list.
+    fn adopt(&mut self, now: Duration, view: &ClusterView) {
+        let revision = revision_of(view);
+        if revision == self.revision {
+            return;
+        }
+        if self.revision.config != revision.config {
+            self.adopt_config(view);
+        }
+        self.revision = revision;
+        self.probe_schedule.renew();
+        let own_name = self.proxy.node.settings.name.as_str();
+        let log_lines = self.proxy.endpoints.update(
+            now,
+            revision,
+            &view.config,
+            &view.endpoints,
+            |server, services| slow_start_rate(view, own_name, server, services),
+        );
+        if let Some(read_at) = view.list_read_at.filter(|_| !log_lines.is_empty()) {
+            let age_ms = now.saturating_sub(read_at).as_millis();
+            log::info!("endpoint list {}, read {age_ms} ms ago", view.endpoints.revision);
+        }
+        for line in log_lines {
+            log::info!("{line}");
+        }
+    }
+
+    fn adopt_config(&self, view: &ClusterView) {
+        let mut admission = self.proxy.admission.lock().expect("no panic under this lock");
+        admission.adopt(&view.config);
+        let woken = admission.wake();
+        drop(admission);
+        self.proxy.wake(woken);
+        let mut request_rates = self.proxy.request_rates.lock().expect("no panic under this lock");
+        request_rates.adopt(view.config.services.iter().map(|service| service.name.as_str()));
+    }
+
+    /// Applies the traffic-shift plan, assigns the subset, and starts the health checks that are due.
+    fn tick_endpoints(&mut self, now: Duration, view: &ClusterView) {
+        let proxy = &self.proxy;
+        proxy.live_proxies.store(live_proxies(view), Ordering::Relaxed);
+        let table = proxy.endpoints.table.load_full();
+        let plan = view.plan.version();
+        if self.plan != Some((plan, self.revision)) {
+            self.plan = Some((plan, self.revision));
+            proxy.endpoints.apply_plan(now, &view.plan);
+        }
+        let live_nodes = view.live.len();
+        if self.subset != Some((self.revision, live_nodes)) || now >= self.subset_due_at {
+            self.subset = Some((self.revision, live_nodes));
+            self.subset_due_at = now + SUBSET_INTERVAL;
+            proxy.endpoints.assign_subset(view, &proxy.node.info);
+        }
+        self.probe_schedule.pulse(now, view, &proxy.node.info, &table);
+        let outcome = proxy.endpoints.pulse(now, &self.probe_schedule);
+        if outcome.has_changes {
+            proxy.has_unreported_changes.store(true, Ordering::Relaxed);
+        }
+        for line in outcome.log_lines {
+            log::info!("{line}");
+        }
+        for index in outcome.probes {
+            let endpoint = table.endpoints[index].clone();
+            let service = table.config.services[endpoint.services[0]].clone();
+            tokio::spawn(probe(proxy.clone(), endpoint, service));
+        }
+    }
+
+    /// Publishes this node's status to its peers and its observations to the registries.
+    async fn publish(&mut self, now: Duration, view: &ClusterView) {
+        self.publish_status(now, view).await;
+        let proxy = &self.proxy;
+        let has_changes = proxy.has_unreported_changes.load(Ordering::Relaxed);
+        if !self.reporter.is_due(now, has_changes) {
+            return;
+        }
+        proxy.has_unreported_changes.store(false, Ordering::Relaxed);
+        let event = gossip::Event::ObservationsChanged(self.observations(now));
+        let _ = proxy.node.gossip.send(Deliver(event)).await;
+    }
+
+    async fn publish_status(&self, now: Duration, view: &ClusterView) {
+        let proxy = &self.proxy;
+        let draining = proxy.is_draining.load(Ordering::Relaxed);
+        let ready = proxy.endpoints.is_ready(now, view.is_fresh, self.revision) && !draining;
+        if proxy.is_ready.swap(ready, Ordering::Relaxed) != ready {
+            log::info!("{}", if ready { "ready" } else { "not ready" });
+        }
+        let revision = view.committed.revision;
+        let status = wire::NodeStatus { ready, draining, revision, ..wire::NodeStatus::default() };
+        proxy.node.publish_status(status).await;
+    }
+
+    fn observations(&self, now: Duration) -> wire::ProxyObservations {
+        let proxy = &self.proxy;
+        let servers = proxy.endpoints.observations(now);
+        let services = &proxy.endpoints.table.load().config.services;
+        if services.iter().all(|service| service.probes_suspects_only) {
+            // No plan is made from stated load where servers are judged by traffic.
+            return wire::ProxyObservations { servers, ..wire::ProxyObservations::default() };
+        }
+        let usage = proxy.admission.lock().expect("no panic under this lock").usage();
+        wire::ProxyObservations {
+            servers,
+            in_flight: usage.iter().map(|class| class.in_flight as u32).collect(),
+            queued: usage.iter().map(|class| class.queued as u32).collect(),
+            request_rates: proxy.request_rates.lock().expect("no panic under this lock").tell(now),
+        }
+    }
+}
--- /dev/null
+++ b/proxy/src/shell/mod.rs
@@ -0,0 +1,95 @@
+//! The program: it starts the maintenance actor, serves clients and its own pages, and shuts down
+//! gracefully (design 8.8).
+
+mod connections;
+mod maintenance;
+mod probing;
+mod status;
+
+use crate::forward::Proxy;
+use connections::serve_connection;
+use hyper::Request;
+use hyper::body::Incoming;
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+use tokio::sync::watch;
+use vanepath_cluster::node::{self, HttpSettings, Node};
+use vanepath_config::settings::Settings;
+
+/// For how long clients are still accepted after the signal to stop, as long as a steering answer
+/// may be cached; at most half of the grace period.
+const DRAIN_DELAY: Duration = Duration::from_millis(3500);
+/// How long a client may take to send the head of a request.
+const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(30);
+/// The buffer of the HTTP library for one client, in bytes.
+const MAX_BUFFER_BYTES: usize = 64 << 10;
+
+/// Runs a proxy until it is signalled to stop.
+///
+/// # Errors
+/// If an address cannot be bound or the node cannot start.
+pub async fn run(settings: Settings) -> Result<(), miette::Report> {
+    let listener = node::bind("listen", settings.listen).await?;
+    let grace = settings.shutdown_grace;
+    let node = Node::start(settings, None).await?;
+    let proxy = Arc::new(Proxy::new(node.clone()));
+    maintenance::spawn(proxy.clone());
+    let stop_accepting = spawn_drain(proxy.clone(), DRAIN_DELAY.min(grace / 2));
+    let http = HttpSettings {
+        header_limit: HEADER_READ_TIMEOUT,
+        preserve_header_case: true,
+        buffer_most: MAX_BUFFER_BYTES,
+    };
+    let has_admin_listener = serve_admin_pages(&proxy).await?;
+    let serve =
+        move |stream, stop| serve_connection(proxy.clone(), stream, stop, http, has_admin_listener);
+    let mut stop = node.stop.clone();
+    let grace_period = async {
+        let _ = stop.wait_for(|stop| *stop).await;
+        tokio::time::sleep(grace).await;
+    };
+    tokio::select! {
+        _ = node::accept(listener, stop_accepting, serve) => log::info!("stopped"),
+        _ = grace_period => {
+            log::warn!("stopped at the end of the grace period with requests in flight");
+        }
+    }
+    Ok(())
+}
+
+/// Drains the proxy on the signal to stop. Clients may still be on their way then: they are served
+/// for `delay`, with the hint to close their connections, before the returned channel turns true and
+/// no more are accepted.
+fn spawn_drain(proxy: Arc<Proxy>, delay: Duration) -> watch::Receiver<bool> {
+    let (sender, receiver) = watch::channel(false);
+    let mut stop = proxy.node.stop.clone();
+    tokio::spawn(async move {
+        let _ = stop.wait_for(|stop| *stop).await;
+        proxy.is_draining.store(true, Ordering::Relaxed);
+        tokio::time::sleep(delay).await;
+        sender.send_replace(true);
+        std::future::pending::<()>().await;
+    });
+    receiver
+}
+
+/// Serves the proxy's own pages on an address of their own, if the settings name one. Returns
+/// whether they do.
+async fn serve_admin_pages(proxy: &Arc<Proxy>) -> Result<bool, miette::Report> {
+    let Some(address) = proxy.node.settings.admin_listen else { return Ok(false) };
+    let listener = node::bind("pagesListen", address).await?;
+    let proxy = proxy.clone();
+    let pages = move |request: Request<Incoming>| {
+        let response = status::own_page(&proxy, request.uri().path());
+        async move { response }
+    };
+    // Served until the process ends, so that readiness can be queried to the last.
+    let (sender, never) = watch::channel(false);
+    let http = HttpSettings::default();
+    tokio::spawn(async move {
+        let _sender = sender;
+        node::serve_http(listener, never, http, pages).await;
+    });
+    Ok(true)
+}
--- /dev/null
+++ b/proxy/src/shell/status.rs
@@ -0,0 +1,118 @@
+//! The proxy's own pages. Their keys and texts are part of the operators' interface and keep the
+//! names of earlier versions.
+
+use crate::connector::Sender;
+use crate::endpoints::{Endpoint, EndpointState};
+use crate::forward::Proxy;
+use crate::health::{ServerHealth, ServerPhase};
+use hyper::{Response, StatusCode};
+use jzon::JsonValue;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+use vanepath_cluster::node::{self, Body, ClusterView};
+
+/// Answers one of the pages that every program has, or `/v1/status`; 404 for any other path.
+pub(super) fn own_page(proxy: &Proxy, path: &str) -> Response<Body> {
+    let ready = proxy.is_ready.load(Ordering::Relaxed);
+    let write_metrics = |metrics: &mut JsonValue| proxy.counters.write_json(metrics);
+    if let Some(page) = node::common_pages(&proxy.node, path, ready, write_metrics) {
+        return page;
+    }
+    if path != "/v1/status" {
+        let error = jzon::object! { "error": "no such path" };
+        return node::json_response(StatusCode::NOT_FOUND, &error);
+    }
+    node::json_response(StatusCode::OK, &status(proxy, ready))
+}
+
+fn status(proxy: &Proxy, ready: bool) -> JsonValue {
+    let view = proxy.node.table.load();
+    let servers = servers(proxy, &view);
+    let classes = classes(proxy);
+    let drained_zones: Vec<JsonValue> =
+        view.committed.drained_zones.iter().map(|zone| zone.as_str().into()).collect();
+    jzon::object! {
+        "name": proxy.node.settings.name.as_str(),
+        "ready": ready,
+        "fresh": view.is_fresh,
+        "floor": view.read_index_json(),
+        "leaving": proxy.is_draining.load(Ordering::Relaxed),
+        "revision": view.committed.revision,
+        "setupRevision": view.committed.config_revision,
+        "platformRevision": view.endpoints.revision,
+        "emptied": drained_zones,
+        "epoch": view.plan.epoch,
+        "holder": view.plan.leader.as_str(),
+        "classes": classes,
+        "servers": servers,
+    }
+}
+
+fn servers(proxy: &Proxy, view: &ClusterView) -> Vec<JsonValue> {
+    let now = proxy.node.clock.now();
+    let table = proxy.endpoints.table.load();
+    let server = |endpoint: &Endpoint| {
+        proxy.endpoints.with(endpoint.slot, |state| server(view, endpoint, state, now))
+    };
+    table.endpoints.iter().filter_map(server).collect()
+}
+
+fn server(
+    view: &ClusterView,
+    endpoint: &Endpoint,
+    state: &EndpointState<Sender>,
+    now: Duration,
+) -> JsonValue {
+    let phase: &'static str = state.health.phase.into();
+    jzon::object! {
+        "id": endpoint.server.id.as_str(),
+        "zone": endpoint.server.zone.as_str(),
+        "phase": phase,
+        "why": explanation(view, endpoint, &state.health, now),
+        "inHand": state.in_flight,
+        "demand": f64::from(state.demand(now)) / 1000.0,
+    }
+}
+
+/// Why the server gets requests, or none.
+fn explanation(
+    view: &ClusterView,
+    endpoint: &Endpoint,
+    health: &ServerHealth,
+    now: Duration,
+) -> &'static str {
+    if endpoint.server.draining {
+        return "no work: the platform says that it is leaving";
+    }
+    if view.committed.drained_zones.contains(&endpoint.server.zone) {
+        return "no work: its zone is emptied";
+    }
+    if endpoint.services.is_empty() {
+        return "no work: no service selects it";
+    }
+    match health.phase {
+        ServerPhase::Unknown => "not yet heard of",
+        ServerPhase::WarmingUp => "just back: at most its modest rate",
+        ServerPhase::SlowStart => "back for a while: its rate is rising",
+        ServerPhase::Healthy if health.is_limping(now, false) => {
+            "no work while others are there: it lost some that it had in hand"
+        }
+        ServerPhase::Healthy => "given work",
+        ServerPhase::Suspect => "no work while others are there: it failed lately",
+    }
+}
+
+fn classes(proxy: &Proxy) -> Vec<JsonValue> {
+    let usage = proxy.admission.lock().expect("no panic under this lock").usage();
+    usage
+        .into_iter()
+        .map(|class| {
+            jzon::object! {
+                "name": class.name,
+                "room": class.max_in_flight,
+                "used": class.in_flight,
+                "waiting": class.queued,
+            }
+        })
+        .collect()
+}
--- a/proxy/src/throttled_body.rs
+++ b/proxy/src/throttled_body.rs
@@ -10,7 +10,7 @@
 /// Completes when the bytes that it was made for may be written.
 pub type BandwidthPermit = Pin<Box<dyn Future<Output = ()> + Send>>;
 
-/// A body that asks for permission before each piece of at most [`MAX_CHUNK_BYTES`].
+/// A body that waits for permission before each piece of at most [`MAX_CHUNK_BYTES`].
 pub struct ThrottledBody<B, P> {
     body: B,
     /// Requests permission for so many bytes.
