--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -1,5 +1,7 @@
 //! The proxy: forwards requests to servers, stores nothing on disk (design 8).
 
+#![warn(missing_docs)]
+
 pub mod admission;
 pub mod bandwidth_limiter;
 pub mod client_deadlines;
