--- /dev/null
+++ b/registry/src/api/config.rs
@@ -0,0 +1,91 @@
+//! The configuration: `PUT /v1/setup`, `GET /v1/setup` and `GET /v1/setup/REVISION` (design 6.9, 7.5).
+
+use super::ApiResponse;
+use super::errors::ApiError;
+use super::submissions::{self, IdempotencyKey};
+use crate::state::{Counter, Registry};
+use bytes::Bytes;
+use http_body_util::{BodyExt, LengthLimitError, Limited};
+use hyper::body::Incoming;
+use hyper::header::{self, HeaderValue};
+use hyper::{HeaderMap, Response};
+use vanepath_cluster::node;
+use vanepath_config::model;
+use vanepath_store::protocol::{Change, Outcome, Request, Value};
+
+/// `PUT /v1/setup`: replaces the configuration. The document is checked here and committed by the stores.
+pub async fn write(
+    registry: &Registry,
+    request: hyper::Request<Incoming>,
+) -> Result<ApiResponse, ApiError> {
+    let received_at = registry.node.clock.now();
+    let key = IdempotencyKey::from_headers(request.headers())?;
+    let if_revision = if_match(request.headers())?;
+    let bytes = read_body(registry, request.into_body()).await?;
+    let version = match registry.node.settings.wire_format.setup(&bytes) {
+        Ok(config) => config.version,
+        Err(errors) => {
+            registry.counters.increment(Counter::SetupsRefusedInvalid);
+            return Err(ApiError::InvalidConfig(errors));
+        }
+    };
+    let change = Change::ReplaceConfig { bytes: bytes.to_vec(), if_revision, version };
+    let outcome = submissions::submit(registry, &key, change, received_at).await;
+    if let Outcome::Accepted { revision, is_repeat: false, .. } = outcome {
+        registry.counters.increment(Counter::SetupsAccepted);
+        log::info!("configuration committed as revision {revision}");
+    }
+    submissions::outcome_response(registry, &key.text, outcome)
+}
+
+/// The revision of the configuration that the header `If-Match` demands (RFC 9110 section 13.1.1).
+fn if_match(headers: &HeaderMap) -> Result<Option<u64>, ApiError> {
+    let Some(value) = headers.get(header::IF_MATCH) else { return Ok(None) };
+    let text = value.to_str().map_err(|_| ApiError::UnreadableIfMatch)?;
+    let revision = text.trim().trim_matches('"').parse::<u64>();
+    revision.map(Some).map_err(|_| ApiError::InvalidIfMatch)
+}
+
+async fn read_body(registry: &Registry, body: Incoming) -> Result<Bytes, ApiError> {
+    match Limited::new(body, model::MAX_BYTES).collect().await {
+        Ok(collected) => Ok(collected.to_bytes()),
+        Err(error) if error.is::<LengthLimitError>() => {
+            registry.counters.increment(Counter::SetupsRefusedInvalid);
+            Err(ApiError::ConfigTooLarge(model::MAX_BYTES))
+        }
+        Err(_) => Err(ApiError::IncompleteBody),
+    }
+}
+
+/// `GET /v1/setup`: the committed configuration, byte for byte.
+pub async fn read(registry: &Registry) -> Result<ApiResponse, ApiError> {
+    let value = submissions::read_value(registry).await?;
+    if value.config_revision == 0 {
+        return Err(ApiError::NoConfigYet);
+    }
+    Ok(config_response(&value))
+}
+
+/// `GET /v1/setup/REVISION`: the configuration that was in force at a revision, byte for byte.
+pub async fn read_revision(registry: &Registry, revision: &str) -> Result<ApiResponse, ApiError> {
+    let revision = revision.parse::<u64>().map_err(|_| ApiError::InvalidRevision)?;
+    match submissions::read_from_stores(registry, Request::History { revision }).await? {
+        Outcome::Value { value } if value.config_revision > 0 => Ok(config_response(&value)),
+        Outcome::NoSuchRevision { latest } => Err(ApiError::NoSuchRevision { latest }),
+        _ => Err(ApiError::NoConfigAtRevision),
+    }
+}
+
+/// The document with its revision as the entity tag, for a later `If-Match`.
+fn config_response(value: &Value) -> ApiResponse {
+    let mut response = Response::new(node::body(value.document.clone()));
+    let headers = response.headers_mut();
+    headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    headers.insert(header::CACHE_CONTROL, HeaderValue::from_static("no-store"));
+    if let Ok(etag) = HeaderValue::from_str(&format!("\"{}\"", value.config_revision)) {
+        headers.insert(header::ETAG, etag);
+    }
+    headers.insert("vanepath-setup-revision", HeaderValue::from(value.config_revision));
+    headers.insert("vanepath-revision", HeaderValue::from(value.revision));
+    response
+}
--- /dev/null
+++ b/registry/src/api/mod.rs
@@ -0,0 +1,68 @@
+//! The HTTP API with JSON bodies, for operators and clients (design 7.5): the routing of paths to handlers.
+//!
+//! Each handler returns `Result<ApiResponse, ApiError>`; errors become responses in [`errors`] alone.
+
+mod config;
+mod errors;
+mod status;
+mod steering;
+mod submissions;
+mod zones;
+
+use self::errors::ApiError;
+use crate::state::Registry;
+use hyper::body::Incoming;
+use hyper::{Request, Response};
+use std::sync::Arc;
+use vanepath_cluster::node::{self, Body};
+use vanepath_store::protocol::Change;
+
+type ApiResponse = Response<Body>;
+
+/// Answers one request.
+pub async fn handle(registry: Arc<Registry>, request: Request<Incoming>) -> ApiResponse {
+    let path = request.uri().path().to_string();
+    // All programs serve their own paths under this prefix too.
+    let path = path.strip_prefix("/vanepath").unwrap_or(&path).to_string();
+    let counters = &registry.counters;
+    let common = node::common_pages(&registry.node, &path, registry.is_ready(), |all| {
+        counters.write_json(all);
+    });
+    if let Some(response) = common {
+        return response;
+    }
+    let segments: Vec<&str> = path.trim_start_matches('/').split('/').collect();
+    route(&registry, request, &segments).await.unwrap_or_else(ApiError::into_response)
+}
+
+async fn route(
+    registry: &Registry,
+    request: Request<Incoming>,
+    segments: &[&str],
+) -> Result<ApiResponse, ApiError> {
+    let query = request.uri().query().unwrap_or_default();
+    match (request.method().as_str(), segments) {
+        ("GET", ["v1", "steer"]) => steering::steer(registry, query),
+        ("GET", ["v1", "addresses"]) => steering::addresses(registry, query),
+        ("GET", ["v1", "status"]) => Ok(status::read(registry).await),
+        ("GET", ["v1", "setup"]) => config::read(registry).await,
+        ("GET", ["v1", "setup", revision]) => config::read_revision(registry, revision).await,
+        ("PUT", ["v1", "setup"]) => config::write(registry, request).await,
+        ("GET", ["v1", "zones"]) => zones::read(registry).await,
+        ("PUT", ["v1", "zones", zone, "emptied"]) => {
+            let change = Change::DrainZone { zone: zone.to_string() };
+            zones::write(registry, zone, change, request.headers()).await
+        }
+        ("DELETE", ["v1", "zones", zone, "emptied"]) => {
+            let change = Change::RestoreZone { zone: zone.to_string() };
+            zones::write(registry, zone, change, request.headers()).await
+        }
+        ("GET", ["v1", "submissions", key]) => submissions::read(registry, key).await,
+        (
+            _,
+            ["v1", "steer" | "addresses" | "status" | "setup" | "zones", ..]
+            | ["v1", "submissions", _],
+        ) => Err(ApiError::MethodNotAllowed),
+        _ => Err(ApiError::NoSuchPath),
+    }
+}
--- /dev/null
+++ b/registry/src/api/steering.rs
@@ -0,0 +1,48 @@
+//! The steering paths: `GET /v1/steer` and `GET /v1/addresses` (design 7.3, 7.5).
+
+use super::ApiResponse;
+use super::errors::ApiError;
+use crate::state::{Counter, Registry};
+use crate::steering::{self, SteeringError};
+use hyper::StatusCode;
+use vanepath_cluster::node;
+
+/// `GET /v1/steer`: the ranked pathways for a client.
+pub fn steer(registry: &Registry, query: &str) -> Result<ApiResponse, ApiError> {
+    registry.counters.increment(Counter::SteerPolls);
+    let view = registry.node.table.load();
+    let is_ready = registry.is_ready() && registry.node.is_awake();
+    let steered = steering::steer(&view, is_ready, registry.own_location(), query, node::random());
+    if steered.is_first {
+        registry.counters.increment(Counter::SteerPollsFirst);
+    }
+    if steered.is_forged {
+        registry.counters.increment(Counter::SteerEchoesBad);
+    }
+    match steered.response {
+        Ok(response) => Ok(node::json_response(StatusCode::OK, &response)),
+        Err(error) => Err(rejected(registry, error)),
+    }
+}
+
+/// `GET /v1/addresses`: proxies' addresses, for clients that choose among them by themselves.
+pub fn addresses(registry: &Registry, query: &str) -> Result<ApiResponse, ApiError> {
+    registry.counters.increment(Counter::SteerPolls);
+    let view = registry.node.table.load();
+    // Ready without a configuration too: addresses depend on the proxies alone.
+    let is_ready = view.is_fresh && registry.node.is_awake() && !registry.node.is_shutting_down();
+    let own = registry.own_location();
+    match steering::addresses(&view, is_ready, own, query, node::random()) {
+        Ok(response) => Ok(node::json_response(StatusCode::OK, &response)),
+        Err(error) => Err(rejected(registry, error)),
+    }
+}
+
+fn rejected(registry: &Registry, error: SteeringError) -> ApiError {
+    registry.counters.increment(match error {
+        SteeringError::Behind => Counter::SteerRefusedBehind,
+        SteeringError::Partitioned => Counter::SteerRefusedCutOff,
+        SteeringError::NotReady => Counter::SteerRefusedNotReady,
+    });
+    ApiError::Steering(error)
+}
--- /dev/null
+++ b/registry/src/control_loop.rs
@@ -0,0 +1,120 @@
+//! The registry's periodic task: publishes this node's status and, while this registry is the leader,
+//! the traffic-shift plan (design 5.6, 7.4).
+
+use crate::leader::{self, LeadershipReadiness};
+use crate::state::{Counter, Registry};
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+use vanepath_cluster::gossip::Event;
+use vanepath_cluster::node::{ClusterView, Deliver, ListPeers};
+use vanepath_cluster::wire::{NodeStatus, Role};
+
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+
+/// The effect of a step of the plan shows after this long: the TTL of a steering response, the gossip
+/// delay and one second of measured load.
+const PLAN_STEP_INTERVAL: Duration = Duration::from_millis(4000);
+
+/// The larger the cluster, the longer one evaluation of all proxies' observations takes. Between two
+/// evaluations the loop pauses for this many times as long, which bounds the plan's share of a core.
+const PAUSE_FACTOR: u32 = 25;
+
+/// Starts the loop as a task of its own.
+pub fn spawn(registry: Arc<Registry>) {
+    let control_loop = ControlLoop {
+        registry,
+        next_step_at: Duration::ZERO,
+        next_evaluation_at: Duration::ZERO,
+        readiness: LeadershipReadiness::default(),
+    };
+    let control_loop = xtra::spawn_tokio(control_loop, xtra::Mailbox::unbounded());
+    tokio::spawn(async move {
+        let mut interval = tokio::time::interval(TICK_INTERVAL);
+        interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        loop {
+            interval.tick().await;
+            if control_loop.send(Tick).await.is_err() {
+                return;
+            }
+        }
+    });
+}
+
+#[derive(xtra::Actor)]
+struct ControlLoop {
+    registry: Arc<Registry>,
+    /// The plan's shares may change again from this time on.
+    next_step_at: Duration,
+    /// The observations are evaluated again from this time on.
+    next_evaluation_at: Duration,
+    readiness: LeadershipReadiness,
+}
+
+struct Tick;
+
+impl xtra::Handler<Tick> for ControlLoop {
+    type Return = ();
+
+    async fn handle(&mut self, _: Tick, _: &mut xtra::Context<Self>) {
+        let view = self.registry.node.table.load_full();
+        let may_lead = self.publish_status(&view).await;
+        if may_lead && self.is_leader(&view) {
+            self.publish_plan(&view).await;
+        }
+    }
+}
+
+impl ControlLoop {
+    /// Publishes this node's status; returns whether it may act as the leader.
+    async fn publish_status(&mut self, view: &ClusterView) -> bool {
+        let node = &self.registry.node;
+        // With a configuration, and with time enough to have heard of the proxies.
+        let ready = view.committed.revision > 0 && view.is_fresh && !node.is_shutting_down();
+        if self.registry.is_ready.swap(ready, Ordering::Relaxed) != ready {
+            log::info!("{}", if ready { "ready" } else { "not ready" });
+        }
+        let may_lead = self.readiness.may_lead(node.clock.now(), view.is_fresh);
+        let status = NodeStatus {
+            ready,
+            draining: node.is_shutting_down(),
+            revision: view.committed.revision,
+            synced: may_lead,
+            hears_majority: leader::hears_majority(view),
+            ..NodeStatus::default()
+        };
+        node.publish_status(status).await;
+        may_lead
+    }
+
+    fn is_leader(&self, view: &ClusterView) -> bool {
+        view.leader(Role::Registry).is_some_and(|info| info.name == self.registry.node.info.name)
+    }
+
+    /// Evaluates the proxies' observations, if that is due, and publishes a plan that changed.
+    async fn publish_plan(&mut self, view: &ClusterView) {
+        let node = &self.registry.node;
+        let started_at = node.clock.now();
+        if started_at < self.next_evaluation_at {
+            return;
+        }
+        let Ok(peers) = node.gossip.send(ListPeers).await else {
+            return;
+        };
+        let now = node.clock.now();
+        let may_shift = now >= self.next_step_at;
+        if may_shift {
+            self.next_step_at = now + PLAN_STEP_INTERVAL;
+        }
+        let plan = leader::next_plan(view, &node.info.name, &peers, may_shift);
+        let ended_at = node.clock.now();
+        let pause = ((ended_at - started_at) * PAUSE_FACTOR).min(PLAN_STEP_INTERVAL);
+        self.next_evaluation_at = ended_at + pause;
+        let Some(plan) = plan else { return };
+        if plan.epoch != view.plan.epoch {
+            log::info!("leader of the traffic-shift plan from epoch {} on", plan.epoch);
+        }
+        self.registry.counters.increment(Counter::PlansMade);
+        let _ = node.gossip.send(Deliver(Event::PlanReceived(Arc::new(plan)))).await;
+    }
+}
--- /dev/null
+++ b/registry/src/discovery/poller.rs
@@ -0,0 +1,210 @@
+//! Polling of the platform's endpoint list (design 4). Whatever goes wrong, the last good list stays.
+
+use crate::discovery::sequencer::{Effect, ListSequencer, READ_TIMEOUT};
+use crate::discovery::source::{EndpointListSource, FetchError, ListRead};
+use crate::state::{Counter, Counters};
+use hyper::header::HeaderValue;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use vanepath_cluster::gossip::Event;
+use vanepath_cluster::node::{self, ClusterView, Deliver, Node};
+use vanepath_config::endpoint_list::{self, EndpointList};
+use vanepath_config::settings;
+
+/// Every registry polls a platform that numbers its lists this often.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// How often the poller checks whether a read is due.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+
+/// How a read of the platform's list ended. The status page shows the name in kebab case.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
+#[strum(serialize_all = "kebab-case")]
+pub enum PollOutcome {
+    /// No read has ended yet.
+    NotYetRead,
+    /// The list was read, or is unchanged.
+    Good,
+    /// The platform did not answer in time, or with an error status.
+    Unreachable,
+    /// The answer is no valid list.
+    Malformed,
+    /// The list names no server and is not believed: a platform that has just started may not know its
+    /// servers yet.
+    Empty,
+    /// The list's revision is lower than one that was read before.
+    Older,
+}
+
+/// Whether a list that was read may replace the last good one.
+pub fn evaluate(last: &EndpointList, read: &EndpointList) -> PollOutcome {
+    if read.revision < last.revision {
+        PollOutcome::Older
+    } else if read.servers.is_empty() {
+        PollOutcome::Empty
+    } else {
+        PollOutcome::Good
+    }
+}
+
+/// Parses a response of the platform and evaluates it; gives the list only where it is good.
+pub fn parse_response(last: &EndpointList, bytes: &[u8]) -> (PollOutcome, Option<EndpointList>) {
+    match endpoint_list::parse(bytes) {
+        Err(_) => (PollOutcome::Malformed, None),
+        Ok(list) => {
+            let outcome = evaluate(last, &list);
+            (outcome, Some(list).filter(|_| outcome == PollOutcome::Good))
+        }
+    }
+}
+
+/// Polls the platform's list for as long as the process runs; writes the outcome of each read to
+/// `last_outcome`.
+///
+/// # Panics
+/// Where the settings have no valid URL of the list, which their check excludes.
+pub(crate) async fn run(
+    node: Arc<Node>,
+    counters: Arc<Counters>,
+    last_outcome: Arc<Mutex<PollOutcome>>,
+) {
+    let url = node.settings.endpoint_list_url.clone().expect("checked with the settings");
+    let (address, path) = settings::split_url(&url).expect("checked likewise");
+    let mut source = EndpointListSource::new(
+        address,
+        path,
+        node.settings.wire_format,
+        &node.settings.zone_regions,
+    );
+    let mut poller = EndpointPoller {
+        sequencer: ListSequencer::new(&node.info.name, node::random()),
+        node: &node,
+        counters: &counters,
+        etag: None,
+        is_numbered: false,
+        started_at: None,
+    };
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
+    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    loop {
+        interval.tick().await;
+        let view = node.table.load_full();
+        let started_at = node.clock.now();
+        if !poller.is_due(started_at, &view) {
+            continue;
+        }
+        poller.started_at = Some(started_at);
+        counters.increment(Counter::PlatformReads);
+        let read = source.read(poller.etag.as_ref());
+        let read = match tokio::time::timeout(READ_TIMEOUT, read).await {
+            Ok(read) => read,
+            Err(_) => Err(FetchError::Timeout),
+        };
+        if read.is_err() {
+            source.disconnect();
+        }
+        let outcome = poller.complete(started_at, read).await;
+        let mut last_outcome = last_outcome.lock().expect("no panic under this lock");
+        if *last_outcome != outcome {
+            log::info!("endpoint list: {outcome}");
+            *last_outcome = outcome;
+        }
+    }
+}
+
+/// The poller's state between two reads.
+struct EndpointPoller<'n> {
+    node: &'n Node,
+    counters: &'n Counters,
+    /// Decides on reads of a platform that does not number its lists.
+    sequencer: ListSequencer,
+    /// The validator of the last good list (RFC 9110 section 8.8.3).
+    etag: Option<HeaderValue>,
+    /// The platform has shown a list with a number of its own.
+    is_numbered: bool,
+    /// When the last read began.
+    started_at: Option<Duration>,
+}
+
+impl EndpointPoller<'_> {
+    fn is_due(&mut self, now: Duration, view: &ClusterView) -> bool {
+        match self.is_numbered {
+            true => self.started_at.is_none_or(|at| now >= at + POLL_INTERVAL),
+            false => self.sequencer.on_tick(now, view) == Some(Effect::Read),
+        }
+    }
+
+    /// Takes the outcome of the read that began at `began_at`, and hands a list over to gossip.
+    async fn complete(
+        &mut self,
+        began_at: Duration,
+        read: Result<ListRead, FetchError>,
+    ) -> PollOutcome {
+        let view = self.node.table.load_full();
+        let (outcome, list) = self.evaluate_read(&view, read);
+        if let Some(list) = list {
+            if list.revision > view.endpoints.revision {
+                self.counters.increment(Counter::PlatformChanges);
+                log_list(&list, self.node.clock.now().saturating_sub(began_at));
+            }
+            let event = Event::EndpointListRead { list, began_at };
+            let _ = self.node.gossip.send(Deliver(event)).await;
+        }
+        if outcome != PollOutcome::Good {
+            self.counters.increment(Counter::PlatformReadsBad);
+            self.etag = None;
+        }
+        outcome
+    }
+
+    /// What a read amounts to, and the list to publish, if there is one.
+    fn evaluate_read(
+        &mut self,
+        view: &ClusterView,
+        read: Result<ListRead, FetchError>,
+    ) -> (PollOutcome, Option<Arc<EndpointList>>) {
+        match read {
+            Err(error) => {
+                log::debug!("endpoint list not read: {error}");
+                let _ = self.sequencer.on_read_completed(self.node.clock.now(), view, None);
+                (error.outcome(), None)
+            }
+            Ok(ListRead::NotModified) => (PollOutcome::Good, None),
+            Ok(ListRead::Numbered { list, etag }) => {
+                self.is_numbered = true;
+                let outcome = evaluate(&view.endpoints, &list);
+                let is_good = outcome == PollOutcome::Good;
+                self.etag = etag.filter(|_| is_good);
+                let is_new = is_good && list.revision > view.endpoints.revision;
+                (outcome, is_new.then(|| Arc::new(list)))
+            }
+            Ok(ListRead::Unnumbered(servers)) => {
+                let is_empty = servers.is_empty();
+                let outcome = if is_empty { PollOutcome::Empty } else { PollOutcome::Good };
+                let servers = (!is_empty).then_some(servers);
+                let now = self.node.clock.now();
+                let list = match self.sequencer.on_read_completed(now, view, servers) {
+                    Some(Effect::Publish { list, .. }) => Some(list),
+                    Some(Effect::Superseded) => {
+                        self.counters.increment(Counter::PlatformReadsOvertaken);
+                        None
+                    }
+                    _ => None,
+                };
+                (outcome, list)
+            }
+        }
+    }
+}
+
+fn log_list(list: &EndpointList, elapsed: Duration) {
+    let draining = list.servers.iter().filter(|server| server.draining).count();
+    log::info!(
+        "endpoint list {}: {} servers, {draining} of them draining; read in {} ms",
+        list.revision,
+        list.servers.len(),
+        elapsed.as_millis()
+    );
+}
+
+#[cfg(test)]
+mod tests;
--- a/registry/src/lib.rs
+++ b/registry/src/lib.rs
@@ -1,11 +1,18 @@
-//! The registry: takes the outside control calls, reads the platform list, and is the directory
-//! that callers poll (design 7). It keeps nothing on disk.
+//! The registry, vanepath's control plane (design 2.1, 7): it serves the operators' HTTP API,
+//! discovers endpoints by reading the platform's list, answers the steering requests of clients,
+//! and, as the leader of its singleton role, publishes the traffic-shift plan.
+//!
+//! It keeps nothing on disk: the configuration is in the stores, everything else is soft state that
+//! gossip rebuilds after a restart.
 
-pub mod api;
+#![warn(missing_docs)]
+
+mod api;
+mod control_loop;
+pub mod discovery;
 pub mod leader;
-pub mod list_poller;
-pub mod list_sequencer;
 pub mod shell;
+mod state;
 pub mod steering;
 pub mod store_client;
 pub mod traffic_shift;
--- a/registry/src/steering/tests.rs
+++ b/registry/src/steering/tests.rs
@@ -1,10 +1,11 @@
-use super::{Client, SteeringState, pathways, rank_pathways};
+use super::{Client, MAX_ADDRESSES, SteeringState, addresses, pathways, rank_pathways, steer};
 use std::sync::Arc;
 use vanepath_cluster::node::ClusterView;
-use vanepath_cluster::wire;
+use vanepath_cluster::wire::{CommittedConfig, NodeInfo, NodeStatus, Role};
+use vanepath_config::model;
 
 fn view(rules: &str) -> ClusterView {
-    let setup = format!(
+    let config = format!(
         r#"{{"places": [{{"zone": "a1", "region": "a", "labels": {{"cost": "low"}}}},
                       {{"zone": "c1", "region": "c"}}],
           "classes": [{{"name": "c", "urgency": 1, "kind": "repeatable"}}],
@@ -14,58 +15,58 @@
     let mut live = Vec::new();
     for (index, zone) in ["a1", "a1", "a2", "b1", "b2", "c1"].iter().enumerate() {
         let address = format!("127.0.0.1:{}", 8000 + index).parse().unwrap();
-        let card = wire::NodeInfo {
+        let info = NodeInfo {
             name: format!("p{index}"),
-            role: wire::Role::Proxy,
+            role: Role::Proxy,
             region: zone[..1].to_string(),
             zone: zone.to_string(),
             address,
             cluster_address: address,
         };
-        live.push((card, wire::NodeStatus { ready: true, ..wire::NodeStatus::default() }));
+        live.push((info, NodeStatus { ready: true, ..NodeStatus::default() }));
     }
     ClusterView {
-        config: Arc::new(vanepath_config::model::parse(setup.as_bytes()).unwrap()),
+        config: Arc::new(model::parse(config.as_bytes()).unwrap()),
         live,
         ..ClusterView::default()
     }
 }
 
-fn zones(view: &ClusterView, bucket: u64) -> String {
-    let caller = Client { zone: "a2".to_string(), region: "a".to_string(), bucket };
-    let places = pathways(view);
-    let steps = rank_pathways(view, &places, 0, &caller);
-    let zones: Vec<&str> = steps.iter().map(|step| places[step.place].zone.as_str()).collect();
+fn ranked_zones(view: &ClusterView, bucket: u64) -> String {
+    let client = Client { zone: "a2".to_string(), region: "a".to_string(), bucket };
+    let pathways = pathways(view);
+    let ranked = rank_pathways(view, &pathways, 0, &client);
+    let zones: Vec<&str> =
+        ranked.iter().map(|entry| pathways[entry.pathway].zone.as_str()).collect();
     zones.join(" ")
 }
 
 #[test]
-fn nearest_first_within_bounds_and_without_the_emptied() {
+fn pathways_rank_by_proximity_within_the_regions_of_the_rule_and_without_drained_zones() {
     let mut open = view(r#"{"name": "r", "class": "c", "service": "s"}"#);
-    assert!(zones(&open, 3).starts_with("a2 a1 "), "{}", zones(&open, 3));
-    assert_eq!(zones(&open, 3).split(' ').count(), 5);
-    let word = wire::CommittedConfig {
-        drained_zones: ["a2".to_string()].into(),
-        ..wire::CommittedConfig::default()
-    };
-    open.committed = Arc::new(word);
-    assert!(zones(&open, 3).starts_with("a1 "));
+    assert!(ranked_zones(&open, 3).starts_with("a2 a1 "), "{}", ranked_zones(&open, 3));
+    assert_eq!(ranked_zones(&open, 3).split(' ').count(), 5);
+    let committed =
+        CommittedConfig { drained_zones: ["a2".to_string()].into(), ..CommittedConfig::default() };
+    open.committed = Arc::new(committed);
+    assert!(ranked_zones(&open, 3).starts_with("a1 "));
     let bound = view(r#"{"name": "r", "class": "c", "service": "s", "regions": ["a", "c"]}"#);
-    assert_eq!(zones(&bound, 3), "a2 a1 c1");
+    assert_eq!(ranked_zones(&bound, 3), "a2 a1 c1");
     let mut none = bound.clone();
-    for (_, report) in &mut none.live {
-        report.draining = true;
+    for (_, status) in &mut none.live {
+        status.draining = true;
     }
-    assert_eq!(zones(&none, 3), "", "nothing within bounds is left: nothing else either");
-    // What is not heard of any more comes last, and never out of bounds.
-    let mut cut = bound.clone();
-    cut.unreachable = cut.live.extract_if(.., |(card, _)| card.zone != "c1").collect();
-    assert_eq!(zones(&cut, 3), "c1 a2 a1");
+    assert_eq!(ranked_zones(&none, 3), "", "nothing within bounds is left: nothing else either");
+    // Unreachable pathways come last, and never outside of the regions.
+    let mut unreachable = bound.clone();
+    unreachable.unreachable =
+        unreachable.live.extract_if(.., |(info, _)| info.zone != "c1").collect();
+    assert_eq!(ranked_zones(&unreachable, 3), "c1 a2 a1");
 }
 
-/// Shares hold over many callers, and a change moves hardly more than it must.
+/// The shares hold over many clients, and a change of shares moves hardly more clients than it must.
 #[test]
-fn shares_hold_and_a_change_moves_the_fewest() {
+fn shares_hold_and_a_change_of_shares_moves_as_few_clients_as_possible() {
     let with = |low: u32| {
         view(&format!(
             r#"{{"name": "r", "class": "c", "service": "s", "prefer": [[
@@ -77,7 +78,7 @@
     let (before, after) = (with(20), with(30));
     let mut counts = [0, 0, 0];
     for bucket in 0..4000 {
-        let first = |view: &ClusterView| zones(view, bucket).starts_with("a1");
+        let first = |view: &ClusterView| ranked_zones(view, bucket).starts_with("a1");
         let (old, new) = (first(&before), first(&after));
         counts[0] += i32::from(old);
         counts[1] += i32::from(new);
@@ -88,80 +89,78 @@
     assert_eq!(counts[2], counts[1] - counts[0], "nobody moves the other way");
 }
 
-/// Who is cut off helps only those who have nothing yet.
+/// A partitioned registry answers only clients that have no answer yet.
 #[test]
-fn a_directory_that_is_cut_off_sends_its_callers_to_another() {
-    let mut cut = view(r#"{"name": "r", "class": "c", "service": "s"}"#);
-    let caller = Client { zone: "a2".into(), region: "a".into(), bucket: 77 };
-    let echo = format!("state={}", SteeringState { revision: 0, caller }.show());
-    let is_told = |view: &ClusterView, query: &str| {
-        super::steer(view, true, ("a1", "a"), query, 1).receipt.is_ok()
-    };
-    assert!(is_told(&cut, &echo) && is_told(&cut, "zone=a2"));
-    cut.is_isolated = true;
-    assert!(!is_told(&cut, &echo) && is_told(&cut, "zone=a2"));
-    cut.is_isolated = false;
-    cut.is_partitioned = true;
-    assert!(!is_told(&cut, &echo) && is_told(&cut, "zone=a2"));
+fn a_partitioned_registry_answers_only_first_time_clients() {
+    let mut partitioned = view(r#"{"name": "r", "class": "c", "service": "s"}"#);
+    let client = Client { zone: "a2".into(), region: "a".into(), bucket: 77 };
+    let state = format!("state={}", SteeringState { revision: 0, client }.encode());
+    let is_answered =
+        |view: &ClusterView, query: &str| steer(view, true, ("a1", "a"), query, 1).response.is_ok();
+    assert!(is_answered(&partitioned, &state) && is_answered(&partitioned, "zone=a2"));
+    partitioned.is_isolated = true;
+    assert!(!is_answered(&partitioned, &state) && is_answered(&partitioned, "zone=a2"));
+    partitioned.is_isolated = false;
+    partitioned.is_partitioned = true;
+    assert!(!is_answered(&partitioned, &state) && is_answered(&partitioned, "zone=a2"));
 }
 
 #[test]
-fn echoes_come_back_whole_and_forgeries_do_not() {
-    let caller = Client { zone: "a2".into(), region: "a".into(), bucket: 77 };
-    let shown = SteeringState { revision: 12, caller: caller.clone() }.show();
-    assert_eq!(SteeringState::parse(&shown), Some(SteeringState { revision: 12, caller }));
-    for forged in ["", "x", "12.77.a2.a", &shown.replace("12.", "13."), &shown[1..]] {
+fn state_tokens_are_parsed_and_forged_ones_are_not() {
+    let client = Client { zone: "a2".into(), region: "a".into(), bucket: 77 };
+    let token = SteeringState { revision: 12, client: client.clone() }.encode();
+    assert_eq!(SteeringState::parse(&token), Some(SteeringState { revision: 12, client }));
+    for forged in ["", "x", "12.77.a2.a", &token.replace("12.", "13."), &token[1..]] {
         assert_eq!(SteeringState::parse(forged), None, "{forged}");
     }
 }
 
 const ANY: &str = r#"{"name": "r", "class": "c", "service": "s"}"#;
 
-fn told(view: &ClusterView, is_ready: bool, query: &str) -> String {
-    match super::addresses(view, is_ready, ("a1", "a"), query, 0) {
+fn shown_addresses(view: &ClusterView, is_ready: bool, query: &str) -> String {
+    match addresses(view, is_ready, ("a1", "a"), query, 0) {
         Ok(answer) => {
             let ports = answer["addresses"].members().filter_map(|one| one.as_str());
             let ports: Vec<&str> = ports.map(|one| one.rsplit(':').next().unwrap()).collect();
             format!("{} for {} s", ports.join(" "), answer["ttlS"])
         }
-        Err(why) => why.to_string(),
+        Err(error) => error.to_string(),
     }
 }
 
 /// The live proxies of the client's own region; another region's as well where these are too few to
-/// bear the loss of one; and none that is lost, not ready, leaving, or in an emptied zone.
+/// bear the loss of one; and none that is unreachable, not ready, draining, or in a drained zone.
 #[test]
 fn plain_addresses_are_those_of_the_own_region() {
-    // By place: 8000 and 8001 in a1, 8002 in a2, 8003 in b1, 8004 in b2, 8005 in c1.
+    // By zone: 8000 and 8001 in a1, 8002 in a2, 8003 in b1, 8004 in b2, 8005 in c1.
     let all = view(ANY);
     let mut shown = String::new();
-    let mut show = |what: &str, told: String| shown += &format!("{what}: {told}\n");
-    show("from a", told(&all, true, "name=x&region=a&zone=a2"));
-    show("from b", told(&all, true, "name=x&region=b&zone=b1"));
-    show("from c", told(&all, true, "name=x&region=c&zone=c1"));
-    show("from nowhere", told(&all, true, "name=x"));
-    show("from an unknown place", told(&all, true, "region=z&zone=z9"));
+    let mut show = |what: &str, answer: String| shown += &format!("{what}: {answer}\n");
+    show("from a", shown_addresses(&all, true, "name=x&region=a&zone=a2"));
+    show("from b", shown_addresses(&all, true, "name=x&region=b&zone=b1"));
+    show("from c", shown_addresses(&all, true, "name=x&region=c&zone=c1"));
+    show("from nowhere", shown_addresses(&all, true, "name=x"));
+    show("from an unknown place", shown_addresses(&all, true, "region=z&zone=z9"));
     let mut fewer = all.clone();
     fewer.live[0].1.draining = true;
     fewer.live[1].1.ready = false;
-    show("two of a gone", told(&fewer, true, "region=a&zone=a1"));
-    let mut emptied = all.clone();
-    let word = wire::CommittedConfig {
-        drained_zones: ["a1".to_string()].into(),
-        ..wire::CommittedConfig::default()
-    };
-    emptied.committed = Arc::new(word);
-    show("a1 emptied", told(&emptied, true, "region=a&zone=a1"));
-    let mut lost = all.clone();
-    lost.unreachable = lost.live.extract_if(.., |(card, _)| card.region == "a").collect();
-    show("a lost", told(&lost, true, "region=a&zone=a1"));
-    lost.unreachable.append(&mut lost.live);
-    show("all lost", told(&lost, true, "region=a&zone=a1"));
-    show("not ready", told(&all, false, "region=a&zone=a1"));
-    let mut alone = all.clone();
-    alone.is_isolated = true;
-    show("cut off", told(&alone, true, "region=a&zone=a1"));
-    show("nobody known", told(&ClusterView::default(), true, "region=a&zone=a1"));
+    show("two of a gone", shown_addresses(&fewer, true, "region=a&zone=a1"));
+    let mut drained = all.clone();
+    let committed =
+        CommittedConfig { drained_zones: ["a1".to_string()].into(), ..CommittedConfig::default() };
+    drained.committed = Arc::new(committed);
+    show("a1 emptied", shown_addresses(&drained, true, "region=a&zone=a1"));
+    let mut unreachable = all.clone();
+    unreachable.unreachable =
+        unreachable.live.extract_if(.., |(info, _)| info.region == "a").collect();
+    show("a lost", shown_addresses(&unreachable, true, "region=a&zone=a1"));
+    unreachable.unreachable.append(&mut unreachable.live);
+    show("all lost", shown_addresses(&unreachable, true, "region=a&zone=a1"));
+    show("not ready", shown_addresses(&all, false, "region=a&zone=a1"));
+    let mut isolated = all.clone();
+    isolated.is_isolated = true;
+    show("cut off", shown_addresses(&isolated, true, "region=a&zone=a1"));
+    show("nobody known", shown_addresses(&ClusterView::default(), true, "region=a&zone=a1"));
     expect_test::expect![[r#"
         from a: 8000 8001 8002 for 2 s
         from b: 8003 8004 for 2 s
@@ -184,22 +183,23 @@
 #[test]
 fn plain_addresses_stay_in_the_region_where_rules_are_bound() {
     let mut bound = view(r#"{"name": "r", "class": "c", "service": "s", "regions": ["a", "c"]}"#);
-    assert_eq!(told(&bound, true, "region=c&zone=c1"), "8005 for 2 s");
-    assert_eq!(told(&bound, true, "region=a&zone=a1"), "8000 8001 8002 for 2 s");
-    // With none of its own left a region's clients are helped all the same.
-    bound.unreachable = bound.live.extract_if(.., |(card, _)| card.region == "c").collect();
-    assert_ne!(told(&bound, true, "region=c&zone=c1"), "");
-    assert!(told(&bound, true, "region=c&zone=c1").ends_with("for 2 s"));
+    assert_eq!(shown_addresses(&bound, true, "region=c&zone=c1"), "8005 for 2 s");
+    assert_eq!(shown_addresses(&bound, true, "region=a&zone=a1"), "8000 8001 8002 for 2 s");
+    // With no live proxy of its own left, a region's clients still get addresses.
+    bound.unreachable = bound.live.extract_if(.., |(info, _)| info.region == "c").collect();
+    assert_ne!(shown_addresses(&bound, true, "region=c&zone=c1"), "");
+    assert!(shown_addresses(&bound, true, "region=c&zone=c1").ends_with("for 2 s"));
 }
 
-/// Of very many each answer has as many as may be, each another part of them, and all have their turn.
+/// With very many proxies each answer has the maximum of addresses, each another part of them, and all
+/// proxies are named equally often.
 #[test]
-fn of_very_many_each_answer_has_a_part() {
+fn answers_rotate_over_very_many_proxies() {
     let mut many = view(ANY);
-    let card = many.live[0].clone();
+    let node = many.live[0].clone();
     many.live = (0..200_u16)
         .map(|index| {
-            let mut one = card.clone();
+            let mut one = node.clone();
             one.0.name = format!("p{index}");
             one.0.address.set_port(9000 + index);
             one
@@ -207,12 +207,12 @@
         .collect();
     let mut counts = std::collections::BTreeMap::<String, u32>::new();
     for random in 0..200 {
-        let answer = super::addresses(&many, true, ("a1", "a"), "region=a", random).unwrap();
-        assert_eq!(answer["addresses"].members().len(), super::ADDRESSES_MOST);
+        let answer = addresses(&many, true, ("a1", "a"), "region=a", random).unwrap();
+        assert_eq!(answer["addresses"].members().len(), MAX_ADDRESSES);
         for one in answer["addresses"].members() {
             *counts.entry(one.as_str().unwrap().to_string()).or_default() += 1;
         }
     }
     assert_eq!(counts.len(), 200);
-    assert!(counts.values().all(|count| *count == super::ADDRESSES_MOST as u32), "{counts:?}");
+    assert!(counts.values().all(|count| *count == MAX_ADDRESSES as u32), "{counts:?}");
 }
--- /dev/null
+++ b/registry/src/store_client/execute.rs
@@ -0,0 +1,55 @@
+//! Drives a request to the stores over the transport.
+
+use super::{ATTEMPT_TIMEOUT, NextAction, StoreRequest, stores};
+use crate::state::{Counter, Registry};
+use vanepath_cluster::wire::{self, NodeInfo};
+use vanepath_store::protocol::{Outcome, Request, Response};
+
+/// Sends a request to one store after the other until its outcome is known or its time is up.
+pub async fn execute(registry: &Registry, request: Request) -> Outcome {
+    let now = || registry.node.clock.now();
+    let mut store_request = StoreRequest::new(request, now());
+    loop {
+        let stores = stores(&registry.node.table.load());
+        match store_request.next(now(), stores) {
+            NextAction::Pause(pause) => tokio::time::sleep(pause).await,
+            NextAction::End(outcome) => return outcome,
+            NextAction::Send(store) => {
+                registry.counters.increment(Counter::StoreTries);
+                let request = store_request.request_at(now());
+                let response = send(registry, &store, &request).await;
+                if let Some(outcome) = store_request.on_response(response) {
+                    if let Some(acknowledgement) = store_request.acknowledgement(now(), &outcome) {
+                        broadcast(registry, &acknowledgement);
+                    }
+                    return outcome;
+                }
+            }
+        }
+    }
+}
+
+/// One attempt at one store; `None` where it gave no response that can be read.
+async fn send(registry: &Registry, store: &NodeInfo, request: &Request) -> Option<Response> {
+    let request = wire::Request::Store(wire::encode(request).into());
+    let is_other_zone = store.zone != registry.node.settings.zone;
+    let transport = &registry.node.transport;
+    let reply = transport.call(store.cluster_address, &request, ATTEMPT_TIMEOUT, is_other_zone);
+    match reply.await {
+        Ok(wire::Reply::Store(bytes)) => wire::decode(&bytes),
+        _ => None,
+    }
+}
+
+/// Sends a request that needs no response to all stores.
+fn broadcast(registry: &Registry, request: &Request) {
+    let request = wire::Request::Store(wire::encode(request).into());
+    for store in stores(&registry.node.table.load()) {
+        let (transport, request) = (registry.node.transport.clone(), request.clone());
+        let is_other_zone = store.zone != registry.node.settings.zone;
+        tokio::spawn(async move {
+            let address = store.cluster_address;
+            let _ = transport.call(address, &request, ATTEMPT_TIMEOUT, is_other_zone).await;
+        });
+    }
+}
--- a/testbed/src/scale/cores.rs
+++ b/testbed/src/scale/cores.rs
@@ -306,7 +306,7 @@
             let query = format!("caller=c{turn}&zone=b2&region=b");
             let steered =
                 vanepath_registry::steering::steer(&view, true, ("a1", "a"), &query, turn);
-            bytes = steered.receipt.map_or(0, |receipt| receipt.dump().len());
+            bytes = steered.response.map_or(0, |receipt| receipt.dump().len());
         });
         let own = news.node_info().name.clone();
         let duty =
@@ -345,7 +345,7 @@
             let query = format!("caller=c{turn}&zone=b2&region=b");
             let steered =
                 vanepath_registry::steering::steer(&view, true, ("a1", "a"), &query, turn);
-            bytes = steered.receipt.map_or(0, |receipt| receipt.dump().len());
+            bytes = steered.response.map_or(0, |receipt| receipt.dump().len());
         });
         rows.push(Row {
             what: "receipt".to_string(),
--- a/testbed/src/sim/control.rs
+++ b/testbed/src/sim/control.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use vanepath_cluster::node::ClusterView;
 use vanepath_cluster::{gossip, wire};
-use vanepath_registry::list_sequencer::{Effect as Reads, ListSequencer, READ_MOST};
+use vanepath_registry::discovery::sequencer::{Effect as Reads, ListSequencer, READ_TIMEOUT};
 use vanepath_registry::store_client::{NextAction, StoreRequest};
 use vanepath_store::consensus::{self, Replica};
 use vanepath_store::protocol::{Change, Digest, Outcome, Request, Response, Value};
@@ -43,8 +43,8 @@
     tenure: vanepath_registry::leader::LeadershipReadiness,
     polled_at: Option<Duration>,
     /// Reads lists of a platform that does not number them; a new one with each life.
-    reader: Option<vanepath_registry::list_sequencer::ListSequencer>,
-    pub state: Option<vanepath_registry::list_poller::PollOutcome>,
+    reader: Option<vanepath_registry::discovery::sequencer::ListSequencer>,
+    pub state: Option<vanepath_registry::discovery::poller::PollOutcome>,
 }
 
 pub enum Duty {
--- a/testbed/src/sim/control/registries.rs
+++ b/testbed/src/sim/control/registries.rs
@@ -16,16 +16,16 @@
             true => {
                 let draw = self.net.random.draw();
                 let reader = registry.reader.get_or_insert_with(|| ListSequencer::new(&name, draw));
-                reader.pulse(now, &view) == Some(Reads::Read)
+                reader.on_tick(now, &view) == Some(Reads::Read)
             }
             false => registry
                 .polled_at
-                .is_none_or(|at| now >= at + vanepath_registry::list_poller::POLL_INTERVAL),
+                .is_none_or(|at| now >= at + vanepath_registry::discovery::poller::POLL_INTERVAL),
         };
         if reads {
             registry.polled_at = Some(now);
             let target = self.platform_host;
-            self.net.ask(host, target, READ_MOST, Body::ReadPlatform, Purpose::Platform);
+            self.net.ask(host, target, READ_TIMEOUT, Body::ReadPlatform, Purpose::Platform);
         }
         self.daemons[index].is_well = ready;
         let Duty::Registry(registry) = &mut self.daemons[index].duty else { return };
@@ -69,9 +69,9 @@
         let last = self.daemons[index].view.endpoints.clone();
         let Duty::Registry(registry) = &mut self.daemons[index].duty else { return };
         let Some(list) = list else { return };
-        let verdict = vanepath_registry::list_poller::evaluate(&last, &list);
+        let verdict = vanepath_registry::discovery::poller::evaluate(&last, &list);
         registry.state = Some(verdict);
-        if verdict == vanepath_registry::list_poller::PollOutcome::Good
+        if verdict == vanepath_registry::discovery::poller::PollOutcome::Good
             && list.revision > last.revision
         {
             self.step_news(index, gossip::Event::EndpointListReceived(list));
@@ -90,7 +90,7 @@
         let Some(reader) = &mut registry.reader else { return };
         let shown = list.as_ref().map(|list| list.revision);
         let servers = list.map(|list| list.servers.clone());
-        let told = reader.read(now, &view, servers);
+        let told = reader.on_read_completed(now, &view, servers);
         if let (Some(Reads::Publish { list, began_at }), Some(shown)) = (told, shown) {
             let known = self.lists_read.entry(list.revision).or_default();
             *known = shown.max(*known);
@@ -137,7 +137,8 @@
 
     pub(super) fn platform_text(&mut self, index: usize, text: &str) {
         let last = self.daemons[index].view.endpoints.clone();
-        let (verdict, list) = vanepath_registry::list_poller::parse_reply(&last, text.as_bytes());
+        let (verdict, list) =
+            vanepath_registry::discovery::poller::parse_response(&last, text.as_bytes());
         if let Duty::Registry(registry) = &mut self.daemons[index].duty {
             registry.state = Some(verdict);
         }
@@ -213,7 +214,7 @@
         match store_call.next(now, stores) {
             NextAction::Send(card) => {
                 let target = Net::host_at(card.cluster_address);
-                let mut question = store_call.question(now);
+                let mut question = store_call.request_at(now);
                 if self.passes(index, Point::BeforeStoreAsk) {
                     return;
                 }
@@ -247,10 +248,10 @@
         let now = self.net.local(host);
         let Duty::Registry(registry) = &mut self.daemons[index].duty else { return };
         let Some((store_call, call)) = registry.store_calls.get_mut(&number) else { return };
-        match store_call.told(tell) {
+        match store_call.on_response(tell) {
             Some(outcome) => {
                 let call = *call;
-                let answered = store_call.answered(now, &outcome);
+                let answered = store_call.acknowledgement(now, &outcome);
                 registry.store_calls.remove(&number);
                 if self.passes(index, Point::BeforeReceipt) {
                     return;
@@ -286,7 +287,7 @@
             }
             receipt.dump()
         };
-        let text = steered.receipt.map(long).unwrap_or_default();
+        let text = steered.response.map(long).unwrap_or_default();
         self.net.reply(call, Body::Receipt(text));
     }
 
