--- a/registry/src/api/config.rs
+++ b/registry/src/api/config.rs
@@ -51,7 +51,7 @@
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => {
             registry.counters.increment(Counter::SetupsRefusedInvalid);
-            Err(ApiError::ConfigTooLarge(model::MAX_BYTES))
+            Err(ApiError::ConfigTooLarge { max_bytes: model::MAX_BYTES })
         }
         Err(_) => Err(ApiError::IncompleteBody),
     }
--- a/registry/src/api/errors.rs
+++ b/registry/src/api/errors.rs
@@ -5,15 +5,16 @@
 use hyper::StatusCode;
 use hyper::header::{self, HeaderValue};
 use jzon::JsonValue;
+use std::fmt;
 use vanepath_cluster::node;
 use vanepath_config::{ValidationError, json_reader};
 
-/// `Retry-After` (s) of a steering request that another registry may answer.
+/// `Retry-After` of a steering request that another registry may answer, in seconds.
 const STEERING_RETRY_AFTER_S: u32 = 1;
-/// `Retry-After` (s) of a request that no store could answer.
+/// `Retry-After` of a request that no store could answer, in seconds.
 const STORE_RETRY_AFTER_S: u32 = 2;
 
-/// Why a request gets no success response.
+/// Why a request gets no success response. The text of an error is part of the API.
 #[derive(Debug)]
 pub enum ApiError {
     /// The path exists, but not with this method.
@@ -30,9 +31,9 @@
     InvalidRevision,
     /// The request's body ended before its time.
     IncompleteBody,
-    /// The configuration has more than this many bytes.
-    ConfigTooLarge(usize),
-    /// The configuration has faults.
+    /// The configuration has more than `max_bytes`.
+    ConfigTooLarge { max_bytes: usize },
+    /// The configuration is not valid.
     InvalidConfig(Vec<ValidationError>),
     /// Nothing that this registry knows of is in a zone of that name.
     NoSuchZone,
@@ -40,26 +41,14 @@
     NoConfigYet,
     /// No configuration was in force at the revision.
     NoConfigAtRevision,
-    /// The revision is above the latest one, or too old to be known.
-    NoSuchRevision {
-        /// The latest revision.
-        latest: u64,
-    },
-    /// No write under the key is among those that the stores know.
-    NoSuchSubmission {
-        /// The revision in force.
-        revision: u64,
-    },
-    /// A read got no answer from the stores; it can be repeated.
-    StoresUnavailable {
-        /// The last store's reason.
-        reason: String,
-    },
-    /// A write was surely not applied; it can be repeated.
-    WriteNotApplied {
-        /// The last store's reason.
-        reason: String,
-    },
+    /// The revision is unknown; `latest` is the latest one.
+    NoSuchRevision { latest: u64 },
+    /// No write under the key is among those that the stores know at `revision`.
+    NoSuchSubmission { revision: u64 },
+    /// A read got no answer from the stores, by the last one's `reason`; it can be repeated.
+    StoresUnavailable { reason: String },
+    /// A write was surely not applied, by the last store's `reason`; it can be repeated.
+    WriteNotApplied { reason: String },
     /// A store's outcome does not belong to the request.
     UnexpectedOutcome,
     /// This registry gives no steering answer; another one may.
@@ -69,87 +58,110 @@
 impl ApiError {
     /// The response that tells the client of the error.
     pub fn into_response(self) -> ApiResponse {
-        use StatusCode as Status;
+        let mut response = node::json_response(self.status(), &self.body());
+        if let Some(after_s) = self.retry_after_s() {
+            response.headers_mut().insert(header::RETRY_AFTER, HeaderValue::from(after_s));
+        }
+        response
+    }
+
+    fn status(&self) -> StatusCode {
         match self {
-            ApiError::MethodNotAllowed => {
-                error_response(Status::METHOD_NOT_ALLOWED, "not with this method")
-            }
-            ApiError::NoSuchPath => error_response(Status::NOT_FOUND, "no such path"),
-            ApiError::InvalidIdempotencyKey => {
-                let message = "idempotency-key: 1 to 128 letters, digits, '-' and '_'";
-                error_response(Status::BAD_REQUEST, message)
-            }
-            ApiError::UnreadableIfMatch => {
-                error_response(Status::BAD_REQUEST, "if-match: not readable")
-            }
-            ApiError::InvalidIfMatch => {
-                error_response(Status::BAD_REQUEST, "if-match: one setup revision, as in \"12\"")
-            }
-            ApiError::InvalidRevision => {
-                error_response(Status::BAD_REQUEST, "a revision is a whole number")
-            }
-            ApiError::IncompleteBody => error_response(Status::BAD_REQUEST, "the body broke off"),
-            ApiError::ConfigTooLarge(max_bytes) => {
-                let error = ValidationError {
-                    path: "$".to_string(),
-                    message: format!("larger than {max_bytes} bytes"),
-                };
-                validation_error_response(Status::PAYLOAD_TOO_LARGE, &[error])
-            }
-            ApiError::InvalidConfig(errors) => {
-                validation_error_response(Status::UNPROCESSABLE_ENTITY, &errors)
+            ApiError::InvalidIdempotencyKey
+            | ApiError::UnreadableIfMatch
+            | ApiError::InvalidIfMatch
+            | ApiError::InvalidRevision
+            | ApiError::IncompleteBody => StatusCode::BAD_REQUEST,
+            ApiError::NoSuchPath
+            | ApiError::NoSuchZone
+            | ApiError::NoConfigYet
+            | ApiError::NoConfigAtRevision
+            | ApiError::NoSuchRevision { .. }
+            | ApiError::NoSuchSubmission { .. } => StatusCode::NOT_FOUND,
+            ApiError::MethodNotAllowed => StatusCode::METHOD_NOT_ALLOWED,
+            ApiError::ConfigTooLarge { .. } => StatusCode::PAYLOAD_TOO_LARGE,
+            ApiError::InvalidConfig(_) => StatusCode::UNPROCESSABLE_ENTITY,
+            ApiError::UnexpectedOutcome => StatusCode::INTERNAL_SERVER_ERROR,
+            ApiError::StoresUnavailable { .. }
+            | ApiError::WriteNotApplied { .. }
+            | ApiError::Steering(_) => StatusCode::SERVICE_UNAVAILABLE,
+        }
+    }
+
+    /// The header `Retry-After` (RFC 9110 section 10.2.3), where the same request may succeed later.
+    fn retry_after_s(&self) -> Option<u32> {
+        match self {
+            ApiError::StoresUnavailable { .. } | ApiError::WriteNotApplied { .. } => {
+                Some(STORE_RETRY_AFTER_S)
             }
-            ApiError::NoSuchZone => error_response(Status::NOT_FOUND, "no such zone"),
-            ApiError::NoConfigYet => error_response(Status::NOT_FOUND, "no setup was accepted yet"),
-            ApiError::NoConfigAtRevision => {
-                error_response(Status::NOT_FOUND, "no setup was in force at that revision")
+            ApiError::Steering(_) => Some(STEERING_RETRY_AFTER_S),
+            _ => None,
+        }
+    }
+
+    /// The body: an `outcome` for writes and look-ups of writes, else an `error`.
+    fn body(&self) -> JsonValue {
+        let text = self.to_string();
+        match self {
+            ApiError::ConfigTooLarge { .. } => {
+                validation_errors_json(&[ValidationError { path: "$".to_string(), message: text }])
             }
+            ApiError::InvalidConfig(errors) => validation_errors_json(errors),
             ApiError::NoSuchRevision { latest } => {
-                let value = jzon::object! { "error": "no such revision", "latest": latest };
-                node::json_response(Status::NOT_FOUND, &value)
+                jzon::object! { "error": text, "latest": *latest }
             }
             ApiError::NoSuchSubmission { revision } => {
-                let value = jzon::object! {
-                    "outcome": "not-found",
-                    "why": "no write under this key is among the last ones in force",
-                    "revision": revision,
-                };
-                node::json_response(Status::NOT_FOUND, &value)
-            }
-            ApiError::StoresUnavailable { reason } => {
-                let value = jzon::object! { "error": reason };
-                retry_later_response(&value, STORE_RETRY_AFTER_S)
-            }
-            ApiError::WriteNotApplied { reason } => {
-                let value = jzon::object! { "outcome": "nothing-done", "why": reason };
-                retry_later_response(&value, STORE_RETRY_AFTER_S)
-            }
-            ApiError::UnexpectedOutcome => {
-                error_response(Status::INTERNAL_SERVER_ERROR, "a store replied to another question")
+                jzon::object! { "outcome": "not-found", "why": text, "revision": *revision }
             }
-            ApiError::Steering(error) => {
-                let value = jzon::object! { "error": error.to_string() };
-                retry_later_response(&value, STEERING_RETRY_AFTER_S)
+            ApiError::WriteNotApplied { .. } => {
+                jzon::object! { "outcome": "nothing-done", "why": text }
             }
+            _ => jzon::object! { "error": text },
         }
     }
 }
 
-fn error_response(status: StatusCode, message: &str) -> ApiResponse {
-    node::json_response(status, &jzon::object! { "error": message })
-}
-
-fn validation_error_response(status: StatusCode, errors: &[ValidationError]) -> ApiResponse {
-    let value = jzon::object! {
+fn validation_errors_json(errors: &[ValidationError]) -> JsonValue {
+    jzon::object! {
         "outcome": "nothing-done",
         "faults": json_reader::faults_as_json(errors),
-    };
-    node::json_response(status, &value)
+    }
 }
 
-/// 503 with a `Retry-After` in seconds (RFC 9110 section 10.2.3).
-fn retry_later_response(value: &JsonValue, after_s: u32) -> ApiResponse {
-    let mut response = node::json_response(StatusCode::SERVICE_UNAVAILABLE, value);
-    response.headers_mut().insert(header::RETRY_AFTER, HeaderValue::from(after_s));
-    response
+impl fmt::Display for ApiError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let text = match self {
+            ApiError::MethodNotAllowed => "not with this method",
+            ApiError::NoSuchPath => "no such path",
+            ApiError::InvalidIdempotencyKey => {
+                "idempotency-key: 1 to 128 letters, digits, '-' and '_'"
+            }
+            ApiError::UnreadableIfMatch => "if-match: not readable",
+            ApiError::InvalidIfMatch => "if-match: one setup revision, as in \"12\"",
+            ApiError::InvalidRevision => "a revision is a whole number",
+            ApiError::IncompleteBody => "the body broke off",
+            ApiError::ConfigTooLarge { max_bytes } => {
+                return write!(formatter, "larger than {max_bytes} bytes");
+            }
+            ApiError::InvalidConfig(errors) => {
+                return write!(formatter, "{} validation errors", errors.len());
+            }
+            ApiError::NoSuchZone => "no such zone",
+            ApiError::NoConfigYet => "no setup was accepted yet",
+            ApiError::NoConfigAtRevision => "no setup was in force at that revision",
+            ApiError::NoSuchRevision { .. } => "no such revision",
+            ApiError::NoSuchSubmission { .. } => {
+                "no write under this key is among the last ones in force"
+            }
+            ApiError::StoresUnavailable { reason } | ApiError::WriteNotApplied { reason } => reason,
+            ApiError::UnexpectedOutcome => "a store replied to another question",
+            ApiError::Steering(error) => return error.fmt(formatter),
+        };
+        formatter.write_str(text)
+    }
 }
+
+impl std::error::Error for ApiError {}
+
+#[cfg(test)]
+mod tests;
--- a/registry/src/discovery/source.rs
+++ b/registry/src/discovery/source.rs
@@ -17,7 +17,7 @@
 use vanepath_config::endpoint_list::{self, EndpointList, Server};
 use vanepath_config::wire_format::{EndpointListPage, SelectedFormat};
 
-/// A list of more pages is not believed: a platform's links may go round in a circle.
+/// A list of more pages is not believed: its links may form a cycle.
 const MAX_PAGES: usize = 1024;
 
 /// Why a read of the list failed.
--- a/registry/src/store_client/mod.rs
+++ b/registry/src/store_client/mod.rs
@@ -1,5 +1,5 @@
 //! Requests to the stores (design 7.5): one request is sent to one store after the other until one of
-//! them can answer it. [`StoreRequest`] is pure; [`execute`](self::execute()) drives it over the transport.
+//! them can answer it. [`StoreRequest`] is pure; `execute` drives it over the transport.
 
 mod execute;
 
@@ -24,7 +24,7 @@
 pub enum NextAction {
     /// Send the request to this store and report its response.
     Send(Box<NodeInfo>),
-    /// Wait this long and ask for the next action again.
+    /// Wait this long, and then call [`StoreRequest::next`] again.
     Pause(Duration),
     /// The request has ended.
     End(Outcome),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The request as it is to be sent at `now`: a store is told how long a drain order without the
+    /// The request as it is to be sent at `now`: it tells a store how long a drain order without the
     /// client's idempotency key has been waiting (design 6.10).
     pub fn request_at(&self, now: Duration) -> Request {
         let mut request = self.request.clone();
--- a/registry/src/store_client/tests.rs
+++ b/registry/src/store_client/tests.rs
@@ -15,7 +15,7 @@
     }
 }
 
-/// A store is told how long an order without a client's key has waited. Only such an order is acknowledged,
+/// The request to a store says how long an order without a client's key has waited. Only such an order is acknowledged,
 /// and only where its client was answered in time.
 #[test]
 fn a_keyless_order_carries_its_waiting_time_and_is_acknowledged_in_time() {
