--- /dev/null
+++ b/registry/tests/cluster_model/network.rs
@@ -0,0 +1,82 @@
+//! The simulated network: messages in flight, delays, lost messages and pulls that time out.
+
+use super::{ClusterModel, address_of_node};
+use std::time::Duration;
+use vanepath_cluster::gossip::Event;
+use vanepath_cluster::wire::{PullRequest, PullResponse};
+
+pub(super) enum Message {
+    Request { from: usize, pull: Box<PullRequest> },
+    Response { responder: usize, response: Box<PullResponse> },
+}
+
+/// A pull in flight, and when it times out.
+#[derive(Clone, Copy)]
+pub(super) struct PendingPull {
+    pub(super) number: u64,
+    pub(super) deadline: Duration,
+}
+
+impl ClusterModel {
+    pub(super) fn deliver(&mut self) {
+        while let Some(entry) = self.messages.first_entry() {
+            if entry.key().0 > self.now {
+                return;
+            }
+            let ((_, number), (to, message)) = entry.remove_entry();
+            match message {
+                Message::Request { from, pull } => {
+                    self.tickets.insert((to, number), from);
+                    self.step(to, Event::PullReceived { ticket: number, pull: *pull });
+                }
+                Message::Response { responder, response } => {
+                    if self.pending_pulls.remove(&(to, responder)).is_some() {
+                        self.connected.insert((to, responder));
+                        let address = address_of_node(responder);
+                        self.step(to, Event::PullCompleted { address, news: Some(response) });
+                    }
+                }
+            }
+        }
+    }
+
+    /// Ends pulls that had no response in their time, and their connections with them.
+    pub(super) fn time_out_pulls(&mut self) {
+        let now = self.now;
+        let late = self.pending_pulls.iter().filter(|(_, pull)| pull.deadline <= now);
+        let late: Vec<(usize, usize)> = late.map(|(pair, _)| *pair).collect();
+        for (requester, responder) in late {
+            self.pending_pulls.remove(&(requester, responder));
+            self.connected.remove(&(requester, responder));
+            let address = address_of_node(responder);
+            self.step(requester, Event::PullCompleted { address, news: None });
+        }
+    }
+
+    /// Whether messages from one node to the other arrive.
+    fn is_connected(&self, from: usize, to: usize) -> bool {
+        let is_partitioned =
+            self.one_way_partition.as_ref().is_some_and(|time| time.contains(&self.now));
+        !(is_partitioned && to == 0 && from < self.registries)
+    }
+
+    pub(super) fn send(&mut self, from: usize, to: usize, message: Message) {
+        self.message_count += 1;
+        if !self.is_connected(from, to) {
+            return;
+        }
+        let delay = self.nodes[from].one_way_delay + self.nodes[to].one_way_delay;
+        let jitter = Duration::from_micros((self.random_fraction() * 3000.0) as u64);
+        self.messages.insert((self.now + delay + jitter, self.message_count), (to, message));
+    }
+
+    pub(super) fn pull(&mut self, from: usize, to: usize, pull: PullRequest) {
+        let wait = Duration::from_millis(u64::from(pull.wait_ms) + 1000);
+        let number = self.message_count + 1;
+        self.pending_pulls.insert((from, to), PendingPull { number, deadline: self.now + wait });
+        // A new connection needs both directions.
+        if self.connected.contains(&(from, to)) || self.is_connected(to, from) {
+            self.send(from, to, Message::Request { from, pull: Box::new(pull) });
+        }
+    }
+}
--- /dev/null
+++ b/registry/tests/cluster_model/reads.rs
@@ -0,0 +1,79 @@
+//! The registries' reads of the platform's list, page by page.
+
+use super::{ClusterModel, PAGES, Scenario, TICK_INTERVAL};
+use std::time::Duration;
+use vanepath_cluster::gossip::Event;
+use vanepath_config::endpoint_list::Server;
+use vanepath_registry::discovery::sequencer::{Effect, READ_TIMEOUT};
+
+/// A read of the list that is in progress.
+pub(super) struct PendingRead {
+    /// The servers of the pages that were read so far.
+    servers: Vec<Server>,
+    pages: usize,
+    next_page_at: Duration,
+    began_at: Duration,
+}
+
+impl ClusterModel {
+    /// What the endpoint poller does (`discovery::poller`).
+    pub(super) fn step_read(&mut self, index: usize, scenario: &Scenario) {
+        let now = self.now;
+        if self.nodes[index].read.is_none() && now >= self.nodes[index].poll_at {
+            self.nodes[index].poll_at = now + TICK_INTERVAL;
+            let node = &mut self.nodes[index];
+            if node.sequencer.on_tick(now, &node.view) == Some(Effect::Read) {
+                let next_page_at = self.page_at(index, scenario);
+                self.nodes[index].read = Some(PendingRead {
+                    servers: Vec::new(),
+                    pages: 0,
+                    next_page_at,
+                    began_at: now,
+                });
+            }
+        }
+        let Some(read) = &self.nodes[index].read else { return };
+        if now.saturating_sub(read.began_at) > READ_TIMEOUT {
+            self.end_read(index, false);
+            return;
+        }
+        if now < read.next_page_at {
+            return;
+        }
+        // The platform answers half a round trip before the page is here; the difference does not matter.
+        let size = self.platform_list.len().div_ceil(PAGES);
+        let page = self.platform_list.iter().skip(read.pages * size).take(size).cloned();
+        let page: Vec<Server> = page.collect();
+        let next_page_at = self.page_at(index, scenario);
+        let read = self.nodes[index].read.as_mut().expect("looked at above");
+        read.servers.extend(page);
+        read.pages += 1;
+        read.next_page_at = next_page_at;
+        if read.pages == PAGES {
+            self.end_read(index, true);
+        }
+    }
+
+    fn end_read(&mut self, index: usize, is_complete: bool) {
+        let now = self.now;
+        let node = &mut self.nodes[index];
+        let servers = node.read.take().map(|read| read.servers).filter(|_| is_complete);
+        if let Some(Effect::Publish { list, began_at }) =
+            node.sequencer.on_read_completed(now, &node.view, servers)
+        {
+            self.step(index, Event::EndpointListRead { list, began_at });
+        }
+    }
+
+    fn page_at(&mut self, index: usize, scenario: &Scenario) -> Duration {
+        let delay = 2 * self.nodes[index].one_way_delay
+            + Duration::from_micros((self.random_fraction() * 4000.0) as u64);
+        let is_slow = self.random_fraction() < scenario.slow_pages;
+        let page_delay = if is_slow {
+            scenario.max_page_delay.mul_f64(self.random_fraction())
+        } else {
+            Duration::ZERO
+        };
+        self.now + delay + page_delay
+    }
+}
