--- a/registry/src/api/config.rs
+++ b/registry/src/api/config.rs
@@ -1,8 +1,9 @@
 //! The configuration: `PUT /v1/setup`, `GET /v1/setup` and `GET /v1/setup/REVISION` (design 6.9, 7.5).
 
-use super::ApiResponse;
 use super::errors::ApiError;
-use super::submissions::{self, IdempotencyKey};
+use super::idempotency_key::IdempotencyKey;
+use super::response::ApiResponse;
+use super::{stores, submissions};
 use crate::state::{Counter, Registry};
 use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -30,7 +31,7 @@
         }
     };
     let change = Change::ReplaceConfig { bytes: bytes.to_vec(), if_revision, version };
-    let outcome = submissions::submit(registry, &key, change, received_at).await;
+    let outcome = stores::submit(registry, &key, change, received_at).await;
     if let Outcome::Accepted { revision, is_repeat: false, .. } = outcome {
         registry.counters.increment(Counter::SetupsAccepted);
         log::info!("configuration committed as revision {revision}");
@@ -59,7 +60,7 @@
 
 /// `GET /v1/setup`: the committed configuration, byte for byte.
 pub async fn read(registry: &Registry) -> Result<ApiResponse, ApiError> {
-    let value = submissions::read_value(registry).await?;
+    let value = stores::read_value(registry).await?;
     if value.config_revision == 0 {
         return Err(ApiError::NoConfigYet);
     }
@@ -69,7 +70,7 @@
 /// `GET /v1/setup/REVISION`: the configuration that was in force at a revision, byte for byte.
 pub async fn read_revision(registry: &Registry, revision: &str) -> Result<ApiResponse, ApiError> {
     let revision = revision.parse::<u64>().map_err(|_| ApiError::InvalidRevision)?;
-    match submissions::read_from_stores(registry, Request::History { revision }).await? {
+    match stores::read(registry, Request::History { revision }).await? {
         Outcome::Value { value } if value.config_revision > 0 => Ok(config_response(&value)),
         Outcome::NoSuchRevision { latest } => Err(ApiError::NoSuchRevision { latest }),
         _ => Err(ApiError::NoConfigAtRevision),
--- a/registry/src/api/errors.rs
+++ b/registry/src/api/errors.rs
@@ -1,6 +1,6 @@
 //! The errors of the API, and the one place where they become HTTP responses (RFC 9110 section 15).
 
-use super::ApiResponse;
+use super::response::ApiResponse;
 use crate::steering::SteeringError;
 use hyper::StatusCode;
 use hyper::header::{self, HeaderValue};
--- a/registry/src/api/mod.rs
+++ b/registry/src/api/mod.rs
@@ -4,21 +4,23 @@
 
 mod config;
 mod errors;
+mod idempotency_key;
+mod response;
 mod status;
 mod steering;
+mod stores;
 mod submissions;
 mod zones;
 
 use self::errors::ApiError;
+use self::response::ApiResponse;
 use crate::state::Registry;
+use hyper::Request;
 use hyper::body::Incoming;
-use hyper::{Request, Response};
 use std::sync::Arc;
-use vanepath_cluster::node::{self, Body};
+use vanepath_cluster::node;
 use vanepath_store::protocol::Change;
 
-type ApiResponse = Response<Body>;
-
 /// Answers one request.
 pub async fn handle(registry: Arc<Registry>, request: Request<Incoming>) -> ApiResponse {
     let path = request.uri().path().to_string();
--- a/registry/src/api/status.rs
+++ b/registry/src/api/status.rs
@@ -1,6 +1,6 @@
 //! `GET /v1/status`: what this registry knows of all nodes, routes and servers (design 9.1).
 
-use super::ApiResponse;
+use super::response::ApiResponse;
 use super::zones::{drain_orders_json, drained_zones_json};
 use crate::state::Registry;
 use crate::steering::{self, Client, Pathway};
--- a/registry/src/api/steering.rs
+++ b/registry/src/api/steering.rs
@@ -1,7 +1,7 @@
 //! The steering paths: `GET /v1/steer` and `GET /v1/addresses` (design 7.3, 7.5).
 
-use super::ApiResponse;
 use super::errors::ApiError;
+use super::response::ApiResponse;
 use crate::state::{Counter, Registry};
 use crate::steering::{self, SteeringError};
 use hyper::StatusCode;
--- a/registry/src/api/zones.rs
+++ b/registry/src/api/zones.rs
@@ -1,8 +1,9 @@
 //! Drain orders: `GET /v1/zones`, and `PUT` and `DELETE /v1/zones/ZONE/emptied` (design 6.10, 7.5).
 
-use super::ApiResponse;
 use super::errors::ApiError;
-use super::submissions::{self, IdempotencyKey};
+use super::idempotency_key::IdempotencyKey;
+use super::response::ApiResponse;
+use super::{stores, submissions};
 use crate::state::{Counter, Registry};
 use hyper::{HeaderMap, StatusCode};
 use jzon::JsonValue;
@@ -33,7 +34,7 @@
         tokio::time::sleep(DISCOVERY_INTERVAL).await;
     }
     registry.counters.increment(Counter::ZoneChanges);
-    let outcome = submissions::submit(registry, &key, change, received_at).await;
+    let outcome = stores::submit(registry, &key, change, received_at).await;
     submissions::outcome_response(registry, &key.text, outcome)
 }
 
@@ -57,7 +58,7 @@
 
 /// `GET /v1/zones`: the drained zones, from the stores.
 pub async fn read(registry: &Registry) -> Result<ApiResponse, ApiError> {
-    let value = submissions::read_value(registry).await?;
+    let value = stores::read_value(registry).await?;
     let body = jzon::object! {
         "emptied": drained_zones_json(&value.drained_zones),
         "orders": drain_orders_json(&value.drained_zones, &value.extra_drain_orders),
--- a/registry/src/discovery/poller.rs
+++ b/registry/src/discovery/poller.rs
@@ -1,5 +1,6 @@
 //! Polling of the platform's endpoint list (design 4). Whatever goes wrong, the last good list stays.
 
+use crate::discovery::outcome::PollOutcome;
 use crate::discovery::sequencer::{Effect, ListSequencer, READ_TIMEOUT};
 use crate::discovery::source::{EndpointListSource, FetchError, ListRead};
 use crate::state::{Counter, Counters};
@@ -16,25 +17,6 @@
 /// How often the poller checks whether a read is due.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How a read of the platform's list ended. The status page shows the name in kebab case.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
-#[strum(serialize_all = "kebab-case")]
-pub enum PollOutcome {
-    /// No read has ended yet.
-    NotYetRead,
-    /// The list was read, or is unchanged.
-    Good,
-    /// The platform did not answer in time, or with an error status.
-    Unreachable,
-    /// The answer is no valid list.
-    Malformed,
-    /// The list names no server and is not believed: a platform that has just started may not know its
-    /// servers yet.
-    Empty,
-    /// The list's revision is lower than one that was read before.
-    Older,
-}
-
 /// Whether a list that was read may replace the last good one.
 pub fn evaluate(last: &EndpointList, read: &EndpointList) -> PollOutcome {
     if read.revision < last.revision {
@@ -166,7 +148,7 @@
             Err(error) => {
                 log::debug!("endpoint list not read: {error}");
                 let _ = self.sequencer.on_read_completed(self.node.clock.now(), view, None);
-                (error.outcome(), None)
+                (PollOutcome::from(&error), None)
             }
             Ok(ListRead::NotModified) => (PollOutcome::Good, None),
             Ok(ListRead::Numbered { list, etag }) => {
--- a/registry/src/discovery/source.rs
+++ b/registry/src/discovery/source.rs
@@ -1,7 +1,6 @@
 //! Reads of the platform's endpoint list over HTTP: conditional requests (RFC 9110 section 13), page by
 //! page, over one connection that is kept open.
 
-use crate::discovery::poller::PollOutcome;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::StatusCode;
@@ -41,21 +40,6 @@
     TooManyPages,
 }
 
-impl FetchError {
-    /// The outcome that operators see on the status page.
-    pub fn outcome(&self) -> PollOutcome {
-        match self {
-            FetchError::InvalidPage(_) | FetchError::TooManyPages => PollOutcome::Malformed,
-            FetchError::Timeout
-            | FetchError::Connect(_)
-            | FetchError::Request(_)
-            | FetchError::Exchange(_)
-            | FetchError::Body(_)
-            | FetchError::Status(_) => PollOutcome::Unreachable,
-        }
-    }
-}
-
 impl fmt::Display for FetchError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
--- a/registry/src/shell.rs
+++ b/registry/src/shell.rs
@@ -1,7 +1,7 @@
 //! The registry as a process (design 7.5): starts its tasks and listeners, and stops them in order.
 
 use crate::control_loop;
-use crate::discovery::poller::{self, PollOutcome};
+use crate::discovery::{PollOutcome, poller};
 use crate::state::{Counters, Registry};
 use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, Mutex};
--- a/registry/src/state.rs
+++ b/registry/src/state.rs
@@ -1,6 +1,6 @@
 //! The state that the registry's tasks share: the HTTP API, the endpoint poller and the control loop.
 
-use crate::discovery::poller::PollOutcome;
+use crate::discovery::PollOutcome;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use vanepath_cluster::node::Node;
--- a/registry/src/steering/addresses.rs
+++ b/registry/src/steering/addresses.rs
@@ -1,7 +1,10 @@
 //! The plain form of a steering answer: addresses of proxies, for clients that balance between them by
 //! themselves (design 7.3).
 
-use super::{Pathway, SteeringError, TTL, pathways, query};
+use super::error::SteeringError;
+use super::pathways::{Pathway, pathways};
+use super::query;
+use super::response::TTL;
 use std::net::SocketAddr;
 use vanepath_cluster::node::ClusterView;
 
--- a/registry/src/steering/mod.rs
+++ b/registry/src/steering/mod.rs
@@ -7,6 +7,8 @@
 //! requests; vanepath adds a priority of pathways for each routing rule.
 
 mod addresses;
+mod client;
+mod error;
 mod pathways;
 mod query;
 mod ranking;
@@ -14,47 +16,16 @@
 mod state_token;
 
 pub use addresses::{MAX_ADDRESSES, addresses};
+pub use client::{BUCKETS, Client};
+pub use error::SteeringError;
 pub use pathways::{Pathway, pathways};
 pub use ranking::{RankedPathway, rank_pathways};
-pub use response::steering_response;
+pub use response::{MAX_TTL, TTL, steering_response};
 pub use state_token::SteeringState;
 
-use std::time::Duration;
 use vanepath_cluster::node::ClusterView;
 use vanepath_config::json_reader;
 
-/// The TTL of a steering response before jitter.
-pub const TTL: Duration = Duration::from_millis(2000);
-/// No response holds longer than this.
-pub const MAX_TTL: Duration = Duration::from_millis(5000);
-/// The number of affinity buckets that clients are divided into.
-pub const BUCKETS: u64 = 10_000;
-
-/// The client of a request: its location and its affinity bucket.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Client {
-    /// The client's zone.
-    pub zone: String,
-    /// The client's region.
-    pub region: String,
-    /// The affinity bucket, below [`BUCKETS`]: it makes a client's draws repeatable.
-    pub bucket: u64,
-}
-
-/// Why a registry does not answer a steering request; another one may.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
-pub enum SteeringError {
-    /// The client already has the answer of a newer configuration.
-    #[strum(serialize = "this directory is behind what you have")]
-    Behind,
-    /// This registry is partitioned from the others, and the client has an answer already.
-    #[strum(serialize = "this directory is cut off, and what you have may be newer")]
-    Partitioned,
-    /// No configuration, or no pathway, is known yet.
-    #[strum(serialize = "this directory knows no setup or no place yet")]
-    NotReady,
-}
-
 /// The answer to one steering request, with what its metrics need.
 pub struct SteeringOutcome {
     /// The body of the response.
--- a/registry/src/steering/ranking.rs
+++ b/registry/src/steering/ranking.rs
@@ -5,7 +5,8 @@
 //! `-ln(draw) / weight`): the shares hold over all clients, one client always gets the same ranking, and a
 //! change of shares moves no more clients than it must.
 
-use super::{Client, Pathway};
+use super::client::Client;
+use super::pathways::Pathway;
 use vanepath_cluster::node::ClusterView;
 use vanepath_config::model::Rule;
 use vanepath_config::selector::{ClientLocation, Selector};
--- a/registry/src/steering/response.rs
+++ b/registry/src/steering/response.rs
@@ -1,11 +1,20 @@
 //! The steering response, in the shape of an HLS Content Steering manifest.
 
-use super::{Client, MAX_TTL, Pathway, RankedPathway, SteeringState, TTL, pathways, rank_pathways};
+use super::client::Client;
+use super::pathways::{Pathway, pathways};
+use super::ranking::{RankedPathway, rank_pathways};
+use super::state_token::SteeringState;
 use jzon::JsonValue;
+use std::time::Duration;
 use vanepath_cluster::node::ClusterView;
 use vanepath_cluster::wire::Role;
 use vanepath_config::model::{Idempotency, Rule};
 
+/// The TTL of a steering response before jitter.
+pub const TTL: Duration = Duration::from_millis(2000);
+/// No response holds longer than this.
+pub const MAX_TTL: Duration = Duration::from_millis(5000);
+
 /// The response for one client. `random` jitters the TTL by a quarter either way; `shows_reasons` adds the
 /// reason of each rank.
 pub fn steering_response(
--- a/registry/src/steering/state_token.rs
+++ b/registry/src/steering/state_token.rs
@@ -1,7 +1,7 @@
 //! The state token that a client brings back in the reload URI: it makes the registries stateless, since
 //! any of them can answer the next request of the same client.
 
-use super::{BUCKETS, Client};
+use super::client::{BUCKETS, Client};
 use vanepath_config::json_reader;
 
 /// What the state token carries.
--- a/registry/src/store_client/execute.rs
+++ b/registry/src/store_client/execute.rs
@@ -1,7 +1,7 @@
 //! Drives a request to the stores over the transport.
 
-use super::{ATTEMPT_TIMEOUT, NextAction, StoreRequest, stores};
 use crate::state::{Counter, Registry};
+use crate::store_client::request::{ATTEMPT_TIMEOUT, NextAction, StoreRequest, stores};
 use vanepath_cluster::wire::{self, NodeInfo};
 use vanepath_store::protocol::{Outcome, Request, Response};
 
--- a/registry/tests/cluster_model/mod.rs
+++ b/registry/tests/cluster_model/mod.rs
@@ -84,7 +84,6 @@
     one_way_partition: Option<Range<Duration>>,
     /// The platform's list.
     platform_list: Vec<Server>,
-    changed_at: Duration,
     draining_since: BTreeMap<String, Duration>,
     violations: Vec<String>,
 }
@@ -151,7 +150,6 @@
             registries: scenario.registries,
             one_way_partition: scenario.one_way_partition.clone(),
             platform_list: (0..SERVERS).map(server).collect(),
-            changed_at: Duration::ZERO,
             draining_since: BTreeMap::new(),
             violations: Vec::new(),
         };
@@ -201,7 +199,6 @@
 
     /// A server begins to drain, the draining ones are removed, or a new one is added.
     fn change(&mut self, number: &mut usize) {
-        self.changed_at = self.now;
         let index = (self.random_fraction() * self.platform_list.len() as f64) as usize;
         match (self.random_fraction() * 3.0) as u32 {
             0 if self.platform_list.iter().any(|one| one.draining) => {
--- a/testbed/src/sim/control.rs
+++ b/testbed/src/sim/control.rs
@@ -44,7 +44,7 @@
     polled_at: Option<Duration>,
     /// Reads lists of a platform that does not number them; a new one with each life.
     reader: Option<vanepath_registry::discovery::sequencer::ListSequencer>,
-    pub state: Option<vanepath_registry::discovery::poller::PollOutcome>,
+    pub state: Option<vanepath_registry::discovery::PollOutcome>,
 }
 
 pub enum Duty {
--- a/testbed/src/sim/control/registries.rs
+++ b/testbed/src/sim/control/registries.rs
@@ -71,7 +71,7 @@
         let Some(list) = list else { return };
         let verdict = vanepath_registry::discovery::poller::evaluate(&last, &list);
         registry.state = Some(verdict);
-        if verdict == vanepath_registry::discovery::poller::PollOutcome::Good
+        if verdict == vanepath_registry::discovery::PollOutcome::Good
             && list.revision > last.revision
         {
             self.step_news(index, gossip::Event::EndpointListReceived(list));
