--- /dev/null
+++ b/registry/src/api/errors.rs
@@ -0,0 +1,167 @@
+//! The errors of the API, and the one place where they become HTTP responses (RFC 9110 section 15).
+
+use super::response::ApiResponse;
+use crate::steering::SteeringError;
+use hyper::StatusCode;
+use hyper::header::{self, HeaderValue};
+use jzon::JsonValue;
+use std::fmt;
+use vanepath_cluster::node;
+use vanepath_config::{ValidationError, json_reader};
+
+/// `Retry-After` of a steering request that another registry may answer, in seconds.
+const STEERING_RETRY_AFTER_S: u32 = 1;
+/// `Retry-After` of a request that no store could answer, in seconds.
+const STORE_RETRY_AFTER_S: u32 = 2;
+
+/// Why a request gets no success response. The text of an error is part of the API.
+#[derive(Debug)]
+pub enum ApiError {
+    /// The path exists, but not with this method.
+    MethodNotAllowed,
+    /// There is no such path.
+    NoSuchPath,
+    /// The header `Idempotency-Key` has other characters than it may, or too many.
+    InvalidIdempotencyKey,
+    /// The header `If-Match` is no text.
+    UnreadableIfMatch,
+    /// The header `If-Match` does not name one revision.
+    InvalidIfMatch,
+    /// The revision in the path is no number.
+    InvalidRevision,
+    /// The request's body ended before its time.
+    IncompleteBody,
+    /// The configuration has more than `max_bytes`.
+    ConfigTooLarge { max_bytes: usize },
+    /// The configuration is not valid.
+    InvalidConfig(Vec<ValidationError>),
+    /// Nothing that this registry knows of is in a zone of that name.
+    NoSuchZone,
+    /// No configuration has been accepted yet.
+    NoConfigYet,
+    /// No configuration was in force at the revision.
+    NoConfigAtRevision,
+    /// The revision is unknown; `latest` is the latest one.
+    NoSuchRevision { latest: u64 },
+    /// No write under the key is among those that the stores know at `revision`.
+    NoSuchSubmission { revision: u64 },
+    /// A read got no answer from the stores, by the last one's `reason`; it can be repeated.
+    StoresUnavailable { reason: String },
+    /// A write was surely not applied, by the last store's `reason`; it can be repeated.
+    WriteNotApplied { reason: String },
+    /// A store's outcome does not belong to the request.
+    UnexpectedOutcome,
+    /// This registry gives no steering answer; another one may.
+    Steering(SteeringError),
+}
+
+impl ApiError {
+    /// The response that tells the client of the error.
+    pub fn into_response(self) -> ApiResponse {
+        let mut response = node::json_response(self.status(), &self.body());
+        if let Some(after_s) = self.retry_after_s() {
+            response.headers_mut().insert(header::RETRY_AFTER, HeaderValue::from(after_s));
+        }
+        response
+    }
+
+    fn status(&self) -> StatusCode {
+        match self {
+            ApiError::InvalidIdempotencyKey
+            | ApiError::UnreadableIfMatch
+            | ApiError::InvalidIfMatch
+            | ApiError::InvalidRevision
+            | ApiError::IncompleteBody => StatusCode::BAD_REQUEST,
+            ApiError::NoSuchPath
+            | ApiError::NoSuchZone
+            | ApiError::NoConfigYet
+            | ApiError::NoConfigAtRevision
+            | ApiError::NoSuchRevision { .. }
+            | ApiError::NoSuchSubmission { .. } => StatusCode::NOT_FOUND,
+            ApiError::MethodNotAllowed => StatusCode::METHOD_NOT_ALLOWED,
+            ApiError::ConfigTooLarge { .. } => StatusCode::PAYLOAD_TOO_LARGE,
+            ApiError::InvalidConfig(_) => StatusCode::UNPROCESSABLE_ENTITY,
+            ApiError::UnexpectedOutcome => StatusCode::INTERNAL_SERVER_ERROR,
+            ApiError::StoresUnavailable { .. }
+            | ApiError::WriteNotApplied { .. }
+            | ApiError::Steering(_) => StatusCode::SERVICE_UNAVAILABLE,
+        }
+    }
+
+    /// The header `Retry-After` (RFC 9110 section 10.2.3), where the same request may succeed later.
+    fn retry_after_s(&self) -> Option<u32> {
+        match self {
+            ApiError::StoresUnavailable { .. } | ApiError::WriteNotApplied { .. } => {
+                Some(STORE_RETRY_AFTER_S)
+            }
+            ApiError::Steering(_) => Some(STEERING_RETRY_AFTER_S),
+            _ => None,
+        }
+    }
+
+    /// The body: an `outcome` for writes and look-ups of writes, else an `error`.
+    fn body(&self) -> JsonValue {
+        let text = self.to_string();
+        match self {
+            ApiError::ConfigTooLarge { .. } => {
+                validation_errors_json(&[ValidationError { path: "$".to_string(), message: text }])
+            }
+            ApiError::InvalidConfig(errors) => validation_errors_json(errors),
+            ApiError::NoSuchRevision { latest } => {
+                jzon::object! { "error": text, "latest": *latest }
+            }
+            ApiError::NoSuchSubmission { revision } => {
+                jzon::object! { "outcome": "not-found", "why": text, "revision": *revision }
+            }
+            ApiError::WriteNotApplied { .. } => {
+                jzon::object! { "outcome": "nothing-done", "why": text }
+            }
+            _ => jzon::object! { "error": text },
+        }
+    }
+}
+
+fn validation_errors_json(errors: &[ValidationError]) -> JsonValue {
+    jzon::object! {
+        "outcome": "nothing-done",
+        "faults": json_reader::validation_errors_as_json(errors),
+    }
+}
+
+impl fmt::Display for ApiError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let text = match self {
+            ApiError::MethodNotAllowed => "not with this method",
+            ApiError::NoSuchPath => "no such path",
+            ApiError::InvalidIdempotencyKey => {
+                "idempotency-key: 1 to 128 letters, digits, '-' and '_'"
+            }
+            ApiError::UnreadableIfMatch => "if-match: not readable",
+            ApiError::InvalidIfMatch => "if-match: one setup revision, as in \"12\"",
+            ApiError::InvalidRevision => "a revision is a whole number",
+            ApiError::IncompleteBody => "the body broke off",
+            ApiError::ConfigTooLarge { max_bytes } => {
+                return write!(formatter, "larger than {max_bytes} bytes");
+            }
+            ApiError::InvalidConfig(errors) => {
+                return write!(formatter, "{} validation errors", errors.len());
+            }
+            ApiError::NoSuchZone => "no such zone",
+            ApiError::NoConfigYet => "no setup was accepted yet",
+            ApiError::NoConfigAtRevision => "no setup was in force at that revision",
+            ApiError::NoSuchRevision { .. } => "no such revision",
+            ApiError::NoSuchSubmission { .. } => {
+                "no write under this key is among the last ones in force"
+            }
+            ApiError::StoresUnavailable { reason } | ApiError::WriteNotApplied { reason } => reason,
+            ApiError::UnexpectedOutcome => "a store replied to another question",
+            ApiError::Steering(error) => return error.fmt(formatter),
+        };
+        formatter.write_str(text)
+    }
+}
+
+impl std::error::Error for ApiError {}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/registry/tests/cluster_model/mod.rs
@@ -0,0 +1,262 @@
+//! A deterministic simulation of registries that read an endpoint list without numbers, and of proxies that
+//! get it by gossip. It runs the real gossip and sequencer cores on simulated time and an unreliable network.
+
+mod checks;
+mod network;
+mod reads;
+
+use self::network::{Message, PendingPull};
+use self::reads::PendingRead;
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+use std::ops::Range;
+use std::sync::Arc;
+use std::time::Duration;
+use vanepath_cluster::gossip::{Effect, Event, Gossip};
+use vanepath_cluster::node::ClusterView;
+use vanepath_cluster::wire::{NodeInfo, Role};
+use vanepath_config::endpoint_list::{EndpointList, Server};
+use vanepath_registry::discovery::sequencer::ListSequencer;
+
+/// The parameters of one run.
+pub struct Scenario {
+    pub seed: u64,
+    pub registries: usize,
+    pub proxies: usize,
+    /// The fraction of pages that come late.
+    pub slow_pages: f64,
+    /// The longest delay of such a page.
+    pub max_page_delay: Duration,
+    /// During this time messages of the other registries to the first one are lost; those that it sends are
+    /// not.
+    pub one_way_partition: Option<Range<Duration>>,
+    pub length: Duration,
+}
+
+impl Scenario {
+    pub fn without_faults(seed: u64) -> Scenario {
+        Scenario {
+            seed,
+            registries: 5,
+            proxies: 6,
+            slow_pages: 0.0,
+            max_page_delay: Duration::from_millis(1800),
+            one_way_partition: None,
+            length: Duration::from_secs(40),
+        }
+    }
+}
+
+const TIME_STEP: Duration = Duration::from_millis(2);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+const PAGES: usize = 6;
+const SERVERS: usize = 36;
+/// By then all nodes know each other and the first list.
+const CHANGES_BEGIN_AT: Duration = Duration::from_secs(6);
+
+struct Node {
+    gossip: Gossip,
+    view: ClusterView,
+    one_way_delay: Duration,
+    sequencer: ListSequencer,
+    read: Option<PendingRead>,
+    tick_at: Duration,
+    poll_at: Duration,
+    /// Servers that the node has known as draining, and since when.
+    known_draining: BTreeMap<String, Duration>,
+    /// The list that was checked last.
+    checked: Arc<EndpointList>,
+}
+
+pub struct ClusterModel {
+    now: Duration,
+    random: u64,
+    nodes: Vec<Node>,
+    /// Messages in flight, by time of arrival and number.
+    messages: BTreeMap<(Duration, u64), (usize, Message)>,
+    message_count: u64,
+    /// The node that waits for the response under a ticket.
+    tickets: BTreeMap<(usize, u64), usize>,
+    pending_pulls: BTreeMap<(usize, usize), PendingPull>,
+    /// Open connections, by client and server.
+    connected: BTreeSet<(usize, usize)>,
+    registries: usize,
+    one_way_partition: Option<Range<Duration>>,
+    /// The platform's list.
+    platform_list: Vec<Server>,
+    draining_since: BTreeMap<String, Duration>,
+    violations: Vec<String>,
+}
+
+fn address_of_node(index: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, index as u8 + 1], 7720))
+}
+
+fn server(number: usize) -> Server {
+    Server {
+        id: format!("s-{number:04}"),
+        address: SocketAddr::from(([10, 9, (number / 250) as u8, (number % 250) as u8], 80)),
+        region: "a".into(),
+        zone: "a1".into(),
+        labels: Default::default(),
+        draining: false,
+        warming_up: false,
+        concurrency: 2,
+    }
+}
+
+impl ClusterModel {
+    /// Runs a scenario and gives the violations: servers that are known as draining too late, lists that go
+    /// back, and nodes that do not end with the list as it is.
+    pub fn run(scenario: &Scenario, bound: Duration) -> Vec<String> {
+        let mut model = ClusterModel::new(scenario);
+        let mut change_at = CHANGES_BEGIN_AT;
+        let mut number = SERVERS;
+        while model.now < scenario.length {
+            model.now += TIME_STEP;
+            // Series of changes, and pauses in which the last one has to become known.
+            if model.now >= change_at && model.now + 3 * bound < scenario.length {
+                model.change(&mut number);
+                let is_pause = model.random_fraction() < 0.15;
+                let pause_ms =
+                    if is_pause { 4000.0 } else { 150.0 + 700.0 * model.random_fraction() };
+                change_at = model.now + Duration::from_millis(pause_ms as u64);
+            }
+            model.deliver();
+            model.time_out_pulls();
+            for index in 0..model.nodes.len() {
+                model.tick(index);
+                if index < scenario.registries {
+                    model.step_read(index, scenario);
+                }
+            }
+            model.check(bound);
+        }
+        model.check_end();
+        model.violations
+    }
+
+    fn new(scenario: &Scenario) -> ClusterModel {
+        let seeds: Vec<SocketAddr> = (0..scenario.registries.min(3)).map(address_of_node).collect();
+        let mut model = ClusterModel {
+            now: Duration::ZERO,
+            random: scenario.seed,
+            nodes: Vec::new(),
+            messages: BTreeMap::new(),
+            message_count: 0,
+            tickets: BTreeMap::new(),
+            pending_pulls: BTreeMap::new(),
+            connected: BTreeSet::new(),
+            registries: scenario.registries,
+            one_way_partition: scenario.one_way_partition.clone(),
+            platform_list: (0..SERVERS).map(server).collect(),
+            draining_since: BTreeMap::new(),
+            violations: Vec::new(),
+        };
+        for index in 0..scenario.registries + scenario.proxies {
+            let node = model.new_node(index, scenario, seeds.clone());
+            model.nodes.push(node);
+        }
+        model
+    }
+
+    fn new_node(&mut self, index: usize, scenario: &Scenario, seeds: Vec<SocketAddr>) -> Node {
+        let is_registry = index < scenario.registries;
+        let location = index % 3;
+        let info = NodeInfo {
+            name: format!("{}{index}", if is_registry { "r" } else { "p" }),
+            role: if is_registry { Role::Registry } else { Role::Proxy },
+            region: format!("region-{location}"),
+            zone: format!("zone-{location}"),
+            address: address_of_node(index),
+            cluster_address: address_of_node(index),
+        };
+        let draw = (self.random_fraction() * u64::MAX as f64) as u64;
+        let sequencer = ListSequencer::new(&info.name, draw);
+        let gossip = Gossip::new(info, seeds, scenario.seed * 100 + index as u64, Duration::ZERO);
+        let jitter = Duration::from_millis((self.random_fraction() * 250.0) as u64);
+        Node {
+            gossip,
+            view: ClusterView::default(),
+            one_way_delay: Duration::from_millis([1, 6, 12][location]),
+            sequencer,
+            read: None,
+            tick_at: jitter,
+            poll_at: jitter,
+            known_draining: BTreeMap::new(),
+            checked: Arc::default(),
+        }
+    }
+
+    fn random_fraction(&mut self) -> f64 {
+        self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut mixed = self.random;
+        mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        mixed ^= mixed >> 31;
+        (mixed >> 11) as f64 / (1_u64 << 53) as f64
+    }
+
+    /// A server begins to drain, the draining ones are removed, or a new one is added.
+    fn change(&mut self, number: &mut usize) {
+        let index = (self.random_fraction() * self.platform_list.len() as f64) as usize;
+        match (self.random_fraction() * 3.0) as u32 {
+            0 if self.platform_list.iter().any(|one| one.draining) => {
+                self.platform_list.retain(|one| !one.draining)
+            }
+            1 => {
+                self.platform_list.push(Server { warming_up: true, ..server(*number) });
+                *number += 1;
+            }
+            _ => {
+                self.platform_list[index].draining = true;
+                self.draining_since.entry(self.platform_list[index].id.clone()).or_insert(self.now);
+            }
+        }
+    }
+
+    fn step(&mut self, index: usize, event: Event) {
+        let effects = self.nodes[index].gossip.step(self.now, event);
+        for effect in effects {
+            match effect {
+                Effect::Pull { address, pull } => {
+                    let to = (0..self.nodes.len()).find(|to| address_of_node(*to) == address);
+                    let to = to.expect("an address of this model");
+                    self.pull(index, to, pull);
+                }
+                Effect::Answer { ticket, news } => {
+                    let requester = self.tickets.remove(&(index, ticket));
+                    let is_awaited = |to: &usize| {
+                        self.pending_pulls
+                            .get(&(*to, index))
+                            .is_some_and(|one| one.number == ticket)
+                    };
+                    if let Some(to) = requester.filter(is_awaited) {
+                        let response = Box::new(news);
+                        self.send(index, to, Message::Response { responder: index, response });
+                    }
+                }
+                Effect::ViewChanged => self.publish(index),
+                Effect::RequestReadIndex { .. } | Effect::Log(_) => {}
+            }
+        }
+    }
+
+    fn publish(&mut self, index: usize) {
+        let node = &self.nodes[index];
+        let (view, _) = ClusterView::of(&node.gossip, &node.view, self.now);
+        self.nodes[index].view = view;
+    }
+
+    fn tick(&mut self, index: usize) {
+        if self.now < self.nodes[index].tick_at {
+            return;
+        }
+        self.nodes[index].tick_at = self.now + TICK_INTERVAL;
+        self.step(index, Event::Tick);
+        let node = &self.nodes[index];
+        if !node.view.is_up_to_date(&node.gossip, self.now) {
+            self.publish(index);
+        }
+    }
+}
