--- a/cluster/src/counters.rs
+++ b/cluster/src/counters.rs
@@ -44,11 +44,13 @@
 /// Lists a daemon's counters and gives them names for `/v1/metrics`.
 #[macro_export]
 macro_rules! counters {
-    ($(#[$meta:meta])* $vis:vis enum $name:ident { $($variant:ident),* $(,)? }) => {
+    ($(#[$meta:meta])* $vis:vis enum $name:ident {
+        $($(#[$variant_meta:meta])* $variant:ident),* $(,)?
+    }) => {
         $(#[$meta])*
         #[derive(Clone, Copy, Debug, strum::EnumIter, strum::IntoStaticStr)]
         #[strum(serialize_all = "camelCase")]
-        $vis enum $name { $($variant),* }
+        $vis enum $name { $($(#[$variant_meta])* $variant),* }
         impl From<$name> for usize {
             fn from(counter: $name) -> usize {
                 counter as usize
--- a/cluster/src/endpoint_cache.rs
+++ b/cluster/src/endpoint_cache.rs
@@ -28,7 +28,7 @@
 /// A list on its way to one daemon: whole, or as a change of the one that it has.
 #[derive(Debug, Default)]
 pub struct EndpointUpdate {
-    pub whole: Option<EndpointList>,
+    pub full: Option<EndpointList>,
     pub delta: Option<EndpointListDelta>,
 }
 
@@ -38,12 +38,12 @@
     }
 
     /// The revision that others may tell changes to; 0: they are to tell the whole list.
-    pub fn held(&self) -> u64 {
+    pub fn known_revision(&self) -> u64 {
         if self.wants_whole { 0 } else { self.current.revision }
     }
 
     /// The highest revision that anyone told of, whether or not its list came.
-    pub fn highest(&self) -> u64 {
+    pub fn highest_revision(&self) -> u64 {
         self.highest
     }
 
@@ -53,8 +53,8 @@
     }
 
     /// Takes a list that is newer than the current one. Whether it was.
-    pub fn hear(&mut self, list: Arc<EndpointList>) -> bool {
-        self.note_revision(list.revision);
+    pub fn apply(&mut self, list: Arc<EndpointList>) -> bool {
+        self.observe_revision(list.revision);
         if list.revision <= self.current.revision {
             return false;
         }
@@ -69,18 +69,18 @@
     }
 
     /// The same for a list that was told whole, which may have been asked for.
-    pub fn hear_whole(&mut self, list: EndpointList) -> bool {
+    pub fn apply_full(&mut self, list: EndpointList) -> bool {
         if self.wants_whole && list.revision == self.current.revision {
             // Of one revision two lists are in force: whoever has asked takes the teller's.
             self.current = Arc::default();
         }
-        self.hear(Arc::new(list))
+        self.apply(Arc::new(list))
     }
 
     /// The same for a change of the current list.
-    pub fn hear_delta(&mut self, delta: &EndpointListDelta) -> bool {
+    pub fn apply_delta(&mut self, delta: &EndpointListDelta) -> bool {
         match self.current.with(delta) {
-            Some(list) => self.hear(Arc::new(list)),
+            Some(list) => self.apply(Arc::new(list)),
             None => {
                 self.wants_whole |= delta.base == self.current.revision;
                 false
@@ -89,7 +89,7 @@
     }
 
     /// A read that began then found the list of this revision in force. Whether that is news.
-    pub fn note_read(&mut self, revision: u64, began_at: Duration) -> bool {
+    pub fn record_read(&mut self, revision: u64, began_at: Duration) -> bool {
         let is_news =
             revision == self.current.revision && self.read_at.is_none_or(|at| began_at > at);
         if is_news {
@@ -99,26 +99,26 @@
     }
 
     /// Somebody told that it has a list of this revision.
-    pub fn note_revision(&mut self, revision: u64) {
+    pub fn observe_revision(&mut self, revision: u64) {
         self.highest = self.highest.max(revision);
     }
 
     /// What others are told of the newest read.
-    pub fn read(&self, now: Duration) -> Option<EndpointListRead> {
+    pub fn latest_read(&self, now: Duration) -> Option<EndpointListRead> {
         let read_at = self.read_at?;
         let age_ms = now.saturating_sub(read_at).as_millis() as u32;
         Some(EndpointListRead { revision: self.current.revision, age_ms })
     }
 
     /// What a daemon that has the list of this revision is to be told.
-    pub fn parcel_for(&self, held: u64) -> EndpointUpdate {
+    pub fn update_for(&self, held: u64) -> EndpointUpdate {
         if self.current.revision <= held {
             return EndpointUpdate::default();
         }
         let base = self.earlier.iter().find(|list| list.revision == held && held > 0);
         match base {
-            Some(base) => EndpointUpdate { delta: Some(self.current.since(base)), whole: None },
-            None => EndpointUpdate { whole: Some((*self.current).clone()), delta: None },
+            Some(base) => EndpointUpdate { delta: Some(self.current.since(base)), full: None },
+            None => EndpointUpdate { full: Some((*self.current).clone()), delta: None },
         }
     }
 }
--- a/cluster/src/gossip.rs
+++ b/cluster/src/gossip.rs
@@ -158,7 +158,7 @@
     /// A sibling asks; answer under the ticket.
     PullReceived {
         ticket: u64,
-        pull: wire::PullRequest,
+        request: wire::PullRequest,
     },
     /// The asker of a parked ticket is gone.
     PullAbandoned {
@@ -171,7 +171,7 @@
     /// A pull of ours came back.
     PullCompleted {
         address: std::net::SocketAddr,
-        news: Option<Box<wire::PullResponse>>,
+        response: Option<Box<wire::PullResponse>>,
     },
     /// This daemon's own state changed: loud, passed on at once.
     StatusChanged(wire::NodeStatus),
@@ -189,7 +189,7 @@
     /// The settings name other seeds from now on.
     SeedsChanged(Vec<std::net::SocketAddr>),
     /// A store that was asked for the floor replied, or did not (design 5.8).
-    Floor {
+    ReadIndexReceived {
         address: std::net::SocketAddr,
         revision: Option<u64>,
     },
@@ -199,11 +199,11 @@
 pub enum Effect {
     Pull {
         address: std::net::SocketAddr,
-        pull: wire::PullRequest,
+        request: wire::PullRequest,
     },
-    Answer {
+    Respond {
         ticket: u64,
-        news: wire::PullResponse,
+        response: wire::PullResponse,
     },
     /// Asks a store for the floor.
     RequestReadIndex {
@@ -349,7 +349,7 @@
     /// It has waited for its floor in vain, and others take work: what comes does better there.
     pub fn is_stalled(&self, now: Duration) -> bool {
         let is_other = |card: &wire::NodeInfo| card.name != self.own.name;
-        self.floor.is_stuck(now)
+        self.floor.is_stalled(now)
             && self.live(now).any(|(card, report)| {
                 card.role == wire::Role::Proxy && report.ready && is_other(card)
             })
@@ -362,7 +362,7 @@
 
     /// The revision that is in force here; 0: none in this life so far.
     fn in_force(&self) -> u64 {
-        self.floor.met().map_or(0, |_| self.committed.revision)
+        self.floor.established().map_or(0, |_| self.committed.revision)
     }
 
     /// Whether this registry has what proxies tell of servers, all of it (design 5.3).
@@ -445,10 +445,14 @@
         let is_pulse = matches!(event, Event::Tick);
         match event {
             Event::Tick => self.pulse(now, &mut effects),
-            Event::PullReceived { ticket, pull } => self.asked(now, ticket, pull, &mut effects),
+            Event::PullReceived { ticket, request: pull } => {
+                self.asked(now, ticket, pull, &mut effects)
+            }
             Event::PullAbandoned { ticket } => self.left(ticket),
             Event::ConnectionRefused { address } => self.refused(now, address, &mut effects),
-            Event::PullCompleted { address, news } => self.told(now, address, news, &mut effects),
+            Event::PullCompleted { address, response: news } => {
+                self.told(now, address, news, &mut effects)
+            }
             Event::StatusChanged(mut report) => {
                 // Nothing is in force here before the floor is met.
                 report.revision = report.revision.min(self.in_force());
@@ -469,17 +473,17 @@
             Event::ConfigCommitted(word) => {
                 // A store's own, seen with a majority since it started (design 6.2).
                 if self.own.role == wire::Role::Store {
-                    self.floor.replied(now, &self.own.name, Some(word.revision));
+                    self.floor.on_store_reply(now, &self.own.name, Some(word.revision));
                 }
                 self.hear_word(word, &mut effects);
             }
             Event::EndpointListReceived(list) => {
-                let is_new = self.endpoints.hear(list);
+                let is_new = self.endpoints.apply(list);
                 self.note_list(is_new, &mut effects);
             }
             Event::EndpointListRead { list, began_at } => {
                 let revision = list.revision;
-                let is_new = self.endpoints.hear(list);
+                let is_new = self.endpoints.apply(list);
                 self.note_list(is_new, &mut effects);
                 self.note_list_read(revision, began_at);
             }
@@ -492,13 +496,13 @@
                 seeds.retain(|seed| *seed != self.own.cluster_address);
                 self.seeds = seeds;
             }
-            Event::Floor { address, revision } => {
+            Event::ReadIndexReceived { address, revision } => {
                 let teller = self.name_at(address);
-                self.floor.replied(now, &teller, revision);
+                self.floor.on_store_reply(now, &teller, revision);
             }
         }
         self.look_at_floor(now, &mut effects);
-        if self.floor.met().is_none() {
+        if self.floor.established().is_none() {
             self.seek_floor(now, &mut effects);
         }
         // Nothing loud and no time passed: nobody is waiting for this.
@@ -516,10 +520,10 @@
     }
 
     fn look_at_floor(&mut self, now: Duration, effects: &mut Vec<Effect>) {
-        if self.floor.met().is_some() {
+        if self.floor.established().is_some() {
             return;
         }
-        if self.floor.look(now, self.committed.revision, self.has_witnesses(now)) {
+        if self.floor.check(now, self.committed.revision, self.has_witnesses(now)) {
             // What was held back is told from here on.
             self.loud += 1;
             effects.push(Effect::ViewChanged);
@@ -543,7 +547,7 @@
     /// finds it by itself, as it asks the others what is chosen; one that has no seat asks a little
     /// later.
     fn seek_floor(&mut self, now: Duration, effects: &mut Vec<Effect>) {
-        let finds_itself = self.own.role == wire::Role::Store && self.floor.is_early(now);
+        let finds_itself = self.own.role == wire::Role::Store && self.floor.has_just_started(now);
         if finds_itself {
             return;
         }
@@ -556,13 +560,13 @@
             .map(|(card, report)| (report.disk.and_then(|one| one.slot), card))
             .collect();
         stores.sort_unstable_by_key(|(seat, card)| (*seat, card.cluster_address));
-        let others: Vec<crate::peer_selection::Known<'_>> =
+        let others: Vec<crate::peer_selection::Candidate<'_>> =
             stores.iter().map(|one| known(one.1)).collect();
         let nearest = crate::peer_selection::nearest_store(&known(&self.own), &others);
         let nearest = nearest.map(|index| stores[index].1.cluster_address);
         let stores: Vec<std::net::SocketAddr> =
             stores.iter().map(|one| one.1.cluster_address).collect();
-        let due = self.floor.due(now, &stores, nearest);
+        let due = self.floor.next_stores(now, &stores, nearest);
         effects.extend(due.into_iter().map(|address| Effect::RequestReadIndex { address }));
     }
 
@@ -608,7 +612,7 @@
 
     /// A read of the platform list found this revision in force.
     fn note_list_read(&mut self, revision: u64, began_at: Duration) {
-        let is_news = self.endpoints.note_read(revision, began_at);
+        let is_news = self.endpoints.record_read(revision, began_at);
         if is_news && self.own.role == wire::Role::Registry {
             self.loud += 1;
         }
@@ -636,7 +640,7 @@
             self.fresh_since = None;
             self.fresh_registry = false;
             self.awake_since = now;
-            self.floor.wake(now);
+            self.floor.restart_wait(now);
             effects.push(Effect::Log("woke from a freeze"));
             effects.push(Effect::ViewChanged);
         }
@@ -702,10 +706,10 @@
         &self,
         now: Duration,
         live: &[&Peer],
-        others: &[crate::peer_selection::Known<'_>],
+        others: &[crate::peer_selection::Candidate<'_>],
     ) -> Option<Vec<std::net::SocketAddr>> {
         let is_whole = |index: usize| live[index].status.hears_majority;
-        let ranked = crate::peer_selection::registries(&known(&self.own), others, is_whole);
+        let ranked = crate::peer_selection::rank_registries(&known(&self.own), others, is_whole);
         if ranked.is_empty() {
             return None;
         }
@@ -746,13 +750,13 @@
             .iter()
             .filter(|one| one.is_live(now, self.own.role, self.judged_at))
             .collect();
-        let others: Vec<crate::peer_selection::Known<'_>> =
+        let others: Vec<crate::peer_selection::Candidate<'_>> =
             live.iter().map(|source| known(&source.info)).collect();
         let by_registries = self.registry_lines(now, &live, &others);
         let is_served = by_registries.is_some();
         let mut wanted: std::collections::BTreeSet<std::net::SocketAddr> = match by_registries {
             Some(addresses) => addresses.into_iter().collect(),
-            None => crate::peer_selection::siblings(&known(&self.own), &others)
+            None => crate::peer_selection::select_peers(&known(&self.own), &others)
                 .into_iter()
                 .map(|index| live[index].info.cluster_address)
                 .collect(),
@@ -773,8 +777,8 @@
             });
             wanted.extend(later.map(|source| source.info.cluster_address));
         }
-        let is_below = self.floor.wanted().is_some_and(|floor| floor > self.committed.revision);
-        if self.floor.met().is_none() && is_below {
+        let is_below = self.floor.required().is_some_and(|floor| floor > self.committed.revision);
+        if self.floor.established().is_none() && is_below {
             // Whoever has the word that the floor is of: the registries may all be behind.
             let core = live.iter().filter(|one| one.info.role != wire::Role::Proxy);
             wanted.extend(core.map(|source| source.info.cluster_address));
@@ -854,18 +858,18 @@
             known_versions: (!has_vector)
                 .then(|| self.peers.iter().map(|one| (one.short, one.version)).collect()),
             config_revision: self.committed.revision,
-            endpoint_list_revision: self.endpoints.held(),
-            plan: self.plan.version(),
+            endpoint_list_revision: self.endpoints.known_revision(),
+            plan_version: self.plan.version(),
             sender: self.own_delta(tells_card, tells_detail),
             wait_ms,
             wants_observations: self.details_since.is_some(),
             is_leaf: light,
             unreachable_digest: silent,
             list_read_age_ms: (self.own.role == wire::Role::Registry)
-                .then(|| self.endpoints.read(now).map(|read| read.age_ms))
+                .then(|| self.endpoints.latest_read(now).map(|read| read.age_ms))
                 .flatten(),
         };
-        effects.push(Effect::Pull { address, pull });
+        effects.push(Effect::Pull { address, request: pull });
     }
 
     fn own_delta(&self, tells_card: bool, tells_detail: bool) -> wire::NodeDelta {
@@ -907,23 +911,23 @@
             if !resend {
                 // One that says nothing of it is of an earlier version, and told what it has.
                 let floor = news.read_index.unwrap_or(self.committed.revision);
-                if self.floor.met().is_none() {
+                if self.floor.established().is_none() {
                     let teller = self.name_at(address);
-                    self.floor.hear(&teller, floor);
+                    self.floor.on_peer_reply(&teller, floor);
                 }
                 self.highest = self.highest.max(news.read_index.unwrap_or(0));
             }
             if let Some(list) = news.endpoint_list {
-                let is_new = self.endpoints.hear_whole(list);
+                let is_new = self.endpoints.apply_full(list);
                 self.note_list(is_new, effects);
             }
             if let Some(delta) = news.endpoint_list_delta {
-                let is_new = self.endpoints.hear_delta(&delta);
+                let is_new = self.endpoints.apply_delta(&delta);
                 self.note_list(is_new, effects);
             }
             if let Some(read) = news.list_read {
                 let age = Duration::from_millis(u64::from(read.age_ms));
-                self.endpoints.note_revision(read.revision);
+                self.endpoints.observe_revision(read.revision);
                 self.note_list_read(read.revision, now.saturating_sub(age));
             }
             if let Some(plan) = news.plan {
@@ -1130,7 +1134,7 @@
         let seeks_floor = pull.sender.status.as_ref().is_some_and(|report| report.revision == 0);
         self.hear(now, pull.sender, true, effects);
         let wait = Duration::from_millis(u64::from(pull.wait_ms)).min(LONG_POLL_TIMEOUT * 4);
-        self.endpoints.note_revision(pull.endpoint_list_revision);
+        self.endpoints.observe_revision(pull.endpoint_list_revision);
         let list_age = pull.list_read_age_ms.map(|age_ms| Duration::from_millis(u64::from(age_ms)));
         self.parked.retain(|parked| parked.asker != asker || parked.ticket == ticket);
         let known = self.askers.remove(&asker);
@@ -1144,7 +1148,7 @@
             vector,
             word: pull.config_revision,
             platform: pull.endpoint_list_revision,
-            plan: pull.plan,
+            plan: pull.plan_version,
             wants_detail: pull.wants_observations,
             until: now + wait,
             asker,
@@ -1172,7 +1176,7 @@
             }
             self.askers.insert(parked.asker, parked.vector);
         }
-        effects.push(Effect::Answer { ticket: parked.ticket, news });
+        effects.push(Effect::Respond { ticket: parked.ticket, response: news });
     }
 
     /// A parked pull is answered when something loud is there for it, or when its time is up.
@@ -1304,14 +1308,14 @@
                 observations: new_detail.then(|| detail.clone()),
             });
         }
-        let parcel = self.endpoints.parcel_for(parked.platform);
-        let tells_read = !parked.light || parcel.whole.is_some() || parcel.delta.is_some();
+        let parcel = self.endpoints.update_for(parked.platform);
+        let tells_read = !parked.light || parcel.full.is_some() || parcel.delta.is_some();
         wire::PullResponse {
             nodes: deltas,
             config: (self.in_force() > parked.word).then(|| (*self.committed).clone()),
-            endpoint_list: parcel.whole,
+            endpoint_list: parcel.full,
             endpoint_list_delta: parcel.delta,
-            list_read: self.endpoints.read(now).filter(|_| tells_read),
+            list_read: self.endpoints.latest_read(now).filter(|_| tells_read),
             plan: (self.plan.version() > parked.plan).then(|| (*self.plan).clone()),
             unreachable: (parked.light && self.own.role == wire::Role::Registry)
                 .then(|| self.silent_for(parked)),
@@ -1327,8 +1331,8 @@
     if parts.is_empty() { 0 } else { vanepath_config::stable_hash(&parts) }
 }
 
-fn known(card: &wire::NodeInfo) -> crate::peer_selection::Known<'_> {
-    crate::peer_selection::Known {
+fn known(card: &wire::NodeInfo) -> crate::peer_selection::Candidate<'_> {
+    crate::peer_selection::Candidate {
         name: &card.name,
         role: card.role,
         region: &card.region,
--- a/cluster/src/gossip/tests.rs
+++ b/cluster/src/gossip/tests.rs
@@ -36,7 +36,7 @@
 fn tell(news: &mut Gossip, now: Duration, delta: wire::NodeDelta) {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 3));
     let told = wire::PullResponse { nodes: vec![delta], ..wire::PullResponse::default() };
-    news.step(now, Event::PullCompleted { address, news: Some(Box::new(told)) });
+    news.step(now, Event::PullCompleted { address, response: Some(Box::new(told)) });
 }
 
 /// A pulse: the pulls of the one before come back, with a reply from the ports that have one, and new ones
@@ -50,7 +50,7 @@
     let mut effects = Vec::new();
     for address in std::mem::take(asked) {
         let told = replies(address.port()).then(Box::default);
-        effects.extend(news.step(now, Event::PullCompleted { address, news: told }));
+        effects.extend(news.step(now, Event::PullCompleted { address, response: told }));
     }
     effects.extend(news.step(now, Event::Tick));
     asked.extend(effects.into_iter().filter_map(|effect| match effect {
@@ -97,7 +97,7 @@
         )]),
         config_revision: 0,
         endpoint_list_revision: 0,
-        plan: wire::PlanVersion::default(),
+        plan_version: wire::PlanVersion::default(),
         sender: delta(1, 0, None),
         wait_ms: 0,
         wants_observations: true,
@@ -106,9 +106,9 @@
         list_read_age_ms: None,
     };
     pull.sender.name = "s".to_string();
-    let effects = news.step(now, Event::PullReceived { ticket: 1, pull });
+    let effects = news.step(now, Event::PullReceived { ticket: 1, request: pull });
     let answer = effects.into_iter().find_map(|effect| match effect {
-        Effect::Answer { news, .. } => Some(news),
+        Effect::Respond { response: news, .. } => Some(news),
         _ => None,
     });
     let told = answer.unwrap().nodes.into_iter().find(|delta| delta.name == "p").unwrap();
@@ -140,7 +140,7 @@
             observations: None,
         };
         let news = wire::PullResponse { nodes: vec![delta], ..wire::PullResponse::default() };
-        Event::PullCompleted { address, news: Some(Box::new(news)) }
+        Event::PullCompleted { address, response: Some(Box::new(news)) }
     };
     news.step(second(100.0), Event::Tick);
     news.step(second(100.1), told());
@@ -168,7 +168,7 @@
         known_versions: Some(Vec::new()),
         config_revision: 0,
         endpoint_list_revision: 0,
-        plan: wire::PlanVersion::default(),
+        plan_version: wire::PlanVersion::default(),
         sender: delta(10, 0, None),
         wait_ms: 700,
         wants_observations: false,
@@ -176,11 +176,11 @@
         unreachable_digest: 0,
         list_read_age_ms: None,
     };
-    news.step(ms(10_100), Event::PullReceived { ticket: 7, pull: pull.clone() });
+    news.step(ms(10_100), Event::PullReceived { ticket: 7, request: pull.clone() });
     let address = card("p", wire::Role::Proxy, 2).cluster_address;
     for effect in news.step(ms(10_101), Event::Tick) {
         if let Effect::Pull { address, .. } = effect {
-            news.step(ms(10_102), Event::PullCompleted { address, news: Some(Box::default()) });
+            news.step(ms(10_102), Event::PullCompleted { address, response: Some(Box::default()) });
         }
     }
     let mut pull = pull;
@@ -189,7 +189,7 @@
         wire::name_hash("r"),
         wire::NodeVersion { incarnation: 1, ..news.node_version() },
     )]);
-    news.step(ms(10_200), Event::PullReceived { ticket: 8, pull });
+    news.step(ms(10_200), Event::PullReceived { ticket: 8, request: pull });
     news.step(ms(10_300), Event::PullAbandoned { ticket: 8 });
     news.step(ms(10_350), Event::Tick);
     news.step(ms(10_351), Event::ConnectionRefused { address });
@@ -224,7 +224,10 @@
     for _ in 0..2 {
         for index in 0..9_u16 {
             let address = card("", wire::Role::Proxy, 10 + index).cluster_address;
-            news.step(second(100.1), Event::PullCompleted { address, news: Some(Box::default()) });
+            news.step(
+                second(100.1),
+                Event::PullCompleted { address, response: Some(Box::default()) },
+            );
         }
         // From here on it pulls from its few siblings only.
         news.step(second(100.1), Event::Tick);
@@ -243,7 +246,7 @@
     assert!(news.is_fresh(second(130.0) + super::READINESS_TIMEOUT - second(0.2)));
     for index in 0..9_u16 {
         let address = card("", wire::Role::Proxy, 10 + index).cluster_address;
-        news.step(second(132.4), Event::PullCompleted { address, news: Some(Box::default()) });
+        news.step(second(132.4), Event::PullCompleted { address, response: Some(Box::default()) });
     }
     assert!(news.is_fresh(second(132.4)) && !news.is_isolated(second(132.4)));
 }
@@ -278,7 +281,7 @@
             if now >= super::NODE_TIMEOUT && !is_there {
                 asked.push(now);
             }
-            news.step(now, Event::PullCompleted { address, news: is_there.then(Box::default) });
+            news.step(now, Event::PullCompleted { address, response: is_there.then(Box::default) });
         }
     }
     assert_eq!(asked.first(), Some(&super::NODE_TIMEOUT));
--- a/cluster/src/node.rs
+++ b/cluster/src/node.rs
@@ -52,9 +52,9 @@
     pub config: Arc<vanepath_config::model::Config>,
     pub endpoints: Arc<vanepath_config::endpoint_list::EndpointList>,
     /// When the newest read that found this list in force began.
-    pub list_read_at: Option<Duration>,
+    pub endpoint_list_read_at: Option<Duration>,
     /// The highest revision of a list that anyone told of.
-    pub highest_list_revision: u64,
+    pub highest_endpoint_list_revision: u64,
     pub plan: Arc<wire::TrafficShiftPlan>,
     /// All live daemons, this one first.
     pub live: Vec<(wire::NodeInfo, wire::NodeStatus)>,
@@ -83,11 +83,11 @@
     /// Whether what time alone changes is still as it was when this view was made.
     pub fn is_up_to_date(&self, core: &gossip::Gossip, now: Duration) -> bool {
         self.is_fresh == is_fresh(core, now)
-            && self.list_read_at == core.endpoints.read_at()
-            && self.highest_list_revision == core.endpoints.highest()
+            && self.endpoint_list_read_at == core.endpoints.read_at()
+            && self.highest_endpoint_list_revision == core.endpoints.highest_revision()
             && self.is_isolated == core.is_isolated(now)
             && self.is_partitioned == core.is_partitioned(now)
-            && self.required_revision == core.read_index().wanted()
+            && self.required_revision == core.read_index().required()
             && self.is_stalled == core.is_stalled(now)
             && self.has_observations == core.has_observations(now)
     }
@@ -117,7 +117,7 @@
     }
 
     /// What the news amount to now, and the changes worth a line.
-    pub fn of(
+    pub fn from_gossip(
         core: &gossip::Gossip,
         before: &ClusterView,
         now: Duration,
@@ -151,7 +151,7 @@
         for (old, _) in before.live.iter().filter(|(old, _)| !are.contains(&old.name)) {
             notes.push(format!("{} {} in zone {} is not live", old.role, old.name, old.zone));
         }
-        if let (None, Some(met)) = (&before.read_index, core.read_index().met()) {
+        if let (None, Some(met)) = (&before.read_index, core.read_index().established()) {
             notes.push(format!(
                 "goes by revision {}: the floor is {} by {} ({}), after {} ms",
                 word.revision,
@@ -163,7 +163,7 @@
         }
         if core.is_stalled(now) && !before.is_stalled {
             let wanted =
-                core.read_index().wanted().map_or("not known".into(), |one| one.to_string());
+                core.read_index().required().map_or("not known".into(), |one| one.to_string());
             notes.push(format!(
                 "below its floor: it has revision {}, the floor is {wanted}; it takes no work",
                 word.revision
@@ -173,8 +173,8 @@
             committed: word,
             config: setup,
             endpoints: core.endpoints.current().clone(),
-            list_read_at: core.endpoints.read_at(),
-            highest_list_revision: core.endpoints.highest(),
+            endpoint_list_read_at: core.endpoints.read_at(),
+            highest_endpoint_list_revision: core.endpoints.highest_revision(),
             plan: core.plan.clone(),
             live,
             unreachable: core
@@ -182,8 +182,8 @@
                 .map(|(card, report)| (card.clone(), report.clone()))
                 .collect(),
             is_fresh: is_fresh(core, now),
-            read_index: core.read_index().met().cloned(),
-            required_revision: core.read_index().wanted(),
+            read_index: core.read_index().established().cloned(),
+            required_revision: core.read_index().required(),
             is_stalled: core.is_stalled(now),
             highest_active_revisions: if *before.highest_active_revisions
                 == *core.highest_active_revisions()
@@ -212,7 +212,7 @@
 
 /// What is known is of now, and not below what an earlier life went by.
 fn is_fresh(core: &gossip::Gossip, now: Duration) -> bool {
-    core.is_fresh(now) && core.read_index().met().is_some()
+    core.is_fresh(now) && core.read_index().established().is_some()
 }
 
 #[derive(xtra::Actor)]
@@ -228,7 +228,7 @@
 }
 
 /// An event for the core.
-pub struct Deliver(pub gossip::Event);
+pub struct HandleEvent(pub gossip::Event);
 /// A sibling's pull; the reply comes through the channel.
 struct Asked(u64, wire::PullRequest, tokio::sync::oneshot::Sender<wire::PullResponse>);
 /// All sources with their details.
@@ -239,7 +239,7 @@
         let mut changed = false;
         for effect in effects {
             match effect {
-                gossip::Effect::Pull { address, pull } => {
+                gossip::Effect::Pull { address, request: pull } => {
                     let links = self.links.clone();
                     let own = own.clone();
                     let other_zone = self.core.peers.iter().any(|source| {
@@ -250,43 +250,47 @@
                         let limit = Duration::from_millis(u64::from(pull.wait_ms) + 1000);
                         let request = wire::Request::Pull(pull);
                         let told = match links.call(address, &request, limit, other_zone).await {
-                            Ok(wire::Reply::News(news)) => Some(Box::new(news)),
+                            Ok(wire::Reply::Pull(news)) => Some(Box::new(news)),
                             Err(transport::TransportError::Refused) => {
                                 let refused = gossip::Event::ConnectionRefused { address };
-                                let _ = own.send(Deliver(refused)).await;
+                                let _ = own.send(HandleEvent(refused)).await;
                                 None
                             }
                             _ => None,
                         };
                         let _ = own
-                            .send(Deliver(gossip::Event::PullCompleted { address, news: told }))
+                            .send(HandleEvent(gossip::Event::PullCompleted {
+                                address,
+                                response: told,
+                            }))
                             .await;
                     });
                 }
-                gossip::Effect::Answer { ticket, news } => {
+                gossip::Effect::Respond { ticket, response: news } => {
                     if let Some(waiting) = self.waiting.remove(&ticket) {
                         let _ = waiting.send(news);
                     }
                 }
                 gossip::Effect::RequestReadIndex { address } => {
-                    self.tally.increment(transport::Counter::FloorAsks);
+                    self.tally.increment(transport::Counter::ReadIndexRequests);
                     let links = self.links.clone();
                     let own = own.clone();
                     tokio::spawn(async move {
-                        let limit = crate::read_index::LIMIT;
-                        let asked = links.call(address, &wire::Request::Floor, limit, true).await;
+                        let limit = crate::read_index::READ_INDEX_TIMEOUT;
+                        let asked =
+                            links.call(address, &wire::Request::ReadIndex, limit, true).await;
                         let revision = match asked {
-                            Ok(wire::Reply::Floor(revision)) => revision,
+                            Ok(wire::Reply::ReadIndex(revision)) => revision,
                             _ => None,
                         };
-                        let told = gossip::Event::Floor { address, revision };
-                        let _ = own.send(Deliver(told)).await;
+                        let told = gossip::Event::ReadIndexReceived { address, revision };
+                        let _ = own.send(HandleEvent(told)).await;
                     });
                 }
                 gossip::Effect::ViewChanged => changed = true,
                 gossip::Effect::Log(what) => {
                     if what.contains("freeze") {
-                        self.tally.increment(transport::Counter::Freezes);
+                        self.tally.increment(transport::Counter::ProcessPauses);
                     }
                     log::info!("news: {what}");
                 }
@@ -299,13 +303,15 @@
 
     fn publish(&mut self) {
         let before = self.table.load_full();
-        if let (None, Some(met)) = (&before.read_index, self.core.read_index().met()) {
+        if let (None, Some(met)) = (&before.read_index, self.core.read_index().established()) {
             self.tally.increment(match met.source {
-                crate::read_index::ReadIndexSource::Quorum => transport::Counter::FloorsByMajority,
-                crate::read_index::ReadIndexSource::Peers => transport::Counter::FloorsByWitnesses,
+                crate::read_index::ReadIndexSource::Quorum => {
+                    transport::Counter::ReadIndexesByQuorum
+                }
+                crate::read_index::ReadIndexSource::Peers => transport::Counter::ReadIndexesByPeers,
             });
         }
-        let (view, notes) = ClusterView::of(&self.core, &before, self.clock.now());
+        let (view, notes) = ClusterView::from_gossip(&self.core, &before, self.clock.now());
         for note in notes {
             log::info!("{note}");
         }
@@ -315,10 +321,10 @@
     }
 }
 
-impl xtra::Handler<Deliver> for GossipActor {
+impl xtra::Handler<HandleEvent> for GossipActor {
     type Return = ();
 
-    async fn handle(&mut self, Deliver(event): Deliver, context: &mut xtra::Context<Self>) {
+    async fn handle(&mut self, HandleEvent(event): HandleEvent, context: &mut xtra::Context<Self>) {
         let own = context.mailbox().address().try_upgrade();
         let Some(own) = own else { return };
         let is_pulse = matches!(event, gossip::Event::Tick);
@@ -349,7 +355,7 @@
         self.waiting.retain(|_, waiting| !waiting.is_closed());
         self.waiting.insert(ticket, reply);
         let effects =
-            self.core.step(self.clock.now(), gossip::Event::PullReceived { ticket, pull });
+            self.core.step(self.clock.now(), gossip::Event::PullReceived { ticket, request: pull });
         self.perform(effects, &own);
     }
 }
@@ -455,7 +461,7 @@
             pulse.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
             loop {
                 pulse.tick().await;
-                if pulsed.send(Deliver(gossip::Event::Tick)).await.is_err() {
+                if pulsed.send(HandleEvent(gossip::Event::Tick)).await.is_err() {
                     return;
                 }
             }
@@ -484,7 +490,7 @@
     }
 
     pub async fn publish_status(&self, report: wire::NodeStatus) {
-        let _ = self.gossip.send(Deliver(gossip::Event::StatusChanged(report))).await;
+        let _ = self.gossip.send(HandleEvent(gossip::Event::StatusChanged(report))).await;
     }
 
     /// False right after a freeze, before the pulse that will find it out (design 5.5).
@@ -526,7 +532,8 @@
                 if settings.seeds != known.seeds {
                     log::info!("other seeds: {:?}", settings.seeds);
                     known.seeds = settings.seeds.clone();
-                    let _ = news.send(Deliver(gossip::Event::SeedsChanged(settings.seeds))).await;
+                    let _ =
+                        news.send(HandleEvent(gossip::Event::SeedsChanged(settings.seeds))).await;
                 }
             }
             Ok(Invocation::Print(_)) => {}
@@ -549,7 +556,7 @@
         if !self.is_over {
             let (news, ticket) = (self.news.clone(), self.ticket);
             tokio::spawn(async move {
-                let _ = news.send(Deliver(gossip::Event::PullAbandoned { ticket })).await;
+                let _ = news.send(HandleEvent(gossip::Event::PullAbandoned { ticket })).await;
             });
         }
     }
@@ -577,13 +584,13 @@
                     let told = receiver.await;
                     waits.is_over = true;
                     match told {
-                        Ok(news) => wire::Reply::News(news),
-                        Err(_) => wire::Reply::NoDuty,
+                        Ok(news) => wire::Reply::Pull(news),
+                        Err(_) => wire::Reply::Unsupported,
                     }
                 }
                 request => match store_handler {
                     Some(handler) => handler(request).await,
-                    None => wire::Reply::NoDuty,
+                    None => wire::Reply::Unsupported,
                 },
             }
         }
@@ -672,9 +679,9 @@
 
 #[derive(Clone, Copy)]
 pub struct HttpSettings {
-    pub header_limit: Duration,
+    pub header_timeout: Duration,
     pub preserve_header_case: bool,
-    pub buffer_most: usize,
+    pub max_buffer_bytes: usize,
 }
 
 impl HttpSettings {
@@ -682,9 +689,9 @@
         let mut builder = hyper::server::conn::http1::Builder::new();
         builder
             .timer(hyper_util::rt::TokioTimer::new())
-            .header_read_timeout(self.header_limit)
+            .header_read_timeout(self.header_timeout)
             .preserve_header_case(self.preserve_header_case)
-            .max_buf_size(self.buffer_most)
+            .max_buf_size(self.max_buffer_bytes)
             .half_close(false);
         builder
     }
@@ -693,9 +700,9 @@
 impl Default for HttpSettings {
     fn default() -> HttpSettings {
         HttpSettings {
-            header_limit: Duration::from_secs(30),
+            header_timeout: Duration::from_secs(30),
             preserve_header_case: false,
-            buffer_most: 64 << 10,
+            max_buffer_bytes: 64 << 10,
         }
     }
 }
--- a/cluster/src/peer_selection.rs
+++ b/cluster/src/peer_selection.rs
@@ -2,7 +2,7 @@
 
 /// What the choice looks at.
 #[derive(Clone, Debug)]
-pub struct Known<'k> {
+pub struct Candidate<'k> {
     pub name: &'k str,
     pub role: crate::wire::Role,
     pub region: &'k str,
@@ -13,7 +13,7 @@
 /// on the ring of all names, so that news always gets round; one of another zone, of the own region
 /// where there is one; the nearest registry. Registries and stores also pull from others of their
 /// kind.
-pub fn siblings(own: &Known<'_>, live: &[Known<'_>]) -> Vec<usize> {
+pub fn select_peers(own: &Candidate<'_>, live: &[Candidate<'_>]) -> Vec<usize> {
     let rank = |index: &usize| {
         (vanepath_config::stable_hash(&[own.name, live[*index].name]), live[*index].name)
     };
@@ -53,9 +53,9 @@
 
 /// The registries among `live` in the order in which `own` pulls from them: the nearest that hears
 /// from most others, then one of another region, then the rest. `is_whole` says which do.
-pub fn registries(
-    own: &Known<'_>,
-    live: &[Known<'_>],
+pub fn rank_registries(
+    own: &Candidate<'_>,
+    live: &[Candidate<'_>],
     is_whole: impl Fn(usize) -> bool,
 ) -> Vec<usize> {
     let mut ranked: Vec<usize> =
@@ -78,7 +78,7 @@
 }
 
 /// The nearest store, most often on the same machine: the word comes from there.
-pub fn nearest_store(own: &Known<'_>, live: &[Known<'_>]) -> Option<usize> {
+pub fn nearest_store(own: &Candidate<'_>, live: &[Candidate<'_>]) -> Option<usize> {
     (0..live.len()).filter(|index| live[*index].role == crate::wire::Role::Store).max_by_key(
         |index| {
             let other = &live[*index];
--- a/cluster/src/peer_selection/tests.rs
+++ b/cluster/src/peer_selection/tests.rs
@@ -30,16 +30,21 @@
                     region != gone && zone != gone && !name.starts_with(gone)
                 })
                 .collect();
-            let known: Vec<super::Known<'_>> = live
+            let known: Vec<super::Candidate<'_>> = live
                 .iter()
-                .map(|(name, role, region, zone)| super::Known { name, role: *role, region, zone })
+                .map(|(name, role, region, zone)| super::Candidate {
+                    name,
+                    role: *role,
+                    region,
+                    zone,
+                })
                 .collect();
             let pulls: Vec<Vec<usize>> = (0..known.len())
                 .map(|own| {
                     let others: Vec<usize> =
                         (0..known.len()).filter(|index| *index != own).collect();
                     let view: Vec<_> = others.iter().map(|one| known[*one].clone()).collect();
-                    super::siblings(&known[own], &view)
+                    super::select_peers(&known[own], &view)
                         .into_iter()
                         .map(|index| others[index])
                         .collect()
--- a/cluster/src/read_index.rs
+++ b/cluster/src/read_index.rs
@@ -5,19 +5,19 @@
 use std::time::Duration;
 
 /// A store that has not replied for so long is not waited for alone: the next one is asked too.
-pub const NEXT_AFTER: Duration = Duration::from_millis(300);
+pub const NEXT_STORE_DELAY: Duration = Duration::from_millis(300);
 /// After a store that could not tell.
 const AGAIN_AFTER: Duration = Duration::from_millis(100);
 /// A reply is waited for so long.
-pub const LIMIT: Duration = Duration::from_millis(1500);
+pub const READ_INDEX_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Where no majority of stores could be asked for so long, siblings are believed.
-pub const WITNESS_WAIT: Duration = Duration::from_secs(2);
+pub const PEER_READ_INDEX_DELAY: Duration = Duration::from_secs(2);
 
 /// Who waits longer cannot help itself and sends its callers elsewhere, if anyone else takes work. Sooner
 /// would be dearer than to wait: a caller that is turned away comes here first with its next request
 /// as well, until its directory knows.
 const STUCK_AFTER: Duration = Duration::from_millis(2300);
-const _: () = assert!(STUCK_AFTER.as_millis() > WITNESS_WAIT.as_millis());
+const _: () = assert!(STUCK_AFTER.as_millis() > PEER_READ_INDEX_DELAY.as_millis());
 const _: () = assert!(STUCK_AFTER.as_millis() < crate::gossip::READINESS_TIMEOUT.as_millis());
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
@@ -70,30 +70,30 @@
         }
     }
 
-    pub fn met(&self) -> Option<&EstablishedReadIndex> {
+    pub fn established(&self) -> Option<&EstablishedReadIndex> {
         self.met.as_ref()
     }
 
     /// What has to be reached before this life goes by a word, as far as it is known.
-    pub fn wanted(&self) -> Option<u64> {
+    pub fn required(&self) -> Option<u64> {
         let told = self.majority.as_ref().or(self.told.as_ref());
         told.map(|(revision, _)| *revision)
     }
 
     /// Neither stores nor witnesses helped in their time.
-    pub fn is_stuck(&self, now: Duration) -> bool {
+    pub fn is_stalled(&self, now: Duration) -> bool {
         self.met.is_none() && now.saturating_sub(self.awake_since) > STUCK_AFTER
     }
 
     /// A store that has a seat needs no longer to find the floor by itself.
-    pub fn is_early(&self, now: Duration) -> bool {
-        now.saturating_sub(self.began_at) < WITNESS_WAIT / 2
+    pub fn has_just_started(&self, now: Duration) -> bool {
+        now.saturating_sub(self.began_at) < PEER_READ_INDEX_DELAY / 2
     }
 
     /// Which stores to ask now, of those that may be asked, in the order in which they propose. As soon as
     /// any is known of, the one that proposes and the nearest: one can settle what is half done, the other
     /// is the sooner to reply.
-    pub fn due(
+    pub fn next_stores(
         &mut self,
         now: Duration,
         stores: &[SocketAddr],
@@ -105,7 +105,7 @@
             return Vec::new();
         }
         self.has_asked = true;
-        self.next_at = now + NEXT_AFTER;
+        self.next_at = now + NEXT_STORE_DELAY;
         self.turn += 1;
         let next = stores[(self.turn - 1) % stores.len()];
         let beside = nearest.filter(|nearest| is_first && *nearest != next);
@@ -113,7 +113,7 @@
     }
 
     /// A store replied to what was asked in this life; `None`: it could not tell.
-    pub fn replied(&mut self, now: Duration, from: &str, revision: Option<u64>) {
+    pub fn on_store_reply(&mut self, now: Duration, from: &str, revision: Option<u64>) {
         match revision {
             // The first one holds: whatever was in force before this life is in it.
             Some(revision) if self.majority.is_none() => {
@@ -125,24 +125,24 @@
     }
 
     /// A sibling replied in this life; `revision`: the highest that it knows as in force with anyone.
-    pub fn hear(&mut self, from: &str, revision: u64) {
+    pub fn on_peer_reply(&mut self, from: &str, revision: u64) {
         if self.told.as_ref().is_none_or(|(told, _)| revision > *told) {
             self.told = Some((revision, from.to_string()));
         }
     }
 
     /// It stood still: who was heard before that is no witness of now.
-    pub fn wake(&mut self, now: Duration) {
+    pub fn restart_wait(&mut self, now: Duration) {
         self.awake_since = now;
         self.has_asked = false;
     }
 
     /// True when the floor is met just now. `is_whole`: enough daemons are heard of to be witnesses.
-    pub fn look(&mut self, now: Duration, revision: u64, is_whole: bool) -> bool {
+    pub fn check(&mut self, now: Duration, revision: u64, is_whole: bool) -> bool {
         if self.met.is_some() {
             return false;
         }
-        let has_waited = now.saturating_sub(self.awake_since) > WITNESS_WAIT;
+        let has_waited = now.saturating_sub(self.awake_since) > PEER_READ_INDEX_DELAY;
         let (by, told) = match (&self.majority, &self.told) {
             (Some(told), _) => (ReadIndexSource::Quorum, told),
             (None, Some(told)) if has_waited && is_whole => (ReadIndexSource::Peers, told),
--- a/cluster/src/transport.rs
+++ b/cluster/src/transport.rs
@@ -9,19 +9,32 @@
 crate::counters! {
     /// What the links count.
     pub enum Counter {
-        SiblingCalls,
-        SiblingCallsFailed,
-        SiblingBytesOut,
-        SiblingBytesIn,
-        SiblingBytesOtherZone,
-        SiblingFramesMalformed,
-        SiblingFramesOversized,
-        SiblingsTurnedAway,
-        SiblingConnectionsTaken,
-        Freezes,
-        FloorAsks,
-        FloorsByMajority,
-        FloorsByWitnesses,
+        #[strum(serialize = "siblingCalls")]
+        PeerCalls,
+        #[strum(serialize = "siblingCallsFailed")]
+        PeerCallsFailed,
+        #[strum(serialize = "siblingBytesOut")]
+        PeerBytesSent,
+        #[strum(serialize = "siblingBytesIn")]
+        PeerBytesReceived,
+        #[strum(serialize = "siblingBytesOtherZone")]
+        PeerBytesOtherZone,
+        #[strum(serialize = "siblingFramesMalformed")]
+        PeerFramesMalformed,
+        #[strum(serialize = "siblingFramesOversized")]
+        PeerFramesOversized,
+        #[strum(serialize = "siblingsTurnedAway")]
+        PeersRejected,
+        #[strum(serialize = "siblingConnectionsTaken")]
+        PeerConnectionsAccepted,
+        #[strum(serialize = "freezes")]
+        ProcessPauses,
+        #[strum(serialize = "floorAsks")]
+        ReadIndexRequests,
+        #[strum(serialize = "floorsByMajority")]
+        ReadIndexesByQuorum,
+        #[strum(serialize = "floorsByWitnesses")]
+        ReadIndexesByPeers,
     }
 }
 
@@ -46,7 +59,7 @@
     stream.read_exact(&mut length).await.map_err(|_| TransportError::Closed)?;
     let length = u32::from_be_bytes(length) as usize;
     if length > wire::MAX_FRAME_BYTES {
-        tally.increment(Counter::SiblingFramesOversized);
+        tally.increment(Counter::PeerFramesOversized);
         return Err(TransportError::Oversized);
     }
     // Grows with what really comes, not with what the length claims.
@@ -55,11 +68,11 @@
     if read.map_err(|_| TransportError::Closed)? < length {
         return Err(TransportError::Closed);
     }
-    tally.add(Counter::SiblingBytesIn, length as u64 + 4);
+    tally.add(Counter::PeerBytesReceived, length as u64 + 4);
     match wire::decode(&bytes) {
-        Some(value) => Ok((value, length + 4)),
-        None => {
-            tally.increment(Counter::SiblingFramesMalformed);
+        Ok(value) => Ok((value, length + 4)),
+        Err(_) => {
+            tally.increment(Counter::PeerFramesMalformed);
             Err(TransportError::Malformed)
         }
     }
@@ -72,14 +85,14 @@
 ) -> Result<usize, TransportError> {
     let body = wire::encode(value);
     if body.len() > wire::MAX_FRAME_BYTES {
-        tally.increment(Counter::SiblingFramesOversized);
+        tally.increment(Counter::PeerFramesOversized);
         return Err(TransportError::Oversized);
     }
     let mut bytes = Vec::with_capacity(body.len() + 4);
     bytes.extend_from_slice(&(body.len() as u32).to_be_bytes());
     bytes.extend_from_slice(&body);
     stream.write_all(&bytes).await.map_err(|_| TransportError::Closed)?;
-    tally.add(Counter::SiblingBytesOut, bytes.len() as u64);
+    tally.add(Counter::PeerBytesSent, bytes.len() as u64);
     Ok(bytes.len())
 }
 
@@ -108,14 +121,14 @@
         limit: Duration,
         other_zone: bool,
     ) -> Result<wire::Reply, TransportError> {
-        self.tally.increment(Counter::SiblingCalls);
+        self.tally.increment(Counter::PeerCalls);
         let outcome = tokio::time::timeout(limit, self.call_once(address, request)).await;
         let outcome = outcome.unwrap_or(Err(TransportError::Closed));
         if other_zone && let Ok((_, bytes)) = &outcome {
-            self.tally.add(Counter::SiblingBytesOtherZone, *bytes as u64);
+            self.tally.add(Counter::PeerBytesOtherZone, *bytes as u64);
         }
         if outcome.is_err() {
-            self.tally.increment(Counter::SiblingCallsFailed);
+            self.tally.increment(Counter::PeerCallsFailed);
             // What else stands open to that address is as doubtful.
             self.idle.lock().expect("no panic under this lock").remove(&address);
         }
@@ -145,7 +158,7 @@
                 write_frame(&mut stream, &self.greeting, &self.tally).await?;
                 let (theirs, _) = read_frame::<wire::Handshake>(&mut stream, &self.tally).await?;
                 if theirs.system != self.greeting.system || theirs.fleet != self.greeting.fleet {
-                    self.tally.increment(Counter::SiblingsTurnedAway);
+                    self.tally.increment(Counter::PeersRejected);
                     return Err(TransportError::Rejected);
                 }
                 stream
@@ -177,7 +190,7 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        tally.increment(Counter::SiblingConnectionsTaken);
+        tally.increment(Counter::PeerConnectionsAccepted);
         let _ = stream.set_nodelay(true);
         let greeting = greeting.clone();
         let tally = tally.clone();
@@ -206,7 +219,7 @@
     let (theirs, _): (wire::Handshake, _) = first.unwrap_or(Err(TransportError::Closed))?;
     write_frame(&mut stream, &greeting, tally).await?;
     if theirs.system != greeting.system || theirs.fleet != greeting.fleet {
-        tally.increment(Counter::SiblingsTurnedAway);
+        tally.increment(Counter::PeersRejected);
         return Err(TransportError::Rejected);
     }
     loop {
--- a/cluster/src/wire.rs
+++ b/cluster/src/wire.rs
@@ -341,7 +341,8 @@
     pub config_revision: u64,
     #[serde(rename = "platform")]
     pub endpoint_list_revision: u64,
-    pub plan: PlanVersion,
+    #[serde(rename = "plan")]
+    pub plan_version: PlanVersion,
     #[serde(rename = "own")]
     pub sender: NodeDelta,
     pub wait_ms: u32,
@@ -405,17 +406,21 @@
     /// For the store's own slice, which reads it.
     Store(serde_bytes::ByteBuf),
     /// The highest revision that a majority of stores holds, asked of them from now on (design 5.8).
-    Floor,
+    #[serde(rename = "Floor")]
+    ReadIndex,
 }
 
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub enum Reply {
-    News(PullResponse),
+    #[serde(rename = "News")]
+    Pull(PullResponse),
     Store(serde_bytes::ByteBuf),
     /// This daemon has no such duty.
-    NoDuty,
+    #[serde(rename = "NoDuty")]
+    Unsupported,
     /// `None`: this store cannot tell.
-    Floor(Option<u64>),
+    #[serde(rename = "Floor")]
+    ReadIndex(Option<u64>),
 }
 
 /// The first frame each way: a sibling of another fleet, or of another name, is turned away.
@@ -440,9 +445,41 @@
     bytes
 }
 
-/// Exactly one value, nothing after it.
-pub fn decode<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Option<T> {
+/// Why bytes are not one message of the expected type.
+#[derive(Debug)]
+pub enum DecodeError {
+    /// Not CBOR, cut short, or a value of another type.
+    Malformed(ciborium::de::Error<std::io::Error>),
+    /// A value, and this many bytes after it.
+    TrailingBytes(usize),
+}
+
+impl std::fmt::Display for DecodeError {
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        match self {
+            DecodeError::Malformed(error) => write!(formatter, "malformed message: {error}"),
+            DecodeError::TrailingBytes(count) => {
+                write!(formatter, "{count} bytes follow the message")
+            }
+        }
+    }
+}
+
+impl std::error::Error for DecodeError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            DecodeError::Malformed(error) => Some(error),
+            DecodeError::TrailingBytes(_) => None,
+        }
+    }
+}
+
+/// Reads exactly one value.
+///
+/// # Errors
+/// [`DecodeError`] where the bytes are not one CBOR value of this type, or more bytes follow it.
+pub fn decode<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
     let mut rest = bytes;
-    let value = ciborium::from_reader(&mut rest).ok()?;
-    rest.is_empty().then_some(value)
+    let value = ciborium::from_reader(&mut rest).map_err(DecodeError::Malformed)?;
+    if rest.is_empty() { Ok(value) } else { Err(DecodeError::TrailingBytes(rest.len())) }
 }
--- a/cluster/tests/details.rs
+++ b/cluster/tests/details.rs
@@ -44,7 +44,7 @@
 fn tell(news: &mut Gossip, deltas: Vec<wire::NodeDelta>) {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 3));
     let told = wire::PullResponse { nodes: deltas, ..wire::PullResponse::default() };
-    news.step(NOW, Event::PullCompleted { address, news: Some(Box::new(told)) });
+    news.step(NOW, Event::PullCompleted { address, response: Some(Box::new(told)) });
 }
 
 /// The registry `asked` answers `asker`'s pull when its time is up; the answer is told to the asker.
@@ -63,8 +63,8 @@
             asker.peers.iter().map(|one| (wire::name_hash(&one.info.name), one.version)).collect(),
         ),
         config_revision: 0,
-        endpoint_list_revision: asker.endpoints.held(),
-        plan: wire::PlanVersion::default(),
+        endpoint_list_revision: asker.endpoints.known_revision(),
+        plan_version: wire::PlanVersion::default(),
         sender: wire::NodeDelta {
             name: asker.node_info().name.clone(),
             version: asker.node_version(),
@@ -79,11 +79,11 @@
         unreachable_digest: 0,
         list_read_age_ms: None,
     };
-    let mut effects = asked.step(NOW, Event::PullReceived { ticket, pull });
+    let mut effects = asked.step(NOW, Event::PullReceived { ticket, request: pull });
     let until = NOW + Duration::from_millis(u64::from(wait_ms));
     effects.extend(asked.step(until, Event::Tick));
     let answer = effects.into_iter().find_map(|effect| match effect {
-        Effect::Answer { ticket: of, news } if of == ticket => Some(news),
+        Effect::Respond { ticket: of, response: news } if of == ticket => Some(news),
         _ => None,
     });
     let news = answer.expect("its time is up");
@@ -130,7 +130,7 @@
             known_versions: Some(Vec::new()),
             config_revision: 0,
             endpoint_list_revision: 0,
-            plan: wire::PlanVersion::default(),
+            plan_version: wire::PlanVersion::default(),
             sender: delta(0, number, 3),
             wait_ms: 700,
             wants_observations: false,
@@ -138,7 +138,7 @@
             unreachable_digest: 0,
             list_read_age_ms: None,
         };
-        first.step(NOW, Event::PullReceived { ticket: number, pull });
+        first.step(NOW, Event::PullReceived { ticket: number, request: pull });
     };
     let seen = |news: &Gossip| {
         let one = news.peers.iter().find(|one| one.info.name == "proxy-0").unwrap();
@@ -200,7 +200,10 @@
     let pulled = |asker: &mut Gossip, teller: &mut Gossip, ticket: u64| {
         let told = pull(asker, teller, ticket);
         let news = Some(Box::new(told.clone()));
-        asker.step(NOW, Event::PullCompleted { address: teller.node_info().cluster_address, news });
+        asker.step(
+            NOW,
+            Event::PullCompleted { address: teller.node_info().cluster_address, response: news },
+        );
         told
     };
     let told = pulled(&mut asker, &mut teller, 1);
@@ -217,7 +220,7 @@
 fn asks_for_details(news: &mut Gossip, now: Duration) -> bool {
     let effects = news.step(now, Event::Tick);
     let pulls = effects.iter().filter_map(|effect| match effect {
-        Effect::Pull { pull, .. } => Some(pull.wants_observations),
+        Effect::Pull { request: pull, .. } => Some(pull.wants_observations),
         _ => None,
     });
     let asked: Vec<bool> = pulls.collect();
--- a/cluster/tests/floor.rs
+++ b/cluster/tests/floor.rs
@@ -7,7 +7,9 @@
 use std::time::Duration;
 use vanepath_cluster::gossip::{Effect, Event, Gossip};
 use vanepath_cluster::node::ClusterView;
-use vanepath_cluster::read_index::{NEXT_AFTER, ReadIndex, ReadIndexSource, WITNESS_WAIT};
+use vanepath_cluster::read_index::{
+    NEXT_STORE_DELAY, PEER_READ_INDEX_DELAY, ReadIndex, ReadIndexSource,
+};
 use vanepath_cluster::wire::{self, Role};
 
 const START: Duration = Duration::from_secs(100);
@@ -49,7 +51,7 @@
 }
 
 fn view(news: &Gossip, now: Duration) -> ClusterView {
-    ClusterView::of(news, &ClusterView::default(), now).0
+    ClusterView::from_gossip(news, &ClusterView::default(), now).0
 }
 
 /// A registry at port 2 replies with a word and with the highest revision that it knows as in force.
@@ -61,7 +63,7 @@
         read_index: Some(floor),
         ..wire::PullResponse::default()
     };
-    news.step(now, Event::PullCompleted { address: address(2), news: Some(Box::new(told)) })
+    news.step(now, Event::PullCompleted { address: address(2), response: Some(Box::new(told)) })
 }
 
 /// The report that it tells others, by the answer to a sibling's pull.
@@ -70,7 +72,7 @@
         known_versions: Some(Vec::new()),
         config_revision: 0,
         endpoint_list_revision: 0,
-        plan: wire::PlanVersion::default(),
+        plan_version: wire::PlanVersion::default(),
         sender: delta("q", Role::Proxy, 9, ready(asker_revision)),
         wait_ms: 0,
         wants_observations: false,
@@ -78,9 +80,9 @@
         unreachable_digest: 0,
         list_read_age_ms: None,
     };
-    let effects = news.step(now, Event::PullReceived { ticket: 1, pull });
+    let effects = news.step(now, Event::PullReceived { ticket: 1, request: pull });
     let answer = effects.into_iter().find_map(|effect| match effect {
-        Effect::Answer { news, .. } => Some(news),
+        Effect::Respond { response: news, .. } => Some(news),
         _ => None,
     });
     answer.expect("it does not wait")
@@ -94,7 +96,7 @@
     assert!(news.is_fresh(ms(10)), "the news are of now");
     assert!(!view(&news, ms(10)).is_fresh, "and the word may be old");
     assert_eq!(view(&news, ms(10)).active_revision(), 0);
-    news.step(ms(20), Event::Floor { address: address(3), revision: Some(5) });
+    news.step(ms(20), Event::ReadIndexReceived { address: address(3), revision: Some(5) });
     assert!(!view(&news, ms(20)).is_fresh, "it has 3 of 5");
     reply(&mut news, ms(30), 5, 5);
     let view = view(&news, ms(30));
@@ -120,7 +122,7 @@
         own.status.as_ref().unwrap().revision
     };
     assert_eq!(own(&told), 0);
-    news.step(ms(30), Event::Floor { address: address(3), revision: Some(3) });
+    news.step(ms(30), Event::ReadIndexReceived { address: address(3), revision: Some(3) });
     news.step(ms(30), Event::StatusChanged(ready(3)));
     let told = told_by(&mut news, ms(40), 0);
     assert_eq!((told.config.unwrap().revision, told.read_index), (3, Some(3)));
@@ -144,7 +146,7 @@
 fn without_a_majority_the_highest_witness_counts() {
     let mut news = proxy(vec![address(2)]);
     reply(&mut news, ms(10), 3, 7);
-    let late = WITNESS_WAIT.as_millis() as u64 + 50;
+    let late = PEER_READ_INDEX_DELAY.as_millis() as u64 + 50;
     for at in (50..late).step_by(50) {
         news.step(ms(at), Event::Tick);
     }
@@ -174,7 +176,7 @@
         read_index: Some(3),
         ..Default::default()
     };
-    news.step(ms(10), Event::PullCompleted { address: address(2), news: Some(Box::new(told)) });
+    news.step(ms(10), Event::PullCompleted { address: address(2), response: Some(Box::new(told)) });
     for at in (50..2950).step_by(50) {
         news.step(ms(at), Event::Tick);
     }
@@ -218,19 +220,19 @@
         store("s2", 12, 2, false, "a1"),
     ];
     let told = wire::PullResponse { nodes: deltas, ..wire::PullResponse::default() };
-    let told = Event::PullCompleted { address: address(2), news: Some(Box::new(told)) };
+    let told = Event::PullCompleted { address: address(2), response: Some(Box::new(told)) };
     assert_eq!(asked(&news.step(ms(10), told)), [10, 11], "with the reply that tells of them");
     let mut ports = Vec::new();
     for at in (50..1000).step_by(50) {
         ports.extend(asked(&news.step(ms(at), Event::Tick)));
     }
-    assert_eq!(ports, [11, 10, 11], "one each {NEXT_AFTER:?}");
+    assert_eq!(ports, [11, 10, 11], "one each {NEXT_STORE_DELAY:?}");
     // One that cannot tell holds up the next by a little only.
-    news.step(ms(1000), Event::Floor { address: address(11), revision: None });
+    news.step(ms(1000), Event::ReadIndexReceived { address: address(11), revision: None });
     let soon: Vec<u16> =
         (1050..1150).step_by(50).flat_map(|at| asked(&news.step(ms(at), Event::Tick))).collect();
     assert_eq!(soon, [10]);
-    news.step(ms(1150), Event::Floor { address: address(10), revision: Some(0) });
+    news.step(ms(1150), Event::ReadIndexReceived { address: address(10), revision: Some(0) });
     let after: Vec<u16> =
         (1200..3000).step_by(50).flat_map(|at| asked(&news.step(ms(at), Event::Tick))).collect();
     assert!(after.is_empty(), "it has what it asked for: {after:?}");
@@ -261,7 +263,10 @@
             read_index: Some(3),
             ..Default::default()
         };
-        news.step(ms(10), Event::PullCompleted { address: address(2), news: Some(Box::new(told)) });
+        news.step(
+            ms(10),
+            Event::PullCompleted { address: address(2), response: Some(Box::new(told)) },
+        );
         for at in (50..2150).step_by(50) {
             assert!(at > 2000 || view(&news, ms(at)).read_index.is_none(), "two seconds first");
             news.step(ms(at), Event::Tick);
@@ -275,23 +280,23 @@
 #[test]
 fn a_freeze_before_the_floor_begins_the_wait_anew() {
     let mut floor = ReadIndex::new(START);
-    floor.hear("r", 3);
-    floor.wake(ms(9000));
-    assert!(!floor.look(ms(9100), 3, true));
-    assert!(floor.look(ms(11_050), 3, true));
-    floor.wake(ms(20_000));
-    assert!(floor.met().is_some());
+    floor.on_peer_reply("r", 3);
+    floor.restart_wait(ms(9000));
+    assert!(!floor.check(ms(9100), 3, true));
+    assert!(floor.check(ms(11_050), 3, true));
+    floor.restart_wait(ms(20_000));
+    assert!(floor.established().is_some());
 }
 
 /// The first majority's word is the floor: what is accepted meanwhile does not push it up for good.
 #[test]
 fn a_storm_of_changes_does_not_move_the_floor() {
     let mut floor = ReadIndex::new(START);
-    floor.replied(ms(10), "s0", Some(5));
-    floor.replied(ms(20), "s1", Some(9));
-    floor.hear("r", 12);
-    assert_eq!(floor.wanted(), Some(5));
-    assert!(!floor.look(ms(30), 4, true));
-    assert!(floor.look(ms(40), 5, true));
-    assert!(!floor.look(ms(50), 6, true), "said once");
+    floor.on_store_reply(ms(10), "s0", Some(5));
+    floor.on_store_reply(ms(20), "s1", Some(9));
+    floor.on_peer_reply("r", 12);
+    assert_eq!(floor.required(), Some(5));
+    assert!(!floor.check(ms(30), 4, true));
+    assert!(floor.check(ms(40), 5, true));
+    assert!(!floor.check(ms(50), 6, true), "said once");
 }
--- a/cluster/tests/frames.rs
+++ b/cluster/tests/frames.rs
@@ -21,7 +21,7 @@
         T: serde::Serialize + serde::de::DeserializeOwned,
     {
         let bytes = encode(message);
-        let read: T = decode(&bytes).unwrap_or_else(|| panic!("{label} is not read"));
+        let read: T = decode(&bytes).unwrap_or_else(|error| panic!("{label} is not read: {error}"));
         assert_eq!(encode(&read), bytes, "{label}");
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         let _ = writeln!(self.text, "{label} {hex}");
@@ -152,7 +152,7 @@
         known_versions: None,
         config_revision: 101,
         endpoint_list_revision: 102,
-        plan: PlanVersion { epoch: 103, counter: 104 },
+        plan_version: PlanVersion { epoch: 103, counter: 104 },
         sender: bare_delta(),
         wait_ms: 700,
         wants_observations: false,
@@ -185,14 +185,14 @@
     frames.add("pull-bare", &Request::Pull(bare_pull()));
     frames.add("pull-full", &Request::Pull(full_pull()));
     frames.add("store", &Request::Store(vec![1, 2, 3].into()));
-    frames.add("floor", &Request::Floor);
+    frames.add("floor", &Request::ReadIndex);
     expect_test::expect_file!["fixtures/requests.txt"].assert_eq(&frames.text);
 }
 
 #[test]
 fn replies_keep_their_bytes() {
     let mut frames = Frames::default();
-    frames.add("news-bare", &Reply::News(PullResponse::default()));
+    frames.add("news-bare", &Reply::Pull(PullResponse::default()));
     let full = PullResponse {
         nodes: vec![bare_delta(), full_delta()],
         config: Some(word()),
@@ -204,11 +204,11 @@
         resend_versions: true,
         read_index: Some(70),
     };
-    frames.add("news-full", &Reply::News(full));
+    frames.add("news-full", &Reply::Pull(full));
     frames.add("store", &Reply::Store(vec![1, 2, 3].into()));
-    frames.add("no-duty", &Reply::NoDuty);
-    frames.add("floor-none", &Reply::Floor(None));
-    frames.add("floor", &Reply::Floor(Some(12)));
+    frames.add("no-duty", &Reply::Unsupported);
+    frames.add("floor-none", &Reply::ReadIndex(None));
+    frames.add("floor", &Reply::ReadIndex(Some(12)));
     expect_test::expect_file!["fixtures/replies.txt"].assert_eq(&frames.text);
 }
 
--- a/cluster/tests/light.rs
+++ b/cluster/tests/light.rs
@@ -46,7 +46,7 @@
         ..wire::PullResponse::default()
     };
     let address = SocketAddr::from(([127, 0, 0, 1], port));
-    news.step(now, Event::PullCompleted { address, news: Some(Box::new(told)) });
+    news.step(now, Event::PullCompleted { address, response: Some(Box::new(told)) });
 }
 
 fn pulled(effects: Vec<Effect>) -> Vec<u16> {
--- a/proxy/src/shell.rs
+++ b/proxy/src/shell.rs
@@ -56,9 +56,9 @@
         std::future::pending::<()>().await;
     });
     let http = node::HttpSettings {
-        header_limit: Duration::from_secs(30),
+        header_timeout: Duration::from_secs(30),
         preserve_header_case: true,
-        buffer_most: 64 << 10,
+        max_buffer_bytes: 64 << 10,
     };
     let has_pages = proxy.daemon.settings.admin_listen.is_some();
     if let Some(address) = proxy.daemon.settings.admin_listen {
@@ -241,7 +241,7 @@
             &view.endpoints,
             |server, services| crate::endpoints::slow_start_rate(view, own, server, services),
         );
-        if let Some(read_at) = view.list_read_at.filter(|_| !notes.is_empty()) {
+        if let Some(read_at) = view.endpoint_list_read_at.filter(|_| !notes.is_empty()) {
             let age_ms = now.saturating_sub(read_at).as_millis();
             log::info!("platform list {}, read {age_ms} ms ago", view.endpoints.revision);
         }
@@ -305,7 +305,7 @@
             let _ = proxy
                 .daemon
                 .gossip
-                .send(node::Deliver(gossip::Event::ObservationsChanged(detail)))
+                .send(node::HandleEvent(gossip::Event::ObservationsChanged(detail)))
                 .await;
             return;
         }
@@ -319,7 +319,7 @@
         let _ = proxy
             .daemon
             .gossip
-            .send(node::Deliver(gossip::Event::ObservationsChanged(detail)))
+            .send(node::HandleEvent(gossip::Event::ObservationsChanged(detail)))
             .await;
     }
 }
--- a/registry/src/api.rs
+++ b/registry/src/api.rs
@@ -135,7 +135,7 @@
                 let limit = crate::store_client::ATTEMPT_TIMEOUT;
                 let tell = match links.call(card.cluster_address, &request, limit, other_zone).await
                 {
-                    Ok(wire::Reply::Store(bytes)) => wire::decode(&bytes),
+                    Ok(wire::Reply::Store(bytes)) => wire::decode(&bytes).ok(),
                     _ => None,
                 };
                 if let Some(outcome) = store_call.told(tell) {
@@ -480,7 +480,7 @@
     let daemon = &registry.daemon;
     let _ = daemon
         .gossip
-        .send(node::Deliver(vanepath_cluster::gossip::Event::ObservationsWanted))
+        .send(node::HandleEvent(vanepath_cluster::gossip::Event::ObservationsWanted))
         .await;
     let until = daemon.clock.now() + DETAILS_LIMIT;
     loop {
--- a/registry/src/leader/tests.rs
+++ b/registry/src/leader/tests.rs
@@ -61,7 +61,7 @@
     }
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     let told = wire::PullResponse { nodes: deltas, ..wire::PullResponse::default() };
-    news.step(now, Event::PullCompleted { address, news: Some(Box::new(told)) });
+    news.step(now, Event::PullCompleted { address, response: Some(Box::new(told)) });
     let setup = vanepath_config::model::parse(
         br#"{"classes": [{"name": "c", "urgency": 1, "kind": "repeatable"}],
           "services": [{"name": "s", "selector": "all", "livenessPath": "/"}],
@@ -70,7 +70,7 @@
     let list = br#"{"revision": 1, "servers": [
         {"id": "s1", "address": "127.0.0.1:1001", "region": "a", "zone": "a1", "state": "ready"},
         {"id": "s2", "address": "127.0.0.1:1002", "region": "b", "zone": "b1", "state": "ready"}]}"#;
-    let (mut view, _) = ClusterView::of(&news, &ClusterView::default(), now);
+    let (mut view, _) = ClusterView::from_gossip(&news, &ClusterView::default(), now);
     view.config = Arc::new(setup.unwrap());
     view.endpoints = Arc::new(vanepath_config::endpoint_list::parse(list).unwrap());
     view.is_fresh = true;
--- a/registry/src/list_poller.rs
+++ b/registry/src/list_poller.rs
@@ -117,7 +117,7 @@
                 note(&list, daemon.clock.now().saturating_sub(began_at));
             }
             let event = gossip::Event::EndpointListRead { list, began_at };
-            let _ = daemon.gossip.send(node::Deliver(event)).await;
+            let _ = daemon.gossip.send(node::HandleEvent(event)).await;
         }
         if found != PollOutcome::Good {
             tally.increment(Counter::PlatformReadsBad);
--- a/registry/src/list_sequencer.rs
+++ b/registry/src/list_sequencer.rs
@@ -112,7 +112,7 @@
             0 if !view.is_isolated => self.is_overtaken || is_after(tried_at, FIRST_EVERY),
             rank => {
                 let wait = TAKEOVER_AFTER + TAKEOVER_STEP * rank.saturating_sub(1) as u32;
-                view.list_read_at.is_none_or(|at| is_after(at, wait))
+                view.endpoint_list_read_at.is_none_or(|at| is_after(at, wait))
                     && is_after(tried_at, wait * REST_TIMES)
             }
         }
@@ -129,7 +129,7 @@
 
 /// The highest number that this registry has heard of.
 fn highest(view: &ClusterView) -> u64 {
-    view.highest_list_revision.max(view.endpoints.revision)
+    view.highest_endpoint_list_revision.max(view.endpoints.revision)
 }
 
 /// In the order of ids. A server that moved from one page to the next while they were read stands on both:
--- a/registry/src/list_sequencer/tests.rs
+++ b/registry/src/list_sequencer/tests.rs
@@ -46,9 +46,10 @@
 /// Goes by what was told, as the news would.
 fn take(view: &mut ClusterView, told: &Option<Effect>) {
     if let Some(Effect::Publish { list, began_at }) = told {
-        view.highest_list_revision = view.highest_list_revision.max(list.revision);
+        view.highest_endpoint_list_revision =
+            view.highest_endpoint_list_revision.max(list.revision);
         view.endpoints = list.clone();
-        view.list_read_at = Some(*began_at);
+        view.endpoint_list_read_at = Some(*began_at);
     }
 }
 
@@ -107,7 +108,7 @@
     let mut reader = ListSequencer::new("r1", 0);
     assert_eq!(reader.pulse(ms(0), &view), Some(Effect::Read));
     // Only heard of so far, from a proxy that has it.
-    view.highest_list_revision = 9 << 16 | 3;
+    view.highest_endpoint_list_revision = 9 << 16 | 3;
     assert_eq!(reader.read(ms(90), &view, Some(servers(&["a"]))), Some(Effect::Superseded));
     assert_eq!(reader.pulse(ms(100), &view), Some(Effect::Read), "at once");
     let told = reader.read(ms(120), &view, Some(servers(&["a"])));
@@ -129,7 +130,7 @@
     let told = reader.read(ms(9), &view, Some(servers(&["a"])));
     take(&mut view, &told);
     assert_eq!(view.endpoints.revision, 1 << 16 | 5);
-    view.highest_list_revision = 40 << 16 | 2;
+    view.highest_endpoint_list_revision = 40 << 16 | 2;
     assert_eq!(reader.pulse(ms(600), &view), Some(Effect::Read));
     let told = reader.read(ms(609), &view, Some(servers(&["a"])));
     take(&mut view, &told);
@@ -160,7 +161,7 @@
 #[test]
 fn one_registry_reads_the_list_often_and_the_next_takes_over_from_silence() {
     let mut all = view(&[("p0", false), ("r2", false), ("r1", false), ("r3", false)]);
-    all.list_read_at = Some(ms(5000));
+    all.endpoint_list_read_at = Some(ms(5000));
     let is_due = |name: &str, view: &ClusterView, tried: u64, now: u64| {
         let mut reader = ListSequencer::new(name, 0);
         assert_eq!(
@@ -179,12 +180,12 @@
         "no faster than that"
     );
     let mut without = view(&[("r2", false), ("r1", true), ("r3", false)]);
-    without.list_read_at = Some(ms(5000));
+    without.endpoint_list_read_at = Some(ms(5000));
     assert!(is_due("r2", &without, 5000, 5600), "the first is leaving: the next one is the first");
     assert!(!is_due("r3", &without, 5000, 5600));
     let mut cut = view(&[("r1", false)]);
     cut.is_isolated = true;
-    cut.list_read_at = Some(ms(5000));
+    cut.endpoint_list_read_at = Some(ms(5000));
     assert!(!is_due("r1", &cut, 1, 5600) && is_due("r1", &cut, 1, 6200), "others may read as well");
 }
 
--- a/registry/src/shell.rs
+++ b/registry/src/shell.rs
@@ -160,7 +160,7 @@
             self.registry.tally.increment(Counter::PlansMade);
             let _ = daemon
                 .gossip
-                .send(node::Deliver(gossip::Event::PlanReceived(Arc::new(plan))))
+                .send(node::HandleEvent(gossip::Event::PlanReceived(Arc::new(plan))))
                 .await;
         }
     }
--- a/registry/tests/world/mod.rs
+++ b/registry/tests/world/mod.rs
@@ -232,13 +232,13 @@
             match message {
                 Message::Asked { from, pull } => {
                     self.tickets.insert((to, number), from);
-                    self.step(to, Event::PullReceived { ticket: number, pull: *pull });
+                    self.step(to, Event::PullReceived { ticket: number, request: *pull });
                 }
                 Message::Told { teller, news } => {
                     if self.pulling.remove(&(to, teller)).is_some() {
                         self.connected.insert((to, teller));
                         let address = address_of(teller);
-                        self.step(to, Event::PullCompleted { address, news: Some(news) });
+                        self.step(to, Event::PullCompleted { address, response: Some(news) });
                     }
                 }
             }
@@ -254,7 +254,7 @@
             self.pulling.remove(&(asker, teller));
             self.connected.remove(&(asker, teller));
             let address = address_of(teller);
-            self.step(asker, Event::PullCompleted { address, news: None });
+            self.step(asker, Event::PullCompleted { address, response: None });
         }
     }
 
@@ -288,12 +288,12 @@
         let effects = self.nodes[index].news.step(self.now, event);
         for effect in effects {
             match effect {
-                Effect::Pull { address, pull } => {
+                Effect::Pull { address, request: pull } => {
                     let to = (0..self.nodes.len()).find(|to| address_of(*to) == address);
                     let to = to.expect("an address of this world");
                     self.pull(index, to, pull);
                 }
-                Effect::Answer { ticket, news } => {
+                Effect::Respond { ticket, response: news } => {
                     let asker = self.tickets.remove(&(index, ticket));
                     let is_awaited = |to: &usize| {
                         self.pulling.get(&(*to, index)).is_some_and(|one| one.number == ticket)
@@ -311,7 +311,7 @@
 
     fn publish(&mut self, index: usize) {
         let node = &self.nodes[index];
-        let (view, _) = ClusterView::of(&node.news, &node.view, self.now);
+        let (view, _) = ClusterView::from_gossip(&node.news, &node.view, self.now);
         self.nodes[index].view = view;
     }
 
--- a/store/src/disk.rs
+++ b/store/src/disk.rs
@@ -20,7 +20,7 @@
 }
 
 fn unframe(bytes: &[u8]) -> Option<Vec<u8>> {
-    let framed: Framed = vanepath_cluster::wire::decode(bytes)?;
+    let framed: Framed = vanepath_cluster::wire::decode(bytes).ok()?;
     let digest = vanepath_config::digest(&[b"vanepath file", &framed.body]);
     (framed.digest == digest).then_some(framed.body)
 }
@@ -105,7 +105,7 @@
         let state: Option<HardState> = read
             .as_ref()
             .and_then(|bytes| unframe(bytes))
-            .and_then(|body| vanepath_cluster::wire::decode(&body));
+            .and_then(|body| vanepath_cluster::wire::decode(&body).ok());
         if read.is_some() && state.is_none() {
             log::error!("{STATE} is damaged: this disk counts as empty and asks for admission");
         }
@@ -195,7 +195,7 @@
     pub fn hints(&self) -> crate::hints::Hints {
         let read = std::fs::read(self.folder.join(HINTS)).ok();
         let body = read.and_then(|bytes| unframe(&bytes));
-        body.and_then(|body| vanepath_cluster::wire::decode(&body)).unwrap_or_default()
+        body.and_then(|body| vanepath_cluster::wire::decode(&body).ok()).unwrap_or_default()
     }
 
     pub fn save_hints(&self, hints: &crate::hints::Hints) -> std::io::Result<()> {
@@ -205,7 +205,7 @@
 
     fn read_version(&self, path: &std::path::Path) -> Option<(Value, Digest)> {
         let body = unframe(&std::fs::read(path).ok()?)?;
-        let value: Value = vanepath_cluster::wire::decode(&body)?;
+        let value: Value = vanepath_cluster::wire::decode(&body).ok()?;
         Some((value, crate::protocol::digest_of(&body)))
     }
 
--- a/store/src/shell.rs
+++ b/store/src/shell.rs
@@ -114,7 +114,7 @@
                         let limit = Duration::from_millis(800);
                         let reply = links.call(address, &body, limit, true).await;
                         if let Ok(wire::Reply::Store(bytes)) = reply {
-                            tell = wire::decode(&bytes);
+                            tell = wire::decode(&bytes).ok();
                         }
                     }
                     if tell.is_none() {
@@ -147,7 +147,7 @@
                 let _ = self
                     .daemon
                     .gossip
-                    .send(node::Deliver(gossip::Event::ConfigCommitted(word)))
+                    .send(node::HandleEvent(gossip::Event::ConfigCommitted(word)))
                     .await;
             }
             Effect::Log(text) => log::info!("store: {text}"),
@@ -234,22 +234,22 @@
         let slot = handler_slot.clone();
         Box::pin(async move {
             let ask = match request {
-                wire::Request::Store(bytes) => wire::decode::<Request>(&bytes),
-                wire::Request::Floor => Some(Request::ReadIndex),
+                wire::Request::Store(bytes) => wire::decode::<Request>(&bytes).ok(),
+                wire::Request::ReadIndex => Some(Request::ReadIndex),
                 wire::Request::Pull(_) => None,
             };
             let Some(ask) = ask else {
-                return wire::Reply::NoDuty;
+                return wire::Reply::Unsupported;
             };
             let Some(actor) = slot.get() else {
-                return wire::Reply::NoDuty;
+                return wire::Reply::Unsupported;
             };
             let (sender, receiver) = tokio::sync::oneshot::channel();
             let _ = actor.send(Asked(ask, sender)).await;
             match receiver.await {
-                Ok(Response::ReadIndex(revision)) => wire::Reply::Floor(revision),
+                Ok(Response::ReadIndex(revision)) => wire::Reply::ReadIndex(revision),
                 Ok(tell) => wire::Reply::Store(wire::encode(&tell).into()),
-                Err(_) => wire::Reply::NoDuty,
+                Err(_) => wire::Reply::Unsupported,
             }
         })
     });
@@ -259,7 +259,7 @@
     started.seeds.extend(&hints.nodes);
     let daemon = node::Node::start(started, Some(handler)).await?;
     let plan = Arc::new(hints.plan.clone());
-    let _ = daemon.gossip.send(node::Deliver(gossip::Event::PlanReceived(plan))).await;
+    let _ = daemon.gossip.send(node::HandleEvent(gossip::Event::PlanReceived(plan))).await;
     let tally: Arc<Counters> = Arc::default();
     let core = Replica::new(identity, found, daemon.clock.now());
     let summary = Arc::new(arc_swap::ArcSwap::from_pointee(core.summary()));
--- a/store/tests/frames.rs
+++ b/store/tests/frames.rs
@@ -22,7 +22,7 @@
         T: serde::Serialize + serde::de::DeserializeOwned,
     {
         let bytes = encode(message);
-        let read: T = decode(&bytes).unwrap_or_else(|| panic!("{label} is not read"));
+        let read: T = decode(&bytes).unwrap_or_else(|error| panic!("{label} is not read: {error}"));
         assert_eq!(encode(&read), bytes, "{label}");
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         let _ = writeln!(self.text, "{label} {hex}");
--- a/testbed/src/scale/cores.rs
+++ b/testbed/src/scale/cores.rs
@@ -57,14 +57,14 @@
         ..wire::PullResponse::default()
     };
     let address = cards[1].cluster_address;
-    news.step(now, Event::PullCompleted { address, news: Some(Box::new(told)) });
+    news.step(now, Event::PullCompleted { address, response: Some(Box::new(told)) });
     news
 }
 
 /// What a daemon of such a fleet goes by.
 pub fn view(news: &Gossip, routes: usize, services: usize, judged: Judged) -> ClusterView {
     let now = Duration::from_secs(100);
-    let (mut view, _) = ClusterView::of(news, &ClusterView::default(), now);
+    let (mut view, _) = ClusterView::from_gossip(news, &ClusterView::default(), now);
     view.config = Arc::new(super::setup(routes, services, judged));
     let word = wire::CommittedConfig {
         revision: 5,
@@ -315,7 +315,7 @@
             each(span, || vanepath_registry::leader::next_plan(&view, &own, &news.peers, true));
         let copied = each(span, || news.peers.clone());
         let now = Duration::from_secs(100);
-        let viewed = each(span, || ClusterView::of(&news, &view, now));
+        let viewed = each(span, || ClusterView::from_gossip(&news, &view, now));
         rows.push(Row {
             what: "registry".to_string(),
             size: vec![
--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -125,7 +125,7 @@
         self.daemons[whom].sum.step += super::spent().saturating_sub(started);
         for effect in effects {
             match effect {
-                Effect::Pull { address, pull } => {
+                Effect::Pull { address, request: pull } => {
                     let Some(to) = self.addresses.get(&address).copied() else { continue };
                     let limit = Duration::from_millis(u64::from(pull.wait_ms)) + ANSWER_LIMIT;
                     let bytes = self.encode(whom, || wire::encode(&wire::Request::Pull(pull)));
@@ -137,16 +137,16 @@
                     let at = now + self.delay(whom, to);
                     self.push(at, to, What::Pull { from: whom, bytes });
                 }
-                Effect::Answer { ticket, news } => {
+                Effect::Respond { ticket, response: news } => {
                     let Some(to) = self.daemons[whom].waiting.remove(&ticket) else { continue };
-                    let bytes = self.encode(whom, || wire::encode(&wire::Reply::News(news)));
+                    let bytes = self.encode(whom, || wire::encode(&wire::Reply::Pull(news)));
                     self.daemons[whom].sum.answers += 1;
                     let at = now + self.delay(whom, to);
                     self.push(at, to, What::Answer { from: whom, bytes });
                 }
                 // Its stores have no disks: none holds more than the word that they are told.
                 Effect::RequestReadIndex { address } => {
-                    let event = Event::Floor { address, revision: Some(0) };
+                    let event = Event::ReadIndexReceived { address, revision: Some(0) };
                     self.step(now, whom, event);
                 }
                 Effect::ViewChanged | Effect::Log(_) => {}
@@ -165,7 +165,12 @@
         bytes
     }
 
-    fn decode<T>(&mut self, whom: usize, bytes: &[u8], decode: impl Fn(&[u8]) -> Option<T>) -> T {
+    fn decode<T>(
+        &mut self,
+        whom: usize,
+        bytes: &[u8],
+        decode: impl Fn(&[u8]) -> Result<T, wire::DecodeError>,
+    ) -> T {
         let started = super::spent();
         let value = decode(bytes).expect("what was encoded here");
         let sum = &mut self.daemons[whom].sum;
@@ -193,7 +198,7 @@
             match what {
                 What::Unanswered { from } => {
                     let address = self.daemons[from].core.node_info().cluster_address;
-                    self.step(now, whom, Event::PullCompleted { address, news: None });
+                    self.step(now, whom, Event::PullCompleted { address, response: None });
                 }
                 What::Pulse => {
                     self.step(now, whom, Event::Tick);
@@ -219,18 +224,18 @@
                     daemon.tickets += 1;
                     let ticket = daemon.tickets;
                     daemon.waiting.insert(ticket, from);
-                    self.step(now, whom, Event::PullReceived { ticket, pull });
+                    self.step(now, whom, Event::PullReceived { ticket, request: pull });
                 }
                 What::Answer { from, bytes } => {
                     let reply = self.decode(whom, &bytes, wire::decode::<wire::Reply>);
-                    let wire::Reply::News(news) = reply else { continue };
+                    let wire::Reply::Pull(news) = reply else { continue };
                     let address = self.daemons[from].core.node_info().cluster_address;
                     // What a proxy has in force it reports.
                     let before = self.daemons[whom].core.committed.revision;
                     self.step(
                         now,
                         whom,
-                        Event::PullCompleted { address, news: Some(Box::new(news)) },
+                        Event::PullCompleted { address, response: Some(Box::new(news)) },
                     );
                     let revision = self.daemons[whom].core.committed.revision;
                     if revision != before {
@@ -339,12 +344,12 @@
             });
             for (index, address) in asked.enumerate() {
                 let news = (index == 0).then(|| Box::new(told.clone()));
-                daemon.core.step(second, Event::PullCompleted { address, news });
+                daemon.core.step(second, Event::PullCompleted { address, response: news });
             }
             // What it asks upon that nobody hears; its lines begin anew.
             let cut: Vec<std::net::SocketAddr> = run.addresses.keys().copied().collect();
             for address in cut {
-                daemon.core.step(second, Event::PullCompleted { address, news: None });
+                daemon.core.step(second, Event::PullCompleted { address, response: None });
             }
             daemon.sum = Sum::default();
         }
--- a/testbed/src/sim/control.rs
+++ b/testbed/src/sim/control.rs
@@ -319,14 +319,14 @@
         daemon.view = Arc::default();
         if self.breaks == Some(Break::NoFloor) {
             let address = daemon.card.cluster_address;
-            daemon.news.step(now, gossip::Event::Floor { address, revision: Some(0) });
+            daemon.news.step(now, gossip::Event::ReadIndexReceived { address, revision: Some(0) });
         }
         if self.breaks == Some(Break::StartsStale)
             && let Some(first) = &self.first_word
             && daemon.card.role == wire::Role::Proxy
         {
             daemon.news.committed = first.clone();
-            daemon.view = Arc::new(ClusterView::of(&daemon.news, &daemon.view, now).0);
+            daemon.view = Arc::new(ClusterView::from_gossip(&daemon.news, &daemon.view, now).0);
         }
         let name = daemon.card.name.clone();
         self.note(|| format!("{name} starts"));
@@ -459,7 +459,7 @@
                     // As if it had what it lacks.
                     pull.config_revision = u64::MAX;
                 }
-                self.step_news(index, gossip::Event::PullReceived { ticket: call, pull });
+                self.step_news(index, gossip::Event::PullReceived { ticket: call, request: pull });
             }
             Body::Ask(Request::ReadIndex) if self.daemons[index].card.role != wire::Role::Store => {
                 self.net.reply(call, Body::Reset);
@@ -491,7 +491,7 @@
                     Some(Body::News(news)) => Some(Box::new(news)),
                     _ => None,
                 };
-                self.step_news(index, gossip::Event::PullCompleted { address, news });
+                self.step_news(index, gossip::Event::PullCompleted { address, response: news });
             }
             (Purpose::Store { call }, Some(index)) => {
                 let tell = match body {
@@ -508,7 +508,7 @@
                     Some(Body::Tell(Response::ReadIndex(revision))) => revision,
                     _ => None,
                 };
-                self.step_news(index, gossip::Event::Floor { address, revision });
+                self.step_news(index, gossip::Event::ReadIndexReceived { address, revision });
             }
             (Purpose::StoreCall { store_call }, Some(index)) => {
                 let tell = match body {
@@ -551,7 +551,7 @@
         let mut changed = false;
         for effect in effects {
             match effect {
-                gossip::Effect::Pull { address, pull } => {
+                gossip::Effect::Pull { address, request: pull } => {
                     let target = Net::host_at(address);
                     let limit = Duration::from_millis(u64::from(pull.wait_ms) + 1000);
                     let bytes = wire::encode(&pull).len() as u64 + 4;
@@ -559,7 +559,7 @@
                     let purpose = Purpose::Pull { address };
                     self.net.ask(host, target, limit, Body::Pull(pull), purpose);
                 }
-                gossip::Effect::Answer { ticket, news } => {
+                gossip::Effect::Respond { ticket, response: news } => {
                     if let Some(call) = self.net.call(ticket) {
                         let asker = call.asker;
                         let bytes = wire::encode(&news).len() as u64 + 4;
@@ -568,7 +568,7 @@
                     self.net.reply(ticket, Body::News(news));
                 }
                 gossip::Effect::RequestReadIndex { address } => {
-                    let limit = vanepath_cluster::read_index::LIMIT;
+                    let limit = vanepath_cluster::read_index::READ_INDEX_TIMEOUT;
                     let purpose = Purpose::Floor { address };
                     let body = Body::Ask(Request::ReadIndex);
                     self.net.ask(host, Net::host_at(address), limit, body, purpose);
@@ -582,7 +582,7 @@
         }
         let daemon = &mut self.daemons[index];
         if changed || !daemon.view.is_up_to_date(&daemon.news, now) {
-            let (mut view, notes) = ClusterView::of(&daemon.news, &daemon.view, now);
+            let (mut view, notes) = ClusterView::from_gossip(&daemon.news, &daemon.view, now);
             if self.first_word.is_none() && view.committed.revision > 0 {
                 self.first_word = Some(view.committed.clone());
             }
@@ -645,7 +645,7 @@
                 let host = self.daemons[index].host;
                 let now = self.net.local(host);
                 let daemon = &mut self.daemons[index];
-                let (view, _) = ClusterView::of(&daemon.news, &daemon.view, now);
+                let (view, _) = ClusterView::from_gossip(&daemon.news, &daemon.view, now);
                 daemon.view = Arc::new(view);
                 let revision = daemon.view.committed.revision;
                 daemon.revisions.push((self.net.now, self.net.hosts[host].life, revision));
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -45,7 +45,7 @@
         known_versions: Some(Vec::new()),
         config_revision: 0,
         endpoint_list_revision: 0,
-        plan: wire::PlanVersion::default(),
+        plan_version: wire::PlanVersion::default(),
         sender: wire::NodeDelta {
             name: card.name.clone(),
             version: wire::NodeVersion {
@@ -66,16 +66,16 @@
         list_read_age_ms: None,
     };
     let effects =
-        asked.step(now, vanepath_cluster::gossip::Event::PullReceived { ticket: 1, pull });
+        asked.step(now, vanepath_cluster::gossip::Event::PullReceived { ticket: 1, request: pull });
     let answer = effects.into_iter().find_map(|effect| match effect {
-        vanepath_cluster::gossip::Effect::Answer { news, .. } => Some(news),
+        vanepath_cluster::gossip::Effect::Respond { response: news, .. } => Some(news),
         _ => None,
     });
-    let reply = wire::Reply::News(answer.unwrap());
+    let reply = wire::Reply::Pull(answer.unwrap());
     let bytes = wire::encode(&reply);
     assert!(bytes.len() < wire::MAX_FRAME_BYTES / 2, "{}", bytes.len());
     let read: wire::Reply = wire::decode(&bytes).unwrap();
-    let wire::Reply::News(news) = read else { panic!("another reply") };
+    let wire::Reply::Pull(news) = read else { panic!("another reply") };
     assert_eq!(news.nodes.len(), daemons, "its own entry too, by which it would know a later life");
     assert_eq!(news.endpoint_list.unwrap().servers.len(), servers);
 }
