--- /dev/null
+++ b/cluster/src/gossip/merge.rs
@@ -0,0 +1,290 @@
+//! Taking in what peers sent. Every item has an order and none goes back (design 5.3, 5.4).
+
+use super::pull_session::PullOutcome;
+use super::{Effect, FORGET_TIMEOUT, Gossip, LogEvent, MAX_PEERS, Peer};
+use crate::wire::{
+    CommittedConfig, NodeDelta, ProxyObservations, PullResponse, Role, TrafficShiftPlan, name_hash,
+};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+impl Gossip {
+    /// A pull of this node's came back; `None`: without a response.
+    pub(super) fn on_pull_completed(
+        &mut self,
+        now: Duration,
+        address: SocketAddr,
+        response: Option<Box<PullResponse>>,
+        effects: &mut Vec<Effect>,
+    ) {
+        let outcome = match &response {
+            None => PullOutcome::Failed,
+            Some(response) if response.resend_versions => PullOutcome::VersionsRequested,
+            Some(_) => PullOutcome::Answered,
+        };
+        if let Some(response) = response {
+            self.freshness.on_reply(now);
+            // Sent before a pause and answered after it: that is as old as the pause is long.
+            let session = self.sessions.get(&address);
+            let is_current =
+                session.is_some_and(|session| self.freshness.is_current(session.sent_at));
+            self.merge_response(now, address, *response, effects);
+            if is_current {
+                self.update_freshness(now, address, effects);
+            }
+            let mut peers = self.peers.iter_mut();
+            if let Some(peer) = peers.find(|peer| peer.info.cluster_address == address) {
+                peer.last_reply_at = Some(now);
+            }
+        }
+        self.finish_pull(now, address, outcome, effects);
+    }
+
+    fn merge_response(
+        &mut self,
+        now: Duration,
+        address: SocketAddr,
+        response: PullResponse,
+        effects: &mut Vec<Effect>,
+    ) {
+        for delta in response.nodes {
+            self.merge_node(now, delta, false, effects);
+        }
+        if let Some(name_hashes) = response.unreachable {
+            self.apply_unreachable(now, address, name_hashes);
+        }
+        if let Some(config) = response.config {
+            self.apply_config(Arc::new(config), effects);
+        }
+        if !response.resend_versions {
+            // A peer of an earlier version reports none: it stands for the configuration that it has sent.
+            let read_index = response.read_index.unwrap_or(self.committed.revision);
+            if self.read_index.established().is_none() {
+                let name = self.name_at(address);
+                self.read_index.on_peer_reply(&name, read_index);
+            }
+            self.highest_reported_revision =
+                self.highest_reported_revision.max(response.read_index.unwrap_or(0));
+        }
+        if let Some(list) = response.endpoint_list {
+            let is_new = self.endpoints.apply_full(list);
+            self.on_endpoint_list_applied(is_new, effects);
+        }
+        if let Some(delta) = response.endpoint_list_delta {
+            let is_new = self.endpoints.apply_delta(&delta);
+            self.on_endpoint_list_applied(is_new, effects);
+        }
+        if let Some(read) = response.list_read {
+            let age = Duration::from_millis(u64::from(read.age_ms));
+            self.endpoints.observe_revision(read.revision);
+            self.record_list_read(read.revision, now.saturating_sub(age));
+        }
+        if let Some(plan) = response.plan {
+            self.apply_plan(Arc::new(plan), effects);
+        }
+    }
+
+    /// A pull that was sent since the start or the last pause was answered.
+    fn update_freshness(&mut self, now: Duration, address: SocketAddr, effects: &mut Vec<Effect>) {
+        if self.freshness.on_current_reply(now) {
+            effects.push(Effect::ViewChanged);
+        }
+        // A store that has asked a majority since it started knows the configuration as well as a registry.
+        let can_confirm = self.peers.iter().any(|peer| {
+            peer.info.cluster_address == address
+                && peer.status.ready
+                && (peer.info.role == Role::Registry
+                    || (peer.info.role == Role::Store && peer.status.synced))
+        });
+        if can_confirm && self.freshness.confirm() {
+            effects.push(Effect::ViewChanged);
+        }
+    }
+
+    /// Takes in one node's entry; `is_direct`: from the node itself, with its pull.
+    pub(super) fn merge_node(
+        &mut self,
+        now: Duration,
+        delta: NodeDelta,
+        is_direct: bool,
+        effects: &mut Vec<Effect>,
+    ) {
+        if delta.name == self.own_info.name {
+            self.raise_incarnation(delta.version.incarnation, effects);
+            return;
+        }
+        self.record_active_revision(&delta);
+        let age = Duration::from_millis(u64::from(delta.age_ms));
+        if age >= FORGET_TIMEOUT {
+            return;
+        }
+        let heartbeat_at = now.saturating_sub(age);
+        match self.peer_indices.get(&delta.name).copied() {
+            Some(index) => self.update_peer(index, heartbeat_at, delta, is_direct, effects),
+            None => self.add_peer(now, heartbeat_at, delta, is_direct, effects),
+        }
+    }
+
+    /// Another incarnation of this node's name is going round: this one goes above it (design 5.3).
+    fn raise_incarnation(&mut self, incarnation: u64, effects: &mut Vec<Effect>) {
+        if incarnation > self.own_version.incarnation {
+            self.own_version.incarnation = incarnation + 1;
+            self.own_version.counter += 1;
+            self.urgent_changes += 1;
+            effects.push(Effect::Log(LogEvent::IncarnationRaised));
+        }
+    }
+
+    /// Remembers the highest revision that each name reported as active, for the read index of its later
+    /// incarnations (design 5.8).
+    fn record_active_revision(&mut self, delta: &NodeDelta) {
+        let Some(status) = delta.status.as_ref().filter(|status| status.revision > 0) else {
+            return;
+        };
+        self.highest_reported_revision = self.highest_reported_revision.max(status.revision);
+        if let Some(highest) = self.highest_active_revisions.get_mut(&delta.name) {
+            *highest = status.revision.max(*highest);
+        } else if self.highest_active_revisions.len() < MAX_PEERS {
+            self.highest_active_revisions.insert(delta.name.clone(), status.revision);
+        }
+    }
+
+    fn add_peer(
+        &mut self,
+        now: Duration,
+        heartbeat_at: Duration,
+        delta: NodeDelta,
+        is_direct: bool,
+        effects: &mut Vec<Effect>,
+    ) {
+        let (Some(info), Some(status)) = (delta.info, delta.status) else {
+            return;
+        };
+        if self.peers.len() >= MAX_PEERS {
+            effects.push(Effect::Log(LogEvent::TooManyPeers));
+            return;
+        }
+        // Observations that were not sent are not known.
+        let mut version = delta.version;
+        if delta.observations.is_none() {
+            version.observations_version = 0;
+        }
+        let name_hash = name_hash(&delta.name);
+        self.peer_indices.insert(delta.name, self.peers.len());
+        self.urgent_changes += 1;
+        self.known_name_hashes.insert(name_hash);
+        self.peers.push(Peer {
+            info,
+            version,
+            status,
+            has_direct_observations: is_direct && version.observations_version > 0,
+            observations: delta.observations.unwrap_or_default(),
+            name_hash,
+            last_heartbeat_at: heartbeat_at,
+            known_since: now,
+            last_reply_at: None,
+            refused_at: None,
+            is_reported_unreachable: false,
+            was_live: false,
+        });
+        effects.push(Effect::ViewChanged);
+    }
+
+    fn update_peer(
+        &mut self,
+        index: usize,
+        heartbeat_at: Duration,
+        delta: NodeDelta,
+        is_direct: bool,
+        effects: &mut Vec<Effect>,
+    ) {
+        let peer = &mut self.peers[index];
+        peer.merge_observations(&delta, is_direct);
+        if peer.version.is_newer_than(&delta.version) {
+            return;
+        }
+        let is_new_incarnation = delta.version.incarnation != peer.version.incarnation;
+        if is_new_incarnation && delta.info.is_none() {
+            return;
+        }
+        if delta.version.is_newer_than(&peer.version) {
+            peer.last_heartbeat_at = peer.last_heartbeat_at.max(heartbeat_at);
+        }
+        if is_new_incarnation || delta.version.status_version != peer.version.status_version {
+            self.urgent_changes += 1;
+        }
+        let observations_version = peer.version.observations_version;
+        if let Some(info) = delta.info
+            && info != peer.info
+        {
+            peer.info = info;
+            effects.push(Effect::ViewChanged);
+        }
+        if let Some(status) = delta.status
+            && status != peer.status
+        {
+            peer.status = status;
+            effects.push(Effect::ViewChanged);
+        }
+        peer.version = delta.version;
+        match delta.observations {
+            Some(observations) if is_new_incarnation => {
+                peer.observations = observations;
+                peer.has_direct_observations = is_direct;
+            }
+            None if is_new_incarnation => {
+                peer.observations = ProxyObservations::default();
+                peer.version.observations_version = 0;
+                peer.has_direct_observations = false;
+            }
+            _ => peer.version.observations_version = observations_version,
+        }
+    }
+
+    pub(super) fn apply_config(&mut self, config: Arc<CommittedConfig>, effects: &mut Vec<Effect>) {
+        if config.revision > self.committed.revision {
+            self.committed = config;
+            self.urgent_changes += 1;
+            effects.push(Effect::ViewChanged);
+        }
+    }
+
+    /// A plan of a lower epoch, or an earlier one of the same epoch, is left out (design 5.6).
+    pub(super) fn apply_plan(&mut self, plan: Arc<TrafficShiftPlan>, effects: &mut Vec<Effect>) {
+        if plan.version() > self.plan.version() {
+            self.plan = plan;
+            self.urgent_changes += 1;
+            effects.push(Effect::ViewChanged);
+        }
+    }
+
+    pub(super) fn on_endpoint_list_applied(&mut self, is_new: bool, effects: &mut Vec<Effect>) {
+        if is_new {
+            self.urgent_changes += 1;
+            effects.push(Effect::ViewChanged);
+        }
+    }
+
+    /// A read of the endpoint list found this revision to be the current one.
+    pub(super) fn record_list_read(&mut self, revision: u64, began_at: Duration) {
+        let is_newer = self.endpoints.record_read(revision, began_at);
+        if is_newer && self.own_info.role == Role::Registry {
+            self.urgent_changes += 1;
+        }
+    }
+}
+
+impl Peer {
+    /// Observations have a version of their own, since they may arrive by a slower way than heartbeats.
+    fn merge_observations(&mut self, delta: &NodeDelta, is_direct: bool) {
+        if delta.version.incarnation == self.version.incarnation
+            && delta.version.observations_version > self.version.observations_version
+            && let Some(observations) = &delta.observations
+        {
+            self.observations = observations.clone();
+            self.version.observations_version = delta.version.observations_version;
+            self.has_direct_observations = is_direct;
+        }
+    }
+}
--- a/cluster/src/node.rs
+++ b/cluster/src/node.rs
@@ -289,7 +289,7 @@
                 }
                 gossip::Effect::ViewChanged => changed = true,
                 gossip::Effect::Log(what) => {
-                    if what.contains("freeze") {
+                    if what == gossip::LogEvent::ResumedAfterPause {
                         self.tally.increment(transport::Counter::ProcessPauses);
                     }
                     log::info!("news: {what}");
--- a/cluster/src/wire.rs
+++ b/cluster/src/wire.rs
@@ -308,6 +308,13 @@
     observations_version: u64
 });
 
+impl NodeVersion {
+    /// Whether this version's heartbeat was raised later than the other's.
+    pub fn is_newer_than(&self, other: &NodeVersion) -> bool {
+        (self.incarnation, self.counter) > (other.incarnation, other.counter)
+    }
+}
+
 type DeltaBare =
     (String, NodeVersion, u32, Option<NodeInfo>, Option<NodeStatus>, Option<ProxyObservations>);
 
