--- a/cluster/src/counters.rs
+++ b/cluster/src/counters.rs
@@ -1,47 +1,58 @@
-//! Counters first: one array of them for each daemon, by the daemon's own list (design 9.3).
+//! Counters of a node: one array of atomics, indexed by an enum whose variants name the metrics
+//! (design 9.3).
 
+use std::marker::PhantomData;
+use std::sync::atomic::{AtomicU64, Ordering};
+use strum::IntoEnumIterator;
+
+/// The counters listed by the enum `C`, which [`counters!`](crate::counters!) declares.
 pub struct Counters<C> {
-    counts: Vec<std::sync::atomic::AtomicU64>,
-    list: std::marker::PhantomData<fn(C)>,
+    counts: Vec<AtomicU64>,
+    list: PhantomData<fn(C)>,
 }
 
 impl<C> Default for Counters<C>
 where
-    C: strum::IntoEnumIterator + Into<&'static str> + Into<usize>,
+    C: IntoEnumIterator + Into<&'static str> + Into<usize>,
 {
     fn default() -> Counters<C> {
-        let counts = C::iter().map(|_| Default::default()).collect();
-        Counters { counts, list: std::marker::PhantomData }
+        let counts = C::iter().map(|_| AtomicU64::default()).collect();
+        Counters { counts, list: PhantomData }
     }
 }
 
 impl<C> Counters<C>
 where
-    C: strum::IntoEnumIterator + Into<&'static str> + Into<usize>,
+    C: IntoEnumIterator + Into<&'static str> + Into<usize>,
 {
+    /// Adds an amount to a counter.
     pub fn add(&self, counter: C, amount: u64) {
         let index: usize = counter.into();
-        self.counts[index].fetch_add(amount, std::sync::atomic::Ordering::Relaxed);
+        self.counts[index].fetch_add(amount, Ordering::Relaxed);
     }
 
+    /// Adds one to a counter.
     pub fn increment(&self, counter: C) {
         self.add(counter, 1);
     }
 
+    /// The present value of a counter.
     pub fn get(&self, counter: C) -> u64 {
         let index: usize = counter.into();
-        self.counts[index].load(std::sync::atomic::Ordering::Relaxed)
+        self.counts[index].load(Ordering::Relaxed)
     }
 
-    pub fn write_json(&self, into: &mut jzon::JsonValue) {
+    /// Writes all counters into a JSON object, under their metric names.
+    pub fn write_json(&self, object: &mut jzon::JsonValue) {
         for (counter, count) in C::iter().zip(&self.counts) {
             let name: &'static str = counter.into();
-            into[name] = count.load(std::sync::atomic::Ordering::Relaxed).into();
+            object[name] = count.load(Ordering::Relaxed).into();
         }
     }
 }
 
-/// Lists a daemon's counters and gives them names for `/v1/metrics`.
+/// Declares an enum of counters. A variant's name in camel case is the metric's name in `/v1/metrics`,
+/// unless `#[strum(serialize = "...")]` gives another one.
 #[macro_export]
 macro_rules! counters {
     ($(#[$meta:meta])* $vis:vis enum $name:ident {
--- a/cluster/src/endpoint_cache.rs
+++ b/cluster/src/endpoint_cache.rs
@@ -1,8 +1,8 @@
-//! The platform list as one daemon knows it: the newest one, some earlier ones for deltas, and when anyone
-//! last found it in force (design 4). Pure.
+//! The endpoint list as one node knows it: the current one, some earlier ones as bases for deltas, and when
+//! anyone last found it to be current (design 4). Pure.
 //!
-//! Invariants: the revision of the current list never falls; `highest` is never below it; `read_at` is the
-//! begin of a read that found the current list, and not an earlier one, in force.
+//! Invariants: the revision of the current list never falls; `highest_revision` is never below it;
+//! `read_at` is when a read began that found this very list, not an earlier one, to be current.
 
 use crate::wire::EndpointListRead;
 use std::collections::VecDeque;
@@ -10,112 +10,118 @@
 use std::time::Duration;
 use vanepath_config::endpoint_list::{EndpointList, EndpointListDelta};
 
-/// So many earlier lists are kept for deltas.
-const EARLIER_KEPT: usize = 16;
+/// How many earlier lists are kept as bases for deltas.
+const MAX_EARLIER_LISTS: usize = 16;
 
-/// The list that is in force here and what is known of it.
+/// The current endpoint list and what is known of it.
 #[derive(Debug, Default)]
 pub struct EndpointCache {
     current: Arc<EndpointList>,
-    /// Lists that were in force lately, for those who have them still.
+    /// Lists that were current lately, for peers that still have them.
     earlier: VecDeque<Arc<EndpointList>>,
-    /// A delta did not lead where it should: the next pulls ask for the whole list.
-    wants_whole: bool,
+    /// A delta did not lead to the list that it should: the next pulls ask for the full list.
+    needs_full_list: bool,
     read_at: Option<Duration>,
-    highest: u64,
+    highest_revision: u64,
 }
 
-/// A list on its way to one daemon: whole, or as a change of the one that it has.
+/// What one peer needs of the list: the full list, a delta to the one that it has, or nothing.
 #[derive(Debug, Default)]
 pub struct EndpointUpdate {
+    /// The whole list.
     pub full: Option<EndpointList>,
+    /// What changed since the list that the peer has.
     pub delta: Option<EndpointListDelta>,
 }
 
 impl EndpointCache {
+    /// The list in force here.
     pub fn current(&self) -> &Arc<EndpointList> {
         &self.current
     }
 
-    /// The revision that others may tell changes to; 0: they are to tell the whole list.
+    /// The revision to which peers may send deltas; 0: they have to send the full list.
     pub fn known_revision(&self) -> u64 {
-        if self.wants_whole { 0 } else { self.current.revision }
+        if self.needs_full_list { 0 } else { self.current.revision }
     }
 
-    /// The highest revision that anyone told of, whether or not its list came.
+    /// The highest revision that anyone reported, whether or not its list has arrived.
     pub fn highest_revision(&self) -> u64 {
-        self.highest
+        self.highest_revision
     }
 
-    /// When the newest read that found the current list in force began, on this daemon's clock.
+    /// When the newest read began that found the current list to be current, on this node's clock.
     pub fn read_at(&self) -> Option<Duration> {
         self.read_at
     }
 
-    /// Takes a list that is newer than the current one. Whether it was.
+    /// Makes a list the current one if it is newer; whether it was.
     pub fn apply(&mut self, list: Arc<EndpointList>) -> bool {
         self.observe_revision(list.revision);
         if list.revision <= self.current.revision {
             return false;
         }
-        let before = std::mem::replace(&mut self.current, list);
-        self.earlier.push_back(before);
-        if self.earlier.len() > EARLIER_KEPT {
+        let previous = std::mem::replace(&mut self.current, list);
+        self.earlier.push_back(previous);
+        if self.earlier.len() > MAX_EARLIER_LISTS {
             self.earlier.pop_front();
         }
-        self.wants_whole = false;
+        self.needs_full_list = false;
         self.read_at = None;
         true
     }
 
-    /// The same for a list that was told whole, which may have been asked for.
+    /// The same for a full list from a peer, which may have been asked for.
     pub fn apply_full(&mut self, list: EndpointList) -> bool {
-        if self.wants_whole && list.revision == self.current.revision {
-            // Of one revision two lists are in force: whoever has asked takes the teller's.
+        if self.needs_full_list && list.revision == self.current.revision {
+            // Two lists go by one revision: whoever asked takes the peer's.
             self.current = Arc::default();
         }
         self.apply(Arc::new(list))
     }
 
-    /// The same for a change of the current list.
+    /// The same for a delta to the current list. One that leads to another list than the sender's is not
+    /// taken, and the next pulls ask for the full list.
     pub fn apply_delta(&mut self, delta: &EndpointListDelta) -> bool {
         match self.current.with(delta) {
             Some(list) => self.apply(Arc::new(list)),
             None => {
-                self.wants_whole |= delta.base == self.current.revision;
+                self.needs_full_list |= delta.base == self.current.revision;
                 false
             }
         }
     }
 
-    /// A read that began then found the list of this revision in force. Whether that is news.
+    /// A read that began at `began_at` found the list of this revision to be current. Whether that is newer
+    /// than what was known.
     pub fn record_read(&mut self, revision: u64, began_at: Duration) -> bool {
-        let is_news =
+        let is_newer =
             revision == self.current.revision && self.read_at.is_none_or(|at| began_at > at);
-        if is_news {
+        if is_newer {
             self.read_at = Some(began_at);
         }
-        is_news
+        is_newer
     }
 
-    /// Somebody told that it has a list of this revision.
+    /// A peer reported that it has a list of this revision.
     pub fn observe_revision(&mut self, revision: u64) {
-        self.highest = self.highest.max(revision);
+        self.highest_revision = self.highest_revision.max(revision);
     }
 
-    /// What others are told of the newest read.
+    /// The newest read of the current list, as peers get it.
     pub fn latest_read(&self, now: Duration) -> Option<EndpointListRead> {
         let read_at = self.read_at?;
         let age_ms = now.saturating_sub(read_at).as_millis() as u32;
         Some(EndpointListRead { revision: self.current.revision, age_ms })
     }
 
-    /// What a daemon that has the list of this revision is to be told.
-    pub fn update_for(&self, held: u64) -> EndpointUpdate {
-        if self.current.revision <= held {
+    /// What a peer needs that has the list of `known_revision`; 0: it needs the full list.
+    pub fn update_for(&self, known_revision: u64) -> EndpointUpdate {
+        if self.current.revision <= known_revision {
             return EndpointUpdate::default();
         }
-        let base = self.earlier.iter().find(|list| list.revision == held && held > 0);
+        let has_base = known_revision > 0;
+        let base = self.earlier.iter().find(|list| has_base && list.revision == known_revision);
         match base {
             Some(base) => EndpointUpdate { delta: Some(self.current.since(base)), full: None },
             None => EndpointUpdate { full: Some((*self.current).clone()), delta: None },
--- a/cluster/src/read_index.rs
+++ b/cluster/src/read_index.rs
@@ -1,162 +1,186 @@
-//! The floor: what a daemon that started must have before it goes by any word, so that no life of it
-//! goes by an older one than an earlier life did (design 5.8). A pure state machine for one life.
-
+//! The read index at start-up: the revision that a node has to reach before it goes by any configuration,
+//! so that no incarnation of it goes by an older one than an earlier incarnation did (design 5.8).
+//!
+//! The idea is the read index of Raft (Ongaro, "Consensus: Bridging Theory and Practice", section 6.4):
+//! before it serves reads a node learns the highest committed revision from a quorum, in a round that
+//! begins after the question, and waits until its own state has reached it. Where no quorum can be asked,
+//! the highest revision that peers report stands in for it after a while.
+//!
+//! [`ReadIndex`] is a pure state machine for one incarnation of a node.
+
+use crate::gossip::READINESS_TIMEOUT;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A store that has not replied for so long is not waited for alone: the next one is asked too.
+/// When a store has not replied for this long, the next one is asked as well.
 pub const NEXT_STORE_DELAY: Duration = Duration::from_millis(300);
-/// After a store that could not tell.
-const AGAIN_AFTER: Duration = Duration::from_millis(100);
-/// A reply is waited for so long.
+/// The pause after a store that could not tell.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// How long the shell waits for a store's reply.
 pub const READ_INDEX_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Where no majority of stores could be asked for so long, siblings are believed.
+/// When no quorum of stores could be asked for this long, the reports of peers count.
 pub const PEER_READ_INDEX_DELAY: Duration = Duration::from_secs(2);
-
-/// Who waits longer cannot help itself and sends its callers elsewhere, if anyone else takes work. Sooner
-/// would be dearer than to wait: a caller that is turned away comes here first with its next request
-/// as well, until its directory knows.
-const STUCK_AFTER: Duration = Duration::from_millis(2300);
-const _: () = assert!(STUCK_AFTER.as_millis() > PEER_READ_INDEX_DELAY.as_millis());
-const _: () = assert!(STUCK_AFTER.as_millis() < crate::gossip::READINESS_TIMEOUT.as_millis());
-
+/// A node without a read index for this long can't help itself and sends its clients elsewhere, if any
+/// other proxy takes work. To do so sooner would cost more than to wait: a client that is rejected comes
+/// back here with its next request, until its steering reply is renewed.
+const STALL_TIMEOUT: Duration = Duration::from_millis(2300);
+const _: () = assert!(STALL_TIMEOUT.as_millis() > PEER_READ_INDEX_DELAY.as_millis());
+const _: () = assert!(STALL_TIMEOUT.as_millis() < READINESS_TIMEOUT.as_millis());
+
+/// On whose word a read index was established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum ReadIndexSource {
-    /// A store asked a majority of them after this life began.
+    /// A store that asked a majority of the stores after this incarnation began.
     #[strum(serialize = "majority")]
     Quorum,
-    /// Siblings, while no majority of stores could be asked.
+    /// Peers, while no majority of stores could be asked.
     #[strum(serialize = "witnesses")]
     Peers,
 }
 
-/// What this life began with.
+/// The read index of an incarnation, once its configuration has reached it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EstablishedReadIndex {
+    /// The revision that had to be reached.
     pub revision: u64,
+    /// On whose word.
     pub source: ReadIndexSource,
-    /// Who told the floor.
+    /// The name of the node that reported the revision.
     pub from: String,
+    /// How long it took since the start.
     pub waited: Duration,
 }
 
+/// A revision and the name of the node that reported it.
+struct ReportedRevision {
+    revision: u64,
+    from: String,
+}
+
+/// The read index of one incarnation: required, and then established for good.
 pub struct ReadIndex {
-    began_at: Duration,
-    /// Witnesses count from here: the start, or the last freeze before the floor was met.
-    awake_since: Duration,
-    /// By a majority of stores, and which store said so.
-    majority: Option<(u64, String)>,
-    /// The highest that siblings told as in force anywhere, and who did.
-    told: Option<(u64, String)>,
-    met: Option<EstablishedReadIndex>,
-    next_at: Duration,
-    turn: usize,
-    /// Stores are known of and were asked, since the start or the last freeze.
-    has_asked: bool,
+    started_at: Duration,
+    /// Peers' reports count from here: the start, or the last pause before the read index was established.
+    waiting_since: Duration,
+    /// What a majority of stores held, by the first store that could tell.
+    from_quorum: Option<ReportedRevision>,
+    /// The highest revision that peers reported as active anywhere.
+    from_peers: Option<ReportedRevision>,
+    established: Option<EstablishedReadIndex>,
+    next_request_at: Duration,
+    request_turn: usize,
+    /// Any store was asked since the start or the last pause.
+    has_requested: bool,
 }
 
 impl ReadIndex {
+    /// For an incarnation that starts now.
     pub fn new(now: Duration) -> ReadIndex {
         ReadIndex {
-            began_at: now,
-            awake_since: now,
-            majority: None,
-            told: None,
-            met: None,
-            next_at: now,
-            turn: 0,
-            has_asked: false,
+            started_at: now,
+            waiting_since: now,
+            from_quorum: None,
+            from_peers: None,
+            established: None,
+            next_request_at: now,
+            request_turn: 0,
+            has_requested: false,
         }
     }
 
+    /// `None`: this incarnation goes by no configuration yet.
     pub fn established(&self) -> Option<&EstablishedReadIndex> {
-        self.met.as_ref()
+        self.established.as_ref()
     }
 
-    /// What has to be reached before this life goes by a word, as far as it is known.
+    /// The revision that has to be reached, as far as it is known.
     pub fn required(&self) -> Option<u64> {
-        let told = self.majority.as_ref().or(self.told.as_ref());
-        told.map(|(revision, _)| *revision)
+        let reported = self.from_quorum.as_ref().or(self.from_peers.as_ref());
+        reported.map(|reported| reported.revision)
     }
 
-    /// Neither stores nor witnesses helped in their time.
+    /// Neither stores nor peers helped in time.
     pub fn is_stalled(&self, now: Duration) -> bool {
-        self.met.is_none() && now.saturating_sub(self.awake_since) > STUCK_AFTER
+        self.established.is_none() && now.saturating_sub(self.waiting_since) > STALL_TIMEOUT
     }
 
-    /// A store that has a seat needs no longer to find the floor by itself.
+    /// The incarnation is so young that a store may still establish the read index by itself.
     pub fn has_just_started(&self, now: Duration) -> bool {
-        now.saturating_sub(self.began_at) < PEER_READ_INDEX_DELAY / 2
+        now.saturating_sub(self.started_at) < PEER_READ_INDEX_DELAY / 2
     }
 
-    /// Which stores to ask now, of those that may be asked, in the order in which they propose. As soon as
-    /// any is known of, the one that proposes and the nearest: one can settle what is half done, the other
-    /// is the sooner to reply.
+    /// The stores to ask now, out of `stores` in the order in which they propose. The first request goes to
+    /// two of them, the one that proposes and the nearest: one can complete what is half accepted, the
+    /// other replies sooner.
     pub fn next_stores(
         &mut self,
         now: Duration,
         stores: &[SocketAddr],
         nearest: Option<SocketAddr>,
     ) -> Vec<SocketAddr> {
-        let is_first = !self.has_asked;
-        let waits = !is_first && now < self.next_at;
-        if self.met.is_some() || self.majority.is_some() || waits || stores.is_empty() {
+        let is_first = !self.has_requested;
+        let is_waiting = !is_first && now < self.next_request_at;
+        let is_known = self.established.is_some() || self.from_quorum.is_some();
+        if is_known || is_waiting || stores.is_empty() {
             return Vec::new();
         }
-        self.has_asked = true;
-        self.next_at = now + NEXT_STORE_DELAY;
-        self.turn += 1;
-        let next = stores[(self.turn - 1) % stores.len()];
-        let beside = nearest.filter(|nearest| is_first && *nearest != next);
-        std::iter::once(next).chain(beside).collect()
+        self.has_requested = true;
+        self.next_request_at = now + NEXT_STORE_DELAY;
+        self.request_turn += 1;
+        let next = stores[(self.request_turn - 1) % stores.len()];
+        let second = nearest.filter(|nearest| is_first && *nearest != next);
+        std::iter::once(next).chain(second).collect()
     }
 
-    /// A store replied to what was asked in this life; `None`: it could not tell.
+    /// A store replied to a request of this incarnation; `revision`: the highest that a majority of stores
+    /// holds, `None` where it could not tell.
     pub fn on_store_reply(&mut self, now: Duration, from: &str, revision: Option<u64>) {
         match revision {
-            // The first one holds: whatever was in force before this life is in it.
-            Some(revision) if self.majority.is_none() => {
-                self.majority = Some((revision, from.to_string()));
+            // The first one is enough: it covers whatever was active before this incarnation.
+            Some(revision) if self.from_quorum.is_none() => {
+                self.from_quorum = Some(ReportedRevision { revision, from: from.to_string() });
             }
             Some(_) => {}
-            None => self.next_at = self.next_at.min(now + AGAIN_AFTER),
+            None => self.next_request_at = self.next_request_at.min(now + RETRY_DELAY),
         }
     }
 
-    /// A sibling replied in this life; `revision`: the highest that it knows as in force with anyone.
+    /// A peer replied in this incarnation; `revision`: the highest that it knows as active anywhere.
     pub fn on_peer_reply(&mut self, from: &str, revision: u64) {
-        if self.told.as_ref().is_none_or(|(told, _)| revision > *told) {
-            self.told = Some((revision, from.to_string()));
+        if self.from_peers.as_ref().is_none_or(|highest| revision > highest.revision) {
+            self.from_peers = Some(ReportedRevision { revision, from: from.to_string() });
         }
     }
 
-    /// It stood still: who was heard before that is no witness of now.
+    /// The process was paused: the time that peers' reports have to wait begins again.
     pub fn restart_wait(&mut self, now: Duration) {
-        self.awake_since = now;
-        self.has_asked = false;
+        self.waiting_since = now;
+        self.has_requested = false;
     }
 
-    /// True when the floor is met just now. `is_whole`: enough daemons are heard of to be witnesses.
-    pub fn check(&mut self, now: Duration, revision: u64, is_whole: bool) -> bool {
-        if self.met.is_some() {
+    /// Establishes the read index if the configuration known here, of `revision`, has reached it; true if
+    /// that happened now. `has_enough_peers`: so many peers are in contact that their reports count.
+    pub fn check(&mut self, now: Duration, revision: u64, has_enough_peers: bool) -> bool {
+        if self.established.is_some() {
             return false;
         }
-        let has_waited = now.saturating_sub(self.awake_since) > PEER_READ_INDEX_DELAY;
-        let (by, told) = match (&self.majority, &self.told) {
-            (Some(told), _) => (ReadIndexSource::Quorum, told),
-            (None, Some(told)) if has_waited && is_whole => (ReadIndexSource::Peers, told),
+        let has_waited = now.saturating_sub(self.waiting_since) > PEER_READ_INDEX_DELAY;
+        let (source, required) = match (&self.from_quorum, &self.from_peers) {
+            (Some(reported), _) => (ReadIndexSource::Quorum, reported),
+            (None, Some(reported)) if has_waited && has_enough_peers => {
+                (ReadIndexSource::Peers, reported)
+            }
             _ => return false,
         };
-        if revision < told.0 {
+        if revision < required.revision {
             return false;
         }
-        let waited = now.saturating_sub(self.began_at);
-        self.met = Some(EstablishedReadIndex {
-            revision: told.0,
-            source: by,
-            from: told.1.clone(),
-            waited,
+        self.established = Some(EstablishedReadIndex {
+            revision: required.revision,
+            source,
+            from: required.from.clone(),
+            waited: now.saturating_sub(self.started_at),
         });
         true
     }
