--- a/cluster/src/transport.rs
+++ b/cluster/src/transport.rs
@@ -1,240 +1,293 @@
-//! Links between siblings over TCP: one request at a time on a connection, bounded frames, a
-//! greeting first (design 5.1).
+//! Connections between nodes over TCP: a handshake each way, then one request at a time, in frames of
+//! bounded size (design 5.1). A frame is its length, four bytes in network order, and a CBOR value.
 
-use crate::wire;
-use std::sync::Arc;
+use crate::wire::{self, Handshake, MAX_FRAME_BYTES, Reply, Request};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use std::collections::HashMap;
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::timeout;
+
+/// Open connections kept for each address between calls.
+const MAX_IDLE_CONNECTIONS: usize = 4;
+/// A peer that connects has to send its handshake within this time.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
+/// A connection without a request for this long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// The pause after a failed accept, for want of file handles.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Memory that is set aside for a frame before any of it has arrived.
+const INITIAL_BUFFER_BYTES: usize = 64 << 10;
 
 crate::counters! {
-    /// What the links count.
+    /// Counters of the cluster layer. The metrics keep the names of earlier versions.
     pub enum Counter {
+        /// Requests sent to other nodes.
         #[strum(serialize = "siblingCalls")]
         PeerCalls,
+        /// Those that got no reply.
         #[strum(serialize = "siblingCallsFailed")]
         PeerCallsFailed,
+        /// Bytes sent to other nodes.
         #[strum(serialize = "siblingBytesOut")]
         PeerBytesSent,
+        /// Bytes received from other nodes.
         #[strum(serialize = "siblingBytesIn")]
         PeerBytesReceived,
+        /// Bytes of calls to nodes in other zones, both ways.
         #[strum(serialize = "siblingBytesOtherZone")]
         PeerBytesOtherZone,
+        /// Frames that could not be decoded.
         #[strum(serialize = "siblingFramesMalformed")]
         PeerFramesMalformed,
+        /// Frames above [`MAX_FRAME_BYTES`].
         #[strum(serialize = "siblingFramesOversized")]
         PeerFramesOversized,
+        /// Handshakes of another system or fleet.
         #[strum(serialize = "siblingsTurnedAway")]
         PeersRejected,
+        /// Connections accepted from other nodes.
         #[strum(serialize = "siblingConnectionsTaken")]
         PeerConnectionsAccepted,
+        /// Pauses of this process.
         #[strum(serialize = "freezes")]
         ProcessPauses,
+        /// Requests for the read index.
         #[strum(serialize = "floorAsks")]
         ReadIndexRequests,
+        /// Read indexes established by a quorum of stores.
         #[strum(serialize = "floorsByMajority")]
         ReadIndexesByQuorum,
+        /// Read indexes established by peers.
         #[strum(serialize = "floorsByWitnesses")]
         ReadIndexesByPeers,
     }
 }
 
+/// The counters of one node's cluster layer.
 pub type Counters = crate::counters::Counters<Counter>;
 
+/// Why a call to another node, or a connection from one, failed.
 #[derive(Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum TransportError {
+    /// The connection ended, could not be opened, or the time was up.
     Closed,
     /// Nobody listens at the address.
     Refused,
+    /// A frame above [`MAX_FRAME_BYTES`].
     Oversized,
+    /// A frame that could not be decoded.
     Malformed,
+    /// The other end is of another system or fleet.
     Rejected,
 }
 
-async fn read_frame<T: serde::de::DeserializeOwned>(
-    stream: &mut tokio::net::TcpStream,
-    tally: &Counters,
-) -> Result<(T, usize), TransportError> {
+impl std::error::Error for TransportError {}
+
+/// A value, and the bytes that its frame took.
+struct Frame<T> {
+    value: T,
+    bytes: usize,
+}
+
+async fn read_frame<T: DeserializeOwned>(
+    stream: &mut TcpStream,
+    counters: &Counters,
+) -> Result<Frame<T>, TransportError> {
     let mut length = [0; 4];
     stream.read_exact(&mut length).await.map_err(|_| TransportError::Closed)?;
     let length = u32::from_be_bytes(length) as usize;
-    if length > wire::MAX_FRAME_BYTES {
-        tally.increment(Counter::PeerFramesOversized);
+    if length > MAX_FRAME_BYTES {
+        counters.increment(Counter::PeerFramesOversized);
         return Err(TransportError::Oversized);
     }
-    // Grows with what really comes, not with what the length claims.
-    let mut bytes = Vec::with_capacity(length.min(64 << 10));
+    // The buffer grows with what arrives, not with what the length claims.
+    let mut bytes = Vec::with_capacity(length.min(INITIAL_BUFFER_BYTES));
     let read = stream.take(length as u64).read_to_end(&mut bytes).await;
     if read.map_err(|_| TransportError::Closed)? < length {
         return Err(TransportError::Closed);
     }
-    tally.add(Counter::PeerBytesReceived, length as u64 + 4);
+    counters.add(Counter::PeerBytesReceived, length as u64 + 4);
     match wire::decode(&bytes) {
-        Ok(value) => Ok((value, length + 4)),
+        Ok(value) => Ok(Frame { value, bytes: length + 4 }),
         Err(_) => {
-            tally.increment(Counter::PeerFramesMalformed);
+            counters.increment(Counter::PeerFramesMalformed);
             Err(TransportError::Malformed)
         }
     }
 }
 
-async fn write_frame<T: serde::Serialize>(
-    stream: &mut tokio::net::TcpStream,
+/// Returns the bytes that the frame took.
+async fn write_frame<T: Serialize>(
+    stream: &mut TcpStream,
     value: &T,
-    tally: &Counters,
+    counters: &Counters,
 ) -> Result<usize, TransportError> {
     let body = wire::encode(value);
-    if body.len() > wire::MAX_FRAME_BYTES {
-        tally.increment(Counter::PeerFramesOversized);
+    if body.len() > MAX_FRAME_BYTES {
+        counters.increment(Counter::PeerFramesOversized);
         return Err(TransportError::Oversized);
     }
     let mut bytes = Vec::with_capacity(body.len() + 4);
     bytes.extend_from_slice(&(body.len() as u32).to_be_bytes());
     bytes.extend_from_slice(&body);
     stream.write_all(&bytes).await.map_err(|_| TransportError::Closed)?;
-    tally.add(Counter::PeerBytesSent, bytes.len() as u64);
+    counters.add(Counter::PeerBytesSent, bytes.len() as u64);
     Ok(bytes.len())
 }
 
-/// Calls to siblings, over a small stock of open connections for each address.
-pub struct Client {
-    greeting: wire::Handshake,
-    tally: Arc<Counters>,
-    idle: std::sync::Mutex<
-        std::collections::HashMap<std::net::SocketAddr, Vec<tokio::net::TcpStream>>,
-    >,
+/// Rejects a node of another system or fleet.
+fn check_handshake(
+    own: &Handshake,
+    other: &Handshake,
+    counters: &Counters,
+) -> Result<(), TransportError> {
+    if other.system != own.system || other.fleet != own.fleet {
+        counters.increment(Counter::PeersRejected);
+        return Err(TransportError::Rejected);
+    }
+    Ok(())
 }
 
-const IDLE_MOST: usize = 4;
+/// Calls other nodes, over a small pool of open connections for each address.
+pub struct Client {
+    handshake: Handshake,
+    counters: Arc<Counters>,
+    idle: Mutex<HashMap<SocketAddr, Vec<TcpStream>>>,
+}
 
 impl Client {
-    pub fn new(greeting: wire::Handshake, tally: Arc<Counters>) -> Client {
-        Client { greeting, tally, idle: std::sync::Mutex::default() }
+    /// A client without connections.
+    pub fn new(handshake: Handshake, counters: Arc<Counters>) -> Client {
+        Client { handshake, counters, idle: Mutex::default() }
     }
 
-    /// `Err` means that nobody can tell whether the request was carried out, unless the caller
-    /// knows better from the request itself.
+    /// Sends a request and waits for its reply, for `limit` at the most. `other_zone` is for the counters
+    /// alone.
+    ///
+    /// # Errors
+    /// [`TransportError`]; whether the request was carried out is then unknown, unless the request itself
+    /// tells.
     pub async fn call(
         &self,
-        address: std::net::SocketAddr,
-        request: &wire::Request,
+        address: SocketAddr,
+        request: &Request,
         limit: Duration,
         other_zone: bool,
-    ) -> Result<wire::Reply, TransportError> {
-        self.tally.increment(Counter::PeerCalls);
-        let outcome = tokio::time::timeout(limit, self.call_once(address, request)).await;
+    ) -> Result<Reply, TransportError> {
+        self.counters.increment(Counter::PeerCalls);
+        let outcome = timeout(limit, self.call_once(address, request)).await;
         let outcome = outcome.unwrap_or(Err(TransportError::Closed));
-        if other_zone && let Ok((_, bytes)) = &outcome {
-            self.tally.add(Counter::PeerBytesOtherZone, *bytes as u64);
+        if other_zone && let Ok(reply) = &outcome {
+            self.counters.add(Counter::PeerBytesOtherZone, reply.bytes as u64);
         }
         if outcome.is_err() {
-            self.tally.increment(Counter::PeerCallsFailed);
-            // What else stands open to that address is as doubtful.
-            self.idle.lock().expect("no panic under this lock").remove(&address);
+            self.counters.increment(Counter::PeerCallsFailed);
+            // The idle connections to that address are as doubtful.
+            self.idle_connections().remove(&address);
         }
-        outcome.map(|(reply, _)| reply)
+        outcome.map(|reply| reply.value)
     }
 
+    /// The reply, with the bytes of the request and of the reply.
     async fn call_once(
         &self,
-        address: std::net::SocketAddr,
-        request: &wire::Request,
-    ) -> Result<(wire::Reply, usize), TransportError> {
-        let kept = self
-            .idle
-            .lock()
-            .expect("no panic under this lock")
-            .get_mut(&address)
-            .and_then(Vec::pop);
-        let mut stream = match kept {
+        address: SocketAddr,
+        request: &Request,
+    ) -> Result<Frame<Reply>, TransportError> {
+        let idle = self.idle_connections().get_mut(&address).and_then(Vec::pop);
+        let mut stream = match idle {
             Some(stream) => stream,
-            None => {
-                let connected = tokio::net::TcpStream::connect(address).await;
-                let mut stream = connected.map_err(|error| match error.kind() {
-                    std::io::ErrorKind::ConnectionRefused => TransportError::Refused,
-                    _ => TransportError::Closed,
-                })?;
-                let _ = stream.set_nodelay(true);
-                write_frame(&mut stream, &self.greeting, &self.tally).await?;
-                let (theirs, _) = read_frame::<wire::Handshake>(&mut stream, &self.tally).await?;
-                if theirs.system != self.greeting.system || theirs.fleet != self.greeting.fleet {
-                    self.tally.increment(Counter::PeersRejected);
-                    return Err(TransportError::Rejected);
-                }
-                stream
-            }
+            None => self.connect(address).await?,
         };
-        let sent = write_frame(&mut stream, request, &self.tally).await?;
-        let (reply, got) = read_frame(&mut stream, &self.tally).await?;
-        let mut idle = self.idle.lock().expect("no panic under this lock");
-        let kept = idle.entry(address).or_default();
-        if kept.len() < IDLE_MOST {
-            kept.push(stream);
+        let sent_bytes = write_frame(&mut stream, request, &self.counters).await?;
+        let reply = read_frame::<Reply>(&mut stream, &self.counters).await?;
+        let mut idle = self.idle_connections();
+        let connections = idle.entry(address).or_default();
+        if connections.len() < MAX_IDLE_CONNECTIONS {
+            connections.push(stream);
         }
-        Ok((reply, sent + got))
+        Ok(Frame { value: reply.value, bytes: sent_bytes + reply.bytes })
+    }
+
+    async fn connect(&self, address: SocketAddr) -> Result<TcpStream, TransportError> {
+        let connected = TcpStream::connect(address).await;
+        let mut stream = connected.map_err(|error| match error.kind() {
+            ErrorKind::ConnectionRefused => TransportError::Refused,
+            _ => TransportError::Closed,
+        })?;
+        let _ = stream.set_nodelay(true);
+        write_frame(&mut stream, &self.handshake, &self.counters).await?;
+        let other = read_frame::<Handshake>(&mut stream, &self.counters).await?;
+        check_handshake(&self.handshake, &other.value, &self.counters)?;
+        Ok(stream)
+    }
+
+    fn idle_connections(&self) -> MutexGuard<'_, HashMap<SocketAddr, Vec<TcpStream>>> {
+        self.idle.lock().expect("no panic under this lock")
     }
 }
 
-/// Answers siblings. The handler gets each request; dropping its future means the asker left.
+/// Serves other nodes until the task is dropped. The handler gets each request; its future is dropped when
+/// the requester is gone.
 pub async fn serve<H, F>(
-    listener: tokio::net::TcpListener,
-    greeting: wire::Handshake,
-    tally: Arc<Counters>,
+    listener: TcpListener,
+    handshake: Handshake,
+    counters: Arc<Counters>,
     handler: H,
 ) where
-    H: Fn(wire::Request) -> F + Clone + Send + Sync + 'static,
-    F: Future<Output = wire::Reply> + Send,
+    H: Fn(Request) -> F + Clone + Send + Sync + 'static,
+    F: Future<Output = Reply> + Send,
 {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(Duration::from_millis(20)).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        tally.increment(Counter::PeerConnectionsAccepted);
+        counters.increment(Counter::PeerConnectionsAccepted);
         let _ = stream.set_nodelay(true);
-        let greeting = greeting.clone();
-        let tally = tally.clone();
+        let handshake = handshake.clone();
+        let counters = counters.clone();
         let handler = handler.clone();
         tokio::spawn(async move {
-            let _ = converse(stream, greeting, &tally, handler).await;
+            let _ = serve_connection(stream, handshake, &counters, handler).await;
         });
     }
 }
 
-/// A connection that says nothing for so long is closed.
-const SILENT_MOST: Duration = Duration::from_secs(60);
-
-async fn converse<H, F>(
-    mut stream: tokio::net::TcpStream,
-    greeting: wire::Handshake,
-    tally: &Counters,
+async fn serve_connection<H, F>(
+    mut stream: TcpStream,
+    handshake: Handshake,
+    counters: &Counters,
     handler: H,
 ) -> Result<(), TransportError>
 where
-    H: Fn(wire::Request) -> F,
-    F: Future<Output = wire::Reply>,
+    H: Fn(Request) -> F,
+    F: Future<Output = Reply>,
 {
-    let limit = Duration::from_secs(5);
-    let first = tokio::time::timeout(limit, read_frame(&mut stream, tally)).await;
-    let (theirs, _): (wire::Handshake, _) = first.unwrap_or(Err(TransportError::Closed))?;
-    write_frame(&mut stream, &greeting, tally).await?;
-    if theirs.system != greeting.system || theirs.fleet != greeting.fleet {
-        tally.increment(Counter::PeersRejected);
-        return Err(TransportError::Rejected);
-    }
+    let first = timeout(HANDSHAKE_TIMEOUT, read_frame::<Handshake>(&mut stream, counters)).await;
+    let other = first.unwrap_or(Err(TransportError::Closed))?;
+    write_frame(&mut stream, &handshake, counters).await?;
+    check_handshake(&handshake, &other.value, counters)?;
     loop {
-        let next = tokio::time::timeout(SILENT_MOST, read_frame(&mut stream, tally)).await;
-        let (request, _) = next.unwrap_or(Err(TransportError::Closed))?;
+        let next = timeout(IDLE_TIMEOUT, read_frame::<Request>(&mut stream, counters)).await;
+        let request = next.unwrap_or(Err(TransportError::Closed))?;
         let reply = {
             let mut byte = [0];
-            let asked = handler(request);
-            tokio::pin!(asked);
+            let handled = handler(request.value);
+            tokio::pin!(handled);
             tokio::select! {
-                reply = &mut asked => reply,
-                // Nothing may come before the reply: the asker left, or breaks the rules.
+                reply = &mut handled => reply,
+                // Nothing may arrive before the reply: the requester is gone, or breaks the protocol.
                 _ = stream.peek(&mut byte) => return Err(TransportError::Closed),
             }
         };
-        write_frame(&mut stream, &reply, tally).await?;
+        write_frame(&mut stream, &reply, counters).await?;
     }
 }
