--- a/cluster/src/gossip/mod.rs
+++ b/cluster/src/gossip/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! [`Gossip`] is a pure state machine: events and the time go in, effects come out.
 //!
-//! - [`peer`]: one peer and the rule by which it is live
+//! - `peer`: one peer and the rule by which it is live
 //! - `failure_detection`: which peers are live
 //! - `pull_session`: outgoing pulls
 //! - `pending_pull`: incoming pulls that wait
--- /dev/null
+++ b/cluster/src/node/gossip_actor.rs
@@ -0,0 +1,214 @@
+//! The actor around the gossip core: it carries out the core's effects and publishes the cluster view.
+
+use super::{Clock, ClusterView};
+use crate::gossip::{Effect, Event, Gossip, LogEvent, Peer};
+use crate::read_index::{READ_INDEX_TIMEOUT, ReadIndexSource};
+use crate::transport::{Client, Counter, Counters, TransportError};
+use crate::wire::{PullRequest, PullResponse, Reply, Request};
+use arc_swap::ArcSwap;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::Duration;
+use tokio::sync::{oneshot, watch};
+use tokio::time::MissedTickBehavior;
+use xtra::{Address, Context, Handler, Mailbox};
+
+/// How often the core gets a tick.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// A pull may take this much longer than it waits at the peer.
+const PULL_TIMEOUT_MARGIN: Duration = Duration::from_millis(1000);
+
+/// Runs the gossip core.
+#[derive(xtra::Actor)]
+pub struct GossipActor {
+    core: Gossip,
+    clock: Clock,
+    transport: Arc<Client>,
+    counters: Arc<Counters>,
+    view: watch::Sender<Arc<ClusterView>>,
+    table: Arc<ArcSwap<ClusterView>>,
+    /// Where the responses to peers' pulls go, by ticket.
+    responders: HashMap<u64, oneshot::Sender<PullResponse>>,
+    last_tick_ms: Arc<AtomicU64>,
+}
+
+/// Message: an event for the core.
+pub struct HandleEvent(pub Event);
+
+/// Message: a peer's pull; the response goes through the channel.
+pub(super) struct HandlePull {
+    pub(super) ticket: u64,
+    pub(super) request: PullRequest,
+    pub(super) responder: oneshot::Sender<PullResponse>,
+}
+
+/// Message: returns all peers with their observations.
+pub struct ListPeers;
+
+/// The running actor and what it publishes.
+pub(super) struct GossipHandle {
+    pub(super) address: Address<GossipActor>,
+    pub(super) table: Arc<ArcSwap<ClusterView>>,
+    pub(super) view: watch::Receiver<Arc<ClusterView>>,
+    /// When the core last got a tick, in milliseconds of the node's clock.
+    pub(super) last_tick_ms: Arc<AtomicU64>,
+}
+
+impl GossipActor {
+    /// Starts the actor; ticks begin with [`send_ticks`].
+    pub(super) fn start(
+        core: Gossip,
+        clock: Clock,
+        transport: Arc<Client>,
+        counters: Arc<Counters>,
+        first_view: ClusterView,
+    ) -> GossipHandle {
+        let table = Arc::new(ArcSwap::from_pointee(first_view));
+        let (view_sender, view) = watch::channel(table.load_full());
+        let last_tick_ms: Arc<AtomicU64> = Arc::default();
+        let actor = GossipActor {
+            core,
+            clock,
+            transport,
+            counters,
+            view: view_sender,
+            table: table.clone(),
+            responders: HashMap::new(),
+            last_tick_ms: last_tick_ms.clone(),
+        };
+        let address = xtra::spawn_tokio(actor, Mailbox::unbounded());
+        GossipHandle { address, table, view, last_tick_ms }
+    }
+
+    fn perform(&mut self, effects: Vec<Effect>, own: &Address<GossipActor>) {
+        let mut has_view_changed = false;
+        for effect in effects {
+            match effect {
+                Effect::Pull { address, request } => self.send_pull(address, request, own.clone()),
+                Effect::Respond { ticket, response } => {
+                    if let Some(responder) = self.responders.remove(&ticket) {
+                        let _ = responder.send(response);
+                    }
+                }
+                Effect::RequestReadIndex { address } => {
+                    self.request_read_index(address, own.clone());
+                }
+                Effect::ViewChanged => has_view_changed = true,
+                Effect::Log(event) => {
+                    if event == LogEvent::ResumedAfterPause {
+                        self.counters.increment(Counter::ProcessPauses);
+                    }
+                    log::info!("gossip: {event}");
+                }
+            }
+        }
+        if has_view_changed {
+            self.publish();
+        }
+    }
+
+    fn send_pull(&self, address: SocketAddr, request: PullRequest, own: Address<GossipActor>) {
+        let transport = self.transport.clone();
+        let other_zone = self.core.peers.iter().any(|peer| {
+            peer.info.cluster_address == address && peer.info.zone != self.core.node_info().zone
+        });
+        tokio::spawn(async move {
+            let limit = Duration::from_millis(u64::from(request.wait_ms)) + PULL_TIMEOUT_MARGIN;
+            let request = Request::Pull(request);
+            let response = match transport.call(address, &request, limit, other_zone).await {
+                Ok(Reply::Pull(response)) => Some(Box::new(response)),
+                Err(TransportError::Refused) => {
+                    let _ = own.send(HandleEvent(Event::ConnectionRefused { address })).await;
+                    None
+                }
+                _ => None,
+            };
+            let _ = own.send(HandleEvent(Event::PullCompleted { address, response })).await;
+        });
+    }
+
+    fn request_read_index(&self, address: SocketAddr, own: Address<GossipActor>) {
+        self.counters.increment(Counter::ReadIndexRequests);
+        let transport = self.transport.clone();
+        tokio::spawn(async move {
+            let request = Request::ReadIndex;
+            let reply = transport.call(address, &request, READ_INDEX_TIMEOUT, true).await;
+            let revision = match reply {
+                Ok(Reply::ReadIndex(revision)) => revision,
+                _ => None,
+            };
+            let _ = own.send(HandleEvent(Event::ReadIndexReceived { address, revision })).await;
+        });
+    }
+
+    fn publish(&mut self) {
+        let previous = self.table.load_full();
+        let established = self.core.read_index().established();
+        if let (None, Some(read_index)) = (&previous.read_index, established) {
+            self.counters.increment(match read_index.source {
+                ReadIndexSource::Quorum => Counter::ReadIndexesByQuorum,
+                ReadIndexSource::Peers => Counter::ReadIndexesByPeers,
+            });
+        }
+        let (view, log_lines) = ClusterView::from_gossip(&self.core, &previous, self.clock.now());
+        for line in log_lines {
+            log::info!("{line}");
+        }
+        let view = Arc::new(view);
+        self.table.store(view.clone());
+        self.view.send_replace(view);
+    }
+}
+
+impl Handler<HandleEvent> for GossipActor {
+    type Return = ();
+
+    async fn handle(&mut self, HandleEvent(event): HandleEvent, context: &mut Context<Self>) {
+        let Some(own) = context.mailbox().address().try_upgrade() else { return };
+        let is_tick = matches!(event, Event::Tick);
+        let now = self.clock.now();
+        let effects = self.core.step(now, event);
+        self.perform(effects, &own);
+        if is_tick {
+            self.last_tick_ms.store(now.as_millis() as u64, Ordering::Relaxed);
+        }
+        if is_tick && !self.table.load().is_up_to_date(&self.core, now) {
+            self.publish();
+        }
+    }
+}
+
+impl Handler<HandlePull> for GossipActor {
+    type Return = ();
+
+    async fn handle(&mut self, message: HandlePull, context: &mut Context<Self>) {
+        let Some(own) = context.mailbox().address().try_upgrade() else { return };
+        let HandlePull { ticket, request, responder } = message;
+        self.responders.retain(|_, responder| !responder.is_closed());
+        self.responders.insert(ticket, responder);
+        let effects = self.core.step(self.clock.now(), Event::PullReceived { ticket, request });
+        self.perform(effects, &own);
+    }
+}
+
+impl Handler<ListPeers> for GossipActor {
+    type Return = Vec<Peer>;
+
+    async fn handle(&mut self, _: ListPeers, _: &mut Context<Self>) -> Vec<Peer> {
+        self.core.peers.clone()
+    }
+}
+
+/// Sends ticks until the actor is gone.
+pub(super) async fn send_ticks(gossip: Address<GossipActor>) {
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
+    interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    loop {
+        interval.tick().await;
+        if gossip.send(HandleEvent(Event::Tick)).await.is_err() {
+            return;
+        }
+    }
+}
--- /dev/null
+++ b/cluster/src/node/runtime.rs
@@ -0,0 +1,53 @@
+//! The threads of a program, the signals that stop it, and its random numbers.
+
+use std::time::Duration;
+use tokio::signal::unix::{SignalKind, signal};
+use tokio::sync::watch;
+
+/// At most this many threads run a program's tasks.
+const MAX_WORKER_THREADS: usize = 4;
+/// Tasks that still run when the main future has ended are cut off after this long.
+const MAX_RUNTIME_SHUTDOWN: Duration = Duration::from_millis(100);
+
+/// A random number from the operating system.
+pub fn random() -> u64 {
+    getrandom::u64().expect("the system gives random numbers")
+}
+
+/// Runs a program's main future on several threads. What still runs at its end is cut off, within `grace`.
+///
+/// # Errors
+/// Those of the main future, and that the threads cannot be started.
+pub fn run_on_runtime(
+    grace: Duration,
+    main: impl Future<Output = Result<(), miette::Report>>,
+) -> Result<(), miette::Report> {
+    let threads =
+        std::thread::available_parallelism().map_or(2, |cores| cores.get().min(MAX_WORKER_THREADS));
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(threads)
+        .enable_all()
+        .build()
+        .map_err(|error| miette::miette!("cannot start threads: {error}"))?;
+    let outcome = runtime.block_on(main);
+    runtime.shutdown_timeout(grace.min(MAX_RUNTIME_SHUTDOWN));
+    outcome
+}
+
+/// Turns true upon SIGTERM or SIGINT.
+pub(super) fn watch_shutdown_signals() -> Result<watch::Receiver<bool>, miette::Report> {
+    let (sender, shutdown) = watch::channel(false);
+    let mut terminate = signal(SignalKind::terminate())
+        .map_err(|error| miette::miette!("cannot watch for signals: {error}"))?;
+    tokio::spawn(async move {
+        tokio::select! {
+            _ = terminate.recv() => {}
+            _ = tokio::signal::ctrl_c() => {}
+        }
+        log::info!("shutdown requested");
+        sender.send_replace(true);
+        // The sender stays, so that receivers never see a closed channel.
+        std::future::pending::<()>().await;
+    });
+    Ok(shutdown)
+}
