--- a/cluster/src/peer_selection/tests.rs
+++ b/cluster/src/peer_selection/tests.rs
@@ -1,6 +1,6 @@
 use crate::wire::Role;
 
-/// Both fleets of the brief: three regions of two zones, core machines one a region.
+/// Fleets of three regions of two zones, with one machine for registry and store in each region.
 fn fleet(proxies: usize) -> Vec<(String, Role, String, String)> {
     let zones = ["a1", "b1", "c1", "a2", "b2", "c2"];
     let mut all = Vec::new();
@@ -16,21 +16,21 @@
     all
 }
 
-/// News from any daemon reaches all others along the pulls, whole or with a zone, a region
-/// or every registry gone; and nobody has more than a few siblings.
+/// An update from any node reaches all others along the pulls, with all nodes or with a zone, a region or
+/// every registry gone; and nobody has more than a few peers.
 #[test]
-fn news_reaches_all_whichever_place_is_gone() {
-    let mut most = 0;
+fn updates_reach_all_nodes_whichever_location_is_gone() {
+    let mut max_peers = 0;
     for proxies in [8, 12] {
-        let whole = fleet(proxies);
+        let all_nodes = fleet(proxies);
         for gone in ["-", "a1", "b1", "c1", "a2", "b2", "c2", "a", "b", "c", "registry"] {
-            let live: Vec<_> = whole
+            let live: Vec<_> = all_nodes
                 .iter()
                 .filter(|(name, _, region, zone)| {
                     region != gone && zone != gone && !name.starts_with(gone)
                 })
                 .collect();
-            let known: Vec<super::Candidate<'_>> = live
+            let candidates: Vec<super::Candidate<'_>> = live
                 .iter()
                 .map(|(name, role, region, zone)| super::Candidate {
                     name,
@@ -39,27 +39,27 @@
                     zone,
                 })
                 .collect();
-            let pulls: Vec<Vec<usize>> = (0..known.len())
+            let pulls: Vec<Vec<usize>> = (0..candidates.len())
                 .map(|own| {
                     let others: Vec<usize> =
-                        (0..known.len()).filter(|index| *index != own).collect();
-                    let view: Vec<_> = others.iter().map(|one| known[*one].clone()).collect();
-                    super::select_peers(&known[own], &view)
+                        (0..candidates.len()).filter(|index| *index != own).collect();
+                    let view: Vec<_> = others.iter().map(|one| candidates[*one].clone()).collect();
+                    super::select_peers(&candidates[own], &view)
                         .into_iter()
                         .map(|index| others[index])
                         .collect()
                 })
                 .collect();
-            for source in 0..known.len() {
-                let mut reached = vec![false; known.len()];
+            for source in 0..candidates.len() {
+                let mut reached = vec![false; candidates.len()];
                 reached[source] = true;
-                // A pull tells the one asked who asks; all else flows to the asker.
-                for rounds in 0..known.len() {
+                // A pull shows the responder who pulls; everything else flows to the requester.
+                for rounds in 0..candidates.len() {
                     let before = reached.clone();
-                    for asker in 0..known.len() {
-                        for asked in &pulls[asker] {
-                            if before[*asked] {
-                                reached[asker] = true;
+                    for requester in 0..candidates.len() {
+                        for responder in &pulls[requester] {
+                            if before[*responder] {
+                                reached[requester] = true;
                             }
                         }
                     }
@@ -70,8 +70,8 @@
                 }
                 assert!(reached.iter().all(|one| *one), "{proxies} without {gone}");
             }
-            most = most.max(pulls.iter().map(Vec::len).max().unwrap_or(0));
+            max_peers = max_peers.max(pulls.iter().map(Vec::len).max().unwrap_or(0));
         }
     }
-    assert!(most <= 7, "{most} siblings");
+    assert!(max_peers <= 7, "{max_peers} peers");
 }
--- a/cluster/tests/common/mod.rs
+++ b/cluster/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! What several tests of siblings begin with.
+//! Fixtures that several tests share.
 
 use vanepath_cluster::wire;
 
-/// Of a daemon in zone a1 of region a.
-pub fn card(name: &str, role: wire::Role, port: u16) -> wire::NodeInfo {
+/// A node in zone a1 of region a.
+pub fn node_info(name: &str, role: wire::Role, port: u16) -> wire::NodeInfo {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], port));
     wire::NodeInfo {
         name: name.to_string(),
--- a/cluster/tests/frames.rs
+++ b/cluster/tests/frames.rs
@@ -1,5 +1,5 @@
-//! What daemons say to each other, byte for byte: programs of two versions talk to each other while they
-//! are replaced one by one (design 5.1).
+//! The messages between nodes, byte for byte: nodes of two versions talk to each other while they are
+//! replaced one by one (design 5.1). The labels are those of the fixtures.
 
 use std::fmt::Write as _;
 use vanepath_cluster::wire::{
@@ -15,7 +15,7 @@
 }
 
 impl Frames {
-    /// Notes a message's bytes and shows that they are read as that very message.
+    /// Records a message's bytes and shows that they are read as that very message.
     fn add<T>(&mut self, label: &str, message: &T)
     where
         T: serde::Serialize + serde::de::DeserializeOwned,
@@ -28,11 +28,11 @@
     }
 }
 
-fn mark() -> NodeVersion {
+fn version() -> NodeVersion {
     NodeVersion { incarnation: 11, counter: 12, status_version: 13, observations_version: 14 }
 }
 
-fn card(role: Role) -> NodeInfo {
+fn node_info(role: Role) -> NodeInfo {
     NodeInfo {
         name: "one".to_string(),
         role,
@@ -43,7 +43,7 @@
     }
 }
 
-fn report() -> NodeStatus {
+fn status() -> NodeStatus {
     NodeStatus {
         ready: true,
         draining: false,
@@ -55,7 +55,7 @@
     }
 }
 
-fn sight() -> ServerObservation {
+fn server_observation() -> ServerObservation {
     ServerObservation {
         server: "server-1".to_string(),
         phase: ServerPhase::Healthy,
@@ -66,9 +66,9 @@
     }
 }
 
-fn detail() -> ProxyObservations {
+fn observations() -> ProxyObservations {
     ProxyObservations {
-        servers: vec![sight()],
+        servers: vec![server_observation()],
         in_flight: vec![1, 2],
         queued: vec![3, 4],
         request_rates: [("orders".to_string(), 51)].into(),
@@ -77,19 +77,19 @@
 
 fn bare_delta() -> NodeDelta {
     let name = "one".to_string();
-    NodeDelta { name, version: mark(), age_ms: 61, info: None, status: None, observations: None }
+    NodeDelta { name, version: version(), age_ms: 61, info: None, status: None, observations: None }
 }
 
 fn full_delta() -> NodeDelta {
     NodeDelta {
-        info: Some(card(Role::Proxy)),
-        status: Some(report()),
-        observations: Some(detail()),
+        info: Some(node_info(Role::Proxy)),
+        status: Some(status()),
+        observations: Some(observations()),
         ..bare_delta()
     }
 }
 
-fn word() -> CommittedConfig {
+fn config() -> CommittedConfig {
     CommittedConfig {
         revision: 71,
         config_revision: 72,
@@ -165,7 +165,7 @@
 fn full_pull() -> PullRequest {
     PullRequest {
         known_versions: Some(vec![
-            (name_hash("one"), mark()),
+            (name_hash("one"), version()),
             (name_hash("two"), NodeVersion::default()),
         ]),
         sender: full_delta(),
@@ -195,7 +195,7 @@
     frames.add("news-bare", &Reply::Pull(PullResponse::default()));
     let full = PullResponse {
         nodes: vec![bare_delta(), full_delta()],
-        config: Some(word()),
+        config: Some(config()),
         endpoint_list: Some(list()),
         endpoint_list_delta: Some(list_delta()),
         list_read: Some(EndpointListRead { revision: 91, age_ms: 5 }),
@@ -217,10 +217,10 @@
 fn parts_keep_their_bytes() {
     let mut frames = Frames::default();
     for role in [Role::Proxy, Role::Registry, Role::Store] {
-        frames.add(&format!("card-{role}"), &card(role));
+        frames.add(&format!("card-{role}"), &node_info(role));
     }
     frames.add("report-bare", &NodeStatus::default());
-    frames.add("report-full", &report());
+    frames.add("report-full", &status());
     frames.add("disk-without-seat", &DiskStatus::default());
     let phases = [
         ServerPhase::Unknown,
@@ -230,15 +230,16 @@
         ServerPhase::Suspect,
     ];
     for (number, phase) in phases.into_iter().enumerate() {
-        frames.add(&format!("sight-{number}"), &ServerObservation { phase, ..sight() });
+        frames
+            .add(&format!("sight-{number}"), &ServerObservation { phase, ..server_observation() });
     }
     frames.add("detail-bare", &ProxyObservations::default());
-    frames.add("detail-full", &detail());
+    frames.add("detail-full", &observations());
     frames.add("word-bare", &CommittedConfig::default());
-    frames.add("word-full", &word());
+    frames.add("word-full", &config());
     frames.add("plan-bare", &TrafficShiftPlan::default());
     frames.add("plan-full", &plan());
-    frames.add("mark", &mark());
+    frames.add("mark", &version());
     frames.add("delta-bare", &bare_delta());
     frames.add("delta-full", &full_delta());
     frames.add("list", &list());
