--- a/cluster/src/endpoint_cache.rs
+++ b/cluster/src/endpoint_cache.rs
@@ -74,7 +74,7 @@
     /// The same for a full list from a peer, which may have been asked for.
     pub fn apply_full(&mut self, list: EndpointList) -> bool {
         if self.needs_full_list && list.revision == self.current.revision {
-            // Two lists go by one revision: whoever asked takes the peer's.
+            // Two different lists have one revision: the node that asked for the full list takes the peer's.
             self.current = Arc::default();
         }
         self.apply(Arc::new(list))
--- a/cluster/src/gossip/failure_detection.rs
+++ b/cluster/src/gossip/failure_detection.rs
@@ -110,7 +110,7 @@
         }
     }
 
-    /// At a registry: lists who is unreachable, for the leaves that go by it.
+    /// At a registry: lists who is unreachable, for the leaves that rely on it.
     pub(super) fn update_unreachable_list(&mut self, now: Duration) {
         if self.own_info.role != Role::Registry {
             return;
--- a/cluster/src/gossip/freshness.rs
+++ b/cluster/src/gossip/freshness.rs
@@ -7,9 +7,9 @@
 pub const PAUSE_THRESHOLD: Duration = Duration::from_millis(1500);
 /// Without any reply from a registry, replies of other peers make a node fresh after this long.
 pub const PEER_FRESHNESS_TIMEOUT: Duration = Duration::from_secs(2);
-/// Without any reply at all, a node counts as cut off after this long and goes by what it has.
+/// Without any reply at all, a node counts as isolated after this long and acts on what it has.
 pub const ISOLATED_FRESHNESS_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A node that is not fresh holds new work for this long: until it would go by what it has.
+/// A node that is not fresh holds new work for this long: until it would act on what it has.
 pub const READINESS_TIMEOUT: Duration = Duration::from_secs(3);
 const _: () = assert!(PEER_FRESHNESS_TIMEOUT.as_millis() < ISOLATED_FRESHNESS_TIMEOUT.as_millis());
 const _: () = assert!(ISOLATED_FRESHNESS_TIMEOUT.as_millis() + 200 < READINESS_TIMEOUT.as_millis());
--- a/cluster/src/gossip/merge.rs
+++ b/cluster/src/gossip/merge.rs
@@ -1,4 +1,5 @@
-//! Taking in what peers sent. Every item has an order and none goes back (design 5.3, 5.4).
+//! Taking in what peers sent. Every item has an order, and none is replaced by an older one
+//! (design 5.3, 5.4).
 
 use super::pull_session::PullOutcome;
 use super::{Effect, FORGET_TIMEOUT, Gossip, LogEvent, MAX_PEERS, Peer};
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Another incarnation of this node's name is going round: this one goes above it (design 5.3).
+    /// Peers know a later incarnation of this node's name: this one takes a higher number (design 5.3).
     fn raise_incarnation(&mut self, incarnation: u64, effects: &mut Vec<Effect>) {
         if incarnation > self.own_version.incarnation {
             self.own_version.incarnation = incarnation + 1;
--- a/cluster/src/gossip/mod.rs
+++ b/cluster/src/gossip/mod.rs
@@ -108,7 +108,7 @@
     ReadIndexReceived {
         /// The store's cluster address.
         address: SocketAddr,
-        /// The highest revision that a majority of stores holds; `None`: it could not tell.
+        /// The highest revision that a majority of stores holds; `None`: it could not determine that.
         revision: Option<u64>,
     },
 }
@@ -141,13 +141,13 @@
     Log(LogEvent),
 }
 
-/// What is worth a line in the log.
+/// An incident that is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 pub enum LogEvent {
     /// The process was paused: the machine was suspended, or had no time for it.
     #[strum(serialize = "resumed after a pause of the process")]
     ResumedAfterPause,
-    /// A later incarnation of this node's name was going round.
+    /// Peers knew a later incarnation of this node's name.
     #[strum(serialize = "raised the own incarnation above another one of this name")]
     IncarnationRaised,
     /// A node was ignored because [`MAX_PEERS`] are known already.
@@ -285,7 +285,7 @@
 
     /// Whether what is known here was refreshed since the start or the last pause (design 5.5): by a
     /// registry, or by any peer when no registry replied for [`PEER_FRESHNESS_TIMEOUT`]. A node that gets
-    /// no reply at all goes by what it has after [`ISOLATED_FRESHNESS_TIMEOUT`].
+    /// no reply at all acts on what it has after [`ISOLATED_FRESHNESS_TIMEOUT`].
     pub fn is_fresh(&self, now: Duration) -> bool {
         self.freshness.is_fresh(now)
     }
--- a/cluster/src/gossip/peer.rs
+++ b/cluster/src/gossip/peer.rs
@@ -42,8 +42,8 @@
 }
 
 impl Peer {
-    /// Whether the peer is live for a node of role `own_role`. Registries go by heartbeats alone. All other
-    /// nodes go by what registries report; `registry_report_at` is when one last did. They judge only
+    /// Whether the peer is live for a node of role `own_role`. Registries rely on heartbeats alone. All other
+    /// nodes rely on what registries report; `registry_report_at` is when one last did. They judge only
     /// registries by heartbeats then: while no registry reports, nobody else becomes unreachable
     /// (design 5.3).
     pub(super) fn is_live(
--- a/cluster/src/gossip/pending_pull.rs
+++ b/cluster/src/gossip/pending_pull.rs
@@ -160,7 +160,8 @@
                 .any(|peer| !pull.has_status(&peer.info.name, peer.name_hash, &peer.version))
     }
 
-    /// Registries tell each other at once that the endpoint list was read, for the next reader goes by that.
+    /// Registries announce each read of the endpoint list to each other at once: any other registry reads it
+    /// only when it has heard of no read for a while.
     fn has_later_list_read(&self, pull: &PendingPull) -> bool {
         let is_registry = self.own_info.role == Role::Registry;
         let Some(read_at) = self.endpoints.read_at().filter(|_| is_registry && !pull.is_leaf)
--- a/cluster/src/gossip/tests.rs
+++ b/cluster/src/gossip/tests.rs
@@ -211,7 +211,7 @@
     assert!(is_live(&gossip, ms(11_500)));
 }
 
-/// After a pause a node goes by what it had only once somebody replied, and asks everyone it knew: its few
+/// After a pause a node acts on what it had only once somebody replied, and asks everyone it knew: its few
 /// peers may be gone by then.
 #[test]
 fn after_a_pause_everyone_is_asked_and_silence_makes_nothing_fresh() {
@@ -248,7 +248,7 @@
     gossip.step(second(132.4), Event::Tick);
     assert!(!gossip.is_fresh(second(132.4)), "nobody has replied");
     assert!(gossip.is_isolated(second(132.4)));
-    // Work that arrived as it resumed is not dropped for that: isolated, it goes by what it has.
+    // Work that arrived as it resumed is not dropped for that: isolated, it acts on what it has.
     assert!(gossip.is_fresh(second(130.0) + super::READINESS_TIMEOUT - second(0.2)));
     for index in 0..9_u16 {
         let address = node_info("", wire::Role::Proxy, 10 + index).cluster_address;
--- a/cluster/src/node/cluster_view.rs
+++ b/cluster/src/node/cluster_view.rs
@@ -1,4 +1,4 @@
-//! What a program goes by: a consistent view of the gossip state, replaced as a whole when it changes.
+//! The consistent view of the gossip state that a program acts on, replaced as a whole when it changes.
 
 use crate::gossip::Gossip;
 use crate::read_index::EstablishedReadIndex;
@@ -29,9 +29,9 @@
     pub live: Vec<(NodeInfo, NodeStatus)>,
     /// Nodes that are not live any more, as they were last known: dead, or cut off from here.
     pub unreachable: Vec<(NodeInfo, NodeStatus)>,
-    /// What is known is current, and not below what an earlier incarnation went by.
+    /// What is known is current, and not older than what an earlier incarnation applied.
     pub is_fresh: bool,
-    /// The read index of this incarnation (design 5.8); `None`: it goes by no configuration yet.
+    /// The read index of this incarnation (design 5.8); `None`: it applies no configuration yet.
     pub read_index: Option<EstablishedReadIndex>,
     /// The revision that it has to reach before that, as far as it is known.
     pub required_revision: Option<u64>,
@@ -190,7 +190,7 @@
     nodes.map(|(info, status)| (info.clone(), status.clone())).collect()
 }
 
-/// What is known is current, and not below what an earlier incarnation went by.
+/// What is known is current, and not older than what an earlier incarnation applied.
 fn is_fresh(gossip: &Gossip, now: Duration) -> bool {
     gossip.is_fresh(now) && gossip.read_index().established().is_some()
 }
--- a/cluster/src/node/logging.rs
+++ b/cluster/src/node/logging.rs
@@ -1,4 +1,4 @@
-//! The log: lines on standard error for changes of state; counters tell the rest (design 9.3).
+//! The log: lines on standard error for changes of state; everything else is counted (design 9.3).
 
 use logforth::append::Stderr;
 use logforth::filter::rustlog::RustLogFilterBuilder;
--- a/cluster/src/read_index.rs
+++ b/cluster/src/read_index.rs
@@ -1,5 +1,5 @@
-//! The read index at start-up: the revision that a node has to reach before it goes by any configuration,
-//! so that no incarnation of it goes by an older one than an earlier incarnation did (design 5.8).
+//! The read index at start-up: the revision that a node has to reach before it applies any configuration,
+//! so that no incarnation of it applies an older one than an earlier incarnation did (design 5.8).
 //!
 //! The idea is the read index of Raft (Ongaro, "Consensus: Bridging Theory and Practice", section 6.4):
 //! before it serves reads a node learns the highest committed revision from a quorum, in a round that
@@ -14,20 +14,20 @@
 
 /// When a store has not replied for this long, the next one is asked as well.
 pub const NEXT_STORE_DELAY: Duration = Duration::from_millis(300);
-/// The pause after a store that could not tell.
+/// The pause after a store that could not determine the read index.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// How long the shell waits for a store's reply.
 pub const READ_INDEX_TIMEOUT: Duration = Duration::from_millis(1500);
 /// When no quorum of stores could be asked for this long, the reports of peers count.
 pub const PEER_READ_INDEX_DELAY: Duration = Duration::from_secs(2);
-/// A node without a read index for this long can't help itself and sends its clients elsewhere, if any
-/// other proxy takes work. To do so sooner would cost more than to wait: a client that is rejected comes
-/// back here with its next request, until its steering reply is renewed.
+/// A proxy without a read index for this long sends its clients elsewhere, if any other proxy takes work.
+/// To do so sooner would cost more than to wait: a client that is rejected comes back here with its next
+/// request, until its steering reply is renewed.
 const STALL_TIMEOUT: Duration = Duration::from_millis(2300);
 const _: () = assert!(STALL_TIMEOUT.as_millis() > PEER_READ_INDEX_DELAY.as_millis());
 const _: () = assert!(STALL_TIMEOUT.as_millis() < READINESS_TIMEOUT.as_millis());
 
-/// On whose word a read index was established.
+/// Who reported the revision of an established read index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum ReadIndexSource {
@@ -44,7 +44,7 @@
 pub struct EstablishedReadIndex {
     /// The revision that had to be reached.
     pub revision: u64,
-    /// On whose word.
+    /// Who reported it.
     pub source: ReadIndexSource,
     /// The name of the node that reported the revision.
     pub from: String,
@@ -63,7 +63,7 @@
     started_at: Duration,
     /// Peers' reports count from here: the start, or the last pause before the read index was established.
     waiting_since: Duration,
-    /// What a majority of stores held, by the first store that could tell.
+    /// What a majority of stores held, by the first store that could determine it.
     from_quorum: Option<ReportedRevision>,
     /// The highest revision that peers reported as active anywhere.
     from_peers: Option<ReportedRevision>,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// `None`: this incarnation goes by no configuration yet.
+    /// `None`: this incarnation applies no configuration yet.
     pub fn established(&self) -> Option<&EstablishedReadIndex> {
         self.established.as_ref()
     }
@@ -134,7 +134,7 @@
     }
 
     /// A store replied to a request of this incarnation; `revision`: the highest that a majority of stores
-    /// holds, `None` where it could not tell.
+    /// holds, `None` where it could not determine that.
     pub fn on_store_reply(&mut self, now: Duration, from: &str, revision: Option<u64>) {
         match revision {
             // The first one is enough: it covers whatever was active before this incarnation.
--- a/cluster/src/transport.rs
+++ b/cluster/src/transport.rs
@@ -172,8 +172,8 @@
     /// alone.
     ///
     /// # Errors
-    /// [`TransportError`]; whether the request was carried out is then unknown, unless the request itself
-    /// tells.
+    /// [`TransportError`]; whether the request was carried out is then unknown, unless the request is
+    /// such that it does not matter.
     pub async fn call(
         &self,
         address: SocketAddr,
--- a/cluster/src/wire/mod.rs
+++ b/cluster/src/wire/mod.rs
@@ -1,7 +1,7 @@
 //! The messages between nodes: CBOR in frames of bounded size (design 5.1).
 //!
 //! Nodes of two versions talk to each other while they are replaced one by one. So the serialized form
-//! stays: where a Rust name has changed, `#[serde(rename)]` keeps the name that earlier versions have on
+//! stays: where a Rust name has changed, `#[serde(rename)]` preserves the name that earlier versions use on
 //! the wire, and types that are sent often are tuples without field names there.
 
 mod config;
@@ -66,7 +66,7 @@
     /// This node does not serve such requests, or not now.
     #[serde(rename = "NoDuty")]
     Unsupported,
-    /// To [`Request::ReadIndex`]; `None`: the store can't tell.
+    /// To [`Request::ReadIndex`]; `None`: the store could not determine it.
     #[serde(rename = "Floor")]
     ReadIndex(Option<u64>),
 }
--- a/cluster/src/wire/node.rs
+++ b/cluster/src/wire/node.rs
@@ -1,4 +1,4 @@
-//! What a node tells of itself: its identity, status and observations, under a version.
+//! What a node reports of itself: its identity, status and observations, under a version.
 
 use super::tuple_encoded;
 use serde::{Deserialize, Serialize};
@@ -15,7 +15,7 @@
     Proxy,
     /// Takes operators' calls, discovers endpoints and steers clients.
     Registry,
-    /// Keeps the committed configuration.
+    /// Stores the committed configuration.
     Store,
 }
 
--- a/cluster/src/wire/pull.rs
+++ b/cluster/src/wire/pull.rs
@@ -29,7 +29,7 @@
     /// The requester collects the observations of proxies.
     #[serde(rename = "wants_detail")]
     pub wants_observations: bool,
-    /// The requester is a leaf: it goes by what registries report of who is unreachable, and needs no
+    /// The requester is a leaf: it relies on registries for who is unreachable, and needs no
     /// heartbeats (design 5.3).
     #[serde(rename = "light")]
     pub is_leaf: bool,
--- a/cluster/tests/leaf.rs
+++ b/cluster/tests/leaf.rs
@@ -76,10 +76,10 @@
     }
 }
 
-/// A leaf goes by what registries report: a node that all of them call unreachable is not live, one that
+/// A leaf relies on what registries report: a node that all of them call unreachable is not live, one that
 /// any of them holds for live is, and while none reports nobody is judged.
 #[test]
-fn a_leaf_goes_by_what_registries_report() {
+fn a_leaf_relies_on_what_registries_report() {
     let mut gossip = Gossip::new(node_info("p0", wire::Role::Proxy, 1), Vec::new(), 9, ms(0));
     let majority_status =
         wire::NodeStatus { ready: true, hears_majority: true, ..wire::NodeStatus::default() };
--- a/cluster/tests/read_index.rs
+++ b/cluster/tests/read_index.rs
@@ -1,5 +1,5 @@
-//! The read index at start-up, rule by rule (design 5.8): what a node that started must have before it goes
-//! by any configuration.
+//! The read index at start-up, rule by rule (design 5.8): what a node that started must have before it
+//! applies any configuration.
 
 mod common;
 
@@ -90,7 +90,7 @@
     response.expect("it does not wait")
 }
 
-/// A ready registry that lags makes nobody go by its configuration: that takes what a majority of stores
+/// A ready registry that lags makes nobody apply its configuration: that takes what a majority of stores
 /// holds.
 #[test]
 fn a_lagging_registry_is_not_enough() {
@@ -131,7 +131,7 @@
     assert_eq!((response.config.unwrap().revision, response.read_index), (3, Some(3)));
 }
 
-/// A peer that knows which revision a name went by, or anyone did, reports it to nodes without a read index.
+/// A peer that knows which revision a name applied, or anyone did, reports it to nodes without a read index.
 #[test]
 fn a_peer_reports_what_was_active() {
     let mut peer = Gossip::new(node_info("r", Role::Registry, 2), Vec::new(), 1, START);
@@ -144,7 +144,7 @@
     assert_eq!(peer.highest_active_revisions().get("q"), Some(&7));
 }
 
-/// Without a majority of stores a node waits two seconds and goes by no less than any peer reported.
+/// Without a majority of stores a node waits two seconds and applies no less than any peer reported.
 #[test]
 fn without_a_quorum_the_highest_report_of_peers_counts() {
     let mut gossip = proxy(vec![address(2)]);
@@ -256,7 +256,7 @@
     assert!(after.is_empty(), "it has what it asked for: {after:?}");
 }
 
-/// A region that is cut off as a whole remembers what its nodes went by: more than half of it is enough,
+/// A region that is cut off as a whole remembers what its nodes applied: more than half of it is enough,
 /// though most of the fleet is unreachable.
 #[test]
 fn more_than_half_of_the_own_region_is_enough() {
--- a/cluster/tests/read_index_model.rs
+++ b/cluster/tests/read_index_model.rs
@@ -181,7 +181,7 @@
     (seen.len(), None, serves_again)
 }
 
-/// No order of messages, losses and restarts makes a later incarnation go by less, and it can serve again.
+/// No order of messages, losses and restarts makes a later incarnation apply less, and it can serve again.
 #[test]
 fn a_quorum_asked_after_the_start_is_enough() {
     let (states, found, serves_again) = search(Rule::Quorum);
