--- a/cluster/src/lib.rs
+++ b/cluster/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`wire`] - the messages between nodes
 //! - [`transport`] - connections between nodes
 //! - [`node`] - the shell: clock, log, gossip actor, HTTP, shutdown
-//! - [`counters`] - metrics
+//! - [`mod@counters`] - metrics
 
 #![warn(missing_docs)]
 
