--- a/proxy/src/shell/maintenance.rs
+++ b/proxy/src/shell/maintenance.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use tokio::time::MissedTickBehavior;
-use vanepath_cluster::node::{ClusterView, Deliver};
+use vanepath_cluster::node::{ClusterView, HandleEvent};
 use vanepath_cluster::{gossip, wire};
 
 /// The time between two ticks; a change of the view brings one at once.
@@ -97,7 +97,7 @@
             &view.endpoints,
             |server, services| slow_start_rate(view, own_name, server, services),
         );
-        if let Some(read_at) = view.list_read_at.filter(|_| !log_lines.is_empty()) {
+        if let Some(read_at) = view.endpoint_list_read_at.filter(|_| !log_lines.is_empty()) {
             let age_ms = now.saturating_sub(read_at).as_millis();
             log::info!("endpoint list {}, read {age_ms} ms ago", view.endpoints.revision);
         }
@@ -158,7 +158,7 @@
         }
         proxy.has_unreported_changes.store(false, Ordering::Relaxed);
         let event = gossip::Event::ObservationsChanged(self.observations(now));
-        let _ = proxy.node.gossip.send(Deliver(event)).await;
+        let _ = proxy.node.gossip.send(HandleEvent(event)).await;
     }
 
     async fn publish_status(&self, now: Duration, view: &ClusterView) {
--- a/registry/src/api/status.rs
+++ b/registry/src/api/status.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use vanepath_cluster::gossip::{Event, Peer};
-use vanepath_cluster::node::{self, ClusterView, Deliver, ListPeers};
+use vanepath_cluster::node::{self, ClusterView, HandleEvent, ListPeers};
 use vanepath_cluster::wire::{NodeInfo, NodeStatus, Role};
 use vanepath_config::endpoint_list::{self, Server};
 use vanepath_config::selector::ClientLocation;
@@ -55,7 +55,7 @@
 /// The current view with the proxies' observations of servers, as far as they come in time.
 async fn view_with_observations(registry: &Registry) -> Arc<ClusterView> {
     let node = &registry.node;
-    let _ = node.gossip.send(Deliver(Event::ObservationsWanted)).await;
+    let _ = node.gossip.send(HandleEvent(Event::ObservationsWanted)).await;
     let deadline = node.clock.now() + OBSERVATIONS_TIMEOUT;
     loop {
         let view = node.table.load_full();
--- a/registry/src/discovery/sequencer/tests.rs
+++ b/registry/src/discovery/sequencer/tests.rs
@@ -46,9 +46,10 @@
 /// Takes a published list into the view, as gossip would.
 fn apply(view: &mut ClusterView, effect: &Option<Effect>) {
     if let Some(Effect::Publish { list, began_at }) = effect {
-        view.highest_list_revision = view.highest_list_revision.max(list.revision);
+        view.highest_endpoint_list_revision =
+            view.highest_endpoint_list_revision.max(list.revision);
         view.endpoints = list.clone();
-        view.list_read_at = Some(*began_at);
+        view.endpoint_list_read_at = Some(*began_at);
     }
 }
 
@@ -107,7 +108,7 @@
     let mut sequencer = ListSequencer::new("r1", 0);
     assert_eq!(sequencer.on_tick(ms(0), &view), Some(Effect::Read));
     // Known by its revision only so far, from a proxy that has the list.
-    view.highest_list_revision = 9 << 16 | 3;
+    view.highest_endpoint_list_revision = 9 << 16 | 3;
     assert_eq!(
         sequencer.on_read_completed(ms(90), &view, Some(servers(&["a"]))),
         Some(Effect::Superseded)
@@ -135,7 +136,7 @@
     let effect = sequencer.on_read_completed(ms(9), &view, Some(servers(&["a"])));
     apply(&mut view, &effect);
     assert_eq!(view.endpoints.revision, 1 << 16 | 5);
-    view.highest_list_revision = 40 << 16 | 2;
+    view.highest_endpoint_list_revision = 40 << 16 | 2;
     assert_eq!(sequencer.on_tick(ms(600), &view), Some(Effect::Read));
     let effect = sequencer.on_read_completed(ms(609), &view, Some(servers(&["a"])));
     apply(&mut view, &effect);
@@ -166,7 +167,7 @@
 #[test]
 fn the_first_registry_reads_the_list_often_and_the_next_takes_over_after_a_timeout() {
     let mut all = view(&[("p0", false), ("r2", false), ("r1", false), ("r3", false)]);
-    all.list_read_at = Some(ms(5000));
+    all.endpoint_list_read_at = Some(ms(5000));
     let is_due = |name: &str, view: &ClusterView, last_began: u64, now: u64| {
         let mut sequencer = ListSequencer::new(name, 0);
         assert_eq!(
@@ -185,7 +186,7 @@
         "no faster than that"
     );
     let mut first_drains = view(&[("r2", false), ("r1", true), ("r3", false)]);
-    first_drains.list_read_at = Some(ms(5000));
+    first_drains.endpoint_list_read_at = Some(ms(5000));
     assert!(
         is_due("r2", &first_drains, 5000, 5600),
         "the first is draining: the next one is the first"
@@ -193,7 +194,7 @@
     assert!(!is_due("r3", &first_drains, 5000, 5600));
     let mut isolated = view(&[("r1", false)]);
     isolated.is_isolated = true;
-    isolated.list_read_at = Some(ms(5000));
+    isolated.endpoint_list_read_at = Some(ms(5000));
     assert!(
         !is_due("r1", &isolated, 1, 5600) && is_due("r1", &isolated, 1, 6200),
         "others may read as well"
--- a/registry/tests/cluster_model/mod.rs
+++ b/registry/tests/cluster_model/mod.rs
@@ -219,12 +219,12 @@
         let effects = self.nodes[index].gossip.step(self.now, event);
         for effect in effects {
             match effect {
-                Effect::Pull { address, pull } => {
+                Effect::Pull { address, request: pull } => {
                     let to = (0..self.nodes.len()).find(|to| address_of_node(*to) == address);
                     let to = to.expect("an address of this model");
                     self.pull(index, to, pull);
                 }
-                Effect::Answer { ticket, news } => {
+                Effect::Respond { ticket, response: news } => {
                     let requester = self.tickets.remove(&(index, ticket));
                     let is_awaited = |to: &usize| {
                         self.pending_pulls
@@ -244,7 +244,7 @@
 
     fn publish(&mut self, index: usize) {
         let node = &self.nodes[index];
-        let (view, _) = ClusterView::of(&node.gossip, &node.view, self.now);
+        let (view, _) = ClusterView::from_gossip(&node.gossip, &node.view, self.now);
         self.nodes[index].view = view;
     }
 
--- a/registry/tests/cluster_model/network.rs
+++ b/registry/tests/cluster_model/network.rs
@@ -27,13 +27,13 @@
             match message {
                 Message::Request { from, pull } => {
                     self.tickets.insert((to, number), from);
-                    self.step(to, Event::PullReceived { ticket: number, pull: *pull });
+                    self.step(to, Event::PullReceived { ticket: number, request: *pull });
                 }
                 Message::Response { responder, response } => {
                     if self.pending_pulls.remove(&(to, responder)).is_some() {
                         self.connected.insert((to, responder));
                         let address = address_of_node(responder);
-                        self.step(to, Event::PullCompleted { address, news: Some(response) });
+                        self.step(to, Event::PullCompleted { address, response: Some(response) });
                     }
                 }
             }
@@ -49,7 +49,7 @@
             self.pending_pulls.remove(&(requester, responder));
             self.connected.remove(&(requester, responder));
             let address = address_of_node(responder);
-            self.step(requester, Event::PullCompleted { address, news: None });
+            self.step(requester, Event::PullCompleted { address, response: None });
         }
     }
 
