--- a/registry/src/api.rs
+++ b/registry/src/api.rs
@@ -9,7 +9,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 use vanepath_cluster::{node, wire};
-use vanepath_store::protocol::{Change, Outcome, Request, Value};
+use vanepath_store::protocol::{Change, Outcome, Request};
+use vanepath_store::value::Value;
 
 type Receipt = hyper::Response<node::Body>;
 
@@ -451,7 +452,7 @@
                 key,
                 Outcome::Accepted {
                     revision: known.revision,
-                    config_revision: known.setup_revision,
+                    config_revision: known.config_revision,
                     is_repeat: true,
                 },
             ),
--- /dev/null
+++ b/store/src/consensus/batch.rs
@@ -0,0 +1,262 @@
+//! What is made of a committed value: the round's own operation, and the queued changes, which are proposed
+//! in one batch under the same ballot (design 6.2).
+
+use super::event::Effect;
+use super::quorum::is_member;
+use super::replica::{BackgroundCall, MAX_QUEUED_OPERATIONS, Replica};
+use super::round::{
+    Operation, PendingChange, Phase, PlannedReply, Replacement, ReplicaStatus, Round,
+};
+use super::transitions::{KeyedChange, apply_change, apply_replacement, cloned_values};
+use crate::protocol::{Change, Outcome, Request, Response};
+use crate::retransmission::Judgement;
+use crate::value::{AcceptedProposal, Ballot, Value, digest_of};
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Changes in one batch.
+const MAX_BATCH_CHANGES: usize = 64;
+/// Encoded bytes of one batch.
+const MAX_BATCH_BYTES: usize = vanepath_cluster::wire::MAX_FRAME_BYTES / 2;
+
+/// Versions to propose in one round, the oldest first, and the answers once they are committed.
+struct Batch {
+    versions: Vec<Arc<Value>>,
+    replies: Vec<PlannedReply>,
+}
+
+/// The version that a batch is extended from, and what it has come to.
+struct BatchBuilder {
+    latest: Arc<Value>,
+    latest_accepted: AcceptedProposal,
+    versions: Vec<Arc<Value>>,
+    replies: Vec<PlannedReply>,
+    bytes: usize,
+    /// Changes that make no version, and whose answer rests on what is committed with the batch.
+    unproven: Vec<Operation>,
+}
+
+impl BatchBuilder {
+    fn push(&mut self, pending: &PendingChange, mut version: Value) {
+        version.batched_before = self.versions.len() as u32;
+        let encoded = version.encode();
+        self.bytes += encoded.len();
+        self.latest_accepted.revision = version.revision;
+        self.latest_accepted.digest = digest_of(&encoded);
+        let (revision, config_revision) = (version.revision, version.config_revision);
+        // A configuration version that was superseded is only recorded; the one in force stays.
+        let is_repeat =
+            matches!(pending.change, Change::ReplaceConfig { .. }) && config_revision != revision;
+        let outcome = Outcome::Accepted { revision, config_revision, is_repeat };
+        self.replies.push(PlannedReply { ticket: pending.ticket, outcome });
+        self.latest = Arc::new(version);
+        self.versions.push(self.latest.clone());
+    }
+
+    /// Whether another change fits, if it is as large as those so far on average.
+    fn has_room(&self) -> bool {
+        let mean = self.bytes / self.versions.len().max(1);
+        self.unproven.len() < MAX_QUEUED_OPERATIONS
+            && self.versions.len() < MAX_BATCH_CHANGES
+            && self.bytes + mean <= MAX_BATCH_BYTES
+    }
+}
+
+impl Replica {
+    /// The accepted value was just seen as committed. The round's operation is applied to it now, under the
+    /// ballot if there is one; and so are the queued operations.
+    pub(super) fn continue_from_committed(
+        &mut self,
+        now: Duration,
+        ballot: Option<Ballot>,
+        effects: &mut Vec<Effect>,
+    ) {
+        // Whether the round began after its operation was asked for.
+        let mut is_own_round = true;
+        loop {
+            let round = self.round.take().or_else(|| {
+                is_own_round = false;
+                self.next_round_under(ballot, now)
+            });
+            let Some(mut round) = round else { return };
+            let Some((accepted, value)) = self.accepted_value() else {
+                return;
+            };
+            let (accepted, value) = (*accepted, value.clone());
+            let mut versions = match round.operation {
+                Operation::Change(pending) if ballot.is_some() => {
+                    let batch = self.build_batch(pending, &value, &accepted, is_own_round, effects);
+                    if batch.versions.is_empty() {
+                        // What is left in the queue takes a round of its own.
+                        return;
+                    }
+                    round.operation = Operation::Batch { replies: batch.replies };
+                    batch.versions
+                }
+                // A write that came here by a query still needs a ballot.
+                Operation::Change(_) => Vec::new(),
+                Operation::Replace(ref replacement) => {
+                    replacement_version(&round, replacement, &value, &accepted)
+                }
+                _ => {
+                    self.finish_read(round, effects);
+                    continue;
+                }
+            };
+            let Some(ballot) = ballot else {
+                self.prepare(&mut round, effects);
+                self.round = Some(round);
+                return;
+            };
+            if let Some(latest) = versions.pop() {
+                let proposal = self.propose(&mut round, ballot, latest, versions, effects);
+                round.phase = Phase::Proposing(proposal);
+                self.round = Some(round);
+                return self.advance(now, effects);
+            }
+        }
+    }
+
+    /// The next queued operation, if it may be carried out under this ballot. A replacement asks whoever has
+    /// to accept it for a promise first: a member table that too few can accept would block all that comes
+    /// after it. A read takes a round that began after it was asked for: under this ballot another store may
+    /// have committed more by then (incident 0011).
+    fn next_round_under(&mut self, ballot: Option<Ballot>, now: Duration) -> Option<Round> {
+        let ballot = ballot?;
+        // This replica may have promised a higher ballot since.
+        if self.state.promised != ballot {
+            return None;
+        }
+        match self.queue.pop_front()? {
+            operation @ (Operation::Replace(_)
+            | Operation::ReadIndex { .. }
+            | Operation::Read { .. }
+            | Operation::History { .. }) => {
+                self.queue.push_front(operation);
+                None
+            }
+            operation => Some(Round { attempts: 1, ..Round::new(operation, now) }),
+        }
+    }
+
+    /// Applies a change and all other queued ones, one version after the other, to be proposed in one round.
+    ///
+    /// A change that makes no version rests on what was seen as committed: it is answered at once if it is
+    /// the first and the round began after it was asked for (`is_own_round`), else when a version of the
+    /// batch is committed. If none is made, it goes back to the queue, for a round of its own: another store
+    /// may have committed more since this one began (incident 0011).
+    fn build_batch(
+        &mut self,
+        first: PendingChange,
+        value: &Arc<Value>,
+        accepted: &AcceptedProposal,
+        is_own_round: bool,
+        effects: &mut Vec<Effect>,
+    ) -> Batch {
+        let mut builder = BatchBuilder {
+            latest: value.clone(),
+            latest_accepted: *accepted,
+            versions: Vec::new(),
+            replies: Vec::new(),
+            bytes: 0,
+            unproven: Vec::new(),
+        };
+        let mut is_proven = is_own_round;
+        let mut next = Some(first);
+        while let Some(pending) = next.take() {
+            let latest = &builder.latest;
+            let judgement = self.retransmissions.judge(
+                latest,
+                &pending.change,
+                pending.keyless_since,
+                self.now,
+            );
+            let is_known = latest.known_write(&pending.key).is_some();
+            if judgement == Judgement::Undecided && !is_known {
+                // The change that it may repeat is in the same batch.
+                self.undecided.push_back(Operation::Change(pending));
+                next = self.next_queued_change();
+                continue;
+            }
+            let request = KeyedChange {
+                key: &pending.key,
+                is_generated: pending.keyless_since.is_some(),
+                change: &pending.change,
+                judgement,
+            };
+            match apply_change(latest, &builder.latest_accepted, &request) {
+                Err(outcome) if is_proven => {
+                    let response = Response::Outcome(outcome);
+                    effects.push(Effect::Reply { ticket: pending.ticket, response });
+                }
+                Err(outcome) => {
+                    builder.replies.push(PlannedReply { ticket: pending.ticket, outcome });
+                    builder.unproven.push(Operation::Change(pending));
+                }
+                Ok(version) => {
+                    self.retransmissions.record(&pending.key, pending.keyless_since, self.now);
+                    builder.push(&pending, version);
+                }
+            }
+            is_proven = false;
+            if builder.has_room() {
+                next = self.next_queued_change();
+            }
+        }
+        let BatchBuilder { versions, mut replies, unproven, .. } = builder;
+        if versions.is_empty() {
+            replies.clear();
+            for operation in unproven.into_iter().rev() {
+                self.queue.push_front(operation);
+            }
+        }
+        Batch { versions, replies }
+    }
+
+    fn next_queued_change(&mut self) -> Option<PendingChange> {
+        let is_change = |operation: &Operation| matches!(operation, Operation::Change(_));
+        let index = self.queue.iter().position(is_change)?;
+        match self.queue.remove(index) {
+            Some(Operation::Change(pending)) => Some(pending),
+            _ => None,
+        }
+    }
+
+    /// Sends the committed version, under its own ballot, to the replicas that a repair found behind.
+    pub(super) fn repair_replicas(
+        &mut self,
+        committed: AcceptedProposal,
+        statuses: &BTreeMap<u64, ReplicaStatus>,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(value) = self.value.clone() else {
+            return;
+        };
+        let from = self.own_incarnation();
+        for (incarnation, status) in statuses {
+            if *incarnation != from
+                && is_member(&value.members, *incarnation)
+                && status.accepted.is_none_or(|theirs| theirs.rank() < committed.rank())
+            {
+                let (value, batch) = ((*value).clone(), cloned_values(&self.batch));
+                let request = Request::Accept { from, ballot: committed.ballot, value, batch };
+                let call = self.send(*incarnation, request, effects);
+                self.background_calls.insert(call, BackgroundCall::Repair);
+            }
+        }
+    }
+}
+
+/// The version that a replacement makes; none where the member is back: it has promised this round's ballot.
+fn replacement_version(
+    round: &Round,
+    replacement: &Replacement,
+    value: &Value,
+    accepted: &AcceptedProposal,
+) -> Vec<Arc<Value>> {
+    match replacement.replaced {
+        Some(replaced) if round.promised_by.contains(&replaced) => Vec::new(),
+        _ => apply_replacement(value, accepted, replacement).into_iter().collect(),
+    }
+}
--- a/store/src/consensus/reader.rs
+++ b/store/src/consensus/reader.rs
@@ -1,61 +1,75 @@
-//! Reads: rounds that ask what is chosen, and what is told of them (design 6.2).
+//! Reads (design 6.2, 5.8): queries of what is committed, and the answers to operators' requests. A read is
+//! linearizable because it is answered by a round that began after the request came, as Raft's read index
+//! (Ongaro 2014, section 6.4).
 
-use super::{Copy, Effect, Job, Op, Phase, Replica};
-use crate::protocol::{Outcome, Request, Response, member_incarnations};
+use super::event::Effect;
+use super::quorum::member_incarnations;
+use super::replica::Replica;
+use super::round::{Operation, PendingChange, Phase, PlannedReply, ReplicaStatus, Round};
+use crate::protocol::{Outcome, Request, Response};
+use crate::value::VersionId;
 use std::collections::BTreeMap;
 
 impl Replica {
-    pub(super) fn query(&mut self, job: &mut Job, effects: &mut Vec<Effect>) {
-        job.open.clear();
-        let (accepted, blank) = (self.state.accepted, self.is_blank());
-        let own = Copy { accepted, blank, founders: self.identity.bootstrap_size };
-        let states = BTreeMap::from([(self.own(), own)]);
-        let others = match &job.op {
-            Op::Genesis { seats } => {
-                member_incarnations(seats).filter(|one| *one != self.own()).collect()
+    /// Begins a round by asking all members for their accepted proposals.
+    pub(super) fn query(&mut self, round: &mut Round, effects: &mut Vec<Effect>) {
+        round.in_flight.clear();
+        let own = ReplicaStatus {
+            accepted: self.state.accepted,
+            is_empty: self.is_empty(),
+            bootstrap_size: self.identity.bootstrap_size,
+        };
+        let statuses = BTreeMap::from([(self.own_incarnation(), own)]);
+        let others = match &round.operation {
+            Operation::Bootstrap { members } => {
+                let others = member_incarnations(members);
+                others.filter(|one| *one != self.own_incarnation()).collect()
             }
-            _ => self.others(),
+            _ => self.other_members(),
         };
         for incarnation in others {
-            let call = self.call(incarnation, Request::QueryStatus, effects);
-            job.open.insert(call, incarnation);
+            let call = self.send(incarnation, Request::QueryStatus, effects);
+            round.in_flight.insert(call, incarnation);
         }
-        job.phase = Phase::Querying { states };
+        round.phase = Phase::Querying { statuses };
     }
 
-    pub(super) fn finish_read(&mut self, job: Job, effects: &mut Vec<Effect>) {
-        match job.op {
-            Op::Read { tickets } => {
+    /// Answers the reads of a round that has shown the accepted value as committed.
+    pub(super) fn finish_read(&mut self, round: Round, effects: &mut Vec<Effect>) {
+        match round.operation {
+            Operation::Read { tickets } => {
                 if let Some(value) = &self.value {
                     for ticket in tickets {
                         let outcome = Outcome::Value { value: (**value).clone() };
-                        effects
-                            .push(Effect::Reply { ticket, response: Response::Outcome(outcome) });
+                        let response = Response::Outcome(outcome);
+                        effects.push(Effect::Reply { ticket, response });
                     }
                 }
             }
-            Op::Floor { tickets } => {
-                // What was just seen as chosen is what this copy holds.
+            Operation::ReadIndex { tickets } => {
                 let revision = self.value.as_ref().map(|value| value.revision);
                 for ticket in tickets {
                     effects.push(Effect::Reply { ticket, response: Response::ReadIndex(revision) });
                 }
             }
-            Op::History { ticket, revision } => self.answer_history(ticket, revision, effects),
+            Operation::History { ticket, revision } => {
+                self.reply_history(ticket, revision, effects)
+            }
             _ => {}
         }
     }
 
-    pub(super) fn answer_history(&mut self, ticket: u64, revision: u64, effects: &mut Vec<Effect>) {
-        let (chain, missing) = self.chain();
-        let latest = self.chosen.map_or(0, |meta| meta.revision);
-        if let Some((revision, digest)) = chain.iter().find(|(one, _)| *one == revision) {
-            let versions = vec![(*revision, *digest)];
+    /// Answers a request for an earlier version from its file.
+    pub(super) fn reply_history(&mut self, ticket: u64, revision: u64, effects: &mut Vec<Effect>) {
+        let chain = self.committed_chain();
+        let latest = self.committed_revision();
+        if let Some(id) = chain.versions.iter().find(|id| id.revision == revision) {
+            let versions = vec![*id];
             effects.push(Effect::ReplyFromDisk { ticket, versions, as_outcome: true });
             return;
         }
-        let outcome = match missing {
-            Some((at, _)) if revision <= at => {
+        let outcome = match chain.missing {
+            Some(VersionId { revision: missing, .. }) if revision <= missing => {
                 Outcome::NotApplied { reason: "this copy is still catching up".to_string() }
             }
             _ => Outcome::NoSuchRevision { latest },
@@ -63,46 +77,55 @@
         effects.push(Effect::Reply { ticket, response: Response::Outcome(outcome) });
     }
 
-    pub(super) fn answer(&self, op: &Op, outcome: Outcome, effects: &mut Vec<Effect>) {
-        match op {
-            Op::Change { ticket, .. } | Op::History { ticket, .. } => {
-                let tell = Response::Outcome(outcome);
-                effects.push(Effect::Reply { ticket: *ticket, response: tell });
+    /// Answers all requests of an operation with this outcome.
+    pub(super) fn reply_outcome(
+        &self,
+        operation: &Operation,
+        outcome: Outcome,
+        effects: &mut Vec<Effect>,
+    ) {
+        match operation {
+            Operation::Change(PendingChange { ticket, .. }) | Operation::History { ticket, .. } => {
+                let response = Response::Outcome(outcome);
+                effects.push(Effect::Reply { ticket: *ticket, response });
             }
-            Op::Read { tickets } => {
+            Operation::Read { tickets } => {
                 for ticket in tickets {
-                    let tell = Response::Outcome(outcome.clone());
-                    effects.push(Effect::Reply { ticket: *ticket, response: tell });
+                    let response = Response::Outcome(outcome.clone());
+                    effects.push(Effect::Reply { ticket: *ticket, response });
                 }
             }
-            Op::Batch { receipts } => {
-                // Of those that were proposed nobody can tell; the others made no change.
-                for (ticket, planned) in receipts {
-                    let is_refused = matches!(
-                        planned,
-                        Outcome::Conflict { .. }
-                            | Outcome::KeyReused { .. }
-                            | Outcome::VersionTaken { .. }
-                            | Outcome::NotApplied { .. }
-                    );
-                    let why = "another change was in the way".to_string();
-                    let outcome = match &outcome {
-                        Outcome::Unknown if is_refused => Outcome::NotApplied { reason: why },
-                        other => other.clone(),
-                    };
-                    let tell = Response::Outcome(outcome);
-                    effects.push(Effect::Reply { ticket: *ticket, response: tell });
+            Operation::Batch { replies } => {
+                for reply in replies {
+                    let response = Response::Outcome(batch_outcome(reply, &outcome));
+                    effects.push(Effect::Reply { ticket: reply.ticket, response });
                 }
             }
-            Op::Floor { tickets } => {
+            Operation::ReadIndex { tickets } => {
                 for ticket in tickets {
-                    effects.push(Effect::Reply {
-                        ticket: *ticket,
-                        response: Response::ReadIndex(None),
-                    });
+                    let response = Response::ReadIndex(None);
+                    effects.push(Effect::Reply { ticket: *ticket, response });
                 }
             }
-            Op::Sweep | Op::Seat(_) | Op::Genesis { .. } => {}
+            Operation::Repair | Operation::Replace(_) | Operation::Bootstrap { .. } => {}
+        }
+    }
+}
+
+/// The outcome for one change of a batch that was not committed. Of a change that was proposed nobody knows;
+/// one that was to be rejected made no change.
+fn batch_outcome(planned: &PlannedReply, outcome: &Outcome) -> Outcome {
+    let is_rejected = matches!(
+        planned.outcome,
+        Outcome::Conflict { .. }
+            | Outcome::KeyReused { .. }
+            | Outcome::VersionTaken { .. }
+            | Outcome::NotApplied { .. }
+    );
+    match outcome {
+        Outcome::Unknown if is_rejected => {
+            Outcome::NotApplied { reason: "another change was in the way".to_string() }
         }
+        other => other.clone(),
     }
 }
--- /dev/null
+++ b/store/src/consensus/replica.rs
@@ -0,0 +1,434 @@
+//! The replica of one store: its state, the dispatch of events, and the timers.
+
+use super::bootstrap::BOOTSTRAP_CHECK_INTERVAL;
+use super::event::{Effect, Event, HardState, Identity, LiveStore, RecoveredState, StoredVersion};
+use super::liveness::{MemberLiveness, OpenPing};
+use super::quorum::{member_incarnations, slot_of};
+use super::replacement::{REPLACEMENT_CHECK_INTERVAL, REPLACEMENT_RETRY_INTERVAL};
+use super::round::{Operation, Phase, Round};
+use crate::protocol::{MembershipSnapshot, Outcome, Request};
+use crate::retransmission::RetransmissionFilter;
+use crate::value::{AcceptedProposal, BOOTSTRAP_BALLOT, MemberTable, Value, VersionId};
+use std::collections::{BTreeMap, VecDeque};
+use std::sync::Arc;
+use std::time::Duration;
+use vanepath_cluster::wire::DiskStatus;
+
+/// Operations that wait at one time.
+pub(super) const MAX_QUEUED_OPERATIONS: usize = 256;
+/// Interval of repair rounds at the proposing store; the others run half as many.
+const REPAIR_INTERVAL: Duration = Duration::from_secs(3);
+/// Interval of repair rounds until the first one has shown what is committed.
+const FIRST_REPAIR_INTERVAL: Duration = Duration::from_millis(150);
+/// Interval at which missing versions are fetched.
+const FETCH_INTERVAL: Duration = Duration::from_millis(200);
+/// Without a tick for so long the process itself stood still.
+const FREEZE_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// A store's replica of the register: a pure state machine.
+#[derive(Clone, Debug)]
+pub struct Replica {
+    pub(super) identity: Identity,
+    /// What is on disk, or in an effect before the next reply.
+    pub(super) state: HardState,
+    /// The accepted value; `None` where its file is damaged.
+    pub(super) value: Option<Arc<Value>>,
+    /// The versions that were proposed with the accepted value in one round, the oldest first.
+    pub(super) batch: Vec<Arc<Value>>,
+    /// The version files, by revision.
+    pub(super) stored_versions: BTreeMap<u64, Vec<StoredVersion>>,
+    /// The highest proposal known as committed whose value this replica holds.
+    pub(super) committed: Option<AcceptedProposal>,
+    /// The highest committed revision that gossip has heard of.
+    pub(super) heard_revision: u64,
+    pub(super) live_stores: Vec<LiveStore>,
+    pub(super) round: Option<Round>,
+    pub(super) queue: VecDeque<Operation>,
+    next_call: u64,
+    /// Calls beside the round, by number.
+    pub(super) background_calls: BTreeMap<u64, BackgroundCall>,
+    /// The last membership snapshots of others, by incarnation.
+    pub(super) snapshots: BTreeMap<u64, MembershipSnapshot>,
+    pub(super) open_pings: BTreeMap<u64, OpenPing>,
+    pub(super) liveness: BTreeMap<u64, MemberLiveness>,
+    /// Due times of the timers.
+    pub(super) repair_at: Duration,
+    pub(super) fetch_at: Duration,
+    pub(super) membership_query_at: Duration,
+    pub(super) ping_at: Duration,
+    replacement_check_at: Duration,
+    last_tick_at: Duration,
+    /// The time of the current step.
+    pub(super) now: Duration,
+    pub(super) retransmissions: RetransmissionFilter,
+    /// Changes of which it is not decided yet whether they are retransmissions (design 6.10).
+    pub(super) undecided: VecDeque<Operation>,
+    /// Since when others are known to hold a higher revision.
+    pub(super) behind_since: Option<Duration>,
+    /// Which member is asked next for a missing version.
+    fetch_turn: usize,
+    disk_failed: bool,
+    /// Another replica said that this disk is not a member (any more).
+    pub(super) is_removed: bool,
+    /// A quorum showed that this disk is not a member: it is being reset.
+    pub(super) is_resetting: bool,
+}
+
+/// A call beside the round.
+#[derive(Clone, Copy, Debug)]
+pub(super) enum BackgroundCall {
+    Fetch(VersionId),
+    Membership,
+    Repair,
+}
+
+/// A replica's state for status pages and gossip.
+#[derive(Clone, Debug)]
+pub struct Summary {
+    /// The member slot that this disk holds.
+    pub slot: Option<usize>,
+    /// Incarnation of its disk.
+    pub incarnation: u64,
+    /// Whether its settings let it take part in the bootstrap.
+    pub may_bootstrap: bool,
+    /// Whether it votes and takes requests.
+    pub is_voting: bool,
+    /// Whether its disk holds no value.
+    pub is_empty: bool,
+    /// Why it votes or does not, for the operator.
+    pub reason: &'static str,
+    /// Number of the highest ballot promised.
+    pub promised: u64,
+    /// Revision accepted last.
+    pub accepted: u64,
+    /// Highest revision known as committed.
+    pub committed: u64,
+    /// A quorum was asked since the start, so that the committed revision is known.
+    pub synced: bool,
+    /// Number of version files.
+    pub versions: usize,
+    /// The member table of the accepted value.
+    pub members: MemberTable,
+}
+
+impl Summary {
+    /// The part of the summary that gossip announces.
+    pub fn disk(&self) -> DiskStatus {
+        DiskStatus {
+            incarnation: self.incarnation,
+            may_bootstrap: self.may_bootstrap,
+            slot: self.slot.map(|slot| slot as u8),
+        }
+    }
+}
+
+impl Replica {
+    /// A replica that has just started, with what its disk holds.
+    pub fn new(identity: Identity, recovered: RecoveredState, now: Duration) -> Replica {
+        let mut stored_versions: BTreeMap<u64, Vec<StoredVersion>> = BTreeMap::new();
+        for version in recovered.versions {
+            stored_versions.entry(version.id.revision).or_default().push(version);
+        }
+        let mut retransmissions = RetransmissionFilter::default();
+        if let Some(value) = &recovered.value {
+            retransmissions.observe(value, now);
+        }
+        Replica {
+            identity,
+            state: recovered.state,
+            value: recovered.value,
+            batch: recovered.batch,
+            stored_versions,
+            committed: None,
+            heard_revision: 0,
+            live_stores: Vec::new(),
+            round: None,
+            queue: VecDeque::new(),
+            next_call: 0,
+            background_calls: BTreeMap::new(),
+            snapshots: BTreeMap::new(),
+            open_pings: BTreeMap::new(),
+            liveness: BTreeMap::new(),
+            repair_at: now,
+            fetch_at: now,
+            membership_query_at: now,
+            ping_at: now,
+            replacement_check_at: now,
+            last_tick_at: now,
+            now,
+            retransmissions,
+            undecided: VecDeque::new(),
+            behind_since: None,
+            fetch_turn: 0,
+            disk_failed: false,
+            is_removed: false,
+            is_resetting: false,
+        }
+    }
+
+    /// Whether the disk holds no value.
+    pub fn is_empty(&self) -> bool {
+        self.state.accepted.is_none()
+    }
+
+    /// Whether it holds the bootstrap value without knowing that all members do: whoever finds out that they
+    /// do asks for a higher ballot (design 6.4).
+    pub(super) fn is_bootstrapping(&self) -> bool {
+        let has_bootstrap_value =
+            self.state.accepted.is_some_and(|accepted| accepted.ballot == BOOTSTRAP_BALLOT);
+        has_bootstrap_value && self.state.promised <= BOOTSTRAP_BALLOT
+    }
+
+    pub(super) fn members(&self) -> MemberTable {
+        self.value.as_ref().map(|value| value.members.clone()).unwrap_or_default()
+    }
+
+    pub(super) fn own_slot(&self) -> Option<usize> {
+        slot_of(&self.value.as_ref()?.members, self.state.incarnation)
+    }
+
+    pub(super) fn own_incarnation(&self) -> u64 {
+        self.state.incarnation
+    }
+
+    pub(super) fn accepted_revision(&self) -> u64 {
+        self.state.accepted.map_or(0, |accepted| accepted.revision)
+    }
+
+    pub(super) fn committed_revision(&self) -> u64 {
+        self.committed.map_or(0, |committed| committed.revision)
+    }
+
+    /// Whether this disk must not vote any more, or not until it is reset.
+    pub(super) fn has_lost_disk(&self) -> bool {
+        self.disk_failed || self.is_resetting
+    }
+
+    /// Whether it takes operators' requests, and is known to be a member.
+    pub(super) fn is_voting(&self) -> bool {
+        !self.has_lost_disk()
+            && !self.is_removed
+            && !self.is_bootstrapping()
+            && self.accepted_value().is_some()
+    }
+
+    /// The accepted proposal, where its value is readable too.
+    pub(super) fn accepted_value(&self) -> Option<(&AcceptedProposal, &Arc<Value>)> {
+        self.state.accepted.as_ref().zip(self.value.as_ref())
+    }
+
+    fn status_reason(&self) -> &'static str {
+        if self.disk_failed {
+            "its disk failed"
+        } else if self.is_removed || self.is_resetting {
+            "its seat went to another disk"
+        } else if self.is_empty() {
+            "its disk is empty and waits for a seat"
+        } else if self.is_bootstrapping() {
+            "not all stores hold the beginning of the word yet"
+        } else if self.value.is_none() {
+            "the file of its latest version is damaged and being fetched"
+        } else {
+            "it holds its seat"
+        }
+    }
+
+    /// What this replica holds and whether it votes.
+    pub fn summary(&self) -> Summary {
+        Summary {
+            slot: self.own_slot(),
+            incarnation: self.state.incarnation,
+            may_bootstrap: self.identity.bootstrap_size > 0,
+            is_voting: self.is_voting(),
+            is_empty: self.is_empty(),
+            reason: self.status_reason(),
+            promised: self.state.promised.number,
+            accepted: self.accepted_revision(),
+            committed: self.committed_revision(),
+            synced: self.committed.is_some(),
+            versions: self.stored_versions.values().map(Vec::len).sum(),
+            members: self.members(),
+        }
+    }
+
+    /// Handles one event. `now` is the time since some fixed moment and never goes back. The effects must be
+    /// carried out in order.
+    pub fn step(&mut self, now: Duration, event: Event) -> Vec<Effect> {
+        let mut effects = Vec::new();
+        self.now = now;
+        match event {
+            Event::Tick => self.on_tick(now, &mut effects),
+            Event::RequestReceived { ticket, request } => {
+                self.on_request(now, ticket, request, &mut effects)
+            }
+            Event::ResponseReceived { call, response } => {
+                self.on_response(now, call, response, &mut effects)
+            }
+            Event::LiveStores(live_stores) => self.live_stores = live_stores,
+            Event::RevisionHeard { revision } => {
+                self.heard_revision = self.heard_revision.max(revision)
+            }
+            Event::Reset(recovered) => self.start_over(recovered, now),
+            Event::DiskFailed => self.on_disk_failed(&mut effects),
+            Event::DiskRecovered(recovered) => {
+                if self.disk_failed {
+                    self.start_over(recovered, now);
+                    effects.push(Effect::log("the disk works again"));
+                }
+            }
+            Event::VersionDamaged(id) => {
+                if let Some(list) = self.stored_versions.get_mut(&id.revision) {
+                    list.retain(|version| version.id.digest != id.digest);
+                }
+                let text = format!("the file of revision {} is damaged", id.revision);
+                effects.push(Effect::Log(text));
+            }
+        }
+        self.start_next_round(now, &mut effects);
+        effects
+    }
+
+    fn on_disk_failed(&mut self, effects: &mut Vec<Effect>) {
+        if !self.disk_failed {
+            self.disk_failed = true;
+            effects.push(Effect::log("the disk failed; this store stops voting"));
+            self.fail_all_operations("the disk failed", effects);
+        }
+    }
+
+    pub(super) fn may_start_round(&self) -> bool {
+        self.round.is_none() && !self.disk_failed
+    }
+
+    /// As after a restart, with what the disk holds; call numbers go on, so that responses to earlier calls
+    /// are ignored.
+    fn start_over(&mut self, recovered: RecoveredState, now: Duration) {
+        let mut next = Replica::new(self.identity.clone(), recovered, now);
+        next.next_call = self.next_call;
+        next.heard_revision = self.heard_revision;
+        next.live_stores = std::mem::take(&mut self.live_stores);
+        *self = next;
+    }
+
+    /// Answers all pending requests that nothing was done.
+    pub(super) fn fail_all_operations(&mut self, reason: &str, effects: &mut Vec<Effect>) {
+        if let Some(round) = self.round.take() {
+            self.fail_round(round, reason, effects);
+        }
+        let undecided = std::mem::take(&mut self.undecided);
+        for operation in std::mem::take(&mut self.queue).into_iter().chain(undecided) {
+            let outcome = Outcome::NotApplied { reason: reason.to_string() };
+            self.reply_outcome(&operation, outcome, effects);
+        }
+    }
+
+    fn on_tick(&mut self, now: Duration, effects: &mut Vec<Effect>) {
+        let last_tick_at = std::mem::replace(&mut self.last_tick_at, now);
+        if now.saturating_sub(last_tick_at) > FREEZE_TIMEOUT {
+            // This process stood still itself: unanswered pings say nothing about others.
+            self.forget_unanswered_pings();
+        }
+        self.recheck_undecided(effects);
+        if self.has_lost_disk() {
+            return;
+        }
+        self.retry_after_backoff(now, effects);
+        if now >= self.repair_at && self.round.is_none() && self.queue.is_empty() {
+            self.enqueue_periodic_operation(now);
+        }
+        self.query_membership(now, effects);
+        self.ping_members(now, effects);
+        if now >= self.replacement_check_at && self.is_voting() && self.is_preferred_proposer(now) {
+            let is_any_lost = self.enqueue_replacements(now);
+            self.replacement_check_at = now
+                + match is_any_lost {
+                    true => REPLACEMENT_RETRY_INTERVAL,
+                    false => REPLACEMENT_CHECK_INTERVAL,
+                };
+        }
+        if now >= self.fetch_at && !self.is_empty() {
+            self.fetch_at = now + FETCH_INTERVAL;
+            self.fetch_missing_version(effects);
+        }
+    }
+
+    fn retry_after_backoff(&mut self, now: Duration, effects: &mut Vec<Effect>) {
+        let is_due =
+            |round: &mut Round| matches!(round.phase, Phase::BackingOff { until } if now >= until);
+        if let Some(mut round) = self.round.take_if(is_due) {
+            self.prepare(&mut round, effects);
+            self.round = Some(round);
+            self.advance(now, effects);
+        }
+    }
+
+    /// Bootstrap or repair, as far as it is this store's turn.
+    fn enqueue_periodic_operation(&mut self, now: Duration) {
+        if self.is_empty() {
+            self.enqueue_bootstrap();
+            self.repair_at = now + BOOTSTRAP_CHECK_INTERVAL;
+        } else if self.is_bootstrapping() {
+            if self.is_preferred_proposer(now) {
+                self.queue.push_back(Operation::Bootstrap { members: self.members() });
+            }
+            self.repair_at = now + REPAIR_INTERVAL / 8;
+        } else if self.is_voting() {
+            let is_behind = self.committed_revision() < self.heard_revision;
+            let is_preferred = self.is_preferred_proposer(now);
+            if is_preferred || self.committed.is_none() || is_behind {
+                self.queue.push_back(Operation::Repair);
+                let factor = if is_preferred { 1 } else { 2 };
+                // Until the committed version is known no node uses what this replica holds.
+                self.repair_at = now
+                    + match self.committed {
+                        Some(_) => REPAIR_INTERVAL * factor,
+                        None => FIRST_REPAIR_INTERVAL,
+                    };
+            }
+        }
+    }
+
+    /// Asks one of the others, in turn, for the first version that is missing here.
+    fn fetch_missing_version(&mut self, effects: &mut Vec<Effect>) {
+        let missing = match (&self.value, self.state.accepted) {
+            (None, Some(accepted)) => Some(accepted.version()),
+            (_, Some(accepted)) => self.chain_from(accepted.version()).missing,
+            _ => None,
+        };
+        if self.background_calls.is_empty()
+            && let Some(id) = missing
+        {
+            self.fetch_turn = self.fetch_turn.wrapping_add(1);
+            let others = self.other_members();
+            if let Some(incarnation) = others.get(self.fetch_turn % others.len().max(1)) {
+                let VersionId { revision, digest } = id;
+                let call = self.send(*incarnation, Request::Fetch { revision, digest }, effects);
+                self.background_calls.insert(call, BackgroundCall::Fetch(id));
+            }
+        }
+    }
+
+    /// The other members, or, where the member table is not readable, all live stores that hold a value.
+    pub(super) fn other_members(&self) -> Vec<u64> {
+        let own = self.own_incarnation();
+        match &self.value {
+            Some(value) => member_incarnations(&value.members).filter(|one| *one != own).collect(),
+            None => {
+                let holders = self.live_stores.iter().filter(|store| !store.is_empty);
+                holders.map(|store| store.incarnation).filter(|one| *one != own).collect()
+            }
+        }
+    }
+
+    /// Sends a request; gives the number of the call.
+    pub(super) fn send(
+        &mut self,
+        incarnation: u64,
+        request: Request,
+        effects: &mut Vec<Effect>,
+    ) -> u64 {
+        self.next_call += 1;
+        effects.push(Effect::Send { call: self.next_call, incarnation, request });
+        self.next_call
+    }
+}
--- /dev/null
+++ b/store/src/consensus/round.rs
@@ -0,0 +1,142 @@
+//! Rounds: the operation that a replica carries out at one time, and the phase that it is in.
+
+use super::quorum;
+use crate::protocol::{Change, Outcome};
+use crate::value::{AcceptedProposal, Ballot, MemberTable, Value};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// What a round is for.
+#[derive(Clone, Debug)]
+pub(super) enum Operation {
+    /// An operator's write.
+    Change(PendingChange),
+    /// Read the committed value, for all requests that came before the round began.
+    Read { tickets: Vec<u64> },
+    /// Read the committed revision, likewise (design 5.8).
+    ReadIndex { tickets: Vec<u64> },
+    /// Read an earlier version.
+    History { ticket: u64, revision: u64 },
+    /// Repair (anti-entropy): find replicas that are behind, and complete proposals that are half accepted.
+    Repair,
+    /// Give a lost member's slot, or a vacant one, to an empty disk.
+    Replace(Replacement),
+    /// Bootstrap with these members, or find out whether all of them hold the bootstrap value.
+    Bootstrap { members: MemberTable },
+    /// Changes that were proposed, with what to answer once they are committed.
+    Batch { replies: Vec<PlannedReply> },
+}
+
+/// An operator's write that waits for its round.
+#[derive(Clone, Debug)]
+pub(super) struct PendingChange {
+    pub ticket: u64,
+    pub key: String,
+    pub change: Change,
+    /// For a change whose client gave no key: when the registry got the call.
+    pub keyless_since: Option<Duration>,
+}
+
+/// The answer to a request once the round's value is committed.
+#[derive(Clone, Debug)]
+pub(super) struct PlannedReply {
+    pub ticket: u64,
+    pub outcome: Outcome,
+}
+
+/// A member slot to be given to an empty disk.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) struct Replacement {
+    pub slot: usize,
+    /// The disk that is lost; `None`: the slot is vacant.
+    pub replaced: Option<u64>,
+    /// The store that gets the slot, and its disk.
+    pub name: String,
+    pub incarnation: u64,
+}
+
+/// What a replica answered to a query.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ReplicaStatus {
+    pub accepted: Option<AcceptedProposal>,
+    pub is_empty: bool,
+    pub bootstrap_size: usize,
+}
+
+/// An accepted value with its batch.
+#[derive(Clone, Debug)]
+pub(super) struct AcceptedValue {
+    pub accepted: AcceptedProposal,
+    pub value: Arc<Value>,
+    /// The versions that were proposed with it in one round, the oldest first.
+    pub batch: Vec<Arc<Value>>,
+}
+
+/// A proposal that members are asked to accept.
+#[derive(Clone, Debug)]
+pub(super) struct Proposal {
+    pub value: Arc<Value>,
+    pub accepted: AcceptedProposal,
+    /// Who has accepted it.
+    pub accepts: BTreeSet<u64>,
+}
+
+#[derive(Clone, Debug)]
+pub(super) enum Phase {
+    /// Asking for the accepted proposals, without a ballot.
+    Querying { statuses: BTreeMap<u64, ReplicaStatus> },
+    /// Asking all members to accept the bootstrap value; these have.
+    Bootstrapping { accepts: BTreeSet<u64> },
+    /// Paxos phase 1. `best` is the highest accepted proposal among the promises, which has to be built on.
+    Preparing {
+        ballot: Ballot,
+        asked: BTreeSet<u64>,
+        promises: BTreeMap<u64, AcceptedProposal>,
+        best: AcceptedValue,
+    },
+    /// Paxos phase 2 with a value that was accepted by some replica before.
+    Repairing(Proposal),
+    /// Paxos phase 2 with the value that the operation makes.
+    Proposing(Proposal),
+    /// Preempted; tries again at this time.
+    BackingOff { until: Duration },
+}
+
+#[derive(Clone, Debug)]
+pub(super) struct Round {
+    pub operation: Operation,
+    pub phase: Phase,
+    /// Calls of the phase that are in flight: their targets by call number.
+    pub in_flight: BTreeMap<u64, u64>,
+    pub attempts: u32,
+    /// The highest ballot by which this round was preempted.
+    pub preempted_by: Ballot,
+    /// Who promised the last ballot.
+    pub promised_by: BTreeSet<u64>,
+}
+
+impl Round {
+    pub fn new(operation: Operation, now: Duration) -> Round {
+        Round {
+            operation,
+            phase: Phase::BackingOff { until: now },
+            in_flight: BTreeMap::new(),
+            attempts: 0,
+            preempted_by: Ballot::default(),
+            promised_by: BTreeSet::new(),
+        }
+    }
+
+    /// Whether enough members have accepted a proposal of this round.
+    pub fn is_accepted(&self, proposal: &Proposal) -> bool {
+        match &self.operation {
+            Operation::Replace(replacement) => quorum::is_accepted_without(
+                &proposal.value,
+                &proposal.accepts,
+                replacement.incarnation,
+            ),
+            _ => quorum::is_accepted_by_quorum(&proposal.value, &proposal.accepts),
+        }
+    }
+}
--- /dev/null
+++ b/store/src/consensus/rounds.rs
@@ -0,0 +1,250 @@
+//! The progress of a round from phase to phase (design 6.2).
+
+use super::event::Effect;
+use super::quorum::{is_member, member_incarnations, quorum_size};
+use super::replica::Replica;
+use super::round::{AcceptedValue, Operation, Phase, Proposal, Round};
+use crate::protocol::{Outcome, Response};
+use crate::value::{AcceptedProposal, BOOTSTRAP_BALLOT};
+use std::time::Duration;
+
+/// What became of a phase.
+enum Progress {
+    /// Another phase has begun, and may be over already.
+    NextPhase,
+    /// The round waits for responses, or is over.
+    Stop,
+}
+
+impl Replica {
+    /// Goes on with the round as far as the responses allow.
+    pub(super) fn advance(&mut self, now: Duration, effects: &mut Vec<Effect>) {
+        while let Some(round) = self.round.take() {
+            let progress = match &round.phase {
+                Phase::BackingOff { .. } => self.wait(round),
+                Phase::Querying { .. } => self.advance_query(now, round, effects),
+                Phase::Bootstrapping { .. } => self.advance_bootstrap(now, round, effects),
+                Phase::Preparing { .. } => self.advance_prepare(now, round, effects),
+                Phase::Repairing(proposal) => {
+                    let proposal = proposal.clone();
+                    self.advance_repair(now, round, &proposal, effects)
+                }
+                Phase::Proposing(proposal) => {
+                    let proposal = proposal.clone();
+                    self.advance_proposal(now, round, &proposal, effects)
+                }
+            };
+            if matches!(progress, Progress::Stop) {
+                return;
+            }
+        }
+    }
+
+    fn wait(&mut self, round: Round) -> Progress {
+        self.round = Some(round);
+        Progress::Stop
+    }
+
+    /// A query is over once a majority holds the same proposal as this replica: then that is committed.
+    /// Where replicas differ, a prepare round settles which value counts.
+    fn advance_query(
+        &mut self,
+        now: Duration,
+        mut round: Round,
+        effects: &mut Vec<Effect>,
+    ) -> Progress {
+        let is_over = round.in_flight.is_empty();
+        let Phase::Querying { statuses } = &round.phase else { return self.wait(round) };
+        if matches!(round.operation, Operation::Bootstrap { .. }) {
+            if !is_over {
+                return self.wait(round);
+            }
+            let statuses = statuses.clone();
+            self.bootstrap(round, &statuses, effects);
+            return Progress::NextPhase;
+        }
+        let Some(value) = &self.value else {
+            self.fail_round(round, "no readable copy of the latest version", effects);
+            return Progress::Stop;
+        };
+        let members = &value.members;
+        let accepted = statuses.values().filter_map(|status| status.accepted);
+        let best = accepted.max_by_key(AcceptedProposal::rank);
+        let is_counted = |from: u64, accepted: Option<AcceptedProposal>| {
+            is_member(members, from) && accepted == best
+        };
+        let same =
+            statuses.iter().filter(|(from, status)| is_counted(**from, status.accepted)).count();
+        let majority = quorum_size(members);
+        // The bootstrap value is committed only once all members hold it.
+        let best = best.filter(|accepted| accepted.ballot > BOOTSTRAP_BALLOT);
+        let is_repair = matches!(round.operation, Operation::Repair);
+        if let Some(committed) = best
+            && best == self.state.accepted
+            && same >= majority
+        {
+            if is_repair && !is_over {
+                return self.wait(round);
+            }
+            self.commit(committed, effects);
+            if is_repair {
+                self.repair_replicas(committed, statuses, effects);
+            }
+            self.finish_read(round, effects);
+            self.continue_from_committed(now, None, effects);
+            return Progress::Stop;
+        }
+        if !is_over {
+            return self.wait(round);
+        }
+        if statuses.len() < majority {
+            self.fail_round(round, "no majority of stores replies", effects);
+            return Progress::Stop;
+        }
+        // Only the preferred proposer repairs: two would only preempt each other.
+        if is_repair && !self.is_preferred_proposer(now) {
+            return Progress::Stop;
+        }
+        if matches!(round.operation, Operation::ReadIndex { .. })
+            && !self.is_preferred_proposer(now)
+        {
+            self.fail_round(round, "the first store is settling it", effects);
+            return Progress::Stop;
+        }
+        self.prepare(&mut round, effects);
+        self.round = Some(round);
+        Progress::NextPhase
+    }
+
+    /// Once all members hold the bootstrap value it counts, and a ballot above its own records that on the
+    /// disks. Else the preferred proposer tries again later.
+    fn advance_bootstrap(
+        &mut self,
+        now: Duration,
+        mut round: Round,
+        effects: &mut Vec<Effect>,
+    ) -> Progress {
+        let (Phase::Bootstrapping { accepts }, Operation::Bootstrap { members }) =
+            (&round.phase, &round.operation)
+        else {
+            return self.wait(round);
+        };
+        let is_complete = member_incarnations(members).all(|one| accepts.contains(&one));
+        if !is_complete && !round.in_flight.is_empty() {
+            return self.wait(round);
+        }
+        if !is_complete || !self.is_preferred_proposer(now) {
+            return Progress::Stop;
+        }
+        round.operation = Operation::Repair;
+        self.prepare(&mut round, effects);
+        self.round = Some(round);
+        Progress::NextPhase
+    }
+
+    /// With promises of a majority, the highest accepted value among them is either committed already, or is
+    /// proposed again under the new ballot.
+    fn advance_prepare(
+        &mut self,
+        now: Duration,
+        mut round: Round,
+        effects: &mut Vec<Effect>,
+    ) -> Progress {
+        let Phase::Preparing { ballot, promises, best, .. } = &round.phase else {
+            return self.wait(round);
+        };
+        let ballot = *ballot;
+        let members = &best.value.members;
+        let majority = quorum_size(members);
+        let counted = promises.iter().filter(|(from, _)| is_member(members, **from));
+        if counted.clone().count() < majority || self.state.promised != ballot {
+            if !round.in_flight.is_empty() {
+                return self.wait(round);
+            }
+            self.back_off(now, round, effects);
+            return Progress::Stop;
+        }
+        let AcceptedValue { accepted, value, batch } = best.clone();
+        let same = counted.filter(|(_, theirs)| **theirs == accepted).count();
+        round.promised_by = promises.keys().copied().collect();
+        let is_accepted_here = self.state.accepted == Some(accepted);
+        if same >= majority && is_accepted_here && accepted.ballot > BOOTSTRAP_BALLOT {
+            self.commit(accepted, effects);
+            self.round = Some(round);
+            self.continue_from_committed(now, Some(ballot), effects);
+            return Progress::Stop;
+        }
+        let proposal = self.propose(&mut round, ballot, value, batch, effects);
+        round.phase = Phase::Repairing(proposal);
+        self.round = Some(round);
+        Progress::NextPhase
+    }
+
+    /// Once the earlier value is committed, the operation goes on from it. Not where this replica itself has
+    /// gone on to another proposer's ballot meanwhile: what it holds now is not what was just committed.
+    fn advance_repair(
+        &mut self,
+        now: Duration,
+        mut round: Round,
+        proposal: &Proposal,
+        effects: &mut Vec<Effect>,
+    ) -> Progress {
+        let ballot = proposal.accepted.ballot;
+        let is_committed = round.is_accepted(proposal);
+        let is_accepted_here =
+            self.state.promised == ballot && self.state.accepted == Some(proposal.accepted);
+        if is_committed {
+            self.commit(proposal.accepted, effects);
+        }
+        if is_committed && is_accepted_here {
+            self.round = Some(round);
+            self.continue_from_committed(now, Some(ballot), effects);
+            return Progress::Stop;
+        }
+        if !round.in_flight.is_empty() && !is_committed {
+            return self.wait(round);
+        }
+        round.preempted_by = round.preempted_by.max(self.state.promised);
+        self.back_off(now, round, effects);
+        Progress::Stop
+    }
+
+    /// Once the operation's value is committed its requests are answered.
+    fn advance_proposal(
+        &mut self,
+        now: Duration,
+        round: Round,
+        proposal: &Proposal,
+        effects: &mut Vec<Effect>,
+    ) -> Progress {
+        if round.is_accepted(proposal) {
+            self.commit(proposal.accepted, effects);
+            self.finish_proposal(round.operation, effects);
+            self.continue_from_committed(now, Some(proposal.accepted.ballot), effects);
+            return Progress::Stop;
+        }
+        if !round.in_flight.is_empty() {
+            return self.wait(round);
+        }
+        // Some replica may have accepted it, and its value may be committed later.
+        self.reply_outcome(&round.operation, Outcome::Unknown, effects);
+        Progress::Stop
+    }
+
+    fn finish_proposal(&mut self, operation: Operation, effects: &mut Vec<Effect>) {
+        match operation {
+            Operation::Replace(replacement) => {
+                let (slot, name) = (replacement.slot, replacement.name);
+                let text = format!("member slot {slot} is given to the empty disk of {name}");
+                effects.push(Effect::Log(text));
+            }
+            Operation::Batch { replies } => {
+                for reply in replies {
+                    let response = Response::Outcome(reply.outcome);
+                    effects.push(Effect::Reply { ticket: reply.ticket, response });
+                }
+            }
+            _ => {}
+        }
+    }
+}
--- /dev/null
+++ b/store/src/disk/error.rs
@@ -0,0 +1,60 @@
+//! Errors of the data folder.
+
+use std::path::PathBuf;
+
+/// Why the data folder cannot be used. The messages contain the cause, which is therefore no `source`.
+#[derive(Debug)]
+pub enum DiskError {
+    /// The folder or its lock file cannot be opened or created.
+    Open {
+        /// The data folder.
+        folder: PathBuf,
+        /// What the system said.
+        cause: std::io::Error,
+    },
+    /// Another process holds the folder's lock.
+    InUse {
+        /// The data folder.
+        folder: PathBuf,
+    },
+    /// Something in the folder cannot be read, or its first files cannot be written.
+    Read {
+        /// The data folder.
+        folder: PathBuf,
+        /// What the system said.
+        cause: std::io::Error,
+    },
+    /// A write or a sync was refused.
+    Write {
+        /// What the system said.
+        cause: std::io::Error,
+    },
+}
+
+impl DiskError {
+    pub(super) fn write(cause: std::io::Error) -> DiskError {
+        DiskError::Write { cause }
+    }
+}
+
+impl std::fmt::Display for DiskError {
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        match self {
+            DiskError::Open { folder, cause } => {
+                write!(formatter, "$.dataFolder: cannot use {}: {cause}", folder.display())
+            }
+            DiskError::InUse { folder } => {
+                let folder = folder.display();
+                write!(formatter, "$.dataFolder: {folder} is in use by another process")
+            }
+            DiskError::Read { folder, cause } => {
+                write!(formatter, "$.dataFolder: cannot read {}: {cause}", folder.display())
+            }
+            DiskError::Write { cause } => write!(formatter, "cannot write: {cause}"),
+        }
+    }
+}
+
+impl std::error::Error for DiskError {}
+
+impl miette::Diagnostic for DiskError {}
--- a/store/src/hints.rs
+++ b/store/src/hints.rs
@@ -1,70 +1,87 @@
-//! What a store writes down beside the word so that a fleet of which every process died finds itself
-//! again (design 6.8): where siblings were, and which servers were away or just back. Hints only:
-//! no vote and no answer rests on them, and a lost or old file does no harm. Pure.
+//! Hints for a restart of all nodes at one time (design 6.8): the addresses of other nodes, and which servers
+//! were unreachable or warming up. No vote and no answer rests on them, and a lost or old file does no harm.
+//! Pure.
 
-use std::collections::BTreeSet;
+use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
-use vanepath_cluster::{node::ClusterView, wire};
+use vanepath_cluster::node::ClusterView;
+use vanepath_cluster::wire::TrafficShiftPlan;
 
+/// The contents of the hints file. The name in `#[serde(rename = "...")]` is that of earlier versions.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Hints {
-    /// Where live siblings were: asked at the start, beside the seeds of the settings.
+    /// Addresses of nodes that were live: contacted at the start, beside the seeds of the settings.
     #[serde(rename = "siblings")]
     pub nodes: BTreeSet<SocketAddr>,
-    /// The last plan, for what it says of servers that are away or came back lately. Its ages stand
-    /// still while nobody runs, so that a cold server gets its modest rate rather too long.
-    pub plan: wire::TrafficShiftPlan,
+    /// The last traffic-shift plan, for the servers that are unreachable or were so lately. Its ages stand
+    /// still while nobody runs, so that a server that is warming up keeps its modest rate rather too long.
+    pub plan: TrafficShiftPlan,
 }
 
-/// Files written in any minute at the most, and the pause between two.
-const IN_A_MINUTE: usize = 12;
-const PAUSE: Duration = Duration::from_millis(500);
+/// Hints files written in any minute.
+const MAX_WRITES_PER_MINUTE: usize = 12;
+/// Shortest interval between two writes.
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(500);
 
+/// Decides when the hints are written.
 #[derive(Debug, Default)]
 pub struct HintWriter {
-    kept: Hints,
-    /// When the last files were written, oldest first.
-    written: std::collections::VecDeque<Duration>,
+    last: Hints,
+    /// When the files of the last minute were written, oldest first.
+    written_at: VecDeque<Duration>,
 }
 
 impl HintWriter {
-    /// Goes on from what the disk holds.
-    pub fn new(kept: Hints) -> HintWriter {
-        HintWriter { kept, written: Default::default() }
+    /// Starts with the hints that the disk holds.
+    pub fn new(stored: Hints) -> HintWriter {
+        HintWriter { last: stored, written_at: VecDeque::new() }
     }
 
-    /// What to write now, if anything.
+    /// The hints to write now, if they have changed and may be written again.
     pub fn step(&mut self, now: Duration, view: &ClusterView) -> Option<Hints> {
-        while self.written.front().is_some_and(|at| now >= *at + Duration::from_secs(60)) {
-            self.written.pop_front();
-        }
-        let is_too_soon = self.written.back().is_some_and(|at| now < *at + PAUSE);
-        if is_too_soon || self.written.len() >= IN_A_MINUTE || !view.is_fresh {
+        if !self.may_write(now) || !view.is_fresh {
             return None;
         }
-        let mut siblings: BTreeSet<SocketAddr> =
-            view.live.iter().skip(1).map(|(card, _)| card.cluster_address).collect();
-        // Who is not heard of may be back later than this store; he is forgotten in time.
-        siblings.extend(view.unreachable.iter().map(|(card, _)| card.cluster_address));
-        let last = &self.kept.plan;
-        let is_same_plan = last.version() >= view.plan.version()
-            || (last.unreachable == view.plan.unreachable
-                && last.warming_up.keys().eq(view.plan.warming_up.keys()));
-        // Nobody in sight is no reason to forget where the others were.
-        let is_same = siblings.is_empty() || siblings == self.kept.nodes;
-        if is_same && is_same_plan {
+        let nodes = other_nodes(view);
+        // Seeing no other node is no reason to forget where they were.
+        let are_nodes_same = nodes.is_empty() || nodes == self.last.nodes;
+        let is_plan_same = self.is_plan_same(&view.plan);
+        if are_nodes_same && is_plan_same {
             return None;
         }
-        if !is_same {
-            self.kept.nodes = siblings;
+        if !are_nodes_same {
+            self.last.nodes = nodes;
+        }
+        if !is_plan_same {
+            self.last.plan = (*view.plan).clone();
         }
-        if !is_same_plan {
-            self.kept.plan = (*view.plan).clone();
+        self.written_at.push_back(now);
+        Some(self.last.clone())
+    }
+
+    fn may_write(&mut self, now: Duration) -> bool {
+        while self.written_at.front().is_some_and(|at| now >= *at + Duration::from_secs(60)) {
+            self.written_at.pop_front();
         }
-        self.written.push_back(now);
-        Some(self.kept.clone())
+        let is_too_soon = self.written_at.back().is_some_and(|at| now < *at + MIN_WRITE_INTERVAL);
+        !is_too_soon && self.written_at.len() < MAX_WRITES_PER_MINUTE
     }
+
+    /// Whether a plan is not newer, or names the same servers.
+    fn is_plan_same(&self, plan: &TrafficShiftPlan) -> bool {
+        let last = &self.last.plan;
+        last.version() >= plan.version()
+            || (last.unreachable == plan.unreachable
+                && last.warming_up.keys().eq(plan.warming_up.keys()))
+    }
+}
+
+/// Addresses of all nodes but this one. A node that is not heard of may be back later than this store; gossip
+/// forgets it in time.
+fn other_nodes(view: &ClusterView) -> BTreeSet<SocketAddr> {
+    let live = view.live.iter().skip(1);
+    live.chain(&view.unreachable).map(|(info, _)| info.cluster_address).collect()
 }
 
 #[cfg(test)]
--- a/store/src/main.rs
+++ b/store/src/main.rs
@@ -1,14 +1,16 @@
-//! vanepath-store: the operator's word on disk.
+//! The program `vanepath-store`: keeps the operator's configuration on disk.
+
+use vanepath_cluster::node;
+use vanepath_config::settings::{self, Invocation, Role};
 
 fn main() -> miette::Result<()> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let role = vanepath_config::settings::Role::Store;
-    match vanepath_config::settings::start(role, &arguments)? {
-        vanepath_config::settings::Invocation::Print(text) => println!("{text}"),
-        vanepath_config::settings::Invocation::Run(settings) => {
-            vanepath_cluster::node::init_logging();
+    match settings::start(Role::Store, &arguments)? {
+        Invocation::Print(text) => println!("{text}"),
+        Invocation::Run(settings) => {
+            node::init_logging();
             let grace = settings.shutdown_grace;
-            vanepath_cluster::node::run_on_runtime(grace, vanepath_store::shell::run(*settings))?;
+            node::run_on_runtime(grace, vanepath_store::shell::run(*settings))?;
         }
     }
     Ok(())
--- a/store/src/protocol.rs
+++ b/store/src/protocol.rs
@@ -1,235 +1,40 @@
-//! What stores say to each other and to registries (design 6.2).
+//! Messages between stores and from registries to stores (design 6.2). The names in
+//! `#[serde(rename = "...")]` are the wire names of earlier versions: programs of two versions talk to each
+//! other while they are replaced one by one.
 
-pub type Digest = [u8; 32];
-
-/// Ballots are ordered and never used twice: the proposer's own disk promised it first.
-#[derive(
-    Clone,
-    Copy,
-    Debug,
-    Default,
-    PartialEq,
-    Eq,
-    PartialOrd,
-    Ord,
-    serde::Serialize,
-    serde::Deserialize,
-)]
-pub struct Ballot {
-    pub number: u64,
-    /// Of the proposer's disk.
-    pub incarnation: u64,
-}
-
-/// The ballot of the genesis value, whoever makes it: no proposer ever has it (design 6.4).
-pub const BOOTSTRAP_BALLOT: Ballot = Ballot { number: 1, incarnation: 0 };
-
-#[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Member {
-    /// The store's.
-    pub name: String,
-    /// The incarnation of the disk that holds the seat.
-    pub incarnation: u64,
-    /// Came after genesis: votes only once it has caught up from the others.
-    #[serde(rename = "admitted")]
-    pub joined_later: bool,
-}
-
-/// The seats in the order in which stores propose; `None`: vacant since a rescue.
-pub type MemberTable = Vec<Option<Member>>;
-
-pub fn slot_of(seats: &MemberTable, incarnation: u64) -> Option<usize> {
-    seats.iter().position(|seat| seat.as_ref().is_some_and(|one| one.incarnation == incarnation))
-}
-
-/// The incarnations that hold seats.
-pub fn member_incarnations(seats: &MemberTable) -> impl Iterator<Item = u64> {
-    seats.iter().flatten().map(|holder| holder.incarnation)
-}
-
-/// So many holders are a majority.
-pub fn quorum_size(seats: &MemberTable) -> usize {
-    member_incarnations(seats).count() / 2 + 1
-}
-
-/// One version of the operator's word.
-#[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Value {
-    pub revision: u64,
-    pub parent_revision: u64,
-    pub parent: Digest,
-    #[serde(rename = "setup_revision")]
-    pub config_revision: u64,
-    /// The highest version that a setup was taken under; 0: none.
-    #[serde(rename = "setup_version")]
-    pub config_version: u64,
-    #[serde(with = "serde_bytes")]
-    #[serde(rename = "setup")]
-    pub document: Vec<u8>,
-    #[serde(rename = "emptied")]
-    pub drained_zones: std::collections::BTreeSet<String>,
-    /// Orders to empty a zone that stand beside its first one (design 6.10); left out where there are
-    /// none, so that values written before there was a count read, and digest, as they were.
-    #[serde(default, skip_serializing_if = "std::collections::BTreeMap::is_empty")]
-    #[serde(rename = "further_orders")]
-    pub extra_drain_orders: std::collections::BTreeMap<String, u32>,
-    #[serde(rename = "seats")]
-    pub members: MemberTable,
-    /// So many versions before this one were proposed together with it, in one round.
-    #[serde(rename = "together")]
-    pub batched_before: u32,
-    /// The submissions behind the last writes, so that a repeat is known as one.
-    #[serde(rename = "keys")]
-    pub recent_writes: std::collections::VecDeque<IdempotencyRecord>,
-    /// Those before them whose keys are their callers', in short; left out where there are none, as above.
-    #[serde(default, skip_serializing_if = "crate::idempotency::OlderWrites::is_empty")]
-    #[serde(rename = "older_keys")]
-    pub older_writes: crate::idempotency::OlderWrites,
-    /// What the highest versions that were acknowledged say, as `Change::matter` tells it; left out where there
-    /// are none, as above.
-    #[serde(default, skip_serializing_if = "std::collections::BTreeMap::is_empty")]
-    #[serde(rename = "versions")]
-    pub version_hashes: std::collections::BTreeMap<u64, u64>,
-}
-
-/// The key of a write, what it asked for (by digest) and the revision that it made.
-#[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct IdempotencyRecord {
-    pub key: String,
-    #[serde(rename = "matter")]
-    pub content_hash: u64,
-    pub revision: u64,
-    #[serde(rename = "setup_revision")]
-    pub config_revision: u64,
-    /// A registry made the key: nobody else knows it.
-    #[serde(default, skip_serializing_if = "is_false")]
-    #[serde(rename = "is_made")]
-    pub is_generated: bool,
-}
-
-fn is_false(value: &bool) -> bool {
-    !value
-}
-
-/// So many of the last writes are known with all that was submitted. Under a key that a registry made a
-/// repeat comes within that registry's call at the stores, of a few seconds.
-pub const MAX_RECENT_WRITES: usize = 256;
-/// Of so many of the highest versions the content is known.
-pub const MAX_VERSION_HASHES: usize = 1024;
-/// Orders to empty one zone that may stand at one time.
-pub const MAX_DRAIN_ORDERS: u32 = 1000;
-/// So many revisions stay readable, as long as they fit.
-pub const HISTORY_LENGTH: usize = 1024;
-/// So many bytes of versions a disk holds before old ones go.
-pub const MAX_HISTORY_BYTES: usize = 64 << 20;
-
-impl Value {
-    pub fn encode(&self) -> Vec<u8> {
-        vanepath_cluster::wire::encode(self)
-    }
-
-    /// So many orders to empty this zone stand.
-    pub fn drain_orders(&self, zone: &str) -> u32 {
-        match self.drained_zones.contains(zone) {
-            true => {
-                self.extra_drain_orders.get(zone).map_or(1, |further| further.saturating_add(1))
-            }
-            false => 0,
-        }
-    }
-
-    pub(crate) fn set_drain_orders(&mut self, zone: &str, orders: u32) {
-        self.extra_drain_orders.remove(zone);
-        if orders == 0 {
-            self.drained_zones.remove(zone);
-            return;
-        }
-        self.drained_zones.insert(zone.to_string());
-        if orders > 1 {
-            self.extra_drain_orders.insert(zone.to_string(), orders - 1);
-        }
-    }
-
-    /// Of the writes beyond the last ones those are kept, in short, whose keys are their callers'.
-    pub(crate) fn compact_older_writes(&mut self) {
-        while self.recent_writes.len() > MAX_RECENT_WRITES {
-            let Some(oldest) = self.recent_writes.pop_front() else { return };
-            if !oldest.is_generated {
-                self.older_writes.push(&oldest);
-            }
-        }
-    }
-
-    /// What this version says is known from here on.
-    pub(crate) fn note_version(&mut self, version: u64, matter: u64) {
-        self.version_hashes.insert(version, matter);
-        while self.version_hashes.len() > MAX_VERSION_HASHES {
-            self.version_hashes.pop_first();
-        }
-    }
-
-    /// It remembers as many versions as it may, and this one lies below them all.
-    pub(crate) fn knows_no_version_below(&self, version: u64) -> bool {
-        let lowest = self.version_hashes.first_key_value();
-        self.version_hashes.len() >= MAX_VERSION_HASHES
-            && lowest.is_some_and(|(lowest, _)| version < *lowest)
-    }
-
-    /// The write that was submitted under this key, if it is known still.
-    pub fn known_write(&self, key: &str) -> Option<crate::idempotency::KnownWrite> {
-        let recent = self.recent_writes.iter().find(|one| one.key == key);
-        recent.map(crate::idempotency::KnownWrite::of).or_else(|| self.older_writes.find(key))
-    }
-
-    pub fn committed_config(&self) -> vanepath_cluster::wire::CommittedConfig {
-        vanepath_cluster::wire::CommittedConfig {
-            revision: self.revision,
-            config_revision: self.config_revision,
-            config_version: self.config_version,
-            document: self.document.clone(),
-            drained_zones: self.drained_zones.clone(),
-            extra_drain_orders: self.extra_drain_orders.clone(),
-        }
-    }
-}
-
-pub fn digest_of(encoded: &[u8]) -> Digest {
-    vanepath_config::digest(&[b"vanepath value", encoded])
-}
-
-/// What a copy has accepted; the bytes are apart.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct AcceptedProposal {
-    pub ballot: Ballot,
-    pub revision: u64,
-    pub digest: Digest,
-}
-
-impl AcceptedProposal {
-    pub fn rank(&self) -> (Ballot, u64) {
-        (self.ballot, self.revision)
-    }
-}
+use crate::value::{AcceptedProposal, Ballot, Digest, MemberTable, Value};
+use std::time::Duration;
 
+/// A write that an operator asks for.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Change {
+    /// Replace the configuration document.
     #[serde(rename = "Setup")]
     ReplaceConfig {
+        /// The new document.
         #[serde(with = "serde_bytes")]
         bytes: Vec<u8>,
-        /// Only if the setup in force is still of this revision.
+        /// Compare-and-set: only if the committed configuration is still of this revision.
         if_revision: Option<u64>,
-        /// Only if it is above the version held; else this is a repeat.
+        /// Only if it is above the highest version accepted so far; else this is a repeat.
         version: Option<u64>,
     },
+    /// Add a drain order for a zone.
     #[serde(rename = "Empty")]
-    DrainZone { zone: String },
+    DrainZone {
+        /// The zone's name.
+        zone: String,
+    },
+    /// Withdraw a drain order of a zone.
     #[serde(rename = "Return")]
-    RestoreZone { zone: String },
+    RestoreZone {
+        /// The zone's name.
+        zone: String,
+    },
 }
 
 impl Change {
-    /// What it asks for, without the condition.
+    /// Hash of what is asked for, without the conditions.
     pub fn content_hash(&self) -> u64 {
         let digest = match self {
             Change::ReplaceConfig { bytes, .. } => vanepath_config::digest(&[b"setup", bytes]),
@@ -240,74 +45,104 @@
     }
 }
 
-/// What a copy shows of the table of seats, and to who holds a seat in it all that it accepted.
+/// A replica's state as it answers a membership request: the member table, and for a requester in that
+/// table the accepted value too.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct MembershipSnapshot {
+    /// The highest ballot that the replica promised.
     pub promised: Ballot,
+    /// The proposal that it accepted last.
     pub accepted: AcceptedProposal,
+    /// The member table of the accepted value.
     #[serde(rename = "seats")]
     pub members: MemberTable,
+    /// The accepted value.
     pub value: Option<Value>,
+    /// The versions that were proposed with it in one round, the oldest first.
     #[serde(rename = "before")]
     pub batch: Vec<Value>,
 }
 
-/// `from` is the incarnation of the asker's, or the teller's, disk.
+/// A request to a store. `from` is the incarnation of the requester's disk.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub enum Request {
+    /// Phase 1a of Paxos: asks for a promise.
     Prepare {
+        /// The proposer.
         from: u64,
+        /// The ballot to promise.
         ballot: Ballot,
+        /// Digest of the value that the proposer holds, which need not be sent back.
         #[serde(rename = "has")]
         known_digest: Option<Digest>,
     },
-    /// `before`: the versions that were proposed together with it, the oldest first.
+    /// Phase 2a of Paxos: asks to accept a value.
     Accept {
+        /// The proposer.
         from: u64,
+        /// The ballot of the proposal.
         ballot: Ballot,
+        /// The proposed value.
         value: Value,
+        /// The versions that were proposed with it in one round, the oldest first.
         #[serde(rename = "before")]
         batch: Vec<Value>,
     },
+    /// Asks for the accepted proposal, without a ballot.
     #[serde(rename = "Query")]
     QueryStatus,
-    /// Whether the holder of a seat is still there, before its seat is given to another.
+    /// Liveness check of a member before its slot is given to another disk.
     #[serde(rename = "Alive")]
     Ping,
-    /// A version and what comes before it.
+    /// Asks for a version and the chain of its ancestors.
     Fetch {
+        /// Revision of the first version.
         revision: u64,
+        /// Digest of the first version.
         digest: Digest,
     },
+    /// Asks for the member table.
     Membership {
+        /// The requester.
         from: u64,
+        /// Whether the accepted value is wanted too.
         wants_value: bool,
     },
-    /// `unnamed_for`: its caller gave no key (the registry made this one), and the registry has had the
-    /// call for so long (design 6.10). `None`: the key is the caller's.
+    /// An operator's write.
     Change {
+        /// The idempotency key.
         key: String,
+        /// What to write.
         change: Change,
+        /// For a change whose client gave no key, so that the registry generated this one: how long the
+        /// registry has had the call (design 6.10). `None`: the key is the client's.
         #[serde(default)]
         #[serde(rename = "unnamed_for")]
-        keyless_for: Option<std::time::Duration>,
+        keyless_for: Option<Duration>,
     },
+    /// A linearizable read of the value.
     Read,
+    /// Reads an earlier version.
     History {
+        /// Its revision.
         revision: u64,
     },
-    /// The caller of the change that made this revision, or was told it, surely has its receipt.
+    /// The client of the change that made this revision has surely received its response.
     #[serde(rename = "Answered")]
     Acknowledge {
+        /// `Change::content_hash` of the change.
         #[serde(rename = "matter")]
         content_hash: u64,
+        /// The revision that it made.
         revision: u64,
     },
-    /// The highest revision chosen so far, by a round that begins after this was asked (design 5.8).
+    /// Asks for the highest committed revision, by a round that begins after this request
+    /// (read index, design 5.8).
     #[serde(rename = "Floor")]
     ReadIndex,
 }
 
+/// Why a replica does not promise or accept.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize, strum::Display,
 )]
@@ -316,109 +151,145 @@
     /// A higher ballot was promised.
     #[serde(rename = "Outbid")]
     Preempted,
-    /// This copy has nothing yet, or its disk failed: it does not vote.
+    /// This replica is empty, or its disk failed: it does not vote.
     #[serde(rename = "NoVote")]
     NotVoting,
-    /// The asker's disk does not hold its seat (any more).
+    /// The requester's disk is not in the member table (any more).
     #[serde(rename = "Unseated")]
     NotAMember,
 }
 
+/// A store's response. `from` is the incarnation of the responder's disk.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum Response {
+    /// Phase 1b of Paxos: a promise with the proposal accepted last.
     Promise {
+        /// The acceptor.
         from: u64,
+        /// The proposal that it accepted last.
         accepted: AcceptedProposal,
+        /// The accepted value, unless the proposer holds it.
         value: Option<Value>,
+        /// The versions that were proposed with it in one round, the oldest first.
         #[serde(rename = "before")]
         batch: Vec<Value>,
-        /// Of the keys of that value those whose callers may send the same again without a key, with their
-        /// ages in ms (design 6.10); `None`: the teller knows nothing of that.
+        /// Keys of recent writes of that value whose clients may retransmit them without a key, with their
+        /// ages in milliseconds (design 6.10); `None`: the acceptor does not know.
         #[serde(default)]
         #[serde(rename = "open")]
         unacknowledged: Option<Vec<(String, u32)>>,
     },
+    /// Phase 2b of Paxos: the proposal is accepted and on disk.
     Accepted {
+        /// The acceptor.
         from: u64,
     },
+    /// No promise or acceptance.
     #[serde(rename = "Refused")]
     Rejected {
+        /// Why.
         #[serde(rename = "why")]
         reason: Rejection,
+        /// The highest ballot that the replica promised.
         promised: Ballot,
     },
-    /// `founders`: of how many empty stores it would begin a word; 0: it takes no part in that.
+    /// Answer to `QueryStatus`.
     #[serde(rename = "State")]
     Status {
+        /// The responder.
         from: u64,
+        /// Its disk holds no value.
         #[serde(rename = "blank")]
         is_empty: bool,
+        /// Number of empty stores with which it bootstraps; 0: it takes no part in that.
         #[serde(rename = "founders")]
         bootstrap_size: usize,
+        /// Whether it votes.
         #[serde(rename = "votes")]
         is_voting: bool,
+        /// The proposal that it accepted last.
         accepted: Option<AcceptedProposal>,
     },
+    /// Answer to `Ping`.
     #[serde(rename = "Alive")]
     Pong {
+        /// The responder.
         from: u64,
+        /// Whether its disk works.
         #[serde(rename = "is_sound")]
         is_healthy: bool,
     },
+    /// Answer to `Fetch`: the version and its ancestors, as far as they are there and fit.
     Fetched(Vec<Value>),
+    /// Answer to `Membership`.
     Membership {
+        /// The responder.
         from: u64,
+        /// Its state.
         shown: Box<MembershipSnapshot>,
     },
+    /// Answer to an operator's request.
     Outcome(Outcome),
-    /// Heard; there is nothing to tell.
+    /// Answer to `Acknowledge`.
     #[serde(rename = "Noted")]
     Acknowledged,
-    /// `None`: it cannot tell.
+    /// Answer to `ReadIndex`; `None`: no quorum confirmed it.
     #[serde(rename = "Floor")]
     ReadIndex(Option<u64>),
 }
 
-/// What a registry hears back.
+/// The outcome of an operator's request.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum Outcome {
-    /// In force, now or by an earlier submission under the same key.
+    /// Committed, now or by an earlier write under the same key.
     Accepted {
+        /// The revision that the write made.
         revision: u64,
+        /// The configuration revision at that revision.
         #[serde(rename = "setup_revision")]
         config_revision: u64,
+        /// Nothing new was made by this request.
         #[serde(rename = "repeat")]
         is_repeat: bool,
     },
-    /// The setup is not of the revision asked for. Nothing was done.
+    /// The configuration in force is of another revision than the condition names. Nothing was done.
     Conflict {
+        /// The current revision.
         revision: u64,
+        /// The current configuration revision.
         #[serde(rename = "setup_revision")]
         config_revision: u64,
     },
-    /// The key was used for something else. Nothing was done.
+    /// The key was used for another content. Nothing was done.
     KeyReused {
+        /// The revision that was made under the key.
         revision: u64,
     },
-    /// A setup of another content was taken under this version; the highest one taken is `held`.
-    /// Nothing was done.
+    /// A configuration of another content was accepted under this version. Nothing was done.
     VersionTaken {
+        /// The version asked for.
         version: u64,
+        /// The highest version accepted so far.
         #[serde(rename = "held")]
         highest: u64,
     },
     /// Nothing was done, and nothing will be.
     #[serde(rename = "NothingDone")]
     NotApplied {
+        /// Why, for the operator.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// Cannot be told from here; ask again under the same key.
+    /// The proposal may or may not be committed later; ask again under the same key.
     Unknown,
+    /// A version that was read.
     Value {
+        /// The version.
         value: Value,
     },
+    /// There is no such revision (any more).
     NoSuchRevision {
+        /// The highest committed revision.
         latest: u64,
     },
 }
--- a/store/src/retransmission.rs
+++ b/store/src/retransmission.rs
@@ -1,151 +1,171 @@
-//! What a copy remembers of operators' orders, to tell one that is sent again from another one where
-//! callers give no key (design 6.10). Soft: each copy notes by its own clock when it first saw a write,
-//! and whether its caller surely has the receipt; no promise and no acceptance rests on it.
+//! Recognizes drain orders that a client without idempotency keys sends again (design 6.10). Soft state: each
+//! replica notes by its own clock when it first saw a write, and whether its client surely has the response;
+//! no promise and no acceptance rests on it.
 
-use crate::protocol::{Change, Value};
+use crate::protocol::Change;
+use crate::value::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A caller without a key sends an order again for at most 8 s after its first sending (docs/platform.md), and
+/// A client without keys retransmits an order for at most 8 s after first sending it (docs/platform.md), and
 /// half a second for the way.
 pub const RETRANSMISSION_WINDOW: Duration = Duration::from_millis(8500);
-/// Of these sendings none is heard of for so long at the most: each is given up after a second, and with
-/// any registry to choose from three in a row reach no store.
-const SILENT_WITHIN: Duration = Duration::from_secs(4);
-/// Such a caller waits a second for the answer to one sending (docs/platform.md). An answer that leaves
-/// the registry by then surely comes within it, so it isn't sent again.
+/// Longest time between two retransmissions that reach a store: each is given up after a second, and with any
+/// registry to choose from three in a row reach no store.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Such a client waits a second for a response (docs/platform.md). A response that leaves the registry by then
+/// surely arrives, so that the order is not retransmitted.
 pub const OVERTAKEN_AFTER: Duration = Duration::from_millis(800);
-/// By then its registry has told that it answered, unless it died or was slow.
-const TOLD_WITHIN: Duration = Duration::from_millis(450);
+/// By then the registry of an order has acknowledged it, unless it died or was slow.
+const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// What is remembered of writes beyond those of the value goes once it is more than that.
-const SEEN_LEAST: usize = 512;
+/// Entries beyond twice the value's recent writes that may be there before old ones are dropped.
+const PRUNE_SLACK: usize = 512;
 
-/// One write among the last ones.
+/// What is remembered of one recent write.
 #[derive(Clone, Copy, Debug)]
-struct Seen {
-    /// When its first sending came, as far as this copy knows.
-    came: Duration,
-    /// When something was last heard of it.
-    heard: Duration,
-    /// Its caller gave a key, or has the receipt: it isn't sent again without one.
-    is_sure: bool,
+struct ObservedWrite {
+    /// When it was first sent, as far as this replica knows.
+    received_at: Duration,
+    /// When it was last sent or acknowledged.
+    last_heard_at: Duration,
+    /// Its client gave a key, or has the response: it is not retransmitted without a key.
+    is_acknowledged: bool,
 }
 
-impl Seen {
-    /// Its caller may send it again.
-    fn is_open(&self, at: Duration) -> bool {
-        !self.is_sure && at <= self.came + RETRANSMISSION_WINDOW && at <= self.heard + SILENT_WITHIN
+impl ObservedWrite {
+    /// Whether its client may send it again at this time.
+    fn may_be_retransmitted(&self, at: Duration) -> bool {
+        !self.is_acknowledged
+            && at <= self.received_at + RETRANSMISSION_WINDOW
+            && at <= self.last_heard_at + SILENCE_TIMEOUT
     }
 }
 
-/// What an order is beside the ones before it.
+/// What an order is, compared with the recent writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Judgement {
+    /// Another order.
     New,
-    /// The one that made this revision.
+    /// A retransmission of the order that made this revision.
     Retransmission {
+        /// The revision.
         revision: u64,
-        setup_revision: u64,
+        /// The configuration revision at that revision.
+        config_revision: u64,
     },
-    /// The one before may yet turn out to be answered: to be looked at again a little later.
+    /// The order before it may still be acknowledged: to be judged again a little later.
     Undecided,
 }
 
+/// The recent writes as one replica saw them.
 #[derive(Clone, Debug, Default)]
 pub struct RetransmissionFilter {
-    /// By the keys of the last writes.
-    seen: BTreeMap<String, Seen>,
+    /// By idempotency key.
+    writes: BTreeMap<String, ObservedWrite>,
 }
 
 impl RetransmissionFilter {
-    /// A value that this copy holds from now on. Of what it did not see come it knows nothing: it takes it
-    /// as just come and unanswered.
+    /// Notes the recent writes of a value that this replica holds from now on. Those that it did not receive
+    /// itself count as just received and unacknowledged.
     pub fn observe(&mut self, value: &Value, now: Duration) {
-        for known in &value.recent_writes {
-            if !self.seen.contains_key(&known.key) {
-                let seen = Seen { came: now, heard: now, is_sure: false };
-                self.seen.insert(known.key.clone(), seen);
+        for record in &value.recent_writes {
+            if !self.writes.contains_key(&record.key) {
+                let write =
+                    ObservedWrite { received_at: now, last_heard_at: now, is_acknowledged: false };
+                self.writes.insert(record.key.clone(), write);
             }
         }
-        if self.seen.len() > 2 * value.recent_writes.len() + SEEN_LEAST {
+        if self.writes.len() > 2 * value.recent_writes.len() + PRUNE_SLACK {
             let keys: BTreeSet<&str> =
-                value.recent_writes.iter().map(|known| known.key.as_str()).collect();
-            self.seen.retain(|key, _| keys.contains(key.as_str()));
+                value.recent_writes.iter().map(|record| record.key.as_str()).collect();
+            self.writes.retain(|key, _| keys.contains(key.as_str()));
         }
     }
 
-    /// The writes whose callers may send them again, each with its age in ms: what a promise tells beside
-    /// the value, so that a proposer knows what any of a majority knows.
+    /// The writes whose clients may retransmit them, each with its age in milliseconds. A promise carries
+    /// them beside the value, so that a proposer knows what any of a majority knows.
     pub fn unacknowledged(&self, value: &Value, now: Duration) -> Vec<(String, u32)> {
-        // Not by when it was last heard of: that may have been elsewhere.
-        let is_open = |seen: &&Seen| !seen.is_sure && now <= seen.came + RETRANSMISSION_WINDOW;
-        let seen = |key: &String| self.seen.get(key).filter(is_open);
-        let open =
-            value.recent_writes.iter().filter_map(|known| Some((&known.key, seen(&known.key)?)));
-        let age = |seen: &Seen| now.saturating_sub(seen.came).as_millis() as u32;
-        open.map(|(key, seen)| (key.clone(), age(seen))).collect()
+        // Not by when it was last heard of: that may have been at another replica.
+        let is_open = |write: &&ObservedWrite| {
+            !write.is_acknowledged && now <= write.received_at + RETRANSMISSION_WINDOW
+        };
+        let open_write = |key: &String| self.writes.get(key).filter(is_open);
+        let age_ms =
+            |write: &ObservedWrite| now.saturating_sub(write.received_at).as_millis() as u32;
+        let records = value.recent_writes.iter();
+        let open = records.filter_map(|record| Some((&record.key, open_write(&record.key)?)));
+        open.map(|(key, write)| (key.clone(), age_ms(write))).collect()
     }
 
-    /// Another copy holds this value, and has only these for open.
-    pub fn merge(&mut self, value: &Value, open: &[(String, u32)], now: Duration) {
-        for known in &value.recent_writes {
-            let age = open.iter().find(|(key, _)| *key == known.key).map(|(_, age)| *age);
-            let age = age.map(|age| Duration::from_millis(u64::from(age)));
-            let came = now.saturating_sub(age.unwrap_or(RETRANSMISSION_WINDOW));
-            let fresh = Seen { came, heard: now, is_sure: false };
-            let seen = self.seen.entry(known.key.clone()).or_insert(fresh);
-            seen.came = seen.came.min(came);
-            seen.is_sure |= age.is_none();
+    /// Merges what another replica that holds this value knows: which writes are unacknowledged, with their
+    /// ages in milliseconds.
+    pub fn merge(&mut self, value: &Value, unacknowledged: &[(String, u32)], now: Duration) {
+        for record in &value.recent_writes {
+            let entry = unacknowledged.iter().find(|(key, _)| *key == record.key);
+            let age = entry.map(|(_, age_ms)| Duration::from_millis(u64::from(*age_ms)));
+            let received_at = now.saturating_sub(age.unwrap_or(RETRANSMISSION_WINDOW));
+            let new = ObservedWrite { received_at, last_heard_at: now, is_acknowledged: false };
+            let write = self.writes.entry(record.key.clone()).or_insert(new);
+            write.received_at = write.received_at.min(received_at);
+            write.is_acknowledged |= age.is_none();
         }
     }
 
-    /// This copy makes a value of a write.
-    pub fn take(&mut self, key: &str, unnamed_since: Option<Duration>, now: Duration) {
-        let came = unnamed_since.unwrap_or(now);
-        let seen = Seen { came, heard: now, is_sure: unnamed_since.is_none() };
-        self.seen.insert(key.to_string(), seen);
+    /// Notes a write that this replica makes a version of. `keyless_since`: for a change whose client gave no
+    /// key, when its registry got it.
+    pub fn record(&mut self, key: &str, keyless_since: Option<Duration>, now: Duration) {
+        let write = ObservedWrite {
+            received_at: keyless_since.unwrap_or(now),
+            last_heard_at: now,
+            is_acknowledged: keyless_since.is_none(),
+        };
+        self.writes.insert(key.to_string(), write);
     }
 
-    pub fn acknowledge(&mut self, value: &Value, matter: u64, revision: u64, now: Duration) {
-        let is_it = |one: &&crate::protocol::IdempotencyRecord| {
-            (one.content_hash, one.revision) == (matter, revision)
-        };
-        let known = value.recent_writes.iter().find(is_it);
-        if let Some(seen) = known.and_then(|known| self.seen.get_mut(&known.key)) {
-            (seen.is_sure, seen.heard) = (true, now);
+    /// Notes that the client of a write has its response.
+    pub fn acknowledge(&mut self, value: &Value, content_hash: u64, revision: u64, now: Duration) {
+        let mut records = value.recent_writes.iter();
+        let record = records
+            .find(|record| record.content_hash == content_hash && record.revision == revision);
+        if let Some(write) = record.and_then(|record| self.writes.get_mut(&record.key)) {
+            (write.is_acknowledged, write.last_heard_at) = (true, now);
         }
     }
 
-    /// Whether a change without a caller's key is one of the last writes sent again; `since`: when its
-    /// registry got it.
+    /// Judges whether a change without a client's key is one of the recent writes sent again.
+    /// `keyless_since`: when its registry got it; `None`: the client gave a key.
     pub fn judge(
         &mut self,
         value: &Value,
         change: &Change,
-        unnamed_since: Option<Duration>,
+        keyless_since: Option<Duration>,
         now: Duration,
     ) -> Judgement {
-        let Some(since) = unnamed_since else { return Judgement::New };
+        let Some(since) = keyless_since else { return Judgement::New };
         let is_in_force = match change {
             Change::ReplaceConfig { .. } => return Judgement::New,
             Change::DrainZone { zone } => value.drain_orders(zone) > 0,
-            // Where none stands there is nothing to withdraw twice.
+            // Where no drain order is in force there is none to withdraw twice.
             Change::RestoreZone { .. } => true,
         };
-        let matter = change.content_hash();
-        for known in value.recent_writes.iter().rev().filter(|known| known.content_hash == matter) {
-            let Some(seen) = self.seen.get_mut(&known.key) else { continue };
-            // It was held up for so long that its caller may have sent it again, and that came first.
-            let is_overtaken = now.saturating_sub(since) >= OVERTAKEN_AFTER && seen.heard >= since;
-            let is_open = is_in_force && seen.is_open(since);
-            if !is_overtaken && is_open && now < seen.came + TOLD_WITHIN {
+        let content_hash = change.content_hash();
+        let same_content =
+            value.recent_writes.iter().rev().filter(|record| record.content_hash == content_hash);
+        for record in same_content {
+            let Some(write) = self.writes.get_mut(&record.key) else { continue };
+            // It was delayed for so long that its client may have sent it again, and that came first.
+            let is_overtaken =
+                now.saturating_sub(since) >= OVERTAKEN_AFTER && write.last_heard_at >= since;
+            let is_open = is_in_force && write.may_be_retransmitted(since);
+            let may_be_acknowledged = now < write.received_at + ACKNOWLEDGEMENT_TIMEOUT;
+            if !is_overtaken && is_open && may_be_acknowledged {
                 return Judgement::Undecided;
             }
             if is_overtaken || is_open {
-                seen.heard = now;
-                let (revision, setup_revision) = (known.revision, known.config_revision);
-                return Judgement::Retransmission { revision, setup_revision };
+                write.last_heard_at = now;
+                let (revision, config_revision) = (record.revision, record.config_revision);
+                return Judgement::Retransmission { revision, config_revision };
             }
         }
         Judgement::New
--- /dev/null
+++ b/store/src/shell/actor.rs
@@ -0,0 +1,260 @@
+//! The actor that owns the replica and carries out its effects strictly in order: nothing leaves before what
+//! it rests on is durable.
+
+use super::{Counter, Counters, StoreDirectory};
+use crate::consensus::{
+    DiskResponse, DiskWrite, Effect, Event, Replica, Summary, response_from_disk,
+};
+use crate::disk::Disk;
+use crate::protocol::{Request, Response};
+use crate::value::VersionId;
+use arc_swap::ArcSwap;
+use std::collections::{HashMap, VecDeque};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::task::spawn_blocking;
+use vanepath_cluster::{gossip, node, wire};
+
+/// Interval at which a disk that refused something is tried again.
+const DISK_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// Timeout of a call to another store.
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
+
+/// What the actor works with.
+pub(super) struct Resources {
+    pub replica: Replica,
+    pub disk: Arc<Disk>,
+    pub node: Arc<node::Node>,
+    pub counters: Arc<Counters>,
+    pub summary: Arc<ArcSwap<Summary>>,
+    pub directory: Arc<ArcSwap<StoreDirectory>>,
+}
+
+#[derive(xtra::Actor)]
+pub(super) struct StoreActor {
+    resources: Resources,
+    /// Requests that wait for a response, by ticket.
+    pending: HashMap<u64, oneshot::Sender<Response>>,
+    next_ticket: u64,
+    /// The disk refused something, and is to be tried again.
+    is_disk_retry_scheduled: bool,
+}
+
+/// An event for the replica.
+pub(super) struct Deliver(pub Event);
+/// The disk is to be tried again.
+struct RetryDisk;
+/// A request of another store or of a registry.
+pub(super) struct Incoming {
+    pub request: Request,
+    pub reply: oneshot::Sender<Response>,
+}
+
+/// Whether the effects after one may be carried out.
+#[derive(PartialEq, Eq)]
+enum Continuation {
+    Proceed,
+    /// A write failed: what follows rests on it and must not happen.
+    Abort,
+}
+
+impl StoreActor {
+    pub(super) fn new(resources: Resources) -> StoreActor {
+        StoreActor {
+            resources,
+            pending: HashMap::new(),
+            next_ticket: 0,
+            is_disk_retry_scheduled: false,
+        }
+    }
+
+    async fn step(&mut self, event: Event, own: &xtra::Address<StoreActor>) {
+        let mut events = VecDeque::from([event]);
+        while let Some(event) = events.pop_front() {
+            if matches!(event, Event::DiskFailed) {
+                self.schedule_disk_retry(own);
+            }
+            let now = self.resources.node.clock.now();
+            let effects = self.resources.replica.step(now, event);
+            for effect in effects {
+                if self.perform(effect, own, &mut events).await == Continuation::Abort {
+                    break;
+                }
+            }
+        }
+        let summary = self.resources.replica.summary();
+        self.resources.summary.store(Arc::new(summary));
+    }
+
+    /// Carries out one effect; events that follow from it are appended.
+    async fn perform(
+        &mut self,
+        effect: Effect,
+        own: &xtra::Address<StoreActor>,
+        events: &mut VecDeque<Event>,
+    ) -> Continuation {
+        match effect {
+            Effect::Persist(writes) => return self.persist(writes, events).await,
+            Effect::Reset => return self.reset(events).await,
+            Effect::Send { call, incarnation, request } => {
+                self.send(call, incarnation, &request, own)
+            }
+            Effect::Reply { ticket, response } => self.reply(ticket, response),
+            Effect::ReplyFromDisk { ticket, versions, as_outcome } => {
+                self.reply_from_disk(ticket, versions, as_outcome, events).await;
+            }
+            Effect::Committed(value) => {
+                self.resources.counters.increment(Counter::StoreVersionsChosen);
+                let config = Arc::new(value.committed_config());
+                let event = gossip::Event::ConfigCommitted(config);
+                let _ = self.resources.node.gossip.send(node::Deliver(event)).await;
+            }
+            Effect::Log(text) => log::info!("store: {text}"),
+        }
+        Continuation::Proceed
+    }
+
+    async fn persist(
+        &mut self,
+        writes: Vec<DiskWrite>,
+        events: &mut VecDeque<Event>,
+    ) -> Continuation {
+        self.resources.counters.increment(Counter::StoreSaves);
+        let disk = self.resources.disk.clone();
+        let problem = match spawn_blocking(move || disk.save(&writes)).await {
+            Ok(Ok(syncs)) => {
+                self.resources.counters.add(Counter::StoreSyncs, syncs);
+                return Continuation::Proceed;
+            }
+            Ok(Err(error)) => error.to_string(),
+            Err(error) => error.to_string(),
+        };
+        self.resources.counters.increment(Counter::StoreSavesFailed);
+        log::error!("cannot save to the data folder: {problem}");
+        events.push_back(Event::DiskFailed);
+        Continuation::Abort
+    }
+
+    async fn reset(&mut self, events: &mut VecDeque<Event>) -> Continuation {
+        let disk = self.resources.disk.clone();
+        match spawn_blocking(move || disk.reset(node::random())).await {
+            Ok(Ok(recovered)) => events.push_back(Event::Reset(recovered)),
+            Ok(Err(error)) => {
+                self.resources.counters.increment(Counter::StoreSavesFailed);
+                log::error!("cannot save to the data folder: {error}");
+                events.push_back(Event::DiskFailed);
+                return Continuation::Abort;
+            }
+            Err(_) => events.push_back(Event::DiskFailed),
+        }
+        Continuation::Proceed
+    }
+
+    /// Sends a request without waiting; its response, or that there is none, comes back as an event.
+    fn send(
+        &self,
+        call: u64,
+        incarnation: u64,
+        request: &Request,
+        own: &xtra::Address<StoreActor>,
+    ) {
+        self.resources.counters.increment(Counter::StoreCalls);
+        let address = self.resources.directory.load().address_of(incarnation, request);
+        let own = own.clone();
+        let transport = self.resources.node.transport.clone();
+        let counters = self.resources.counters.clone();
+        let body = wire::Request::Store(wire::encode(request).into());
+        tokio::spawn(async move {
+            let mut response = None;
+            if let Some(address) = address {
+                let reply = transport.call(address, &body, CALL_TIMEOUT, true).await;
+                if let Ok(wire::Reply::Store(bytes)) = reply {
+                    response = wire::decode(&bytes);
+                }
+            }
+            if response.is_none() {
+                counters.increment(Counter::StoreCallsFailed);
+            }
+            let _ = own.send(Deliver(Event::ResponseReceived { call, response })).await;
+        });
+    }
+
+    fn reply(&mut self, ticket: u64, response: Response) {
+        if let Some(reply) = self.pending.remove(&ticket) {
+            let _ = reply.send(response);
+        }
+    }
+
+    async fn reply_from_disk(
+        &mut self,
+        ticket: u64,
+        versions: Vec<VersionId>,
+        as_outcome: bool,
+        events: &mut VecDeque<Event>,
+    ) {
+        let disk = self.resources.disk.clone();
+        let read = spawn_blocking(move || {
+            response_from_disk(&versions, as_outcome, |id| disk.version(id))
+        });
+        let Ok(DiskResponse { response, damaged }) = read.await else { return };
+        if let Some(id) = damaged {
+            self.resources.counters.increment(Counter::StoreFilesDamaged);
+            events.push_back(Event::VersionDamaged(id));
+        }
+        self.reply(ticket, response);
+    }
+
+    fn schedule_disk_retry(&mut self, own: &xtra::Address<StoreActor>) {
+        if std::mem::replace(&mut self.is_disk_retry_scheduled, true) {
+            return;
+        }
+        let own = own.clone();
+        tokio::spawn(async move {
+            tokio::time::sleep(DISK_RETRY_INTERVAL).await;
+            let _ = own.send(RetryDisk).await;
+        });
+    }
+}
+
+impl xtra::Handler<Deliver> for StoreActor {
+    type Return = ();
+
+    async fn handle(&mut self, Deliver(event): Deliver, context: &mut xtra::Context<Self>) {
+        if let Some(own) = context.mailbox().address().try_upgrade() {
+            self.step(event, &own).await;
+        }
+    }
+}
+
+impl xtra::Handler<RetryDisk> for StoreActor {
+    type Return = ();
+
+    async fn handle(&mut self, _: RetryDisk, context: &mut xtra::Context<Self>) {
+        let Some(own) = context.mailbox().address().try_upgrade() else { return };
+        self.is_disk_retry_scheduled = false;
+        let disk = self.resources.disk.clone();
+        match spawn_blocking(move || disk.recover(node::random())).await {
+            Ok(Ok(recovered)) => {
+                self.resources.counters.increment(Counter::StoreDisksRecovered);
+                self.step(Event::DiskRecovered(recovered), &own).await;
+            }
+            _ => self.schedule_disk_retry(&own),
+        }
+    }
+}
+
+impl xtra::Handler<Incoming> for StoreActor {
+    type Return = ();
+
+    async fn handle(&mut self, incoming: Incoming, context: &mut xtra::Context<Self>) {
+        let Some(own) = context.mailbox().address().try_upgrade() else {
+            return;
+        };
+        self.resources.counters.increment(Counter::StoreAsks);
+        self.next_ticket += 1;
+        let ticket = self.next_ticket;
+        self.pending.insert(ticket, incoming.reply);
+        self.step(Event::RequestReceived { ticket, request: incoming.request }, &own).await;
+    }
+}
--- /dev/null
+++ b/store/src/value.rs
@@ -0,0 +1,227 @@
+//! Domain values of the replicated register: ballots, member table, versions of the register's value
+//! (design 6.2). All of them are stored and sent: the names in `#[serde(rename = "...")]` are the wire
+//! names of earlier versions and must stay.
+
+use crate::idempotency::{IdempotencyRecord, KnownWrite, OlderWrites};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use vanepath_cluster::wire::CommittedConfig;
+
+/// SHA-256 digest of a value's encoding.
+pub type Digest = [u8; 32];
+
+/// A proposal number (Lamport, Paxos Made Simple, 2001, section 2.2): totally ordered and never used twice,
+/// because the proposer's own disk promises it before anyone else is asked.
+#[derive(
+    Clone,
+    Copy,
+    Debug,
+    Default,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    serde::Serialize,
+    serde::Deserialize,
+)]
+pub struct Ballot {
+    /// Compared first.
+    pub number: u64,
+    /// Incarnation of the proposer's disk.
+    pub incarnation: u64,
+}
+
+/// The ballot of the bootstrap value, whoever makes it: no proposer ever uses it (design 6.4).
+pub const BOOTSTRAP_BALLOT: Ballot = Ballot { number: 1, incarnation: 0 };
+
+/// A store whose disk holds a slot of the member table.
+#[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
+pub struct Member {
+    /// The store's configured name.
+    pub name: String,
+    /// The incarnation of the disk that holds the slot.
+    pub incarnation: u64,
+    /// Joined after the bootstrap: it votes only once it has caught up from the others.
+    #[serde(rename = "admitted")]
+    pub joined_later: bool,
+}
+
+/// The member slots in the order in which their stores propose; `None`: vacant since a rescue
+/// (design 6.6).
+pub type MemberTable = Vec<Option<Member>>;
+
+/// Identifies one version of the value.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct VersionId {
+    /// The revision; two versions that were never committed may share one.
+    pub revision: u64,
+    /// Digest of the version's encoding.
+    pub digest: Digest,
+}
+
+/// One version of the register's value: configuration, drained zones and member table.
+#[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
+pub struct Value {
+    /// Consecutive number of the version, from 0 at the bootstrap.
+    pub revision: u64,
+    /// Revision of the version that this one was derived from.
+    pub parent_revision: u64,
+    /// Digest of the version that this one was derived from.
+    pub parent: Digest,
+    /// The revision that last replaced the configuration document.
+    #[serde(rename = "setup_revision")]
+    pub config_revision: u64,
+    /// The highest operator-given version under which a configuration was accepted; 0: none.
+    #[serde(rename = "setup_version")]
+    pub config_version: u64,
+    /// The configuration document as the operator sent it.
+    #[serde(with = "serde_bytes")]
+    #[serde(rename = "setup")]
+    pub document: Vec<u8>,
+    /// Zones with at least one drain order.
+    #[serde(rename = "emptied")]
+    pub drained_zones: BTreeSet<String>,
+    /// Drain orders of a zone beside its first one (design 6.10); left out where there are none, so that
+    /// values written before orders were counted keep their encoding and digest.
+    #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
+    #[serde(rename = "further_orders")]
+    pub extra_drain_orders: BTreeMap<String, u32>,
+    /// The member table.
+    #[serde(rename = "seats")]
+    pub members: MemberTable,
+    /// Number of versions before this one that were proposed in the same round.
+    #[serde(rename = "together")]
+    pub batched_before: u32,
+    /// The last writes in full, so that a retransmission is recognized.
+    #[serde(rename = "keys")]
+    pub recent_writes: VecDeque<IdempotencyRecord>,
+    /// Earlier writes under client-given keys in compact form; left out where there are none.
+    #[serde(default, skip_serializing_if = "OlderWrites::is_empty")]
+    #[serde(rename = "older_keys")]
+    pub older_writes: OlderWrites,
+    /// Content hashes (`Change::content_hash`) of the highest acknowledged configuration versions; left out
+    /// where there are none.
+    #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
+    #[serde(rename = "versions")]
+    pub version_hashes: BTreeMap<u64, u64>,
+}
+
+/// Number of recent writes kept in full. A retransmission under a key that a registry generated comes within
+/// that registry's call to the stores, which lasts a few seconds.
+pub const MAX_RECENT_WRITES: usize = 256;
+/// Number of configuration versions, the highest ones, whose content hash is kept.
+pub const MAX_VERSION_HASHES: usize = 1024;
+/// Drain orders that one zone may have at one time.
+pub const MAX_DRAIN_ORDERS: u32 = 1000;
+/// Number of revisions that stay readable, as far as they fit into `MAX_HISTORY_BYTES`.
+pub const HISTORY_LENGTH: usize = 1024;
+/// Bytes of versions on a disk above which old ones are removed.
+pub const MAX_HISTORY_BYTES: usize = 64 << 20;
+
+impl Value {
+    /// The encoding that is stored, sent and digested.
+    pub fn encode(&self) -> Vec<u8> {
+        vanepath_cluster::wire::encode(self)
+    }
+
+    /// This version's identity; encodes the value.
+    pub fn id(&self) -> VersionId {
+        VersionId { revision: self.revision, digest: digest_of(&self.encode()) }
+    }
+
+    /// The version that this one was derived from.
+    pub fn parent_id(&self) -> VersionId {
+        VersionId { revision: self.parent_revision, digest: self.parent }
+    }
+
+    /// Number of drain orders of this zone.
+    pub fn drain_orders(&self, zone: &str) -> u32 {
+        match self.drained_zones.contains(zone) {
+            true => self.extra_drain_orders.get(zone).map_or(1, |extra| extra.saturating_add(1)),
+            false => 0,
+        }
+    }
+
+    pub(crate) fn set_drain_orders(&mut self, zone: &str, orders: u32) {
+        self.extra_drain_orders.remove(zone);
+        if orders == 0 {
+            self.drained_zones.remove(zone);
+            return;
+        }
+        self.drained_zones.insert(zone.to_string());
+        if orders > 1 {
+            self.extra_drain_orders.insert(zone.to_string(), orders - 1);
+        }
+    }
+
+    /// Moves writes beyond the recent ones to the compact records; those under generated keys are dropped.
+    pub(crate) fn compact_older_writes(&mut self) {
+        while self.recent_writes.len() > MAX_RECENT_WRITES {
+            let Some(oldest) = self.recent_writes.pop_front() else { return };
+            if !oldest.is_generated {
+                self.older_writes.push(&oldest);
+            }
+        }
+    }
+
+    /// Records the content hash of a configuration version.
+    pub(crate) fn record_version_hash(&mut self, version: u64, content_hash: u64) {
+        self.version_hashes.insert(version, content_hash);
+        while self.version_hashes.len() > MAX_VERSION_HASHES {
+            self.version_hashes.pop_first();
+        }
+    }
+
+    /// Whether this version lies below all recorded ones, so that its content hash may have been dropped.
+    pub(crate) fn is_version_hash_dropped(&self, version: u64) -> bool {
+        let lowest = self.version_hashes.first_key_value();
+        self.version_hashes.len() >= MAX_VERSION_HASHES
+            && lowest.is_some_and(|(lowest, _)| version < *lowest)
+    }
+
+    /// The write under this idempotency key, if it is still recorded.
+    pub fn known_write(&self, key: &str) -> Option<KnownWrite> {
+        let recent = self.recent_writes.iter().find(|record| record.key == key);
+        recent.map(KnownWrite::of).or_else(|| self.older_writes.find(key))
+    }
+
+    /// What is announced to all nodes once this version is committed.
+    pub fn committed_config(&self) -> CommittedConfig {
+        CommittedConfig {
+            revision: self.revision,
+            config_revision: self.config_revision,
+            config_version: self.config_version,
+            document: self.document.clone(),
+            drained_zones: self.drained_zones.clone(),
+            extra_drain_orders: self.extra_drain_orders.clone(),
+        }
+    }
+}
+
+/// The digest of a value's encoding.
+pub fn digest_of(encoded: &[u8]) -> Digest {
+    vanepath_config::digest(&[b"vanepath value", encoded])
+}
+
+/// The proposal that an acceptor accepted last; the value's bytes are stored apart.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
+pub struct AcceptedProposal {
+    /// The ballot under which it was accepted.
+    pub ballot: Ballot,
+    /// The value's revision.
+    pub revision: u64,
+    /// The value's digest.
+    pub digest: Digest,
+}
+
+impl AcceptedProposal {
+    /// Order of proposals: by ballot, and within one ballot by revision, since a proposer may extend its
+    /// own value without a new prepare round.
+    pub fn rank(&self) -> (Ballot, u64) {
+        (self.ballot, self.revision)
+    }
+
+    /// The accepted version.
+    pub fn version(&self) -> VersionId {
+        VersionId { revision: self.revision, digest: self.digest }
+    }
+}
--- a/store/tests/disk.rs
+++ b/store/tests/disk.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use vanepath_store::consensus::{DiskWrite, HardState, RecoveredState};
 use vanepath_store::disk::Disk;
-use vanepath_store::protocol::{AcceptedProposal, Ballot, Value, digest_of};
+use vanepath_store::value::{AcceptedProposal, Ballot, Value, digest_of};
 
 fn folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("vanepath-disk-{name}-{}", std::process::id()));
@@ -31,7 +31,7 @@
 
 fn version(value: &Value) -> DiskWrite {
     let bytes = value.encode();
-    DiskWrite::Version { revision: value.revision, digest: digest_of(&bytes), bytes }
+    DiskWrite::Version { id: value.id(), bytes }
 }
 
 fn state(incarnation: u64, value: &Value) -> HardState {
--- a/store/tests/frames.rs
+++ b/store/tests/frames.rs
@@ -4,11 +4,10 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 use vanepath_cluster::wire::{decode, encode};
+use vanepath_store::idempotency::IdempotencyRecord;
 use vanepath_store::idempotency::OlderWrites;
-use vanepath_store::protocol::{
-    AcceptedProposal, Ballot, Change, IdempotencyRecord, Member, MembershipSnapshot, Outcome,
-    Rejection, Request, Response, Value,
-};
+use vanepath_store::protocol::{Change, MembershipSnapshot, Outcome, Rejection, Request, Response};
+use vanepath_store::value::{AcceptedProposal, Ballot, Member, Value};
 
 #[derive(Default)]
 struct Frames {
--- a/store/tests/growth.rs
+++ b/store/tests/growth.rs
@@ -3,9 +3,10 @@
 //! `--nocapture`; ten thousand changes with `VANEPATH_CHANGES=10000`.
 
 use std::time::{Duration, Instant};
-use vanepath_store::consensus::{Effect, Event, Identity, LiveStore, Replica};
+use vanepath_store::consensus::{Effect, Event, Identity, LiveStore, Replica, response_from_disk};
 use vanepath_store::disk::Disk;
 use vanepath_store::protocol::{Change, Outcome, Request, Response};
+use vanepath_store::value::VersionId;
 
 /// A store on a real folder.
 struct Store {
@@ -82,10 +83,9 @@
             Effect::Reply { ticket, response: tell } => self.answer(ticket, Some(tell)),
             Effect::ReplyFromDisk { ticket, versions, as_outcome } => {
                 let disk = &self.stores[who].as_ref().unwrap().disk;
-                let load = |at: &vanepath_store::consensus::At| disk.version(at.0, &at.1);
-                let (tell, _) =
-                    vanepath_store::consensus::response_from_disk(&versions, as_outcome, load);
-                self.answer(ticket, Some(tell));
+                let load = |id: &VersionId| disk.version(id);
+                let response = response_from_disk(&versions, as_outcome, load).response;
+                self.answer(ticket, Some(response));
             }
             Effect::Reset => panic!("nobody loses a seat here"),
             Effect::Committed(_) | Effect::Log(_) => {}
--- a/store/tests/model/history.rs
+++ b/store/tests/model/history.rs
@@ -2,7 +2,8 @@
 
 use crate::world::Call;
 use std::collections::BTreeMap;
-use vanepath_store::protocol::{Change, Outcome, Value, digest_of};
+use vanepath_store::protocol::{Change, Outcome};
+use vanepath_store::value::{Value, digest_of};
 
 /// A call with what had been acknowledged or read when it was begun.
 #[derive(Clone)]
--- a/store/tests/model/world.rs
+++ b/store/tests/model/world.rs
@@ -8,12 +8,11 @@
 use std::time::Duration;
 use vanepath_cluster::wire;
 use vanepath_store::consensus::{
-    At, DiskWrite, Effect, Event, HardState, Identity, LiveStore, RecoveredState, Replica,
-    StoredVersion,
-};
-use vanepath_store::protocol::{
-    AcceptedProposal, BOOTSTRAP_BALLOT, Change, Outcome, Request, Response, Value,
+    DiskWrite, Effect, Event, HardState, Identity, LiveStore, RecoveredState, Replica,
+    StoredVersion, response_from_disk,
 };
+use vanepath_store::protocol::{Change, Outcome, Request, Response};
+use vanepath_store::value::{AcceptedProposal, BOOTSTRAP_BALLOT, Ballot, Value, VersionId};
 
 /// Ways to break the shell round the cores, to show that the checks see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,7 +52,7 @@
 #[derive(Clone, Default)]
 struct Disk {
     state: Option<HardState>,
-    versions: BTreeMap<At, Arc<Value>>,
+    versions: BTreeMap<VersionId, Arc<Value>>,
 }
 
 #[derive(Clone)]
@@ -108,23 +107,17 @@
 
 fn found(disk: &Disk) -> RecoveredState {
     let state = disk.state.clone().expect("a disk has a state");
-    let at = state.accepted.map(|meta| (meta.revision, meta.digest));
-    let value = at.and_then(|at| disk.versions.get(&at).cloned());
-    let kept = disk.versions.iter().map(|((revision, digest), value)| {
-        let (parent_revision, parent) = (value.parent_revision, value.parent);
-        let bytes = value.encode().len();
-        (*revision, StoredVersion { digest: *digest, parent_revision, parent, bytes })
-    });
-    let mut before = Vec::new();
-    if let Some(value) = &value {
-        let mut at = (value.parent_revision, value.parent);
-        for _ in 0..value.batched_before {
-            let Some(one) = disk.versions.get(&at) else { break };
-            before.insert(0, one.clone());
-            at = (one.parent_revision, one.parent);
-        }
-    }
-    RecoveredState { versions: kept.collect(), state, value, batch: before }
+    let id = state.accepted.map(|accepted| accepted.version());
+    let value = id.and_then(|id| disk.versions.get(&id).cloned());
+    let versions = disk
+        .versions
+        .iter()
+        .map(|(id, value)| StoredVersion::new(*id, value, value.encode().len()))
+        .collect();
+    let batch = value
+        .as_ref()
+        .map(|value| RecoveredState::load_batch(value, |id| disk.versions.get(&id).cloned()));
+    RecoveredState { state, value, batch: batch.unwrap_or_default(), versions }
 }
 
 impl World {
@@ -275,13 +268,13 @@
     /// A disk with nothing on it but the beginning, under the incarnation that it had.
     fn beginning_of(&self, index: usize) -> Disk {
         let disk = &self.stores[index].disk;
-        let first = disk.versions.iter().find(|(at, _)| at.0 == 0);
-        let (at, value) = first.expect("the beginning is kept");
-        let ballot = vanepath_store::protocol::Ballot { number: 2, ..BOOTSTRAP_BALLOT };
-        let accepted = Some(AcceptedProposal { ballot, revision: 0, digest: at.1 });
+        let first = disk.versions.iter().find(|(id, _)| id.revision == 0);
+        let (id, value) = first.expect("the beginning is kept");
+        let ballot = Ballot { number: 2, ..BOOTSTRAP_BALLOT };
+        let accepted = Some(AcceptedProposal { ballot, revision: 0, digest: id.digest });
         let incarnation = self.stores[index].core.summary().incarnation;
         let state = HardState { incarnation, promised: ballot, accepted };
-        Disk { state: Some(state), versions: BTreeMap::from([(*at, value.clone())]) }
+        Disk { state: Some(state), versions: BTreeMap::from([(*id, value.clone())]) }
     }
 
     /// What a store that died was asked is answered by nobody.
@@ -350,7 +343,7 @@
         if self.broken == Some(Broken::ReadsWithoutRound) && matches!(ask, Request::Read) {
             let disk = &self.stores[store].disk;
             let meta = disk.state.as_ref().and_then(|state| state.accepted);
-            let held = meta.and_then(|meta| disk.versions.get(&(meta.revision, meta.digest)));
+            let held = meta.and_then(|meta| disk.versions.get(&meta.version()));
             let outcome = held.map(|value| Outcome::Value { value: (**value).clone() });
             return self.history.end(number, outcome);
         }
@@ -407,10 +400,9 @@
             Effect::Reply { ticket, response: tell } => self.answer(ticket, Some(tell)),
             Effect::ReplyFromDisk { ticket, versions, as_outcome } => {
                 let disk = &self.stores[index].disk;
-                let load = |at: &At| disk.versions.get(at).map(|value| (**value).clone());
-                let (tell, _) =
-                    vanepath_store::consensus::response_from_disk(&versions, as_outcome, load);
-                self.answer(ticket, Some(tell));
+                let load = |id: &VersionId| disk.versions.get(id).map(|value| (**value).clone());
+                let response = response_from_disk(&versions, as_outcome, load).response;
+                self.answer(ticket, Some(response));
             }
             Effect::Committed(value) => self.history.chosen(&value),
             Effect::Reset => {
@@ -441,13 +433,13 @@
         }
         for write in writes {
             match write {
-                DiskWrite::Version { revision, digest, bytes } => {
+                DiskWrite::Version { id, bytes } => {
                     let value: Value = wire::decode(&bytes).expect("own bytes");
-                    store.disk.versions.insert((revision, digest), Arc::new(value));
+                    store.disk.versions.insert(id, Arc::new(value));
                 }
                 DiskWrite::State(state) => store.disk.state = Some(state),
-                DiskWrite::Remove { revision, digest } => {
-                    store.disk.versions.remove(&(revision, digest));
+                DiskWrite::Remove(id) => {
+                    store.disk.versions.remove(&id);
                 }
             }
         }
--- a/store/tests/register.rs
+++ b/store/tests/register.rs
@@ -6,16 +6,17 @@
 use vanepath_cluster::wire;
 use vanepath_store::consensus::{
     DiskWrite, Effect, Event, HardState, Identity, LiveStore, RecoveredState, Replica,
-    StoredVersion,
+    StoredVersion, rescued, response_from_disk,
 };
-use vanepath_store::protocol::{
-    Ballot, Change, Digest, Outcome, Rejection, Request, Response, Value,
+use vanepath_store::protocol::{Change, Outcome, Rejection, Request, Response};
+use vanepath_store::value::{
+    BOOTSTRAP_BALLOT, Ballot, MAX_DRAIN_ORDERS, MAX_HISTORY_BYTES, Value, VersionId,
 };
 
 #[derive(Default)]
 struct Disk {
     state: Option<HardState>,
-    versions: BTreeMap<(u64, Digest), Value>,
+    versions: BTreeMap<VersionId, Value>,
 }
 
 struct Store {
@@ -54,24 +55,20 @@
 fn found(disk: &mut Disk, random: u64) -> RecoveredState {
     let fresh = HardState { incarnation: random, promised: Default::default(), accepted: None };
     let state = disk.state.get_or_insert(fresh).clone();
-    let at = state.accepted.map(|meta| (meta.revision, meta.digest));
-    let value = at.and_then(|at| disk.versions.get(&at).cloned()).map(Arc::new);
-    let kept = disk.versions.iter().map(|((revision, digest), value)| {
-        let (parent_revision, parent) = (value.parent_revision, value.parent);
-        let bytes = value.encode().len();
-        (*revision, StoredVersion { digest: *digest, parent_revision, parent, bytes })
+    let id = state.accepted.map(|accepted| accepted.version());
+    let value = id.and_then(|id| disk.versions.get(&id).cloned()).map(Arc::new);
+    let versions = disk
+        .versions
+        .iter()
+        .map(|(id, value)| StoredVersion::new(*id, value, value.encode().len()))
+        .collect();
+    let batch = value.as_ref().map(|value| {
+        RecoveredState::load_batch(value, |id| {
+            let ancestor = disk.versions.get(&id).expect("what was accepted together is there");
+            Some(Arc::new(ancestor.clone()))
+        })
     });
-    let kept = kept.collect();
-    let mut before = Vec::new();
-    if let Some(value) = &value {
-        let mut at = (value.parent_revision, value.parent);
-        for _ in 0..value.batched_before {
-            let one = disk.versions.get(&at).expect("what was accepted together is there");
-            at = (one.parent_revision, one.parent);
-            before.insert(0, Arc::new(one.clone()));
-        }
-    }
-    RecoveredState { state, value, batch: before, versions: kept }
+    RecoveredState { state, value, batch: batch.unwrap_or_default(), versions }
 }
 
 impl Fleet {
@@ -123,8 +120,8 @@
 
     fn value(&self, index: usize) -> &Value {
         let disk = &self.stores[index].disk;
-        let meta = disk.state.as_ref().unwrap().accepted.expect("it holds something");
-        &disk.versions[&(meta.revision, meta.digest)]
+        let accepted = disk.state.as_ref().unwrap().accepted.expect("it holds something");
+        &disk.versions[&accepted.version()]
     }
 
     fn restart(&mut self, index: usize) {
@@ -206,13 +203,13 @@
                 let disk = &mut self.stores[index].disk;
                 for write in writes {
                     match write {
-                        DiskWrite::Version { revision, digest, bytes } => {
+                        DiskWrite::Version { id, bytes } => {
                             let value = wire::decode(&bytes).expect("own bytes");
-                            disk.versions.insert((revision, digest), value);
+                            disk.versions.insert(id, value);
                         }
                         DiskWrite::State(state) => disk.state = Some(state),
-                        DiskWrite::Remove { revision, digest } => {
-                            disk.versions.remove(&(revision, digest));
+                        DiskWrite::Remove(id) => {
+                            disk.versions.remove(&id);
                         }
                     }
                 }
@@ -252,10 +249,9 @@
             },
             Effect::ReplyFromDisk { ticket, versions, as_outcome } => {
                 let disk = &self.stores[index].disk;
-                let load = |at: &(u64, Digest)| disk.versions.get(at).cloned();
-                let (tell, _) =
-                    vanepath_store::consensus::response_from_disk(&versions, as_outcome, load);
-                self.perform(index, Effect::Reply { ticket, response: tell });
+                let load = |id: &VersionId| disk.versions.get(id).cloned();
+                let response = response_from_disk(&versions, as_outcome, load).response;
+                self.perform(index, Effect::Reply { ticket, response });
             }
             Effect::Reset => {
                 let random = 9000 + self.tickets.len() as u64;
@@ -287,7 +283,7 @@
     let mut fleet = Fleet::new();
     fleet.stores[2].is_up = false;
     fleet.passes(Duration::from_secs(5));
-    assert!(fleet.stores.iter().all(|store| store.core.is_blank()), "two do not begin a word");
+    assert!(fleet.stores.iter().all(|store| store.core.is_empty()), "two do not begin a word");
     fleet.stores[2].is_up = true;
     fleet.passes(Duration::from_secs(3));
     assert_eq!(revision(fleet.put(0, "a")), 1);
@@ -345,7 +341,7 @@
     // While its holder replies nobody takes the seat.
     fleet.add("s0x", 3, 500);
     fleet.passes(Duration::from_secs(5));
-    assert!(fleet.stores[3].core.is_blank());
+    assert!(fleet.stores[3].core.is_empty());
     fleet.stores[0].is_up = false;
     // One of the two others does not tell the new disk that it is admitted.
     fleet.mutes =
@@ -417,7 +413,7 @@
 
 /// Whether nobody of these holds anything.
 fn all_blank(fleet: &Fleet) -> bool {
-    fleet.stores.iter().all(|store| store.core.is_blank())
+    fleet.stores.iter().all(|store| store.core.is_empty())
 }
 
 /// One, three, five and seven empty stores begin a word, and all of them hold the same; one fewer than
@@ -460,9 +456,9 @@
     fleet.add("s3", 0, 500);
     fleet.passes(Duration::from_secs(5));
     assert_eq!(fleet.votes(), 3);
-    assert!(fleet.stores[3].core.is_blank());
+    assert!(fleet.stores[3].core.is_empty());
     assert_eq!(revision(fleet.put(0, "a")), 1);
-    assert!(fleet.stores[3].core.is_blank(), "three hold the word already");
+    assert!(fleet.stores[3].core.is_empty(), "three hold the word already");
 }
 
 /// A beginning that did not reach all stores counts for nothing: no change is taken on it. It goes on
@@ -472,12 +468,12 @@
     let mut fleet = Fleet::of(5);
     fleet.loses = Box::new(|_, target, ask| target == 4 && matches!(ask, Request::Accept { .. }));
     fleet.passes(Duration::from_secs(5));
-    assert!(fleet.stores[4].core.is_blank());
+    assert!(fleet.stores[4].core.is_empty());
     assert_eq!(fleet.votes(), 0);
     assert!(!matches!(fleet.put(1, "a"), Some(Outcome::Accepted { .. })));
     let other = Value { members: fleet.value(1).members[..3].to_vec(), ..fleet.value(1).clone() };
     let before = fleet.said.len();
-    let ballot = vanepath_store::protocol::BOOTSTRAP_BALLOT;
+    let ballot = BOOTSTRAP_BALLOT;
     fleet.ask(1, Request::Accept { from: 100, ballot, value: other, batch: Vec::new() });
     let refused = &fleet.said[before];
     assert!(
@@ -573,12 +569,12 @@
             && [2, 3].contains(&target)
     });
     fleet.passes(Duration::from_secs(8));
-    assert!(fleet.stores[5].core.is_blank(), "two of five are no majority");
+    assert!(fleet.stores[5].core.is_empty(), "two of five are no majority");
     fleet.loses = Box::new(|_, _, _| false);
     fleet.mutes =
         Box::new(|teller, _, tell| teller > 1 && matches!(tell, Response::Membership { .. }));
     fleet.passes(Duration::from_secs(8));
-    assert!(fleet.stores[5].core.is_blank(), "two of four have shown it");
+    assert!(fleet.stores[5].core.is_empty(), "two of four have shown it");
     fleet.mutes = Box::new(|_, _, _| false);
     fleet.passes(Duration::from_secs(3));
     assert!(fleet.stores[5].core.summary().is_voting);
@@ -611,7 +607,7 @@
         matches!(ask, Request::Accept { .. } | Request::Prepare { .. } | Request::QueryStatus)
     });
     fleet.passes(Duration::from_secs(3));
-    assert!(fleet.stores[3].core.is_blank());
+    assert!(fleet.stores[3].core.is_empty());
     fleet.loses = Box::new(|_, _, _| false);
     fleet.passes(Duration::from_secs(8));
     assert!(fleet.stores[3].core.summary().is_voting, "settled, it is admitted");
@@ -675,7 +671,7 @@
     let state = fleet.stores[1].disk.state.clone().unwrap();
     assert_eq!((state.incarnation, state.accepted), (summary.incarnation, None));
     fleet.passes(Duration::from_secs(4));
-    assert!(fleet.stores[1].core.is_blank(), "five have seats: it waits");
+    assert!(fleet.stores[1].core.is_empty(), "five have seats: it waits");
     fleet.stores[2].is_up = false;
     fleet.passes(Duration::from_secs(6));
     let summary = fleet.stores[1].core.summary();
@@ -880,7 +876,7 @@
 fn large_setups_do_not_fill_a_disk() {
     let mut fleet = Fleet::of(3);
     fleet.passes(Duration::from_secs(2));
-    let most = vanepath_store::protocol::MAX_HISTORY_BYTES;
+    let most = MAX_HISTORY_BYTES;
     let size = 700_000;
     for number in 0..120_u32 {
         let mut bytes = vec![b'x'; size];
@@ -923,9 +919,8 @@
         assert!(!matches!(fleet.put(0, "b"), Some(Outcome::Accepted { .. })));
         let value = fleet.value(0).clone();
         let state = fleet.stores[0].disk.state.clone().unwrap();
-        let (state, value) = vanepath_store::consensus::rescued(&state, &value, "s0");
-        let digest = vanepath_store::protocol::digest_of(&value.encode());
-        fleet.stores[0].disk.versions.insert((value.revision, digest), value);
+        let (state, value) = rescued(&state, &value, "s0").expect("it has accepted something");
+        fleet.stores[0].disk.versions.insert(value.id(), value);
         fleet.stores[0].disk.state = Some(state);
         fleet.restart(0);
         fleet.passes(Duration::from_secs(12));
@@ -947,7 +942,7 @@
     fleet.mutes =
         Box::new(|teller, _, tell| teller == 1 && matches!(tell, Response::Promise { .. }));
     fleet.passes(Duration::from_secs(8));
-    assert!(fleet.stores[3].core.is_blank());
+    assert!(fleet.stores[3].core.is_empty());
     assert_eq!(fleet.stores[2].core.summary().incarnation, 102);
     fleet.loses = Box::new(|_, _, _| false);
     fleet.mutes = Box::new(|_, _, _| false);
@@ -1034,7 +1029,7 @@
         fleet.events.push_back((index, Event::RevisionHeard { revision: 1 }));
     }
     fleet.passes(Duration::from_secs(10));
-    assert!(fleet.stores[1..].iter().all(|store| store.core.is_blank()));
+    assert!(fleet.stores[1..].iter().all(|store| store.core.is_empty()));
 }
 
 impl Fleet {
@@ -1117,7 +1112,7 @@
 fn orders_for_one_zone_are_bounded() {
     let mut fleet = Fleet::of(3);
     fleet.passes(Duration::from_secs(2));
-    let most = vanepath_store::protocol::MAX_DRAIN_ORDERS;
+    let most = MAX_DRAIN_ORDERS;
     for number in 0..=most {
         let (key, change) = (format!("k{number}"), empty());
         fleet.ask(0, Request::Change { key, change, keyless_for: None });
--- a/store/tests/stored_data.rs
+++ b/store/tests/stored_data.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use vanepath_store::consensus::{DiskWrite, RecoveredState};
 use vanepath_store::disk::Disk;
-use vanepath_store::protocol::{Ballot, MemberTable, Value, digest_of};
+use vanepath_store::value::{Ballot, MemberTable, Value, VersionId, digest_of};
 
 /// What a folder's state gets as incarnation where its file counts as absent.
 const NEW_INCARNATION: u64 = 4242;
@@ -65,7 +65,7 @@
         let key = format!("operator-{number}");
         if let Some(known) = value.older_writes.find(&key) {
             let is_same = known.has_content(0x1111_0000_0000_0000 + number);
-            let (revision, setup_revision) = (known.revision, known.setup_revision);
+            let (revision, setup_revision) = (known.revision, known.config_revision);
             let _ = writeln!(text, "  older {key} {is_same} {revision} {setup_revision}");
         }
     }
@@ -94,10 +94,10 @@
         let _ = writeln!(text, "together with {}", value.revision);
     }
     let mut kept: Vec<_> = found.versions.iter().collect();
-    kept.sort_by_key(|(revision, one)| (*revision, one.digest));
-    for (revision, one) in kept {
-        let (parent, digest) = (hex(&one.parent), hex(&one.digest));
-        let parent_revision = one.parent_revision;
+    kept.sort_by_key(|one| one.id);
+    for one in kept {
+        let (revision, digest) = (one.id.revision, hex(&one.id.digest));
+        let (parent_revision, parent) = (one.parent.revision, hex(&one.parent.digest));
         let bytes = one.bytes;
         let _ = writeln!(text, "kept {revision} {digest} {parent_revision} {parent} {bytes}");
     }
@@ -137,12 +137,13 @@
     let target = Disk::open(&target_folder).unwrap();
     target.load(NEW_INCARNATION).unwrap();
     let mut versions = 0;
-    for (revision, one) in &found.versions {
-        let Some(value) = source.version(*revision, &one.digest) else { continue };
-        let bytes = value.encode();
+    for one in &found.versions {
+        let Some(value) = source.version(&one.id) else { continue };
+        let (bytes, revision) = (value.encode(), one.id.revision);
         let digest = digest_of(&bytes);
-        assert_eq!(digest, one.digest, "{kind}: revision {revision} digests otherwise now");
-        target.save(&[DiskWrite::Version { revision: *revision, digest, bytes }]).unwrap();
+        assert_eq!(digest, one.id.digest, "{kind}: revision {revision} digests otherwise now");
+        let id = VersionId { revision, digest };
+        target.save(&[DiskWrite::Version { id, bytes }]).unwrap();
         versions += 1;
     }
     assert_eq!(versions, found.versions.len(), "{kind}");
--- a/testbed/src/scale/cores.rs
+++ b/testbed/src/scale/cores.rs
@@ -373,7 +373,7 @@
         let bytes = wire::encode(&word);
         let encode = each(span, || wire::encode(&word));
         let decode = each(span, || wire::decode::<wire::CommittedConfig>(&bytes));
-        let digest = each(span, || vanepath_store::protocol::digest_of(&bytes));
+        let digest = each(span, || vanepath_store::value::digest_of(&bytes));
         rows.push(Row {
             what: "store's value".to_string(),
             size: vec![("routes", routes), ("services", services)],
--- a/testbed/src/sim/control.rs
+++ b/testbed/src/sim/control.rs
@@ -17,7 +17,8 @@
 use vanepath_registry::list_sequencer::{Effect as Reads, ListSequencer, READ_MOST};
 use vanepath_registry::store_client::{NextAction, StoreRequest};
 use vanepath_store::consensus::{self, Replica};
-use vanepath_store::protocol::{Change, Digest, Outcome, Request, Response, Value};
+use vanepath_store::protocol::{Change, Outcome, Request, Response};
+use vanepath_store::value::{Value, VersionId};
 
 pub const PULSE: Duration = Duration::from_millis(50);
 
--- a/testbed/src/sim/control/disk.rs
+++ b/testbed/src/sim/control/disk.rs
@@ -6,7 +6,7 @@
 #[derive(Default)]
 pub struct Disk {
     pub state: Option<consensus::HardState>,
-    pub versions: BTreeMap<(u64, Digest), Arc<Value>>,
+    pub versions: BTreeMap<VersionId, Arc<Value>>,
     pub(super) under_way: Vec<consensus::DiskWrite>,
     /// Of a disk that lies about its syncs.
     pub(super) unsynced: Vec<consensus::DiskWrite>,
@@ -18,50 +18,29 @@
 impl Disk {
     pub(super) fn apply(&mut self, write: consensus::DiskWrite) {
         match write {
-            consensus::DiskWrite::Version { revision, digest, bytes } => {
+            consensus::DiskWrite::Version { id, bytes } => {
                 let value: Value = wire::decode(&bytes).expect("own bytes");
-                self.versions.insert((revision, digest), Arc::new(value));
+                self.versions.insert(id, Arc::new(value));
             }
             consensus::DiskWrite::State(state) => self.state = Some(state),
-            consensus::DiskWrite::Remove { revision, digest } => {
-                self.versions.remove(&(revision, digest));
+            consensus::DiskWrite::Remove(id) => {
+                self.versions.remove(&id);
             }
         }
     }
 
     pub(super) fn found(&mut self, random: u64) -> consensus::RecoveredState {
-        let state = self.state.clone().unwrap_or_else(|| {
-            let state = consensus::HardState {
-                incarnation: random,
-                promised: Default::default(),
-                accepted: None,
-            };
-            self.state = Some(state.clone());
-            state
-        });
-        let accepted = state.accepted.map(|meta| (meta.revision, meta.digest));
-        let value = accepted.and_then(|at| self.versions.get(&at).cloned());
-        let kept = self
+        let state = self.state.get_or_insert_with(|| consensus::HardState::empty(random)).clone();
+        let accepted = state.accepted.map(|accepted| accepted.version());
+        let value = accepted.and_then(|id| self.versions.get(&id).cloned());
+        let versions = self
             .versions
             .iter()
-            .map(|((revision, digest), value)| {
-                let (parent_revision, parent) = (value.parent_revision, value.parent);
-                let bytes = value.encode().len();
-                (
-                    *revision,
-                    consensus::StoredVersion { digest: *digest, parent_revision, parent, bytes },
-                )
-            })
+            .map(|(id, value)| consensus::StoredVersion::new(*id, value, value.encode().len()))
             .collect();
-        let mut before = Vec::new();
-        if let Some(value) = &value {
-            let mut at = (value.parent_revision, value.parent);
-            for _ in 0..value.batched_before {
-                let Some(one) = self.versions.get(&at) else { break };
-                at = (one.parent_revision, one.parent);
-                before.insert(0, one.clone());
-            }
-        }
-        consensus::RecoveredState { state, value, batch: before, versions: kept }
+        let batch = value.as_ref().map(|value| {
+            consensus::RecoveredState::load_batch(value, |id| self.versions.get(&id).cloned())
+        });
+        consensus::RecoveredState { state, value, batch: batch.unwrap_or_default(), versions }
     }
 }
--- a/testbed/src/sim/control/stores.rs
+++ b/testbed/src/sim/control/stores.rs
@@ -156,15 +156,12 @@
                     }
                 }
                 consensus::Effect::ReplyFromDisk { ticket, versions, as_outcome } => {
-                    let load = |at: &(u64, Digest)| {
-                        store.disk.versions.get(at).map(|value| (**value).clone())
-                    };
-                    let (tell, damaged) =
+                    let load =
+                        |id: &VersionId| store.disk.versions.get(id).map(|value| (**value).clone());
+                    let consensus::DiskResponse { response: tell, damaged } =
                         consensus::response_from_disk(&versions, as_outcome, load);
-                    if let Some((revision, digest)) = damaged {
-                        store
-                            .inbox
-                            .push_back(consensus::Event::VersionDamaged { revision, digest });
+                    if let Some(id) = damaged {
+                        store.inbox.push_back(consensus::Event::VersionDamaged(id));
                     }
                     self.net.reply(ticket, Body::Tell(tell));
                 }
