--- a/store/src/hints/tests.rs
+++ b/store/src/hints/tests.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 use vanepath_cluster::{node::ClusterView, wire};
 
-fn view(counter: u64, away: &str) -> ClusterView {
-    let card = |port: u16| {
+fn view(counter: u64, unreachable: &str) -> ClusterView {
+    let node_info = |port: u16| {
         let address = std::net::SocketAddr::from(([127, 0, 0, 1], port));
         wire::NodeInfo {
             name: format!("d{port}"),
@@ -18,29 +18,30 @@
     let plan = wire::TrafficShiftPlan {
         epoch: 1,
         counter,
-        unreachable: [away.to_string()].into(),
+        unreachable: [unreachable.to_string()].into(),
         ..Default::default()
     };
-    let live = (1..4).map(|port| (card(port), wire::NodeStatus::default())).collect();
+    let live = (1..4).map(|port| (node_info(port), wire::NodeStatus::default())).collect();
     ClusterView { live, plan: Arc::new(plan), is_fresh: true, ..ClusterView::default() }
 }
 
-/// Written when something is new, never more often than a disk is meant to be, and not
-/// forgotten when nobody is in sight.
+/// Written when something has changed, never more often than the bound, and not forgotten when no other
+/// node is live.
 #[test]
-fn hints_are_written_seldom_and_kept() {
-    let mut keeper = HintWriter::new(Hints::default());
-    let first = keeper.step(Duration::ZERO, &view(1, "s1")).expect("all of it is new");
+fn hints_are_written_seldom_and_never_forgotten() {
+    let mut hint_writer = HintWriter::new(Hints::default());
+    let first = hint_writer.step(Duration::ZERO, &view(1, "s1")).expect("all of it is new");
     assert_eq!(first.nodes.len(), 2);
-    assert_eq!(keeper.step(Duration::from_secs(1), &view(1, "s1")), None);
+    assert_eq!(hint_writer.step(Duration::from_secs(1), &view(1, "s1")), None);
     let mut written = 0;
     for step in 0..600_u64 {
         let now = Duration::from_millis(1000 + 100 * step);
-        written += usize::from(keeper.step(now, &view(2 + step, &format!("s{step}"))).is_some());
+        written +=
+            usize::from(hint_writer.step(now, &view(2 + step, &format!("s{step}"))).is_some());
     }
     assert!((10..=12).contains(&written), "{written} files in a minute");
     let mut alone = view(9000, "s9");
     alone.live.truncate(1);
-    let last = keeper.step(Duration::from_secs(200), &alone).expect("another plan");
+    let last = hint_writer.step(Duration::from_secs(200), &alone).expect("another plan");
     assert_eq!((last.nodes.len(), last.plan.counter), (2, 9000));
 }
--- a/store/tests/disk.rs
+++ b/store/tests/disk.rs
@@ -1,4 +1,4 @@
-//! The data folder step by step: what a loss of power leaves, and how often it is synced.
+//! The data folder step by step: what is left after a loss of power, and how often it is synced.
 
 use std::path::{Path, PathBuf};
 use vanepath_store::consensus::{DiskWrite, HardState, RecoveredState};
@@ -11,7 +11,7 @@
     folder
 }
 
-fn value(revision: u64, parent: Option<&Value>, together: u32) -> Value {
+fn value(revision: u64, parent: Option<&Value>, batched_before: u32) -> Value {
     Value {
         revision,
         parent_revision: revision.saturating_sub(1),
@@ -22,7 +22,7 @@
         drained_zones: Default::default(),
         extra_drain_orders: Default::default(),
         members: Vec::new(),
-        batched_before: together,
+        batched_before,
         recent_writes: Default::default(),
         older_writes: Default::default(),
         version_hashes: Default::default(),
@@ -55,19 +55,19 @@
     Disk::open(folder).unwrap().load(77).unwrap()
 }
 
-fn named(folder: &Path, start: &str) -> PathBuf {
+fn path_of(folder: &Path, start: &str) -> PathBuf {
     let mut all = files(folder).into_iter().map(|(path, _)| path);
     all.find(|path| path.file_name().unwrap().to_str().unwrap().starts_with(start)).unwrap()
 }
 
-/// A promise takes two syncs, an accepted version three, a few together one more for each and one for
+/// A promise takes two syncs, an accepted version three, a batch one more for each version and one for
 /// their names.
 #[test]
 fn a_save_syncs_no_more_than_it_has_to() {
     let folder = folder("syncs");
     let disk = Disk::open(&folder).unwrap();
-    let found = disk.load(7).unwrap();
-    assert_eq!(disk.save(&[DiskWrite::State(found.state)]).unwrap(), 2);
+    let recovered = disk.load(7).unwrap();
+    assert_eq!(disk.save(&[DiskWrite::State(recovered.state)]).unwrap(), 2);
     let mut last = value(0, None, 0);
     for revision in 1..6 {
         assert_eq!(disk.save(&[version(&last), DiskWrite::State(state(7, &last))]).unwrap(), 3);
@@ -77,17 +77,20 @@
     let writes = [version(&last), version(&next), DiskWrite::State(state(7, &next))];
     assert_eq!(disk.save(&writes).unwrap(), 5);
     drop(disk);
-    let found = load(&folder);
-    assert_eq!(found.value.as_deref(), Some(&next));
-    assert_eq!(found.batch.iter().map(|one| one.revision).collect::<Vec<u64>>(), [last.revision]);
-    assert_eq!(found.versions.len(), 7);
+    let recovered = load(&folder);
+    assert_eq!(recovered.value.as_deref(), Some(&next));
+    assert_eq!(
+        recovered.batch.iter().map(|one| one.revision).collect::<Vec<u64>>(),
+        [last.revision]
+    );
+    assert_eq!(recovered.versions.len(), 7);
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// Power is lost in the middle of a save, and of the renames and new names of it any may have lasted:
-/// what the state names is always there.
+/// Power is lost in the middle of a save, and any of its renames and new names may be durable: the version
+/// that the state names is always there.
 #[test]
-fn whichever_names_lasted_the_state_finds_its_version() {
+fn after_a_power_loss_the_state_finds_its_version() {
     let folder = folder("power");
     // Twice, for each of the two spares.
     for turn in 0..2_u64 {
@@ -105,15 +108,16 @@
         disk.save(&[version(&new), DiskWrite::State(state(7, &new))]).unwrap();
         drop(disk);
         let after = files(&folder);
-        // The spare that was there holds the version's bytes as far as its own name was not lost.
+        // The spare file that was there holds the version's bytes unless its rename is durable.
         let spare = before.iter().find(|(path, _)| path.to_str().unwrap().contains("spare-"));
         let spare = spare.unwrap().0.clone();
-        let version_path = named(&folder, &format!("version-{:020}", new.revision));
+        let version_path = path_of(&folder, &format!("version-{:020}", new.revision));
         let bytes = std::fs::read(&version_path).unwrap();
-        let other = named(&folder, "spare-");
+        let other = path_of(&folder, "spare-");
         assert_ne!(other, spare, "the old name is not used again before it may be");
-        for lasted in 0..8 {
-            let (is_state, is_version, is_spare) = (lasted & 1 > 0, lasted & 2 > 0, lasted & 4 > 0);
+        for durable in 0..8 {
+            let (is_state, is_version, is_spare) =
+                (durable & 1 > 0, durable & 2 > 0, durable & 4 > 0);
             for (path, _) in files(&folder) {
                 std::fs::remove_file(path).unwrap();
             }
@@ -127,10 +131,10 @@
             if is_spare {
                 std::fs::write(&other, b"").unwrap();
             }
-            let found = load(&folder);
+            let recovered = load(&folder);
             let wanted = if is_state { &new } else { &old };
-            assert_eq!(found.value.as_deref(), Some(wanted), "{lasted}");
-            assert_eq!(found.state, state(7, wanted));
+            assert_eq!(recovered.value.as_deref(), Some(wanted), "{durable}");
+            assert_eq!(recovered.state, state(7, wanted));
             // And the next save works on what is there.
             let disk = Disk::open(&folder).unwrap();
             disk.load(7).unwrap();
@@ -143,23 +147,23 @@
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// A spare that was being written when power went is torn: it counts for nothing.
+/// A spare file that was being written when power was lost is torn: it counts as absent.
 #[test]
-fn a_torn_spare_is_nothing() {
+fn a_torn_spare_file_counts_as_absent() {
     let folder = folder("torn");
     let disk = Disk::open(&folder).unwrap();
     disk.load(7).unwrap();
     let old = value(1, None, 0);
     disk.save(&[version(&old), DiskWrite::State(state(7, &old))]).unwrap();
     drop(disk);
-    let whole = std::fs::read(named(&folder, "version-")).unwrap();
-    std::fs::write(named(&folder, "spare-"), &whole[..whole.len() / 2]).unwrap();
-    let found = load(&folder);
-    assert_eq!((found.value.as_deref(), found.versions.len()), (Some(&old), 1));
+    let intact = std::fs::read(path_of(&folder, "version-")).unwrap();
+    std::fs::write(path_of(&folder, "spare-"), &intact[..intact.len() / 2]).unwrap();
+    let recovered = load(&folder);
+    assert_eq!((recovered.value.as_deref(), recovered.versions.len()), (Some(&old), 1));
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// A disk that lost its seat: nothing of the old versions is there, and the new incarnation lasts.
+/// A removed member's disk: the old versions are gone, and the new incarnation is durable.
 #[test]
 fn a_reset_disk_is_empty_under_its_new_incarnation() {
     let folder = folder("reset");
@@ -167,37 +171,37 @@
     disk.load(7).unwrap();
     let old = value(1, None, 0);
     disk.save(&[version(&old), DiskWrite::State(state(7, &old))]).unwrap();
-    let found = disk.reset(8).unwrap();
-    assert_eq!((found.state.incarnation, found.state.accepted), (8, None));
+    let recovered = disk.reset(8).unwrap();
+    assert_eq!((recovered.state.incarnation, recovered.state.accepted), (8, None));
     drop(disk);
-    let found = load(&folder);
-    assert_eq!((found.state.incarnation, found.state.accepted), (8, None));
-    assert!(found.versions.is_empty() && found.value.is_none());
+    let recovered = load(&folder);
+    assert_eq!((recovered.state.incarnation, recovered.state.accepted), (8, None));
+    assert!(recovered.versions.is_empty() && recovered.value.is_none());
     assert!(!files(&folder).iter().any(|(path, _)| path.to_str().unwrap().contains("version-")));
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// A disk that refused a sync is read and written once more before anything rests on it: all that it
-/// holds is there again, under names and bytes that last, and the next save works.
+/// A disk that refused a sync is read and written once more before anything rests on it: all that it holds
+/// is durable afterwards, and the next save works.
 #[test]
-fn a_disk_that_works_again_holds_what_it_held() {
+fn a_recovered_disk_holds_what_it_held() {
     let folder = folder("works-again");
     let disk = Disk::open(&folder).unwrap();
     disk.load(7).unwrap();
     let old = value(1, None, 0);
     let new = value(2, Some(&old), 1);
     disk.save(&[version(&old), version(&new), DiskWrite::State(state(7, &new))]).unwrap();
-    // No space: a file in the place of the folder's next aside file is a folder, which cannot be written.
+    // No space: in the place of the next temporary file there is a folder, which cannot be written.
     let blocked = folder.join("state.cbor.aside");
     std::fs::create_dir(&blocked).unwrap();
     let next = value(3, Some(&new), 0);
     assert!(disk.save(&[version(&next), DiskWrite::State(state(7, &next))]).is_err());
     assert!(disk.recover(9).is_err(), "it still refuses");
     std::fs::remove_dir(&blocked).unwrap();
-    let found = disk.recover(9).unwrap();
-    assert_eq!(found.state, state(7, &new), "what was not saved was told to nobody");
-    assert_eq!(found.value.as_deref(), Some(&new));
-    assert_eq!(found.batch.iter().map(|one| one.revision).collect::<Vec<u64>>(), [1]);
+    let recovered = disk.recover(9).unwrap();
+    assert_eq!(recovered.state, state(7, &new), "what was not saved was told to nobody");
+    assert_eq!(recovered.value.as_deref(), Some(&new));
+    assert_eq!(recovered.batch.iter().map(|one| one.revision).collect::<Vec<u64>>(), [1]);
     disk.save(&[version(&next), DiskWrite::State(state(7, &next))]).unwrap();
     drop(disk);
     assert_eq!(load(&folder).value.as_deref(), Some(&next));
--- a/store/tests/frames.rs
+++ b/store/tests/frames.rs
@@ -1,4 +1,4 @@
-//! What stores and registries say to each other, byte for byte: programs of two versions talk to each
+//! The messages between stores and registries, byte for byte: programs of two versions talk to each
 //! other while they are replaced one by one (design 6.2).
 
 use std::fmt::Write as _;
@@ -15,7 +15,7 @@
 }
 
 impl Frames {
-    /// Notes a message's bytes and shows that they are read as that very message.
+    /// Adds a message's bytes and checks that they are decoded as that very message.
     fn add<T>(&mut self, label: &str, message: &T)
     where
         T: serde::Serialize + serde::de::DeserializeOwned,
@@ -32,21 +32,21 @@
     Ballot { number, incarnation: 8 }
 }
 
-fn meta(revision: u64) -> AcceptedProposal {
+fn proposal(revision: u64) -> AcceptedProposal {
     AcceptedProposal { ballot: ballot(revision + 1), revision, digest: [revision as u8; 32] }
 }
 
-/// With the fields that are left out where there is nothing in them.
+/// With the fields that are left out where they are empty.
 fn full_value() -> Value {
-    let submission = |number: u64, is_made: bool| IdempotencyRecord {
+    let record = |number: u64, is_generated: bool| IdempotencyRecord {
         key: format!("key-{number}"),
         content_hash: 1000 + number,
         revision: number,
         config_revision: number - 1,
-        is_generated: is_made,
+        is_generated,
     };
-    let mut older_keys = OlderWrites::default();
-    older_keys.push(&submission(1, false));
+    let mut older_writes = OlderWrites::default();
+    older_writes.push(&record(1, false));
     Value {
         revision: 5,
         parent_revision: 4,
@@ -62,8 +62,8 @@
             None,
         ],
         batched_before: 1,
-        recent_writes: [submission(4, false), submission(5, true)].into(),
-        older_writes: older_keys,
+        recent_writes: [record(4, false), record(5, true)].into(),
+        older_writes,
         version_hashes: [(2, 22)].into(),
     }
 }
@@ -87,11 +87,11 @@
 }
 
 fn changes() -> Vec<(&'static str, Change)> {
-    let setup =
+    let replace_config =
         |if_revision, version| Change::ReplaceConfig { bytes: b"s".to_vec(), if_revision, version };
     vec![
-        ("setup-bare", setup(None, None)),
-        ("setup-conditional", setup(Some(4), Some(9))),
+        ("setup-bare", replace_config(None, None)),
+        ("setup-conditional", replace_config(Some(4), Some(9))),
         ("empty", Change::DrainZone { zone: "north-1".to_string() }),
         ("return", Change::RestoreZone { zone: "north-1".to_string() }),
     ]
@@ -101,13 +101,13 @@
 fn requests_keep_their_bytes() {
     let mut frames = Frames::default();
     frames.add("prepare", &Request::Prepare { from: 7, ballot: ballot(3), known_digest: None });
-    let has = Some([9; 32]);
-    frames.add("prepare-has", &Request::Prepare { from: 7, ballot: ballot(3), known_digest: has });
+    let known_digest = Some([9; 32]);
+    frames.add("prepare-has", &Request::Prepare { from: 7, ballot: ballot(3), known_digest });
     let (from, value) = (7, bare_value());
     frames
         .add("accept-bare", &Request::Accept { from, ballot: ballot(3), value, batch: Vec::new() });
-    let (value, before) = (full_value(), vec![bare_value()]);
-    frames.add("accept-full", &Request::Accept { from, ballot: ballot(3), value, batch: before });
+    let (value, batch) = (full_value(), vec![bare_value()]);
+    frames.add("accept-full", &Request::Accept { from, ballot: ballot(3), value, batch });
     frames.add("query", &Request::QueryStatus);
     frames.add("alive", &Request::Ping);
     frames.add("fetch", &Request::Fetch { revision: 3, digest: [3; 32] });
@@ -118,8 +118,8 @@
         frames.add(&format!("change-{label}"), &Request::Change { key, change, keyless_for: None });
     }
     let (key, change) = ("key".to_string(), changes().remove(0).1);
-    let unnamed_for = Some(Duration::from_millis(1500));
-    frames.add("change-unnamed", &Request::Change { key, change, keyless_for: unnamed_for });
+    let keyless_for = Some(Duration::from_millis(1500));
+    frames.add("change-unnamed", &Request::Change { key, change, keyless_for });
     frames.add("read", &Request::Read);
     frames.add("history", &Request::History { revision: 3 });
     frames.add("answered", &Request::Acknowledge { content_hash: 4, revision: 3 });
@@ -130,7 +130,7 @@
 #[test]
 fn replies_keep_their_bytes() {
     let mut frames = Frames::default();
-    let (from, accepted) = (7, meta(5));
+    let (from, accepted) = (7, proposal(5));
     let bare =
         Response::Promise { from, accepted, value: None, batch: Vec::new(), unacknowledged: None };
     frames.add("promise-bare", &bare);
@@ -150,23 +150,23 @@
     ] {
         frames.add(label, &Response::Rejected { reason, promised: ballot(9) });
     }
-    let blank = Response::Status {
+    let empty = Response::Status {
         from,
         is_empty: true,
         bootstrap_size: 3,
         is_voting: false,
         accepted: None,
     };
-    frames.add("state-blank", &blank);
-    let accepted = Some(meta(5));
+    frames.add("state-blank", &empty);
+    let accepted = Some(proposal(5));
     let holds =
         Response::Status { from, is_empty: false, bootstrap_size: 0, is_voting: true, accepted };
     frames.add("state", &holds);
     frames.add("alive", &Response::Pong { from, is_healthy: true });
     frames.add("fetched", &Response::Fetched(vec![bare_value(), full_value()]));
-    let shown = |value: Option<Value>, before: Vec<Value>| {
-        let (promised, accepted, seats) = (ballot(9), meta(5), full_value().members);
-        let shown = MembershipSnapshot { promised, accepted, members: seats, value, batch: before };
+    let shown = |value: Option<Value>, batch: Vec<Value>| {
+        let (promised, accepted, members) = (ballot(9), proposal(5), full_value().members);
+        let shown = MembershipSnapshot { promised, accepted, members, value, batch };
         Response::Membership { from, shown: Box::new(shown) }
     };
     frames.add("membership-bare", &shown(None, Vec::new()));
@@ -181,8 +181,8 @@
     frames.add("outcome-key-reused", &Response::Outcome(Outcome::KeyReused { revision: 5 }));
     let taken = Outcome::VersionTaken { version: 5, highest: 6 };
     frames.add("outcome-version-taken", &Response::Outcome(taken));
-    let nothing = Outcome::NotApplied { reason: "no majority".to_string() };
-    frames.add("outcome-nothing-done", &Response::Outcome(nothing));
+    let not_applied = Outcome::NotApplied { reason: "no majority".to_string() };
+    frames.add("outcome-nothing-done", &Response::Outcome(not_applied));
     frames.add("outcome-unknown", &Response::Outcome(Outcome::Unknown));
     frames.add("outcome-value", &Response::Outcome(Outcome::Value { value: full_value() }));
     let missing = Outcome::NoSuchRevision { latest: 5 };
@@ -196,9 +196,9 @@
     let outer = message.as_map_mut().unwrap();
     let (_, inner) = outer.iter_mut().find(|(key, _)| key.as_text() == Some(variant)).unwrap();
     let fields = inner.as_map_mut().unwrap();
-    let before = fields.len();
+    let count = fields.len();
     fields.retain(|(key, _)| key.as_text() != Some(field));
-    assert_eq!(fields.len(), before - 1, "{variant} has no field '{field}' on the wire");
+    assert_eq!(fields.len(), count - 1, "{variant} has no field '{field}' on the wire");
     let mut shorter = Vec::new();
     ciborium::into_writer(&message, &mut shorter).unwrap();
     shorter
@@ -211,7 +211,7 @@
     let change = Request::Change { key, change, keyless_for: None };
     let read: Request = decode(&without(&encode(&change), "Change", "unnamed_for")).unwrap();
     assert_eq!(encode(&read), encode(&change));
-    let (from, accepted) = (7, meta(5));
+    let (from, accepted) = (7, proposal(5));
     let promise =
         Response::Promise { from, accepted, value: None, batch: Vec::new(), unacknowledged: None };
     let read: Response = decode(&without(&encode(&promise), "Promise", "open")).unwrap();
--- a/store/tests/growth.rs
+++ b/store/tests/growth.rs
@@ -1,4 +1,4 @@
-//! What a store keeps does not grow with the number of changes: versions, bytes on the disk, the size of a
+//! What a store holds does not grow with the number of changes: versions, bytes on the disk, the size of a
 //! value, and the bytes by which a member that was away for all of them is brought up to date. Printed with
 //! `--nocapture`; ten thousand changes with `VANEPATH_CHANGES=10000`.
 
@@ -25,21 +25,21 @@
 
 fn start(name: &str, folder: &std::path::Path, random: u64, now: Duration) -> Store {
     let disk = Disk::open(folder).unwrap();
-    let found = disk.load(random).unwrap();
+    let recovered = disk.load(random).unwrap();
     let identity = Identity { name: name.to_string(), bootstrap_size: 3 };
-    let core = Replica::new(identity, found, now);
+    let core = Replica::new(identity, recovered, now);
     Store { name: name.to_string(), core, disk, folder: folder.to_path_buf() }
 }
 
-/// Three stores, of which any may be away, and what they say to each other.
+/// Three stores, of which any may be down, and the messages between them.
 struct Fleet {
     stores: Vec<Option<Store>>,
     now: Duration,
     tickets: Vec<Option<(usize, u64)>>,
     events: std::collections::VecDeque<(usize, Event)>,
     outcomes: Vec<Outcome>,
-    /// Bytes that were said to the third store.
-    told_third: usize,
+    /// Bytes of requests and responses to the third store.
+    third_received_bytes: usize,
 }
 
 impl Fleet {
@@ -51,7 +51,7 @@
         while let Some((to, event)) = self.events.pop_front() {
             let Some(store) = &mut self.stores[to] else {
                 if let Event::RequestReceived { ticket, .. } = event {
-                    self.answer(ticket, None);
+                    self.respond(ticket, None);
                 }
                 continue;
             };
@@ -66,7 +66,7 @@
             Effect::Persist(writes) => {
                 self.stores[who].as_ref().unwrap().disk.save(&writes).unwrap();
             }
-            Effect::Send { call, incarnation, request: ask } => {
+            Effect::Send { call, incarnation, request } => {
                 self.tickets.push(Some((who, call)));
                 let ticket = self.tickets.len() as u64 - 1;
                 let is_it = |store: &Option<Store>| {
@@ -74,18 +74,18 @@
                 };
                 match self.stores.iter().position(is_it) {
                     Some(to) => {
-                        self.count(to, vanepath_cluster::wire::encode(&ask).len());
-                        self.send(to, Event::RequestReceived { ticket, request: ask });
+                        self.count(to, vanepath_cluster::wire::encode(&request).len());
+                        self.send(to, Event::RequestReceived { ticket, request });
                     }
-                    None => self.answer(ticket, None),
+                    None => self.respond(ticket, None),
                 }
             }
-            Effect::Reply { ticket, response: tell } => self.answer(ticket, Some(tell)),
+            Effect::Reply { ticket, response } => self.respond(ticket, Some(response)),
             Effect::ReplyFromDisk { ticket, versions, as_outcome } => {
                 let disk = &self.stores[who].as_ref().unwrap().disk;
                 let load = |id: &VersionId| disk.version(id);
                 let response = response_from_disk(&versions, as_outcome, load).response;
-                self.answer(ticket, Some(response));
+                self.respond(ticket, Some(response));
             }
             Effect::Reset => panic!("nobody loses a seat here"),
             Effect::Committed(_) | Effect::Log(_) => {}
@@ -94,31 +94,32 @@
 
     fn count(&mut self, to: usize, bytes: usize) {
         if to == 2 {
-            self.told_third += bytes;
+            self.third_received_bytes += bytes;
         }
     }
 
-    fn answer(&mut self, ticket: u64, tell: Option<Response>) {
+    fn respond(&mut self, ticket: u64, response: Option<Response>) {
         match self.tickets[ticket as usize] {
             Some((to, call)) => {
-                let bytes =
-                    tell.as_ref().map_or(0, |tell| vanepath_cluster::wire::encode(tell).len());
+                let bytes = response
+                    .as_ref()
+                    .map_or(0, |response| vanepath_cluster::wire::encode(response).len());
                 self.count(to, bytes);
-                self.send(to, Event::ResponseReceived { call, response: tell });
+                self.send(to, Event::ResponseReceived { call, response });
             }
             None => {
-                if let Some(Response::Outcome(outcome)) = tell {
+                if let Some(Response::Outcome(outcome)) = response {
                     self.outcomes.push(outcome);
                 }
             }
         }
     }
 
-    fn passes(&mut self, time: Duration) {
+    fn run_for(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
             self.now += Duration::from_millis(50);
-            let live: Vec<LiveStore> = self.stores.iter().flatten().map(claim_of).collect();
+            let live: Vec<LiveStore> = self.stores.iter().flatten().map(live_store).collect();
             for index in 0..self.stores.len() {
                 if self.stores[index].is_some() {
                     self.send(index, Event::LiveStores(live.clone()));
@@ -135,19 +136,18 @@
         let bytes =
             format!("{{\"setup\": {number}, \"text\": \"{}\"}}", "x".repeat(4000)).into_bytes();
         let change = Change::ReplaceConfig { bytes, if_revision: None, version: Some(number) };
-        let unnamed_for = Some(Duration::ZERO);
-        let ask =
-            Request::Change { key: format!("made-{number:016}"), change, keyless_for: unnamed_for };
-        self.send(0, Event::RequestReceived { ticket, request: ask });
+        let keyless_for = Some(Duration::ZERO);
+        let request = Request::Change { key: format!("made-{number:016}"), change, keyless_for };
+        self.send(0, Event::RequestReceived { ticket, request });
         self.run();
     }
 }
 
-fn claim_of(store: &Store) -> LiveStore {
+fn live_store(store: &Store) -> LiveStore {
     let summary = store.core.summary();
-    let (incarnation, blank) = (summary.incarnation, summary.is_empty);
-    let (name, founds) = (store.name.clone(), blank && summary.may_bootstrap);
-    LiveStore { name, incarnation, is_empty: blank, may_bootstrap: founds }
+    let (incarnation, is_empty) = (summary.incarnation, summary.is_empty);
+    let (name, may_bootstrap) = (store.name.clone(), is_empty && summary.may_bootstrap);
+    LiveStore { name, incarnation, is_empty, may_bootstrap }
 }
 
 fn bytes_in(folder: &std::path::Path) -> u64 {
@@ -177,11 +177,11 @@
         tickets: Vec::new(),
         events: Default::default(),
         outcomes: Vec::new(),
-        told_third: 0,
+        third_received_bytes: 0,
     };
-    fleet.passes(Duration::from_secs(2));
+    fleet.run_for(Duration::from_secs(2));
     fleet.change(1);
-    // Away for all the others.
+    // Down for all the others.
     fleet.stores[2] = None;
     for number in 2..=changes {
         fleet.change(number);
@@ -190,14 +190,14 @@
     assert!(fleet.outcomes.iter().all(|one| matches!(one, Outcome::Accepted { .. })));
     let third = start("s2", &folders[2], 7, fleet.now);
     fleet.stores[2] = Some(third);
-    fleet.told_third = 0;
+    fleet.third_received_bytes = 0;
     let back_at = fleet.now;
     let wanted = fleet.stores[0].as_ref().unwrap().core.summary().accepted;
     while fleet.stores[2].as_ref().unwrap().core.summary().accepted < wanted {
-        fleet.passes(Duration::from_millis(50));
+        fleet.run_for(Duration::from_millis(50));
         assert!(fleet.now - back_at < Duration::from_secs(10), "it never catches up");
     }
-    let (caught_up_bytes, caught_up_after) = (fleet.told_third, fleet.now - back_at);
+    let (caught_up_bytes, caught_up_after) = (fleet.third_received_bytes, fleet.now - back_at);
     let first = fleet.stores[0].take().unwrap();
     let versions = first.core.summary().versions;
     let disk_bytes = bytes_in(&first.folder);
@@ -215,12 +215,12 @@
 }
 
 #[test]
-fn what_a_store_keeps_is_bounded_however_many_changes_there_were() {
-    let most = std::env::var("VANEPATH_CHANGES").ok().and_then(|text| text.parse().ok());
-    let most: u64 = most.unwrap_or(1500);
+fn stored_data_is_bounded_however_many_changes_there_were() {
+    let max = std::env::var("VANEPATH_CHANGES").ok().and_then(|text| text.parse().ok());
+    let max: u64 = max.unwrap_or(1500);
     let mut steps = vec![10, 100, 1000, 10_000];
-    steps.retain(|one| *one < most);
-    steps.push(most);
+    steps.retain(|one| *one < max);
+    steps.push(max);
     for changes in steps {
         let measured = measure(changes);
         println!(
--- a/store/tests/model/history.rs
+++ b/store/tests/model/history.rs
@@ -1,36 +1,36 @@
-//! What the operator was told, and the properties that it has to have.
+//! The history of the operator's calls and their outcomes, and the properties that it must have.
 
 use crate::world::Call;
 use std::collections::BTreeMap;
 use vanepath_store::protocol::{Change, Outcome};
 use vanepath_store::value::{Value, digest_of};
 
-/// A call with what had been acknowledged or read when it was begun.
+/// A call with what had been acknowledged or read when it began.
 #[derive(Clone)]
-struct Begun {
+struct OpenCall {
     call: Call,
     /// Revisions up to this one had been acknowledged or read.
-    floor: u64,
-    /// So many versions and submissions had been acknowledged.
+    known_revision: u64,
+    /// Number of versions and keyed writes that had been acknowledged.
     acknowledged: usize,
     is_over: bool,
 }
 
-/// Something that was told as accepted.
+/// A write that was answered as accepted.
 #[derive(Clone, Debug)]
 enum Acknowledged {
     Version { version: u64, text: &'static str },
-    Submission { key: &'static str, revision: u64 },
+    KeyedWrite { key: &'static str, revision: u64 },
 }
 
 #[derive(Clone, Default)]
 pub struct History {
-    calls: Vec<Begun>,
+    calls: Vec<OpenCall>,
     acknowledged: Vec<Acknowledged>,
-    floor: u64,
+    known_revision: u64,
     /// By revision; each has one content.
     contents: BTreeMap<u64, [u8; 32]>,
-    /// What is wrong.
+    /// Violated properties.
     pub faults: Vec<String>,
 }
 
@@ -40,8 +40,8 @@
     }
 
     pub fn begin(&mut self, call: Call) -> usize {
-        let (floor, acknowledged) = (self.floor, self.acknowledged.len());
-        self.calls.push(Begun { call, floor, acknowledged, is_over: false });
+        let (known_revision, acknowledged) = (self.known_revision, self.acknowledged.len());
+        self.calls.push(OpenCall { call, known_revision, acknowledged, is_over: false });
         self.calls.len() - 1
     }
 
@@ -49,7 +49,7 @@
         self.calls.iter().all(|one| one.is_over)
     }
 
-    /// The operator waits no longer.
+    /// The operator gives up all open calls.
     pub fn give_up(&mut self) {
         self.calls.iter_mut().for_each(|one| one.is_over = true);
     }
@@ -58,8 +58,8 @@
         self.acknowledged.len()
     }
 
-    /// A store holds this for chosen.
-    pub fn chosen(&mut self, value: &Value) {
+    /// A store knows this value as committed.
+    pub fn committed(&mut self, value: &Value) {
         let digest = digest_of(&value.encode());
         let known = *self.contents.entry(value.revision).or_insert(digest);
         if known != digest {
@@ -67,74 +67,80 @@
         }
     }
 
-    /// A call is answered; with `None` nobody knows what became of it.
+    /// A call ends; with `None` its outcome is unknown.
     pub fn end(&mut self, number: usize, outcome: Option<Outcome>) {
         self.calls[number].is_over = true;
-        let begun = self.calls[number].clone();
-        match (&begun.call, outcome) {
-            (Call::Read { .. }, Some(Outcome::Value { value })) => self.read(&begun, &value),
-            (Call::Setup { version, text, .. }, Some(Outcome::Accepted { revision, .. })) => {
+        let open_call = self.calls[number].clone();
+        match (&open_call.call, outcome) {
+            (Call::Read { .. }, Some(Outcome::Value { value })) => self.read(&open_call, &value),
+            (Call::Config { version, text, .. }, Some(Outcome::Accepted { revision, .. })) => {
                 self.accepted_version(*version, text);
-                self.floor = self.floor.max(revision);
+                self.known_revision = self.known_revision.max(revision);
             }
-            (Call::Setup { version, text, .. }, Some(Outcome::VersionTaken { .. })) => {
-                self.refused_version(&begun, *version, text);
+            (Call::Config { version, text, .. }, Some(Outcome::VersionTaken { .. })) => {
+                self.rejected_version(&open_call, *version, text);
             }
-            (Call::Submission { key, .. }, Some(Outcome::Accepted { revision, .. })) => {
-                self.accepted_submission(key, revision);
-                self.floor = self.floor.max(revision);
+            (Call::KeyedWrite { key, .. }, Some(Outcome::Accepted { revision, .. })) => {
+                self.accepted_keyed_write(key, revision);
+                self.known_revision = self.known_revision.max(revision);
             }
             _ => {}
         }
     }
 
-    fn accepted_version(&mut self, wanted: u64, said: &'static str) {
+    fn accepted_version(&mut self, wanted: u64, content: &'static str) {
         let other = self.acknowledged.iter().find_map(|one| match one {
             Acknowledged::Version { version, text } if *version == wanted => Some(*text),
             _ => None,
         });
         match other {
-            Some(text) if text != said => {
-                self.fault(format!("'{text}' and '{said}' acknowledged under version {wanted}"));
+            Some(text) if text != content => {
+                self.fault(format!("'{text}' and '{content}' acknowledged under version {wanted}"));
             }
             Some(_) => {}
-            None => self.acknowledged.push(Acknowledged::Version { version: wanted, text: said }),
+            None => {
+                self.acknowledged.push(Acknowledged::Version { version: wanted, text: content })
+            }
         }
     }
 
-    /// What was acknowledged before is never refused when it is sent again.
-    fn refused_version(&mut self, begun: &Begun, wanted: u64, said: &str) {
+    /// What was acknowledged before is never rejected when it is sent again.
+    fn rejected_version(&mut self, open_call: &OpenCall, wanted: u64, content: &str) {
         let is_it = |one: &Acknowledged| match one {
-            Acknowledged::Version { version, text } => *version == wanted && *text == said,
-            Acknowledged::Submission { .. } => false,
+            Acknowledged::Version { version, text } => *version == wanted && *text == content,
+            Acknowledged::KeyedWrite { .. } => false,
         };
-        if self.acknowledged[..begun.acknowledged].iter().any(is_it) {
-            self.fault(format!("'{said}' under version {wanted} acknowledged, then refused"));
+        if self.acknowledged[..open_call.acknowledged].iter().any(is_it) {
+            self.fault(format!("'{content}' under version {wanted} acknowledged, then refused"));
         }
     }
 
-    fn accepted_submission(&mut self, wanted: &'static str, told: u64) {
+    fn accepted_keyed_write(&mut self, wanted: &'static str, acknowledged_revision: u64) {
         let other = self.acknowledged.iter().find_map(|one| match one {
-            Acknowledged::Submission { key, revision } if *key == wanted => Some(*revision),
+            Acknowledged::KeyedWrite { key, revision } if *key == wanted => Some(*revision),
             _ => None,
         });
         match other {
-            Some(revision) if revision != told => {
-                self.fault(format!("submission '{wanted}' counted as {revision} and as {told}"));
+            Some(revision) if revision != acknowledged_revision => {
+                self.fault(format!(
+                    "submission '{wanted}' counted as {revision} and as {acknowledged_revision}"
+                ));
             }
             Some(_) => {}
             None => {
-                let one = Acknowledged::Submission { key: wanted, revision: told };
+                let one = Acknowledged::KeyedWrite { key: wanted, revision: acknowledged_revision };
                 self.acknowledged.push(one);
             }
         }
     }
 
-    /// A read shows all that was acknowledged or read before it was asked for.
-    fn read(&mut self, begun: &Begun, value: &Value) {
-        if value.revision < begun.floor {
-            let (told, floor) = (value.revision, begun.floor);
-            self.fault(format!("a read told revision {told}, and {floor} was known before"));
+    /// A read shows all that was acknowledged or read before it began.
+    fn read(&mut self, open_call: &OpenCall, value: &Value) {
+        if value.revision < open_call.known_revision {
+            let (read_revision, known_revision) = (value.revision, open_call.known_revision);
+            self.fault(format!(
+                "a read told revision {read_revision}, and {known_revision} was known before"
+            ));
         }
         let lacks = |one: &Acknowledged| match one {
             Acknowledged::Version { version, text } => {
@@ -145,17 +151,17 @@
                 };
                 value.version_hashes.get(version) != Some(&change.content_hash())
             }
-            Acknowledged::Submission { key, revision } => {
+            Acknowledged::KeyedWrite { key, revision } => {
                 value.known_write(key).is_none_or(|known| known.revision != *revision)
             }
         };
-        let lost: Vec<String> = self.acknowledged[..begun.acknowledged]
+        let lost: Vec<String> = self.acknowledged[..open_call.acknowledged]
             .iter()
             .filter(|one| lacks(one))
             .map(|one| format!("{one:?} acknowledged and lost"))
             .collect();
         self.faults.extend(lost);
-        self.chosen(value);
-        self.floor = self.floor.max(value.revision);
+        self.committed(value);
+        self.known_revision = self.known_revision.max(value.revision);
     }
 }
--- a/store/tests/model/main.rs
+++ b/store/tests/model/main.rs
@@ -1,16 +1,16 @@
-//! Model checking of agreement, replacement and restart together: the cores as the programs run them.
+//! Model checking of agreement, replacement and restart together: the replicas as the programs run them.
 //!
 //! *Search.* By default every message arrives in order and calls come one after the other. From that
-//! schedule every execution with up to so many deviations is run: at any moment a message is lost, held
-//! up or told twice, a store is restarted, stands still (until it is called next) or loses its disk, or the
+//! schedule every execution with up to so many deviations is run: at any moment a message is lost,
+//! delayed or duplicated, a store is restarted, frozen (until it is called next) or loses its disk, or the
 //! next call comes early. Two deviations
 //! in CI; more with `VANEPATH_MODEL_DEVIATIONS=3 cargo test --release -p vanepath-store --test model`.
 //!
-//! *Walks.* Random schedules by seed, in which all of that happens all the time, with 3 and 5 seats.
+//! *Walks.* Random schedules by seed, in which all of that happens all the time, with 3 and 5 members.
 //!
 //! *Properties* (`history.rs`): one content for each version that is acknowledged; what was acknowledged is
-//! never lost, nor refused when it is sent again; reads are linearizable; one content for each revision
-//! that any store holds for chosen. Each broken shell (`world::Broken`) is found by the same search.
+//! never lost, nor rejected when it is sent again; reads are linearizable; one content for each revision
+//! that any store knows as committed. Each broken shell (`world::Broken`) is found by the same search.
 
 mod history;
 mod world;
@@ -18,89 +18,89 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use world::{Broken, Call, World};
 
-/// Two operators under one number, one that sends again, and readers at other stores.
+/// Two operators under one version, one that sends again, and readers at other stores.
 fn race_of_operators() -> Vec<Call> {
     vec![
-        Call::Setup { store: 0, version: 1, text: "a" },
-        Call::Setup { store: 1, version: 2, text: "b" },
-        Call::Setup { store: 0, version: 2, text: "c" },
+        Call::Config { store: 0, version: 1, text: "a" },
+        Call::Config { store: 1, version: 2, text: "b" },
+        Call::Config { store: 0, version: 2, text: "c" },
         Call::Read { store: 2 },
-        Call::Setup { store: 2, version: 1, text: "a" },
+        Call::Config { store: 2, version: 1, text: "a" },
         Call::Read { store: 0 },
     ]
 }
 
-/// A submission that is sent again at another store, with another one between.
-fn submission_sent_again() -> Vec<Call> {
+/// A keyed write that is sent again at another store, with another one between.
+fn keyed_write_sent_again() -> Vec<Call> {
     vec![
-        Call::Submission { store: 0, key: "k", text: "x" },
-        Call::Submission { store: 1, key: "l", text: "y" },
-        Call::Submission { store: 2, key: "k", text: "x" },
+        Call::KeyedWrite { store: 0, key: "k", text: "x" },
+        Call::KeyedWrite { store: 1, key: "l", text: "y" },
+        Call::KeyedWrite { store: 2, key: "k", text: "x" },
         Call::Read { store: 1 },
         Call::Read { store: 0 },
     ]
 }
 
-/// A store that may have stood still while another one was written to is read from.
+/// A read at a store that may have been frozen while another one was written to.
 fn read_after_a_freeze() -> Vec<Call> {
     vec![
-        Call::Setup { store: 0, version: 1, text: "a" },
-        Call::Setup { store: 1, version: 2, text: "b" },
+        Call::Config { store: 0, version: 1, text: "a" },
+        Call::Config { store: 1, version: 2, text: "b" },
         Call::Read { store: 0 },
-        Call::Setup { store: 0, version: 2, text: "c" },
+        Call::Config { store: 0, version: 2, text: "c" },
         Call::Read { store: 2 },
     ]
 }
 
 fn scripts() -> [Vec<Call>; 3] {
-    [race_of_operators(), submission_sent_again(), read_after_a_freeze()]
+    [race_of_operators(), keyed_write_sent_again(), read_after_a_freeze()]
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Deviation {
     Lose,
-    HoldUp,
-    Repeat,
+    Delay,
+    Duplicate,
     Restart(usize),
     Wipe(usize),
     Freeze(usize),
     CallEarly,
 }
 
-/// A world on its way through a script.
+/// A world that executes a script.
 #[derive(Clone)]
 struct Run<'s> {
     world: World,
     script: &'s [Call],
     next: usize,
-    idle_pulses: u32,
+    idle_ticks: u32,
     path: Vec<(u64, Deviation)>,
 }
 
-/// What a search went through.
+/// What a search has executed.
 #[derive(Default)]
 struct Count {
     executions: AtomicU64,
     steps: AtomicU64,
 }
 
-/// An operator, or a wiped store, is waited for so long at the most.
-const IDLE_PULSES_MOST: u32 = 90;
+/// Ticks for which an open call, or a wiped store, is waited for.
+const MAX_IDLE_TICKS: u32 = 90;
 
 impl<'s> Run<'s> {
     fn new(world: World, script: &'s [Call]) -> Run<'s> {
-        Run { world, script, next: 0, idle_pulses: 0, path: Vec::new() }
+        Run { world, script, next: 0, idle_ticks: 0, path: Vec::new() }
     }
 
     /// One step of the schedule without deviations; false at its end.
     fn advance(&mut self) -> bool {
         if let Some(message) = self.world.messages.pop_front() {
             self.world.deliver(message);
-        } else if self.world.release_late() {
+        } else if self.world.release_delayed() {
             return true;
-        } else if !self.is_settled() && self.idle_pulses < IDLE_PULSES_MOST {
-            self.idle_pulses += 1;
-            self.world.pulse();
+        } else if !self.is_settled() && self.idle_ticks < MAX_IDLE_TICKS {
+            self.idle_ticks += 1;
+            self.world.tick();
         } else {
             self.world.history.give_up();
             return self.call_next() || self.thaw_at_the_end();
@@ -108,9 +108,9 @@
         true
     }
 
-    /// Nobody waits for an answer, and every store has its vote.
+    /// No call is open, and every store votes.
     fn is_settled(&self) -> bool {
-        self.world.history.is_over() && self.world.votes() == self.world.stores.len()
+        self.world.history.is_over() && self.world.voting() == self.world.stores.len()
     }
 
     fn thaw_at_the_end(&mut self) -> bool {
@@ -121,7 +121,7 @@
     fn call_next(&mut self) -> bool {
         let Some(call) = self.script.get(self.next) else { return false };
         self.next += 1;
-        self.idle_pulses = 0;
+        self.idle_ticks = 0;
         self.world.call(call);
         true
     }
@@ -129,7 +129,7 @@
     fn deviations(&self) -> Vec<Deviation> {
         let mut found = Vec::new();
         if !self.world.messages.is_empty() {
-            found.extend([Deviation::Lose, Deviation::HoldUp, Deviation::Repeat]);
+            found.extend([Deviation::Lose, Deviation::Delay, Deviation::Duplicate]);
             if self.next < self.script.len() {
                 found.push(Deviation::CallEarly);
             }
@@ -138,7 +138,7 @@
         found.extend(stores.clone().map(Deviation::Restart));
         found.extend(stores.clone().map(Deviation::Freeze));
         // No more disks are lost at one time than may be.
-        if self.world.votes() == self.world.stores.len() {
+        if self.world.voting() == self.world.stores.len() {
             found.extend(stores.map(Deviation::Wipe));
         }
         found
@@ -151,13 +151,13 @@
                 let message = self.world.messages.pop_front().expect("offered");
                 self.world.lose(message);
             }
-            Deviation::HoldUp => {
+            Deviation::Delay => {
                 let message = self.world.messages.pop_front().expect("offered");
-                self.world.late.push_back(message);
+                self.world.delayed.push_back(message);
             }
-            Deviation::Repeat => {
+            Deviation::Duplicate => {
                 let message = self.world.messages.front().expect("offered").clone();
-                self.world.late.push_back(message);
+                self.world.delayed.push_back(message);
             }
             Deviation::Restart(index) => self.world.restart(index),
             Deviation::Wipe(index) => self.world.wipe(index),
@@ -171,8 +171,8 @@
     /// Runs on to the end, and from each moment on with each deviation, as far as they go.
     fn explore(mut self, deviations: u32, count: &Count) -> Option<String> {
         loop {
-            // A store that idles meets the same deviation at each pulse: once is enough.
-            if deviations > 0 && (self.idle_pulses == 0 || !self.world.messages.is_empty()) {
+            // An idle store meets the same deviation at each tick: once is enough.
+            if deviations > 0 && (self.idle_ticks == 0 || !self.world.messages.is_empty()) {
                 for deviation in self.deviations() {
                     let mut other = self.clone();
                     other.deviate(deviation);
@@ -181,11 +181,11 @@
                     }
                 }
             }
-            let is_on = self.advance();
+            let is_running = self.advance();
             if let Some(fault) = self.world.history.faults.first() {
                 return Some(format!("{fault}, after {:?}", self.path));
             }
-            if !is_on {
+            if !is_running {
                 count.executions.fetch_add(1, Ordering::Relaxed);
                 count.steps.fetch_add(self.world.steps(), Ordering::Relaxed);
                 return None;
@@ -196,13 +196,13 @@
 
 /// All executions with up to so many deviations, on all cores; the first fault that was found.
 fn search(
-    seats: usize,
+    members: usize,
     script: &[Call],
     broken: Option<Broken>,
     deviations: u32,
 ) -> Option<String> {
     let mut runs = Vec::new();
-    let mut run = Run::new(World::new(seats, broken), script);
+    let mut run = Run::new(World::new(members, broken), script);
     loop {
         for deviation in run.deviations() {
             let mut other = run.clone();
@@ -231,7 +231,7 @@
         }
     });
     println!(
-        "{seats} seats, {broken:?}, up to {deviations} deviations: {} executions, {} steps",
+        "{members} seats, {broken:?}, up to {deviations} deviations: {} executions, {} steps",
         count.executions.load(Ordering::Relaxed),
         count.steps.load(Ordering::Relaxed),
     );
@@ -239,19 +239,19 @@
 }
 
 fn deviations(otherwise: u32) -> u32 {
-    let told = std::env::var("VANEPATH_MODEL_DEVIATIONS").ok();
-    told.and_then(|text| text.parse().ok()).unwrap_or(otherwise)
+    let setting = std::env::var("VANEPATH_MODEL_DEVIATIONS").ok();
+    setting.and_then(|text| text.parse().ok()).unwrap_or(otherwise)
 }
 
 #[test]
-fn no_execution_of_three_seats_breaks_a_promise() {
+fn no_execution_with_three_members_violates_a_property() {
     for script in scripts() {
         assert_eq!(search(3, &script, None, deviations(2)), None);
     }
 }
 
 #[test]
-fn no_execution_of_five_seats_breaks_a_promise() {
+fn no_execution_with_five_members_violates_a_property() {
     for script in scripts() {
         assert_eq!(search(5, &script, None, deviations(2) - 1), None);
     }
@@ -278,54 +278,54 @@
 struct Random(u64);
 
 impl Random {
-    fn below(&mut self, most: usize) -> usize {
+    fn below(&mut self, bound: usize) -> usize {
         self.0 =
             self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        ((self.0 >> 33) as usize) % most
+        ((self.0 >> 33) as usize) % bound
     }
 }
 
 const TEXTS: [&str; 3] = ["one", "two", "three"];
 const KEYS: [&str; 3] = ["k", "l", "m"];
 
-fn any_call(random: &mut Random, seats: usize, highest: &mut u64) -> Call {
-    let store = random.below(seats);
+fn any_call(random: &mut Random, members: usize, highest: &mut u64) -> Call {
+    let store = random.below(members);
     match random.below(4) {
         0 => Call::Read { store },
         1 => {
             let at = random.below(KEYS.len());
-            Call::Submission { store, key: KEYS[at], text: TEXTS[at] }
+            Call::KeyedWrite { store, key: KEYS[at], text: TEXTS[at] }
         }
         _ => {
             *highest += random.below(2) as u64;
             let version = (*highest).saturating_sub(random.below(3) as u64).max(1);
-            Call::Setup { store, version, text: TEXTS[random.below(TEXTS.len())] }
+            Call::Config { store, version, text: TEXTS[random.below(TEXTS.len())] }
         }
     }
 }
 
-/// Everything happens all the time; at the end all is calm, all stores vote again, and a read at each
-/// tells what was acknowledged. Gives what is wrong, and how many calls were acknowledged.
-fn walk(seed: u64, seats: usize) -> (Vec<String>, usize) {
+/// Faults happen all the time; at the end there are none, all stores vote again, and a read at each shows
+/// what was acknowledged. Gives the violated properties, and how many calls were acknowledged.
+fn random_walk(seed: u64, members: usize) -> (Vec<String>, usize) {
     let mut random = Random(seed);
-    let mut world = World::new(seats, None);
+    let mut world = World::new(members, None);
     let mut highest = 1;
     for _ in 0..500 {
         match random.below(100) {
-            0..=5 => world.call(&any_call(&mut random, seats, &mut highest)),
-            6..=9 => world.pulse(),
-            10 => world.restart(random.below(seats)),
+            0..=5 => world.call(&any_call(&mut random, members, &mut highest)),
+            6..=9 => world.tick(),
+            10 => world.restart(random.below(members)),
             11 => match random.below(2) {
-                0 => world.freeze(random.below(seats)),
+                0 => world.freeze(random.below(members)),
                 _ => world.thaw(),
             },
-            12 if world.votes() > seats / 2 + 1 => {
+            12 if world.voting() > members / 2 + 1 => {
                 // Not more disks than may be lost at one time.
-                world.wipe(random.below(seats));
+                world.wipe(random.below(members));
             }
             _ if world.messages.is_empty() => {
-                if !world.release_late() {
-                    world.pulse();
+                if !world.release_delayed() {
+                    world.tick();
                 }
             }
             drawn => {
@@ -333,9 +333,9 @@
                 let Some(message) = world.messages.remove(at) else { continue };
                 match drawn {
                     13..=17 => world.lose(message),
-                    18..=24 => world.late.push_back(message),
+                    18..=24 => world.delayed.push_back(message),
                     25..=27 => {
-                        world.late.push_back(message.clone());
+                        world.delayed.push_back(message.clone());
                         world.deliver(message);
                     }
                     _ => world.deliver(message),
@@ -346,15 +346,15 @@
     world.thaw();
     world.history.give_up();
     for _ in 0..400 {
-        world.pulse();
-        world.release_late();
+        world.tick();
+        world.release_delayed();
         world.deliver_all();
     }
-    let votes = world.votes();
-    if votes < seats {
-        world.history.fault(format!("{votes} of {seats} stores vote at the end"));
+    let voting = world.voting();
+    if voting < members {
+        world.history.fault(format!("{voting} of {members} stores vote at the end"));
     }
-    for store in 0..seats {
+    for store in 0..members {
         world.call(&Call::Read { store });
         world.deliver_all();
         if !world.history.is_over() {
@@ -365,7 +365,7 @@
 }
 
 #[test]
-fn no_random_walk_breaks_a_promise() {
+fn no_random_walk_violates_a_property() {
     let walks = 500 * u64::from(deviations(2));
     let (turn, acknowledged) = (AtomicU64::new(0), AtomicUsize::new(0));
     let found = std::sync::Mutex::new(Vec::new());
@@ -377,12 +377,12 @@
                     if seed >= walks {
                         return;
                     }
-                    for seats in [3, 5] {
-                        let (faults, known) = walk(seed, seats);
+                    for members in [3, 5] {
+                        let (faults, known) = random_walk(seed, members);
                         acknowledged.fetch_add(known, Ordering::Relaxed);
                         let named = faults
                             .into_iter()
-                            .map(|one| format!("seed {seed}, {seats} seats: {one}"));
+                            .map(|one| format!("seed {seed}, {members} seats: {one}"));
                         found.lock().unwrap().extend(named);
                     }
                 }
--- a/store/tests/model/world.rs
+++ b/store/tests/model/world.rs
@@ -1,6 +1,6 @@
-//! A small world for the cores of stores: their disks, the messages between them, and an operator's
-//! calls. Whoever explores it decides what is delivered, lost, repeated or held up, and which store is
-//! restarted or loses its disk.
+//! A small world for the replicas of stores: their disks, the messages between them, and an operator's
+//! calls. The search decides what is delivered, lost, duplicated or delayed, and which store is restarted or
+//! loses its disk.
 
 use crate::history::History;
 use std::collections::{BTreeMap, VecDeque};
@@ -14,35 +14,35 @@
 use vanepath_store::protocol::{Change, Outcome, Request, Response};
 use vanepath_store::value::{AcceptedProposal, BOOTSTRAP_BALLOT, Ballot, Value, VersionId};
 
-/// Ways to break the shell round the cores, to show that the checks see it.
+/// Ways to break the shell round the replicas, to show that the checks find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Broken {
-    /// What was saved last is lost with the process: replies left before the sync.
+    /// The last save is lost with the process: replies left before the sync.
     NoSync,
-    /// A store answers reads by its own copy, without a round.
+    /// A store answers reads from its own replica, without a round.
     ReadsWithoutRound,
-    /// A disk that was lost votes on under its old incarnation, with nothing promised.
+    /// A lost disk goes on voting under its old incarnation, with nothing promised.
     VotesAfterWipe,
-    /// Whoever was to accept a value counts as having done so, asked or not.
+    /// A member counts as having accepted a value without being asked.
     CountsUnaskedVotes,
-    /// A submission that is sent again bears another key.
+    /// A write that is sent again bears another key.
     ForgetsKeys,
-    /// Two operators' versions are not looked at.
+    /// The operators' configuration versions are left out.
     ForgetsVersions,
 }
 
-/// What the operator asks, and of which store.
+/// What the operator requests, and of which store.
 #[derive(Clone, Debug)]
 pub enum Call {
-    Setup { store: usize, version: u64, text: &'static str },
-    Submission { store: usize, key: &'static str, text: &'static str },
+    Config { store: usize, version: u64, text: &'static str },
+    KeyedWrite { store: usize, key: &'static str, text: &'static str },
     Read { store: usize },
 }
 
 impl Call {
     fn store(&self) -> usize {
         match self {
-            Call::Setup { store, .. } | Call::Submission { store, .. } | Call::Read { store } => {
+            Call::Config { store, .. } | Call::KeyedWrite { store, .. } | Call::Read { store } => {
                 *store
             }
         }
@@ -62,50 +62,50 @@
     disk: Disk,
     /// What is left of the disk if the process dies now.
     durable: Disk,
-    /// Replies to an earlier life reach nobody.
-    life: u32,
+    /// Number of restarts: responses to an earlier generation are ignored.
+    generation: u32,
 }
 
 #[derive(Clone)]
-enum Asker {
-    Store { index: usize, life: u32, call: u64 },
+enum Requester {
+    Store { index: usize, generation: u32, call: u64 },
     Operator { number: usize },
 }
 
-/// A call that a store has to answer.
+/// A request that a store has to answer.
 #[derive(Clone)]
 struct Ticket {
-    asker: Asker,
-    asked: usize,
+    requester: Requester,
+    responder: usize,
     is_open: bool,
 }
 
 #[derive(Clone)]
 pub enum Message {
-    Ask { to: usize, incarnation: u64, ticket: u64, ask: Arc<Request> },
-    Tell { to: usize, life: u32, call: u64, tell: Option<Arc<Response>> },
+    Request { to: usize, incarnation: u64, ticket: u64, request: Arc<Request> },
+    Response { to: usize, generation: u32, call: u64, response: Option<Arc<Response>> },
 }
 
 #[derive(Clone)]
 pub struct World {
     pub stores: Vec<Store>,
     pub messages: VecDeque<Message>,
-    /// Held up until nothing else is on its way.
-    pub late: VecDeque<Message>,
+    /// Delayed until nothing else is in flight.
+    pub delayed: VecDeque<Message>,
     pub history: History,
-    /// Stands still, or is cut off from all other stores, with what reaches it when that is over.
+    /// Frozen or partitioned from all other stores, with the messages that reach it when that is over.
     frozen: Option<(usize, VecDeque<Message>)>,
     broken: Option<Broken>,
     tickets: Vec<Ticket>,
     now: Duration,
-    founders: usize,
+    bootstrap_size: usize,
     next_incarnation: u64,
     steps: u64,
 }
 
-const PULSE: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-fn found(disk: &Disk) -> RecoveredState {
+fn recovered(disk: &Disk) -> RecoveredState {
     let state = disk.state.clone().expect("a disk has a state");
     let id = state.accepted.map(|accepted| accepted.version());
     let value = id.and_then(|id| disk.versions.get(&id).cloned());
@@ -121,36 +121,36 @@
 }
 
 impl World {
-    /// Stores that hold the beginning of a word, and nothing on its way.
-    pub fn new(seats: usize, broken: Option<Broken>) -> World {
+    /// Stores that have bootstrapped, and no message in flight.
+    pub fn new(members: usize, broken: Option<Broken>) -> World {
         let mut world = World {
             stores: Vec::new(),
             messages: VecDeque::new(),
-            late: VecDeque::new(),
+            delayed: VecDeque::new(),
             history: History::default(),
             frozen: None,
             broken: None,
             tickets: Vec::new(),
             now: Duration::from_secs(1),
-            founders: seats,
+            bootstrap_size: members,
             next_incarnation: 100,
             steps: 0,
         };
-        for number in 0..seats {
+        for number in 0..members {
             let disk = world.empty_disk();
             let name = format!("s{number}");
-            let identity = Identity { name: name.clone(), bootstrap_size: seats };
-            let core = Replica::new(identity, found(&disk), world.now);
+            let identity = Identity { name: name.clone(), bootstrap_size: members };
+            let core = Replica::new(identity, recovered(&disk), world.now);
             let durable = disk.clone();
-            world.stores.push(Store { name, core, disk, durable, life: 0 });
+            world.stores.push(Store { name, core, disk, durable, generation: 0 });
         }
         for _ in 0..60 {
-            world.pulse();
+            world.tick();
             world.deliver_all();
         }
-        assert_eq!(world.votes(), seats, "the word has begun");
-        // From here on nobody begins a word.
-        world.founders = 0;
+        assert_eq!(world.voting(), members, "the word has begun");
+        // From here on nobody bootstraps.
+        world.bootstrap_size = 0;
         world.broken = broken;
         world
     }
@@ -162,11 +162,11 @@
         Disk { state: Some(state), versions: BTreeMap::new() }
     }
 
-    pub fn votes(&self) -> usize {
+    pub fn voting(&self) -> usize {
         self.stores.iter().filter(|store| store.core.summary().is_voting).count()
     }
 
-    /// Steps of cores so far.
+    /// Steps of replicas so far.
     pub fn steps(&self) -> u64 {
         self.steps
     }
@@ -178,59 +178,59 @@
     }
 
     pub fn deliver(&mut self, message: Message) {
-        if let Some((index, held)) = &mut self.frozen
-            && to_whom(&message) == *index
+        if let Some((index, queued)) = &mut self.frozen
+            && target_of(&message) == *index
         {
-            held.push_back(message.clone());
-            // Whoever asked waits for a limit of time only; the question may still come.
+            queued.push_back(message.clone());
+            // The requester's timeout passes; the request may still arrive.
             if let Some(ticket) = ticket_of(&message) {
-                self.answer(ticket, None);
+                self.respond(ticket, None);
             }
             return;
         }
         match message {
-            Message::Ask { to, incarnation, ticket, ask } => {
+            Message::Request { to, incarnation, ticket, request } => {
                 if self.stores[to].core.summary().incarnation != incarnation {
-                    return self.answer(ticket, None);
+                    return self.respond(ticket, None);
                 }
-                self.step(to, Event::RequestReceived { ticket, request: (*ask).clone() });
+                self.step(to, Event::RequestReceived { ticket, request: (*request).clone() });
             }
-            Message::Tell { to, life, call, tell } => {
-                if self.stores[to].life == life {
-                    let tell = tell.map(|tell| (*tell).clone());
-                    self.step(to, Event::ResponseReceived { call, response: tell });
+            Message::Response { to, generation, call, response } => {
+                if self.stores[to].generation == generation {
+                    let response = response.map(|response| (*response).clone());
+                    self.step(to, Event::ResponseReceived { call, response });
                 }
             }
         }
     }
 
-    /// It never arrives; who asked is told so by a limit of time.
+    /// It never arrives; the requester's call times out.
     pub fn lose(&mut self, message: Message) {
         match message {
-            Message::Ask { ticket, .. } => self.answer(ticket, None),
-            Message::Tell { to, life, call, .. } => {
-                self.late.push_back(Message::Tell { to, life, call, tell: None });
+            Message::Request { ticket, .. } => self.respond(ticket, None),
+            Message::Response { to, generation, call, .. } => {
+                self.delayed.push_back(Message::Response { to, generation, call, response: None });
             }
         }
     }
 
-    /// Nothing is on its way any more: what was held up comes now.
-    pub fn release_late(&mut self) -> bool {
-        let is_any = !self.late.is_empty();
-        self.messages.append(&mut self.late);
+    /// Nothing else is in flight: delayed messages arrive now.
+    pub fn release_delayed(&mut self) -> bool {
+        let is_any = !self.delayed.is_empty();
+        self.messages.append(&mut self.delayed);
         is_any
     }
 
-    /// It stands still until it is called by an operator, or dies.
+    /// It is frozen until an operator calls it, or it dies.
     pub fn freeze(&mut self, index: usize) {
         self.thaw();
         self.frozen = Some((index, VecDeque::new()));
     }
 
-    /// What was sent to it meanwhile comes in order, before anything else.
+    /// What was sent to it meanwhile arrives in order, before anything else.
     pub fn thaw(&mut self) {
-        if let Some((_, held)) = self.frozen.take() {
-            for message in held.into_iter().rev() {
+        if let Some((_, queued)) = self.frozen.take() {
+            for message in queued.into_iter().rev() {
                 self.messages.push_front(message);
             }
         }
@@ -240,23 +240,23 @@
         self.frozen.as_ref().is_some_and(|(frozen, _)| *frozen == index)
     }
 
-    /// The process dies and starts again at once, with what its disk kept.
+    /// The process dies and starts again at once, with what is durable on its disk.
     pub fn restart(&mut self, index: usize) {
         if self.is_frozen(index) {
             self.frozen = None;
         }
         let store = &mut self.stores[index];
         store.disk = store.durable.clone();
-        store.life += 1;
-        let identity = Identity { name: store.name.clone(), bootstrap_size: self.founders };
-        store.core = Replica::new(identity, found(&store.disk), self.now);
+        store.generation += 1;
+        let identity = Identity { name: store.name.clone(), bootstrap_size: self.bootstrap_size };
+        store.core = Replica::new(identity, recovered(&store.disk), self.now);
         self.close_tickets(index);
     }
 
     /// The process dies, and its disk is an empty one afterwards.
     pub fn wipe(&mut self, index: usize) {
         let disk = match self.broken {
-            Some(Broken::VotesAfterWipe) => self.beginning_of(index),
+            Some(Broken::VotesAfterWipe) => self.bootstrap_disk(index),
             _ => self.empty_disk(),
         };
         let store = &mut self.stores[index];
@@ -265,8 +265,8 @@
         self.restart(index);
     }
 
-    /// A disk with nothing on it but the beginning, under the incarnation that it had.
-    fn beginning_of(&self, index: usize) -> Disk {
+    /// A disk with nothing on it but the bootstrap value, under the incarnation that it had.
+    fn bootstrap_disk(&self, index: usize) -> Disk {
         let disk = &self.stores[index].disk;
         let first = disk.versions.iter().find(|(id, _)| id.revision == 0);
         let (id, value) = first.expect("the beginning is kept");
@@ -277,35 +277,30 @@
         Disk { state: Some(state), versions: BTreeMap::from([(*id, value.clone())]) }
     }
 
-    /// What a store that died was asked is answered by nobody.
+    /// Requests to a store that died get no response.
     fn close_tickets(&mut self, index: usize) {
         let open = |(number, ticket): (usize, &Ticket)| {
-            (ticket.is_open && ticket.asked == index).then_some(number as u64)
+            (ticket.is_open && ticket.responder == index).then_some(number as u64)
         };
         let open: Vec<u64> = self.tickets.iter().enumerate().filter_map(open).collect();
-        let on_their_way: Vec<u64> =
-            self.messages.iter().chain(&self.late).filter_map(ticket_of).collect();
-        for ticket in open.into_iter().filter(|ticket| !on_their_way.contains(ticket)) {
-            self.answer(ticket, None);
+        let in_flight: Vec<u64> =
+            self.messages.iter().chain(&self.delayed).filter_map(ticket_of).collect();
+        for ticket in open.into_iter().filter(|ticket| !in_flight.contains(ticket)) {
+            self.respond(ticket, None);
         }
     }
 
-    /// Fifty milliseconds go by at all stores, who hear of each other.
-    pub fn pulse(&mut self) {
-        self.now += PULSE;
-        let claim = |store: &Store| {
+    /// Fifty milliseconds pass at all stores, and gossip reaches them.
+    pub fn tick(&mut self) {
+        self.now += TICK_INTERVAL;
+        let live_store = |store: &Store| {
             let summary = store.core.summary();
-            let (incarnation, blank) = (summary.incarnation, summary.is_empty);
-            let founds = blank && summary.may_bootstrap;
-            LiveStore {
-                name: store.name.clone(),
-                incarnation,
-                is_empty: blank,
-                may_bootstrap: founds,
-            }
+            let (incarnation, is_empty) = (summary.incarnation, summary.is_empty);
+            let may_bootstrap = is_empty && summary.may_bootstrap;
+            LiveStore { name: store.name.clone(), incarnation, is_empty, may_bootstrap }
         };
         let live = (0..self.stores.len()).filter(|index| !self.is_frozen(*index));
-        let live: Vec<LiveStore> = live.map(|index| claim(&self.stores[index])).collect();
+        let live: Vec<LiveStore> = live.map(|index| live_store(&self.stores[index])).collect();
         let summaries = self.stores.iter().map(|store| store.core.summary().committed);
         let revision = summaries.max().unwrap_or(0);
         for index in 0..self.stores.len() {
@@ -321,16 +316,16 @@
     pub fn call(&mut self, call: &Call) {
         let number = self.history.begin(call.clone());
         let store = call.store();
-        let ask = match call {
+        let request = match call {
             Call::Read { .. } => Request::Read,
-            Call::Setup { version, text, .. } => {
-                let is_kept = self.broken != Some(Broken::ForgetsVersions);
-                let version = is_kept.then_some(*version);
+            Call::Config { version, text, .. } => {
+                let keeps_version = self.broken != Some(Broken::ForgetsVersions);
+                let version = keeps_version.then_some(*version);
                 let bytes = text.as_bytes().to_vec();
                 let change = Change::ReplaceConfig { bytes, if_revision: None, version };
                 Request::Change { key: format!("made-{number}"), change, keyless_for: None }
             }
-            Call::Submission { key, text, .. } => {
+            Call::KeyedWrite { key, text, .. } => {
                 let key = match self.broken {
                     Some(Broken::ForgetsKeys) => format!("{key}-{number}"),
                     _ => key.to_string(),
@@ -340,24 +335,24 @@
                 Request::Change { key, change, keyless_for: None }
             }
         };
-        if self.broken == Some(Broken::ReadsWithoutRound) && matches!(ask, Request::Read) {
+        if self.broken == Some(Broken::ReadsWithoutRound) && matches!(request, Request::Read) {
             let disk = &self.stores[store].disk;
-            let meta = disk.state.as_ref().and_then(|state| state.accepted);
-            let held = meta.and_then(|meta| disk.versions.get(&meta.version()));
-            let outcome = held.map(|value| Outcome::Value { value: (**value).clone() });
+            let accepted = disk.state.as_ref().and_then(|state| state.accepted);
+            let value = accepted.and_then(|accepted| disk.versions.get(&accepted.version()));
+            let outcome = value.map(|value| Outcome::Value { value: (**value).clone() });
             return self.history.end(number, outcome);
         }
-        let ticket = self.ticket(Asker::Operator { number }, store);
-        // Who wakes finds the call before the replies of its own last round.
+        let ticket = self.ticket(Requester::Operator { number }, store);
+        // A store that wakes up finds the call before the responses of its own last round.
         let is_frozen = self.is_frozen(store);
-        self.step(store, Event::RequestReceived { ticket, request: ask });
+        self.step(store, Event::RequestReceived { ticket, request });
         if is_frozen {
             self.thaw();
         }
     }
 
-    fn ticket(&mut self, asker: Asker, asked: usize) -> u64 {
-        self.tickets.push(Ticket { asker, asked, is_open: true });
+    fn ticket(&mut self, requester: Requester, responder: usize) -> u64 {
+        self.tickets.push(Ticket { requester, responder, is_open: true });
         self.tickets.len() as u64 - 1
     }
 
@@ -372,46 +367,57 @@
     fn perform(&mut self, index: usize, effect: Effect) {
         match effect {
             Effect::Persist(writes) => self.save(index, writes),
-            Effect::Send { call, incarnation, request: ask } => {
-                let asker = Asker::Store { index, life: self.stores[index].life, call };
+            Effect::Send { call, incarnation, request } => {
+                let requester =
+                    Requester::Store { index, generation: self.stores[index].generation, call };
                 let is_it = |store: &Store| store.core.summary().incarnation == incarnation;
                 match self.stores.iter().position(is_it) {
-                    Some(_) if self.counts_unasked(&ask) => {
-                        let life = self.stores[index].life;
-                        let tell = Some(Arc::new(Response::Accepted { from: incarnation }));
-                        self.messages.push_back(Message::Tell { to: index, life, call, tell });
+                    Some(_) if self.counts_unsent(&request) => {
+                        let generation = self.stores[index].generation;
+                        let response = Some(Arc::new(Response::Accepted { from: incarnation }));
+                        self.messages.push_back(Message::Response {
+                            to: index,
+                            generation,
+                            call,
+                            response,
+                        });
                     }
                     Some(to) => {
-                        let ticket = self.ticket(asker, to);
-                        let ask = Arc::new(ask);
-                        self.messages.push_back(Message::Ask { to, incarnation, ticket, ask });
+                        let ticket = self.ticket(requester, to);
+                        let request = Arc::new(request);
+                        self.messages.push_back(Message::Request {
+                            to,
+                            incarnation,
+                            ticket,
+                            request,
+                        });
                     }
                     None => {
-                        let life = self.stores[index].life;
-                        self.messages.push_back(Message::Tell {
+                        let generation = self.stores[index].generation;
+                        self.messages.push_back(Message::Response {
                             to: index,
-                            life,
+                            generation,
                             call,
-                            tell: None,
+                            response: None,
                         });
                     }
                 }
             }
-            Effect::Reply { ticket, response: tell } => self.answer(ticket, Some(tell)),
+            Effect::Reply { ticket, response } => self.respond(ticket, Some(response)),
             Effect::ReplyFromDisk { ticket, versions, as_outcome } => {
                 let disk = &self.stores[index].disk;
                 let load = |id: &VersionId| disk.versions.get(id).map(|value| (**value).clone());
                 let response = response_from_disk(&versions, as_outcome, load).response;
-                self.answer(ticket, Some(response));
+                self.respond(ticket, Some(response));
             }
-            Effect::Committed(value) => self.history.chosen(&value),
+            Effect::Committed(value) => self.history.committed(&value),
             Effect::Reset => {
                 let disk = self.empty_disk();
                 let store = &mut self.stores[index];
                 store.disk = disk.clone();
                 store.durable = disk;
-                let found = found(&store.disk);
-                self.step(index, Event::Reset(found));
+                let recovered = recovered(&store.disk);
+                self.step(index, Event::Reset(recovered));
             }
             Effect::Log(text) => {
                 if text.contains("never happen") {
@@ -421,9 +427,9 @@
         }
     }
 
-    fn counts_unasked(&self, ask: &Request) -> bool {
+    fn counts_unsent(&self, request: &Request) -> bool {
         let is_broken = self.broken == Some(Broken::CountsUnaskedVotes);
-        is_broken && matches!(ask, Request::Accept { .. })
+        is_broken && matches!(request, Request::Accept { .. })
     }
 
     fn save(&mut self, index: usize, writes: Vec<DiskWrite>) {
@@ -448,18 +454,23 @@
         }
     }
 
-    fn answer(&mut self, ticket: u64, tell: Option<Response>) {
+    fn respond(&mut self, ticket: u64, response: Option<Response>) {
         let ticket = &mut self.tickets[ticket as usize];
         if !std::mem::replace(&mut ticket.is_open, false) {
             return;
         }
-        match ticket.asker {
-            Asker::Store { index, life, call } => {
-                let tell = tell.map(Arc::new);
-                self.messages.push_back(Message::Tell { to: index, life, call, tell });
+        match ticket.requester {
+            Requester::Store { index, generation, call } => {
+                let response = response.map(Arc::new);
+                self.messages.push_back(Message::Response {
+                    to: index,
+                    generation,
+                    call,
+                    response,
+                });
             }
-            Asker::Operator { number } => {
-                let outcome = match tell {
+            Requester::Operator { number } => {
+                let outcome = match response {
                     Some(Response::Outcome(outcome)) => Some(outcome),
                     _ => None,
                 };
@@ -469,15 +480,15 @@
     }
 }
 
-fn to_whom(message: &Message) -> usize {
+fn target_of(message: &Message) -> usize {
     match message {
-        Message::Ask { to, .. } | Message::Tell { to, .. } => *to,
+        Message::Request { to, .. } | Message::Response { to, .. } => *to,
     }
 }
 
 fn ticket_of(message: &Message) -> Option<u64> {
     match message {
-        Message::Ask { ticket, .. } => Some(*ticket),
-        Message::Tell { .. } => None,
+        Message::Request { ticket, .. } => Some(*ticket),
+        Message::Response { .. } => None,
     }
 }
--- /dev/null
+++ b/store/tests/replica/fleet.rs
@@ -0,0 +1,325 @@
+//! A few replicas with their disks, and messages that a test may drop or delay.
+
+use std::collections::{BTreeMap, VecDeque};
+use std::sync::Arc;
+use std::time::Duration;
+use vanepath_cluster::wire;
+use vanepath_store::consensus::{
+    DiskWrite, Effect, Event, HardState, Identity, LiveStore, RecoveredState, Replica,
+    StoredVersion, response_from_disk,
+};
+use vanepath_store::protocol::{Change, Outcome, Request, Response};
+use vanepath_store::value::{Value, VersionId};
+
+#[derive(Default)]
+pub struct Disk {
+    pub state: Option<HardState>,
+    pub versions: BTreeMap<VersionId, Value>,
+}
+
+pub struct Store {
+    pub identity: Identity,
+    pub core: Replica,
+    pub disk: Disk,
+    pub is_up: bool,
+}
+
+/// Who waits for the response to a ticket.
+#[derive(Clone, Copy)]
+pub enum Requester {
+    Store(usize, u64),
+    Operator,
+}
+
+/// Whether a rule holds for a message from one store to another.
+pub type LinkRule<M> = Box<dyn Fn(usize, usize, &M) -> bool>;
+
+pub struct Fleet {
+    pub stores: Vec<Store>,
+    pub now: Duration,
+    pub tickets: Vec<Requester>,
+    pub events: VecDeque<(usize, Event)>,
+    pub outcomes: Vec<Outcome>,
+    pub responses: Vec<Response>,
+    /// Drops requests from one store to another.
+    pub drops_request: LinkRule<Request>,
+    /// Drops responses from one store to another.
+    pub drops_response: LinkRule<Response>,
+    /// Holds responses from one store to another back in `delayed` until a test delivers them.
+    pub delays_response: LinkRule<Response>,
+    pub delayed: Vec<(usize, Event)>,
+}
+
+pub fn recovered(disk: &mut Disk, random: u64) -> RecoveredState {
+    let fresh = HardState { incarnation: random, promised: Default::default(), accepted: None };
+    let state = disk.state.get_or_insert(fresh).clone();
+    let id = state.accepted.map(|accepted| accepted.version());
+    let value = id.and_then(|id| disk.versions.get(&id).cloned()).map(Arc::new);
+    let versions = disk
+        .versions
+        .iter()
+        .map(|(id, value)| StoredVersion::new(*id, value, value.encode().len()))
+        .collect();
+    let batch = value.as_ref().map(|value| {
+        RecoveredState::load_batch(value, |id| {
+            let ancestor = disk.versions.get(&id).expect("what was accepted together is there");
+            Some(Arc::new(ancestor.clone()))
+        })
+    });
+    RecoveredState { state, value, batch: batch.unwrap_or_default(), versions }
+}
+
+impl Fleet {
+    pub fn new() -> Fleet {
+        Fleet::of(3)
+    }
+
+    /// This number of stores with empty disks that bootstrap together.
+    pub fn of(stores: usize) -> Fleet {
+        let mut fleet = Fleet {
+            stores: Vec::new(),
+            now: Duration::from_secs(1),
+            tickets: Vec::new(),
+            events: VecDeque::new(),
+            outcomes: Vec::new(),
+            responses: Vec::new(),
+            drops_request: Box::new(|_, _, _| false),
+            drops_response: Box::new(|_, _, _| false),
+            delays_response: Box::new(|_, _, _| false),
+            delayed: Vec::new(),
+        };
+        for number in 0..stores {
+            fleet.add(&format!("s{number}"), stores, 100 + number as u64);
+        }
+        fleet
+    }
+
+    pub fn add(&mut self, name: &str, bootstrap_size: usize, random: u64) {
+        let mut disk = Disk::default();
+        let identity = Identity { name: name.to_string(), bootstrap_size };
+        let core = Replica::new(identity.clone(), recovered(&mut disk, random), self.now);
+        self.stores.push(Store { identity, core, disk, is_up: true });
+    }
+
+    /// Its disk is lost, and its process goes on with an empty one.
+    pub fn wipe(&mut self, index: usize, random: u64) {
+        let now = self.now;
+        let store = &mut self.stores[index];
+        store.disk = Disk::default();
+        let recovered = recovered(&mut store.disk, random);
+        store.core = Replica::new(store.identity.clone(), recovered, now);
+        store.is_up = true;
+    }
+
+    pub fn voting(&self) -> usize {
+        let up = self.stores.iter().filter(|store| store.is_up);
+        up.filter(|store| store.core.summary().is_voting).count()
+    }
+
+    pub fn value(&self, index: usize) -> &Value {
+        let disk = &self.stores[index].disk;
+        let accepted = disk.state.as_ref().unwrap().accepted.expect("it holds something");
+        &disk.versions[&accepted.version()]
+    }
+
+    pub fn restart(&mut self, index: usize) {
+        let now = self.now;
+        let store = &mut self.stores[index];
+        store.core = Replica::new(store.identity.clone(), recovered(&mut store.disk, 7), now);
+        store.is_up = true;
+    }
+
+    pub fn request(&mut self, index: usize, request: Request) {
+        self.tickets.push(Requester::Operator);
+        let ticket = self.tickets.len() as u64 - 1;
+        self.events.push_back((index, Event::RequestReceived { ticket, request }));
+        self.run();
+    }
+
+    /// Sends a change to one store; gives the outcome, if there is one within two seconds.
+    pub fn write(&mut self, index: usize, key: &str) -> Option<Outcome> {
+        let before = self.outcomes.len();
+        let bytes = key.as_bytes().to_vec();
+        let change = Change::ReplaceConfig { bytes, if_revision: None, version: None };
+        self.request(index, Request::Change { key: key.to_string(), change, keyless_for: None });
+        self.run_for(Duration::from_secs(2));
+        self.outcomes.get(before).cloned()
+    }
+
+    /// Lets time pass, with a tick of all stores every 50 ms.
+    pub fn run_for(&mut self, time: Duration) {
+        let until = self.now + time;
+        while self.now < until {
+            self.now += Duration::from_millis(50);
+            let live: Vec<LiveStore> = self
+                .stores
+                .iter()
+                .filter(|store| store.is_up)
+                .map(|store| {
+                    let summary = store.core.summary();
+                    let (incarnation, is_empty) = (summary.incarnation, summary.is_empty);
+                    let name = store.identity.name.clone();
+                    LiveStore {
+                        name,
+                        incarnation,
+                        is_empty,
+                        may_bootstrap: is_empty && summary.may_bootstrap,
+                    }
+                })
+                .collect();
+            for index in 0..self.stores.len() {
+                self.events.push_back((index, Event::LiveStores(live.clone())));
+                self.events.push_back((index, Event::Tick));
+            }
+            self.run();
+        }
+    }
+
+    pub fn run(&mut self) {
+        while let Some((index, event)) = self.events.pop_front() {
+            if !self.stores[index].is_up {
+                if let Event::RequestReceived { ticket, .. } = event {
+                    self.fail_call(ticket);
+                }
+                continue;
+            }
+            for effect in self.stores[index].core.step(self.now, event) {
+                self.perform(index, effect);
+            }
+        }
+    }
+
+    pub fn fail_call(&mut self, ticket: u64) {
+        if let Requester::Store(requester, call) = self.tickets[ticket as usize] {
+            self.events.push_back((requester, Event::ResponseReceived { call, response: None }));
+        }
+    }
+
+    pub fn perform(&mut self, index: usize, effect: Effect) {
+        match effect {
+            Effect::Persist(writes) => {
+                let disk = &mut self.stores[index].disk;
+                for write in writes {
+                    match write {
+                        DiskWrite::Version { id, bytes } => {
+                            let value = wire::decode(&bytes).expect("own bytes");
+                            disk.versions.insert(id, value);
+                        }
+                        DiskWrite::State(state) => disk.state = Some(state),
+                        DiskWrite::Remove(id) => {
+                            disk.versions.remove(&id);
+                        }
+                    }
+                }
+            }
+            Effect::Send { call, incarnation, request } => {
+                let target = self
+                    .stores
+                    .iter()
+                    .position(|store| store.core.summary().incarnation == incarnation);
+                let target =
+                    target.filter(|target| !(self.drops_request)(index, *target, &request));
+                self.tickets.push(Requester::Store(index, call));
+                let ticket = self.tickets.len() as u64 - 1;
+                match target {
+                    Some(target) => {
+                        self.events.push_back((target, Event::RequestReceived { ticket, request }));
+                    }
+                    None => self.fail_call(ticket),
+                }
+            }
+            Effect::Reply { ticket, response } => match self.tickets[ticket as usize] {
+                Requester::Store(requester, call) => {
+                    let is_late = (self.delays_response)(index, requester, &response);
+                    let response =
+                        (!(self.drops_response)(index, requester, &response)).then_some(response);
+                    let event = (requester, Event::ResponseReceived { call, response });
+                    match is_late {
+                        true => self.delayed.push(event),
+                        false => self.events.push_back(event),
+                    }
+                }
+                Requester::Operator => {
+                    if let Response::Outcome(outcome) = &response {
+                        self.outcomes.push(outcome.clone());
+                    }
+                    self.responses.push(response);
+                }
+            },
+            Effect::ReplyFromDisk { ticket, versions, as_outcome } => {
+                let disk = &self.stores[index].disk;
+                let load = |id: &VersionId| disk.versions.get(id).cloned();
+                let response = response_from_disk(&versions, as_outcome, load).response;
+                self.perform(index, Effect::Reply { ticket, response });
+            }
+            Effect::Reset => {
+                let random = 9000 + self.tickets.len() as u64;
+                let disk = &mut self.stores[index].disk;
+                *disk = Disk::default();
+                let recovered = recovered(disk, random);
+                self.events.push_front((index, Event::Reset(recovered)));
+            }
+            Effect::Committed(_) => {}
+            Effect::Log(text) => assert!(!text.contains("never happen"), "{text}"),
+        }
+    }
+
+    pub fn accepted(&self) -> Vec<u64> {
+        self.stores.iter().map(|store| store.core.summary().accepted).collect()
+    }
+}
+
+pub fn revision(outcome: Option<Outcome>) -> u64 {
+    match outcome {
+        Some(Outcome::Accepted { revision, .. }) => revision,
+        other => panic!("{other:?}"),
+    }
+}
+
+pub fn replace_config(fleet: &mut Fleet, key: &str, bytes: &str, version: Option<u64>) -> Outcome {
+    let before = fleet.outcomes.len();
+    let bytes = bytes.as_bytes().to_vec();
+    let change = Change::ReplaceConfig { bytes, if_revision: None, version };
+    fleet.request(0, Request::Change { key: key.to_string(), change, keyless_for: None });
+    fleet.run_for(Duration::from_secs(1));
+    fleet.outcomes[before].clone()
+}
+
+impl Fleet {
+    /// A drain or restore order without a client's key, which its registry has had for `waited` ms.
+    pub fn drain_order(&mut self, index: usize, change: Change, waited: u64) -> Outcome {
+        let key = format!("made-{}", self.tickets.len());
+        let keyless_for = Some(Duration::from_millis(waited));
+        let before = self.outcomes.len();
+        self.request(index, Request::Change { key, change, keyless_for });
+        self.outcomes[before].clone()
+    }
+
+    /// The registry of an order has responded in time, and says so to all stores.
+    pub fn acknowledge(&mut self, change: &Change, outcome: &Outcome) {
+        let Outcome::Accepted { revision, .. } = outcome else { panic!("{outcome:?}") };
+        let (content_hash, revision) = (change.content_hash(), *revision);
+        for index in 0..self.stores.len() {
+            self.request(index, Request::Acknowledge { content_hash, revision });
+        }
+    }
+
+    pub fn drain_orders(&self, index: usize) -> u32 {
+        self.value(index).drain_orders("a1")
+    }
+}
+
+pub fn drain() -> Change {
+    Change::DrainZone { zone: "a1".to_string() }
+}
+
+pub fn restore() -> Change {
+    Change::RestoreZone { zone: "a1".to_string() }
+}
+
+pub fn is_repeat(outcome: &Outcome) -> bool {
+    match outcome {
+        Outcome::Accepted { is_repeat, .. } => *is_repeat,
+        other => panic!("{other:?}"),
+    }
+}
--- a/store/tests/stored_data.rs
+++ b/store/tests/stored_data.rs
@@ -35,10 +35,10 @@
     format!("{}.{}", ballot.number, ballot.incarnation)
 }
 
-fn show_seats(seats: &MemberTable) -> String {
-    let shown: Vec<String> = seats
+fn show_members(members: &MemberTable) -> String {
+    let shown: Vec<String> = members
         .iter()
-        .map(|seat| match seat {
+        .map(|slot| match slot {
             Some(one) => format!("{}/{}/{}", one.name, one.incarnation, one.joined_later),
             None => "vacant".to_string(),
         })
@@ -52,8 +52,12 @@
     let _ = writeln!(text, "  setup {} {}", value.config_revision, value.config_version);
     let _ = writeln!(text, "  bytes {}", String::from_utf8_lossy(&value.document));
     let _ = writeln!(text, "  emptied {:?} {:?}", value.drained_zones, value.extra_drain_orders);
-    let _ =
-        writeln!(text, "  seats {} together {}", show_seats(&value.members), value.batched_before);
+    let _ = writeln!(
+        text,
+        "  seats {} together {}",
+        show_members(&value.members),
+        value.batched_before
+    );
     for key in &value.recent_writes {
         let _ = writeln!(
             text,
@@ -65,37 +69,38 @@
         let key = format!("operator-{number}");
         if let Some(known) = value.older_writes.find(&key) {
             let is_same = known.has_content(0x1111_0000_0000_0000 + number);
-            let (revision, setup_revision) = (known.revision, known.config_revision);
-            let _ = writeln!(text, "  older {key} {is_same} {revision} {setup_revision}");
+            let (revision, config_revision) = (known.revision, known.config_revision);
+            let _ = writeln!(text, "  older {key} {is_same} {revision} {config_revision}");
         }
     }
     let _ = writeln!(text, "  versions {:x?}", value.version_hashes);
     text
 }
 
-fn show(found: &RecoveredState) -> String {
+fn show(recovered: &RecoveredState) -> String {
     let mut text = format!(
         "incarnation {} promised {}\n",
-        found.state.incarnation,
-        show_ballot(found.state.promised)
+        recovered.state.incarnation,
+        show_ballot(recovered.state.promised)
     );
-    match &found.state.accepted {
-        Some(meta) => {
-            let ballot = show_ballot(meta.ballot);
-            let _ = writeln!(text, "accepted {ballot} {} {}", meta.revision, hex(&meta.digest));
+    match &recovered.state.accepted {
+        Some(accepted) => {
+            let ballot = show_ballot(accepted.ballot);
+            let _ =
+                writeln!(text, "accepted {ballot} {} {}", accepted.revision, hex(&accepted.digest));
         }
         None => text += "accepted nothing\n",
     }
-    match &found.value {
+    match &recovered.value {
         Some(value) => text += &show_value(value),
         None => text += "no value\n",
     }
-    for value in &found.batch {
+    for value in &recovered.batch {
         let _ = writeln!(text, "together with {}", value.revision);
     }
-    let mut kept: Vec<_> = found.versions.iter().collect();
-    kept.sort_by_key(|one| one.id);
-    for one in kept {
+    let mut versions: Vec<_> = recovered.versions.iter().collect();
+    versions.sort_by_key(|one| one.id);
+    for one in versions {
         let (revision, digest) = (one.id.revision, hex(&one.id.digest));
         let (parent_revision, parent) = (one.parent.revision, hex(&one.parent.digest));
         let bytes = one.bytes;
@@ -121,8 +126,8 @@
 fn check(kind: &str, expected: expect_test::ExpectFile) {
     let folder = copied(kind, "read");
     let disk = Disk::open(&folder).unwrap();
-    let found = disk.load(NEW_INCARNATION).unwrap();
-    expected.assert_eq(&show(&found));
+    let recovered = disk.load(NEW_INCARNATION).unwrap();
+    expected.assert_eq(&show(&recovered));
     drop(disk);
     std::fs::remove_dir_all(&folder).unwrap();
 }
@@ -132,12 +137,12 @@
     let folder = copied(kind, "source");
     let before_state = files(&folder, "state.cbor");
     let source = Disk::open(&folder).unwrap();
-    let found = source.load(NEW_INCARNATION).unwrap();
+    let recovered = source.load(NEW_INCARNATION).unwrap();
     let target_folder = copied("fresh", &format!("{kind}-target"));
     let target = Disk::open(&target_folder).unwrap();
     target.load(NEW_INCARNATION).unwrap();
     let mut versions = 0;
-    for one in &found.versions {
+    for one in &recovered.versions {
         let Some(value) = source.version(&one.id) else { continue };
         let (bytes, revision) = (value.encode(), one.id.revision);
         let digest = digest_of(&bytes);
@@ -146,14 +151,14 @@
         target.save(&[DiskWrite::Version { id, bytes }]).unwrap();
         versions += 1;
     }
-    assert_eq!(versions, found.versions.len(), "{kind}");
-    target.save(&[DiskWrite::State(found.state)]).unwrap();
+    assert_eq!(versions, recovered.versions.len(), "{kind}");
+    target.save(&[DiskWrite::State(recovered.state)]).unwrap();
     let written = files(&target_folder, "version-");
-    let was: Vec<(String, Vec<u8>)> = files(&folder, "version-")
+    let before: Vec<(String, Vec<u8>)> = files(&folder, "version-")
         .into_iter()
         .filter(|(name, _)| written.iter().any(|(one, _)| one == name))
         .collect();
-    assert_eq!(written, was, "{kind}: versions are written otherwise than they were");
+    assert_eq!(written, before, "{kind}: versions are written otherwise than they were");
     assert_eq!(files(&target_folder, "state.cbor"), before_state, "{kind}: the state is");
     drop((source, target));
     std::fs::remove_dir_all(&folder).unwrap();
@@ -229,18 +234,18 @@
     let _ =
         writeln!(text, "plan {} {} {} {}", plan.epoch, plan.counter, plan.leader, plan.revision);
     let _ = writeln!(text, "moved {:?}", plan.shifted);
-    let cold: Vec<String> = plan
+    let warming_up: Vec<String> = plan
         .warming_up
         .iter()
         .map(|(server, one)| format!("{server} {} {}", one.age_ms, one.connection_refused))
         .collect();
-    let _ = writeln!(text, "cold {cold:?}");
+    let _ = writeln!(text, "cold {warming_up:?}");
     let _ = writeln!(text, "away {:?}", plan.unreachable);
     expect_test::expect_file!["fixtures/hints.txt"].assert_eq(&text);
-    let was = files(&folder, "hints.cbor");
+    let before = files(&folder, "hints.cbor");
     std::fs::remove_file(folder.join("hints.cbor")).unwrap();
     disk.save_hints(&hints).unwrap();
-    assert_eq!(files(&folder, "hints.cbor"), was);
+    assert_eq!(files(&folder, "hints.cbor"), before);
     drop(disk);
     std::fs::remove_dir_all(&folder).unwrap();
 }
