--- a/store/src/consensus/acceptor.rs
+++ b/store/src/consensus/acceptor.rs
@@ -158,14 +158,14 @@
             return Err(Rejection::NotVoting);
         };
         let includes_value = wants_value && is_member(&value.members, from);
-        let shown = Box::new(MembershipSnapshot {
+        let snapshot = Box::new(MembershipSnapshot {
             promised: self.state.promised,
             accepted: *accepted,
             members: value.members.clone(),
             value: includes_value.then(|| (**value).clone()),
             batch: if includes_value { cloned_values(&self.batch) } else { Vec::new() },
         });
-        Ok(Response::Membership { from: self.own_incarnation(), shown })
+        Ok(Response::Membership { from: self.own_incarnation(), snapshot })
     }
 
     fn on_change(&mut self, operation: Operation, effects: &mut Vec<Effect>) {
--- a/store/src/consensus/history.rs
+++ b/store/src/consensus/history.rs
@@ -176,8 +176,8 @@
             (BackgroundCall::Fetch(id), Some(Response::Fetched(values))) => {
                 self.store_fetched(id, values, effects);
             }
-            (BackgroundCall::Membership, Some(Response::Membership { from, shown })) => {
-                self.snapshots.insert(from, *shown);
+            (BackgroundCall::Membership, Some(Response::Membership { from, snapshot })) => {
+                self.snapshots.insert(from, *snapshot);
                 self.evaluate_snapshots(effects);
             }
             _ => {}
--- a/store/src/consensus/membership.rs
+++ b/store/src/consensus/membership.rs
@@ -76,7 +76,7 @@
 
     fn membership_proof(&self) -> Option<MembershipProof> {
         let ballots: BTreeSet<Ballot> =
-            self.snapshots.values().map(|shown| shown.accepted.ballot).collect();
+            self.snapshots.values().map(|snapshot| snapshot.accepted.ballot).collect();
         let mut cases = ballots.into_iter().flat_map(|ballot| [(ballot, true), (ballot, false)]);
         cases.find_map(|(ballot, with_own)| self.proof_under(ballot, with_own))
     }
@@ -85,13 +85,13 @@
     /// have it.
     fn proof_under(&self, ballot: Ballot, with_own: bool) -> Option<MembershipProof> {
         let own = self.own_incarnation();
-        let shown: Vec<(&u64, &MembershipSnapshot)> = self
+        let snapshots: Vec<(&u64, &MembershipSnapshot)> = self
             .snapshots
             .iter()
-            .filter(|(_, shown)| shown.accepted.ballot == ballot)
-            .filter(|(_, shown)| is_member(&shown.members, own) == with_own)
+            .filter(|(_, snapshot)| snapshot.accepted.ballot == ballot)
+            .filter(|(_, snapshot)| is_member(&snapshot.members, own) == with_own)
             .collect();
-        let (_, best) = shown.iter().max_by_key(|(_, one)| one.accepted.revision)?;
+        let (_, best) = snapshots.iter().max_by_key(|(_, one)| one.accepted.revision)?;
         let members = &best.members;
         let others = member_incarnations(members).filter(|one| *one != own).count();
         let is_own_ballot = self.state.accepted.is_some_and(|accepted| accepted.ballot == ballot);
@@ -101,8 +101,8 @@
             (true, false) => others / 2 + 1,
             (false, _) => quorum_size(members),
         };
-        let counted = shown.iter().filter(|(from, _)| is_member(members, **from)).count();
-        let least = shown.iter().map(|(_, one)| one.accepted.rank()).min();
+        let counted = snapshots.iter().filter(|(from, _)| is_member(members, **from)).count();
+        let least = snapshots.iter().map(|(_, one)| one.accepted.rank()).min();
         let own_rank = self.state.accepted.map(|accepted| accepted.rank());
         let is_old = least < own_rank || (least == own_rank && !with_own);
         if counted < needed || is_old {
@@ -123,7 +123,7 @@
     /// From here on this disk votes.
     fn admit(&mut self, best: MembershipSnapshot, effects: &mut Vec<Effect>) {
         let Some(value) = best.value else { return };
-        let promised = self.snapshots.values().map(|shown| shown.promised).max();
+        let promised = self.snapshots.values().map(|snapshot| snapshot.promised).max();
         self.state.promised = self.state.promised.max(promised.unwrap_or_default());
         let batch = best.batch.into_iter().map(Arc::new).collect();
         self.accept(best.accepted.ballot, Arc::new(value), batch, effects);
--- a/store/src/consensus/rounds.rs
+++ b/store/src/consensus/rounds.rs
@@ -3,9 +3,10 @@
 use super::event::Effect;
 use super::quorum::{is_member, member_incarnations, quorum_size};
 use super::replica::Replica;
-use super::round::{AcceptedValue, Operation, Phase, Proposal, Round};
+use super::round::{AcceptedValue, Operation, Phase, ReplicaStatus, Round};
 use crate::protocol::{Outcome, Response};
-use crate::value::{AcceptedProposal, BOOTSTRAP_BALLOT};
+use crate::value::{AcceptedProposal, BOOTSTRAP_BALLOT, MemberTable};
+use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// What became of a phase.
@@ -25,14 +26,8 @@
                 Phase::Querying { .. } => self.advance_query(now, round, effects),
                 Phase::Bootstrapping { .. } => self.advance_bootstrap(now, round, effects),
                 Phase::Preparing { .. } => self.advance_prepare(now, round, effects),
-                Phase::Repairing(proposal) => {
-                    let proposal = proposal.clone();
-                    self.advance_repair(now, round, &proposal, effects)
-                }
-                Phase::Proposing(proposal) => {
-                    let proposal = proposal.clone();
-                    self.advance_proposal(now, round, &proposal, effects)
-                }
+                Phase::Repairing(_) => self.advance_repair(now, round, effects),
+                Phase::Proposing(_) => self.advance_proposal(now, round, effects),
             };
             if matches!(progress, Progress::Stop) {
                 return;
@@ -46,11 +41,10 @@
     }
 
     /// A query is over once a majority holds the same proposal as this replica: then that is committed.
-    /// Where replicas differ, a prepare round settles which value counts.
     fn advance_query(
         &mut self,
         now: Duration,
-        mut round: Round,
+        round: Round,
         effects: &mut Vec<Effect>,
     ) -> Progress {
         let is_over = round.in_flight.is_empty();
@@ -67,22 +61,8 @@
             self.fail_round(round, "no readable copy of the latest version", effects);
             return Progress::Stop;
         };
-        let members = &value.members;
-        let accepted = statuses.values().filter_map(|status| status.accepted);
-        let best = accepted.max_by_key(AcceptedProposal::rank);
-        let is_counted = |from: u64, accepted: Option<AcceptedProposal>| {
-            is_member(members, from) && accepted == best
-        };
-        let same =
-            statuses.iter().filter(|(from, status)| is_counted(**from, status.accepted)).count();
-        let majority = quorum_size(members);
-        // The bootstrap value is committed only once all members hold it.
-        let best = best.filter(|accepted| accepted.ballot > BOOTSTRAP_BALLOT);
         let is_repair = matches!(round.operation, Operation::Repair);
-        if let Some(committed) = best
-            && best == self.state.accepted
-            && same >= majority
-        {
+        if let Some(committed) = self.agreed_proposal(&value.members, statuses) {
             if is_repair && !is_over {
                 return self.wait(round);
             }
@@ -97,19 +77,46 @@
         if !is_over {
             return self.wait(round);
         }
-        if statuses.len() < majority {
+        if statuses.len() < quorum_size(&value.members) {
             self.fail_round(round, "no majority of stores replies", effects);
             return Progress::Stop;
         }
-        // Only the preferred proposer repairs: two would only preempt each other.
-        if is_repair && !self.is_preferred_proposer(now) {
-            return Progress::Stop;
-        }
-        if matches!(round.operation, Operation::ReadIndex { .. })
-            && !self.is_preferred_proposer(now)
-        {
-            self.fail_round(round, "the first store is settling it", effects);
-            return Progress::Stop;
+        self.resolve_disagreement(now, round, effects)
+    }
+
+    /// The highest accepted proposal, if this replica and a majority of the members hold it. The bootstrap
+    /// value does not count here: it is committed only once all members hold it.
+    fn agreed_proposal(
+        &self,
+        members: &MemberTable,
+        statuses: &BTreeMap<u64, ReplicaStatus>,
+    ) -> Option<AcceptedProposal> {
+        let accepted = statuses.values().filter_map(|status| status.accepted);
+        let best = accepted.max_by_key(AcceptedProposal::rank)?;
+        let holders = statuses
+            .iter()
+            .filter(|(from, status)| is_member(members, **from) && status.accepted == Some(best));
+        let is_agreed = self.state.accepted == Some(best)
+            && holders.count() >= quorum_size(members)
+            && best.ballot > BOOTSTRAP_BALLOT;
+        is_agreed.then_some(best)
+    }
+
+    /// Where replicas hold different proposals, a prepare round decides which value counts. For repairs and
+    /// read indexes only the preferred proposer begins one: two would only preempt each other.
+    fn resolve_disagreement(
+        &mut self,
+        now: Duration,
+        mut round: Round,
+        effects: &mut Vec<Effect>,
+    ) -> Progress {
+        match round.operation {
+            Operation::Repair if !self.is_preferred_proposer(now) => return Progress::Stop,
+            Operation::ReadIndex { .. } if !self.is_preferred_proposer(now) => {
+                self.fail_round(round, "the first store is settling it", effects);
+                return Progress::Stop;
+            }
+            _ => {}
         }
         self.prepare(&mut round, effects);
         self.round = Some(round);
@@ -186,19 +193,19 @@
         &mut self,
         now: Duration,
         mut round: Round,
-        proposal: &Proposal,
         effects: &mut Vec<Effect>,
     ) -> Progress {
-        let ballot = proposal.accepted.ballot;
+        let Phase::Repairing(proposal) = &round.phase else { return self.wait(round) };
+        let accepted = proposal.accepted;
         let is_committed = round.is_accepted(proposal);
         let is_accepted_here =
-            self.state.promised == ballot && self.state.accepted == Some(proposal.accepted);
+            self.state.promised == accepted.ballot && self.state.accepted == Some(accepted);
         if is_committed {
-            self.commit(proposal.accepted, effects);
+            self.commit(accepted, effects);
         }
         if is_committed && is_accepted_here {
             self.round = Some(round);
-            self.continue_from_committed(now, Some(ballot), effects);
+            self.continue_from_committed(now, Some(accepted.ballot), effects);
             return Progress::Stop;
         }
         if !round.in_flight.is_empty() && !is_committed {
@@ -214,13 +221,14 @@
         &mut self,
         now: Duration,
         round: Round,
-        proposal: &Proposal,
         effects: &mut Vec<Effect>,
     ) -> Progress {
+        let Phase::Proposing(proposal) = &round.phase else { return self.wait(round) };
         if round.is_accepted(proposal) {
-            self.commit(proposal.accepted, effects);
+            let accepted = proposal.accepted;
+            self.commit(accepted, effects);
             self.finish_proposal(round.operation, effects);
-            self.continue_from_committed(now, Some(proposal.accepted.ballot), effects);
+            self.continue_from_committed(now, Some(accepted.ballot), effects);
             return Progress::Stop;
         }
         if !round.in_flight.is_empty() {
--- a/store/src/protocol.rs
+++ b/store/src/protocol.rs
@@ -159,6 +159,28 @@
     NotAMember,
 }
 
+/// A recent write whose client may retransmit it without a key; a pair on the wire.
+#[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
+#[serde(from = "(String, u32)", into = "(String, u32)")]
+pub struct UnacknowledgedWrite {
+    /// Its idempotency key.
+    pub key: String,
+    /// Time since it was first received, in milliseconds.
+    pub age_ms: u32,
+}
+
+impl From<(String, u32)> for UnacknowledgedWrite {
+    fn from((key, age_ms): (String, u32)) -> UnacknowledgedWrite {
+        UnacknowledgedWrite { key, age_ms }
+    }
+}
+
+impl From<UnacknowledgedWrite> for (String, u32) {
+    fn from(write: UnacknowledgedWrite) -> (String, u32) {
+        (write.key, write.age_ms)
+    }
+}
+
 /// A store's response. `from` is the incarnation of the responder's disk.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum Response {
@@ -173,11 +195,11 @@
         /// The versions that were proposed with it in one round, the oldest first.
         #[serde(rename = "before")]
         batch: Vec<Value>,
-        /// Keys of recent writes of that value whose clients may retransmit them without a key, with their
-        /// ages in milliseconds (design 6.10); `None`: the acceptor does not know.
+        /// Recent writes of that value whose clients may retransmit them without a key (design 6.10);
+        /// `None`: the acceptor does not know.
         #[serde(default)]
         #[serde(rename = "open")]
-        unacknowledged: Option<Vec<(String, u32)>>,
+        unacknowledged: Option<Vec<UnacknowledgedWrite>>,
     },
     /// Phase 2b of Paxos: the proposal is accepted and on disk.
     Accepted {
@@ -226,7 +248,8 @@
         /// The responder.
         from: u64,
         /// Its state.
-        shown: Box<MembershipSnapshot>,
+        #[serde(rename = "shown")]
+        snapshot: Box<MembershipSnapshot>,
     },
     /// Answer to an operator's request.
     Outcome(Outcome),
--- a/store/src/retransmission.rs
+++ b/store/src/retransmission.rs
@@ -2,14 +2,14 @@
 //! replica notes by its own clock when it first saw a write, and whether its client surely has the response;
 //! no promise and no acceptance rests on it.
 
-use crate::protocol::Change;
+use crate::protocol::{Change, UnacknowledgedWrite};
 use crate::value::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 /// A client without keys retransmits an order for at most 8 s after first sending it (docs/platform.md), and
 /// half a second for the way.
-pub const RETRANSMISSION_WINDOW: Duration = Duration::from_millis(8500);
+const RETRANSMISSION_WINDOW: Duration = Duration::from_millis(8500);
 /// Longest time between two retransmissions that reach a store: each is given up after a second, and with any
 /// registry to choose from three in a row reach no store.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(4);
@@ -83,9 +83,9 @@
         }
     }
 
-    /// The writes whose clients may retransmit them, each with its age in milliseconds. A promise carries
-    /// them beside the value, so that a proposer knows what any of a majority knows.
-    pub fn unacknowledged(&self, value: &Value, now: Duration) -> Vec<(String, u32)> {
+    /// The writes whose clients may retransmit them. A promise carries them beside the value, so that a
+    /// proposer knows what any of a majority knows.
+    pub fn unacknowledged(&self, value: &Value, now: Duration) -> Vec<UnacknowledgedWrite> {
         // Not by when it was last heard of: that may have been at another replica.
         let is_open = |write: &&ObservedWrite| {
             !write.is_acknowledged && now <= write.received_at + RETRANSMISSION_WINDOW
@@ -95,15 +95,15 @@
             |write: &ObservedWrite| now.saturating_sub(write.received_at).as_millis() as u32;
         let records = value.recent_writes.iter();
         let open = records.filter_map(|record| Some((&record.key, open_write(&record.key)?)));
-        open.map(|(key, write)| (key.clone(), age_ms(write))).collect()
+        open.map(|(key, write)| UnacknowledgedWrite { key: key.clone(), age_ms: age_ms(write) })
+            .collect()
     }
 
-    /// Merges what another replica that holds this value knows: which writes are unacknowledged, with their
-    /// ages in milliseconds.
-    pub fn merge(&mut self, value: &Value, unacknowledged: &[(String, u32)], now: Duration) {
+    /// Merges what another replica that holds this value knows: all its other writes are acknowledged.
+    pub fn merge(&mut self, value: &Value, unacknowledged: &[UnacknowledgedWrite], now: Duration) {
         for record in &value.recent_writes {
-            let entry = unacknowledged.iter().find(|(key, _)| *key == record.key);
-            let age = entry.map(|(_, age_ms)| Duration::from_millis(u64::from(*age_ms)));
+            let entry = unacknowledged.iter().find(|write| write.key == record.key);
+            let age = entry.map(|write| Duration::from_millis(u64::from(write.age_ms)));
             let received_at = now.saturating_sub(age.unwrap_or(RETRANSMISSION_WINDOW));
             let new = ObservedWrite { received_at, last_heard_at: now, is_acknowledged: false };
             let write = self.writes.entry(record.key.clone()).or_insert(new);
--- a/store/tests/frames.rs
+++ b/store/tests/frames.rs
@@ -6,7 +6,9 @@
 use vanepath_cluster::wire::{decode, encode};
 use vanepath_store::idempotency::IdempotencyRecord;
 use vanepath_store::idempotency::OlderWrites;
-use vanepath_store::protocol::{Change, MembershipSnapshot, Outcome, Rejection, Request, Response};
+use vanepath_store::protocol::{
+    Change, MembershipSnapshot, Outcome, Rejection, Request, Response, UnacknowledgedWrite,
+};
 use vanepath_store::value::{AcceptedProposal, Ballot, Member, Value};
 
 #[derive(Default)]
@@ -139,7 +141,7 @@
         accepted,
         value: Some(full_value()),
         batch: vec![bare_value()],
-        unacknowledged: Some(vec![("key-5".to_string(), 1200)]),
+        unacknowledged: Some(vec![UnacknowledgedWrite { key: "key-5".to_string(), age_ms: 1200 }]),
     };
     frames.add("promise-full", &full);
     frames.add("accepted", &Response::Accepted { from });
@@ -164,13 +166,13 @@
     frames.add("state", &holds);
     frames.add("alive", &Response::Pong { from, is_healthy: true });
     frames.add("fetched", &Response::Fetched(vec![bare_value(), full_value()]));
-    let shown = |value: Option<Value>, batch: Vec<Value>| {
+    let membership = |value: Option<Value>, batch: Vec<Value>| {
         let (promised, accepted, members) = (ballot(9), proposal(5), full_value().members);
-        let shown = MembershipSnapshot { promised, accepted, members, value, batch };
-        Response::Membership { from, shown: Box::new(shown) }
+        let snapshot = MembershipSnapshot { promised, accepted, members, value, batch };
+        Response::Membership { from, snapshot: Box::new(snapshot) }
     };
-    frames.add("membership-bare", &shown(None, Vec::new()));
-    frames.add("membership-full", &shown(Some(full_value()), vec![bare_value()]));
+    frames.add("membership-bare", &membership(None, Vec::new()));
+    frames.add("membership-full", &membership(Some(full_value()), vec![bare_value()]));
     frames.add("noted", &Response::Acknowledged);
     frames.add("floor-none", &Response::ReadIndex(None));
     frames.add("floor", &Response::ReadIndex(Some(12)));
