--- a/store/src/consensus.rs
+++ b/store/src/consensus.rs
@@ -16,13 +16,15 @@
 mod history;
 mod liveness;
 mod membership;
+mod progress;
 mod proposer;
+mod queue;
 pub mod quorum;
 mod reader;
 mod replacement;
 mod replica;
 mod round;
-mod rounds;
+mod timers;
 mod transitions;
 
 pub use event::{
--- a/store/src/consensus/acceptor.rs
+++ b/store/src/consensus/acceptor.rs
@@ -4,11 +4,10 @@
 
 use super::event::{DiskWrite, Effect};
 use super::quorum::{is_member, slot_of};
-use super::replica::{MAX_QUEUED_OPERATIONS, Replica};
+use super::replica::Replica;
 use super::round::{Operation, PendingChange};
 use super::transitions::cloned_values;
-use crate::protocol::{MembershipSnapshot, Outcome, Rejection, Request, Response};
-use crate::retransmission::Judgement;
+use crate::protocol::{MembershipSnapshot, Rejection, Request, Response};
 use crate::value::{AcceptedProposal, BOOTSTRAP_BALLOT, Ballot, Digest, Value, digest_of};
 use std::sync::Arc;
 use std::time::Duration;
@@ -168,66 +167,6 @@
         Ok(Response::Membership { from: self.own_incarnation(), snapshot })
     }
 
-    fn on_change(&mut self, operation: Operation, effects: &mut Vec<Effect>) {
-        match self.judge_retransmission(&operation) {
-            Judgement::Undecided if self.undecided.len() < MAX_QUEUED_OPERATIONS => {
-                self.undecided.push_back(operation)
-            }
-            _ => self.enqueue(operation, effects),
-        }
-    }
-
-    fn judge_retransmission(&mut self, operation: &Operation) -> Judgement {
-        match (operation, &self.value) {
-            (Operation::Change(pending), Some(value)) if self.is_voting() => {
-                let PendingChange { change, keyless_since, .. } = pending;
-                self.retransmissions.judge(value, change, *keyless_since, self.now)
-            }
-            _ => Judgement::New,
-        }
-    }
-
-    /// Judges undecided changes once more. One that turns out not to be a retransmission has to be sent
-    /// again: where its registry died the client has done so already, and that may have been the one before.
-    pub(super) fn recheck_undecided(&mut self, effects: &mut Vec<Effect>) {
-        for operation in std::mem::take(&mut self.undecided) {
-            match self.judge_retransmission(&operation) {
-                Judgement::Undecided => self.undecided.push_back(operation),
-                Judgement::Retransmission { .. } => self.enqueue(operation, effects),
-                Judgement::New => {
-                    let reason = "it waited for the answer to one like it".to_string();
-                    self.reply_outcome(&operation, Outcome::NotApplied { reason }, effects);
-                }
-            }
-        }
-    }
-
-    fn enqueue(&mut self, operation: Operation, effects: &mut Vec<Effect>) {
-        if !self.is_voting() {
-            let reason = self.summary().reason.to_string();
-            self.reply_outcome(&operation, Outcome::NotApplied { reason }, effects);
-        } else if self.queue.len() >= MAX_QUEUED_OPERATIONS {
-            let reason = "too many changes wait".to_string();
-            self.reply_outcome(&operation, Outcome::NotApplied { reason }, effects);
-        } else {
-            self.queue.push_back(operation);
-        }
-    }
-
-    /// One round answers all requests for the same: a request joins those whose round has not begun.
-    fn enqueue_shared(&mut self, operation: Operation, effects: &mut Vec<Effect>) {
-        for queued in &mut self.queue {
-            match (queued, &operation) {
-                (Operation::Read { tickets }, Operation::Read { tickets: more })
-                | (Operation::ReadIndex { tickets }, Operation::ReadIndex { tickets: more }) => {
-                    return tickets.extend(more);
-                }
-                _ => {}
-            }
-        }
-        self.enqueue(operation, effects);
-    }
-
     /// Accepts a value with its batch; false where a higher proposal was accepted.
     pub(super) fn accept(
         &mut self,
--- a/store/src/consensus/batch.rs
+++ b/store/src/consensus/batch.rs
@@ -2,8 +2,9 @@
 //! in one batch under the same ballot (design 6.2).
 
 use super::event::Effect;
+use super::queue::MAX_QUEUED_OPERATIONS;
 use super::quorum::is_member;
-use super::replica::{BackgroundCall, MAX_QUEUED_OPERATIONS, Replica};
+use super::replica::{BackgroundCall, Replica};
 use super::round::{
     Operation, PendingChange, Phase, PlannedReply, Replacement, ReplicaStatus, Round,
 };
--- /dev/null
+++ b/store/src/consensus/timers.rs
@@ -0,0 +1,108 @@
+//! The timers of a replica: what happens on a tick.
+
+use super::bootstrap::BOOTSTRAP_CHECK_INTERVAL;
+use super::event::Effect;
+use super::replacement::{REPLACEMENT_CHECK_INTERVAL, REPLACEMENT_RETRY_INTERVAL};
+use super::replica::{BackgroundCall, Replica};
+use super::round::{Operation, Phase, Round};
+use crate::protocol::Request;
+use crate::value::VersionId;
+use std::time::Duration;
+
+/// Interval of repair rounds at the proposing store; the others run half as many.
+const REPAIR_INTERVAL: Duration = Duration::from_secs(3);
+/// Interval of repair rounds until the first one has shown what is committed.
+const FIRST_REPAIR_INTERVAL: Duration = Duration::from_millis(150);
+/// Interval at which missing versions are fetched.
+const FETCH_INTERVAL: Duration = Duration::from_millis(200);
+/// Without a tick for so long the process itself stood still.
+const FREEZE_TIMEOUT: Duration = Duration::from_secs(1);
+
+impl Replica {
+    /// Runs what is due.
+    pub(super) fn on_tick(&mut self, now: Duration, effects: &mut Vec<Effect>) {
+        let last_tick_at = std::mem::replace(&mut self.last_tick_at, now);
+        if now.saturating_sub(last_tick_at) > FREEZE_TIMEOUT {
+            // This process stood still itself: unanswered pings say nothing about others.
+            self.forget_unanswered_pings();
+        }
+        self.recheck_undecided(effects);
+        if self.has_lost_disk() {
+            return;
+        }
+        self.retry_after_backoff(now, effects);
+        if now >= self.repair_at && self.round.is_none() && self.queue.is_empty() {
+            self.enqueue_periodic_operation(now);
+        }
+        self.query_membership(now, effects);
+        self.ping_members(now, effects);
+        if now >= self.replacement_check_at && self.is_voting() && self.is_preferred_proposer(now) {
+            let is_any_lost = self.enqueue_replacements(now);
+            self.replacement_check_at = now
+                + match is_any_lost {
+                    true => REPLACEMENT_RETRY_INTERVAL,
+                    false => REPLACEMENT_CHECK_INTERVAL,
+                };
+        }
+        if now >= self.fetch_at && !self.is_empty() {
+            self.fetch_at = now + FETCH_INTERVAL;
+            self.fetch_missing_version(effects);
+        }
+    }
+
+    fn retry_after_backoff(&mut self, now: Duration, effects: &mut Vec<Effect>) {
+        let is_due =
+            |round: &mut Round| matches!(round.phase, Phase::BackingOff { until } if now >= until);
+        if let Some(mut round) = self.round.take_if(is_due) {
+            self.prepare(&mut round, effects);
+            self.round = Some(round);
+            self.advance(now, effects);
+        }
+    }
+
+    /// Bootstrap or repair, as far as it is this store's turn.
+    fn enqueue_periodic_operation(&mut self, now: Duration) {
+        if self.is_empty() {
+            self.enqueue_bootstrap();
+            self.repair_at = now + BOOTSTRAP_CHECK_INTERVAL;
+        } else if self.is_bootstrapping() {
+            if self.is_preferred_proposer(now) {
+                self.queue.push_back(Operation::Bootstrap { members: self.members() });
+            }
+            self.repair_at = now + REPAIR_INTERVAL / 8;
+        } else if self.is_voting() {
+            let is_behind = self.committed_revision() < self.heard_revision;
+            let is_preferred = self.is_preferred_proposer(now);
+            if is_preferred || self.committed.is_none() || is_behind {
+                self.queue.push_back(Operation::Repair);
+                let factor = if is_preferred { 1 } else { 2 };
+                // Until the committed version is known no node uses what this replica holds.
+                self.repair_at = now
+                    + match self.committed {
+                        Some(_) => REPAIR_INTERVAL * factor,
+                        None => FIRST_REPAIR_INTERVAL,
+                    };
+            }
+        }
+    }
+
+    /// Asks one of the others, in turn, for the first version that is missing here.
+    fn fetch_missing_version(&mut self, effects: &mut Vec<Effect>) {
+        let missing = match (&self.value, self.state.accepted) {
+            (None, Some(accepted)) => Some(accepted.version()),
+            (_, Some(accepted)) => self.chain_from(accepted.version()).missing,
+            _ => None,
+        };
+        if self.background_calls.is_empty()
+            && let Some(id) = missing
+        {
+            self.fetch_turn = self.fetch_turn.wrapping_add(1);
+            let others = self.other_members();
+            if let Some(incarnation) = others.get(self.fetch_turn % others.len().max(1)) {
+                let VersionId { revision, digest } = id;
+                let call = self.send(*incarnation, Request::Fetch { revision, digest }, effects);
+                self.background_calls.insert(call, BackgroundCall::Fetch(id));
+            }
+        }
+    }
+}
