--- a/registry/src/api/config.rs
+++ b/registry/src/api/config.rs
@@ -12,7 +12,8 @@
 use hyper::{HeaderMap, Response};
 use vanepath_cluster::node;
 use vanepath_config::model;
-use vanepath_store::protocol::{Change, Outcome, Request, Value};
+use vanepath_store::protocol::{Change, Outcome, Request};
+use vanepath_store::value::Value;
 
 /// `PUT /v1/setup`: replaces the configuration. The document is checked here and committed by the stores.
 pub async fn write(
