--- a/client/src/client.rs
+++ b/client/src/client.rs
@@ -1,217 +1,141 @@
-//! Requests by the steering routine, over hyper.
+//! The HTTP client: requests that follow the steering routine, over hyper.
 
-use crate::steering::{Steering, parse};
+mod attempt;
+mod connection_pool;
+mod outcome;
+mod shared_steering;
+
+pub use attempt::{AttemptError, SUSPICION_CHECK_INTERVAL};
+pub use connection_pool::{CONNECT_TIMEOUT, ConnectError};
+pub use outcome::Outcome;
+
+use crate::steering::{Steering, SteeringResponse, SteeringResponseError, parse_response};
+use attempt::Attempt;
+use connection_pool::ConnectionPool;
 use http_body_util::BodyExt;
+use shared_steering::{OutstandingRequest, SharedSteering};
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, MutexGuard};
 use std::time::Duration;
 use vanepath_config::ExecutionStatus;
 
-type Sender = hyper::client::conn::http1::SendRequest<http_body_util::Full<bytes::Bytes>>;
-
-/// What became of one request.
-#[derive(Debug)]
-pub enum Outcome {
-    /// A whole receipt, with the verdict that came with it.
-    Receipt { status: u16, headers: hyper::HeaderMap, body: bytes::Bytes, verdict: ExecutionStatus },
-    /// No receipt, or a broken one.
-    Lost(ExecutionStatus),
-    /// No directory has told yet where to go.
-    NowhereToGo,
-}
-
-/// A request that is out at an address; over, without a sign, if the caller drops it.
-struct Owed<'c> {
-    caller: &'c Client,
-    address: SocketAddr,
-    is_sign: bool,
-}
-
-impl<'c> Owed<'c> {
-    fn new(caller: &'c Client, address: SocketAddr) -> Owed<'c> {
-        let now = caller.now();
-        caller.steering.lock().expect("no panic under this lock").sent(now, address);
-        Owed { caller, address, is_sign: false }
-    }
-
-    fn over(mut self, is_sign: bool) {
-        self.is_sign = is_sign;
-    }
-}
-
-impl Drop for Owed<'_> {
-    fn drop(&mut self) {
-        let now = self.caller.now();
-        let mut steering = self.caller.steering.lock().expect("no panic under this lock");
-        steering.heard(now, self.address, self.is_sign);
-    }
-}
-
-impl Outcome {
-    pub fn is_served(&self) -> bool {
-        matches!(self, Outcome::Receipt { verdict: ExecutionStatus::Ran, .. })
-    }
-
-    pub fn verdict(&self) -> ExecutionStatus {
-        match self {
-            Outcome::Receipt { verdict, .. } | Outcome::Lost(verdict) => *verdict,
-            Outcome::NowhereToGo => ExecutionStatus::NotRun,
-        }
-    }
-}
-
-/// Addresses that one request tries at the most: enough to find the one proxy that is left.
+/// Attempts of one request: enough to find the one proxy that is left.
 pub const MAX_ATTEMPTS: usize = 32;
-/// So many proxies that say not-run are enough: what they lack, others lack too.
-pub const MAX_DROPPED: u32 = 3;
-/// A request made before the first receipt waits so long for it.
-const FIRST_RECEIPT_LIMIT: Duration = Duration::from_secs(5);
-/// For a directory's receipt: with three that died lately the next one is still asked in time for an
-/// emptied zone to be left.
+/// Rejections (503) after which a request is not sent to another proxy: what these proxies lack, the
+/// others lack too.
+pub const MAX_REJECTIONS: u32 = 3;
+/// Time-out of a poll. With three unreachable registries in a row the fourth is still polled in time for
+/// clients to leave a drained zone.
 pub const POLL_TIMEOUT: Duration = Duration::from_millis(600);
-/// Who does not open within that is not there.
-pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// So often a lookup that waits looks whether its proxy is silent to everyone.
-pub const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long a request waits for the first steering response.
+const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Delay between polls while a request waits for the first steering response.
+const FIRST_RESPONSE_POLL_DELAY: Duration = Duration::from_millis(20);
+/// Bounds of the pause between two checks whether a poll is due.
+const MIN_POLL_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+const MAX_POLL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// One try of a request at one address.
-struct Go<'g> {
-    address: SocketAddr,
-    /// Over a connection that is open already, if there is one.
-    may_use_open: bool,
-    /// It may be left for another address if this one is silent to everyone.
-    may_leave: bool,
-    method: &'g str,
-    path: &'g str,
-    headers: &'g [(&'g str, &'g str)],
-    body: bytes::Bytes,
-}
-
-/// A new connection, if somebody opens within a second.
-async fn reach(address: SocketAddr) -> Option<tokio::net::TcpStream> {
-    let connecting = tokio::net::TcpStream::connect(address);
-    tokio::time::timeout(CONNECT_TIMEOUT, connecting).await.ok()?.ok()
-}
-
-/// Whether anybody is there at all.
-async fn knock(address: SocketAddr) -> bool {
-    reach(address).await.is_some()
-}
-
-/// The addresses that a 421 names.
-fn named(body: &[u8]) -> Vec<SocketAddr> {
-    let value = std::str::from_utf8(body).ok().and_then(|text| jzon::parse(text).ok());
-    let value = value.unwrap_or(jzon::JsonValue::Null);
-    let places = value["places"].members();
-    places.filter_map(|place| place["address"].as_str()?.parse().ok()).collect()
+/// Why a poll gave no steering response.
+#[derive(Debug, thiserror::Error)]
+enum PollError {
+    #[error("the registry cannot be reached")]
+    Connect(#[from] ConnectError),
+    #[error("the poll is not valid HTTP")]
+    InvalidRequest(#[from] hyper::http::Error),
+    #[error("the connection to the registry failed")]
+    Interrupted(#[from] hyper::Error),
+    #[error("the registry responded with status {0}")]
+    Status(hyper::StatusCode),
+    #[error("the steering response is not UTF-8")]
+    Encoding(#[from] std::str::Utf8Error),
+    #[error("the steering response is not valid")]
+    Response(#[from] SteeringResponseError),
 }
 
+/// A client of the proxies: it polls the registries for steering and sends requests accordingly.
 pub struct Client {
-    start: std::time::Instant,
-    pub steering: Mutex<Steering>,
-    idle: Mutex<std::collections::HashMap<SocketAddr, Vec<Sender>>>,
-    limit: Duration,
+    steering: SharedSteering,
+    pool: ConnectionPool,
     host: String,
 }
 
 impl Client {
-    /// `query` says who and where the caller is: `caller=clerk-7&zone=a1&region=a`.
-    pub fn new(directories: Vec<SocketAddr>, query: &str, spread: u64, host: &str) -> Arc<Client> {
-        let first = format!("/v1/steer?{query}");
+    /// A client that has polled nothing yet. `query` identifies and locates it, for instance
+    /// `caller=clerk-7&zone=a1&region=a`; `spread` is a number that differs between clients; `host` is
+    /// the `Host` header of its requests.
+    pub fn new(registries: Vec<SocketAddr>, query: &str, spread: u64, host: &str) -> Arc<Client> {
+        let initial_uri = format!("/v1/steer?{query}");
         Arc::new(Client {
-            start: std::time::Instant::now(),
-            steering: Mutex::new(Steering::new(directories, first, spread)),
-            idle: Default::default(),
-            limit: Duration::from_secs(20),
+            steering: SharedSteering::new(Steering::new(registries, initial_uri, spread)),
+            pool: ConnectionPool::default(),
             host: host.to_string(),
         })
     }
 
-    fn now(&self) -> Duration {
-        self.start.elapsed()
+    /// The steering state. The guard must not be held across an `await`.
+    pub fn steering(&self) -> MutexGuard<'_, Steering> {
+        self.steering.lock()
     }
 
-    /// Polls on the side for as long as the returned handle is not aborted.
+    /// Polls in the background until the returned handle is aborted.
     pub fn keep_polling(self: &Arc<Client>) -> tokio::task::JoinHandle<()> {
-        let own = self.clone();
+        let client = self.clone();
         tokio::spawn(async move {
             loop {
-                own.poll().await;
-                let poll_at = own.steering.lock().expect("no panic under this lock").poll_at();
-                let pause = poll_at.saturating_sub(own.now()).max(Duration::from_millis(5));
-                tokio::time::sleep(pause.min(Duration::from_millis(100))).await;
+                client.poll().await;
+                let next_poll_at = client.steering().next_poll_at();
+                let pause = next_poll_at
+                    .saturating_sub(client.steering.now())
+                    .clamp(MIN_POLL_CHECK_INTERVAL, MAX_POLL_CHECK_INTERVAL);
+                tokio::time::sleep(pause).await;
             }
         })
     }
 
-    /// One poll, if one is due.
+    /// Makes one poll, if one is due.
     pub async fn poll(&self) {
-        let due = self.steering.lock().expect("no panic under this lock").start_poll(self.now());
-        let Some((directory, uri)) = due else { return };
-        let polled = async {
-            let mut sender = self.open(directory, true).await?;
-            let request = hyper::Request::get(uri)
-                .header(hyper::header::HOST, directory.to_string())
-                .body(Default::default())
-                .ok()?;
-            let receipt = sender.send_request(request).await.ok()?;
-            let is_good = receipt.status() == hyper::StatusCode::OK;
-            let bytes = receipt.into_body().collect().await.ok()?.to_bytes();
-            self.rest(directory, sender);
-            if is_good { parse(std::str::from_utf8(&bytes).ok()?) } else { None }
-        };
-        let receipt = tokio::time::timeout(POLL_TIMEOUT, polled).await.ok().flatten();
-        self.steering.lock().expect("no panic under this lock").polled(self.now(), receipt);
+        let due = self.steering().start_poll(self.steering.now());
+        let Some((registry, uri)) = due else { return };
+        let fetched = tokio::time::timeout(POLL_TIMEOUT, self.fetch_steering(registry, &uri)).await;
+        // Any failure has the next registry polled; the steering state counts failed polls.
+        let response = fetched.ok().and_then(Result::ok);
+        self.steering().finish_poll(self.steering.now(), response);
     }
 
-    /// Before the first receipt there is nowhere to go: it is asked for, for a while.
-    async fn await_receipt(&self) {
-        let until = self.now() + FIRST_RECEIPT_LIMIT;
-        while self.steering.lock().expect("no panic under this lock").receipt().is_none() {
-            if self.now() >= until {
-                return;
-            }
-            self.poll().await;
-            tokio::time::sleep(Duration::from_millis(20)).await;
+    async fn fetch_steering(
+        &self,
+        registry: SocketAddr,
+        uri: &str,
+    ) -> Result<SteeringResponse, PollError> {
+        let mut connection = self.pool.connect(registry, true).await?;
+        let request = hyper::Request::get(uri)
+            .header(hyper::header::HOST, registry.to_string())
+            .body(Default::default())?;
+        let response = connection.send_request(request).await?;
+        let status = response.status();
+        let bytes = response.into_body().collect().await?.to_bytes();
+        self.pool.put_back(registry, connection);
+        if status != hyper::StatusCode::OK {
+            return Err(PollError::Status(status));
         }
+        Ok(parse_response(std::str::from_utf8(&bytes)?)?)
     }
 
-    async fn connect(&self, address: SocketAddr) -> Option<Sender> {
-        loop {
-            let kept = self.idle.lock().expect("no panic under this lock").get_mut(&address)?.pop();
-            match kept {
-                Some(sender) if sender.is_ready() => return Some(sender),
-                Some(_) => {}
-                None => break,
+    /// Before the first steering response there is no address to send to: polls until one is received or
+    /// the time-out passes.
+    async fn await_first_response(&self) {
+        let deadline = self.steering.now() + FIRST_RESPONSE_TIMEOUT;
+        while self.steering().response().is_none() {
+            if self.steering.now() >= deadline {
+                return;
             }
-        }
-        None
-    }
-
-    async fn open(&self, address: SocketAddr, may_use_open: bool) -> Option<Sender> {
-        if may_use_open && let Some(sender) = self.connect(address).await {
-            return Some(sender);
-        }
-        let stream = reach(address).await?;
-        let _ = stream.set_nodelay(true);
-        let io = hyper_util::rt::TokioIo::new(stream);
-        let (sender, connection) = hyper::client::conn::http1::handshake(io).await.ok()?;
-        tokio::spawn(async move {
-            let _ = connection.await;
-        });
-        Some(sender)
-    }
-
-    fn rest(&self, address: SocketAddr, sender: Sender) {
-        let mut idle = self.idle.lock().expect("no panic under this lock");
-        let list = idle.entry(address).or_default();
-        if list.len() < 32 {
-            list.push(sender);
+            self.poll().await;
+            tokio::time::sleep(FIRST_RESPONSE_POLL_DELAY).await;
         }
     }
 
-    /// Sends a request where the receipt says, and on to the next place as far as its verdict
-    /// allows: a filing only while it is known not to have run.
+    /// Sends a request to the first address of its steering order, and to the next ones as far as the
+    /// outcome allows: an at-most-once request only while it is known not to have run.
     pub async fn request(
         &self,
         method: &str,
@@ -219,128 +143,125 @@
         headers: &[(&str, &str)],
         body: bytes::Bytes,
     ) -> Outcome {
-        self.await_receipt().await;
-        let (mut order, is_once) = {
-            let mut steering = self.steering.lock().expect("no panic under this lock");
-            let order = steering.order(self.now(), method, &self.host, path);
-            (order, steering.is_once(method, &self.host, path))
-        };
-        let mut last = Outcome::NowhereToGo;
-        let mut may_have_run = false;
-        let mut drops = 0;
-        let mut index = 0;
-        while let Some(address) = order.get(index).copied().filter(|_| index < MAX_ATTEMPTS) {
-            index += 1;
-            // A lookup leaves an address that is silent to everyone, while there is another.
-            let may_leave = !is_once && index < order.len().min(MAX_ATTEMPTS);
-            let may_use_open = {
-                let steering = self.steering.lock().expect("no panic under this lock");
-                if !steering.is_listed(&address) {
-                    continue;
-                }
-                steering.may_use_open(self.now(), &address, is_once)
+        self.await_first_response().await;
+        let mut plan = self.attempt_plan(method, path);
+        let mut outcome = Outcome::NoSteeringResponse;
+        while let Some(address) = plan.next_address() {
+            let Some(may_reuse_connection) = self.may_reuse_connection(&address, &plan) else {
+                continue;
             };
-            let owed = Owed::new(self, address);
-            let body = body.clone();
-            let go = Go { address, may_use_open, may_leave, method, path, headers, body };
-            last = self.go(go).await;
-            owed.over(matches!(last, Outcome::Receipt { .. }));
-            let verdict = last.verdict();
-            may_have_run |= verdict != ExecutionStatus::NotRun;
-            let is_done = match &last {
-                Outcome::Receipt { status, .. } => {
-                    drops += u32::from(*status == 503);
-                    let may_go_on = !(is_once && may_have_run) && drops < MAX_DROPPED;
-                    let mut steering = self.steering.lock().expect("no panic under this lock");
-                    !may_go_on || !steering.goes_on(self.now(), *status, verdict)
-                }
-                _ => false,
+            let outstanding = OutstandingRequest::start(&self.steering, address);
+            let attempt = Attempt {
+                address,
+                may_reuse_connection,
+                may_abandon: plan.may_abandon(),
+                host: &self.host,
+                method,
+                path,
+                headers,
+                body: body.clone(),
             };
-            if is_done || (is_once && may_have_run) {
-                break;
+            outcome = attempt.run(&self.steering, &self.pool).await;
+            match outcome {
+                Outcome::Response { .. } => outstanding.answered(),
+                Outcome::Failed { .. } | Outcome::NoSteeringResponse => drop(outstanding),
             }
-            if let Outcome::Receipt { status: 421, body, .. } = &last {
-                let mut steering = self.steering.lock().expect("no panic under this lock");
-                steering.misplaced(self.now(), &mut order, index, &named(body));
-            }
-            if matches!(last, Outcome::Lost(_)) {
-                let mut steering = self.steering.lock().expect("no panic under this lock");
-                steering.penalise(self.now(), address);
+            if !self.should_continue(&mut plan, address, &outcome) {
+                break;
             }
         }
-        match last {
-            Outcome::Lost(_) if may_have_run => Outcome::Lost(ExecutionStatus::MayHaveRun),
-            last => last,
+        match outcome {
+            Outcome::Failed { error, .. } if plan.may_have_run => {
+                Outcome::Failed { execution: ExecutionStatus::MayHaveRun, error }
+            }
+            outcome => outcome,
         }
     }
 
-    async fn go(&self, go: Go<'_>) -> Outcome {
-        let Go { address, may_use_open, may_leave, method, path, headers, body } = go;
-        let Some(mut sender) = self.open(address, may_use_open).await else {
-            return Outcome::Lost(ExecutionStatus::NotRun);
-        };
-        let mut request = hyper::Request::builder()
-            .method(method)
-            .uri(path)
-            .header(hyper::header::HOST, self.host.as_str());
-        for (name, value) in headers {
-            request = request.header(*name, *value);
+    fn attempt_plan(&self, method: &str, path: &str) -> AttemptPlan {
+        let mut steering = self.steering();
+        let addresses = steering.attempt_order(self.steering.now(), method, &self.host, path);
+        let is_at_most_once = steering.is_at_most_once(method, &self.host, path);
+        AttemptPlan { addresses, tried: 0, is_at_most_once, may_have_run: false, rejections: 0 }
+    }
+
+    /// Whether an open connection to that address may be used; `None` if the address is not listed any
+    /// more and is to be skipped.
+    fn may_reuse_connection(&self, address: &SocketAddr, plan: &AttemptPlan) -> Option<bool> {
+        let steering = self.steering();
+        steering.is_listed(address).then(|| {
+            steering.may_reuse_connection(self.steering.now(), address, plan.is_at_most_once)
+        })
+    }
+
+    /// Takes in the outcome of an attempt; whether the next address is to be tried.
+    fn should_continue(
+        &self,
+        plan: &mut AttemptPlan,
+        address: SocketAddr,
+        outcome: &Outcome,
+    ) -> bool {
+        let execution = outcome.execution_status();
+        plan.may_have_run |= execution != ExecutionStatus::NotRun;
+        if plan.is_at_most_once && plan.may_have_run {
+            return false;
         }
-        let Ok(request) = request.body(http_body_util::Full::new(body)) else {
-            return Outcome::Lost(ExecutionStatus::NotRun);
-        };
-        let sent_at = self.now();
-        let sending = sender.try_send_request(request);
-        tokio::pin!(sending);
-        let sent = loop {
-            if let Ok(sent) = tokio::time::timeout(ATTEMPT_TIMEOUT, &mut sending).await {
-                break Ok(sent);
-            }
-            if self.now() - sent_at >= self.limit {
-                break Err(());
-            }
-            let is_doubted = || {
-                let steering = self.steering.lock().expect("no panic under this lock");
-                steering.is_doubted(self.now(), &address)
-            };
-            if may_leave && is_doubted() {
-                let is_there = tokio::select! {
-                    sent = &mut sending => break Ok(sent),
-                    is_there = knock(address) => is_there,
-                };
-                let mut steering = self.steering.lock().expect("no panic under this lock");
-                if steering.may_leave(self.now(), &address, is_there) {
-                    break Err(());
+        let now = self.steering.now();
+        let mut steering = self.steering();
+        match outcome {
+            Outcome::Response { status, body, .. } => {
+                plan.rejections += u32::from(*status == 503);
+                let is_final = plan.rejections >= MAX_REJECTIONS
+                    || !steering.should_retry(now, *status, execution);
+                if !is_final && *status == 421 {
+                    steering.redirect(
+                        now,
+                        &mut plan.addresses,
+                        plan.tried,
+                        &redirect_targets(body),
+                    );
                 }
+                !is_final
             }
-        };
-        let receipt = match sent {
-            Ok(Ok(receipt)) => receipt,
-            // Given back whole: no byte of it was written.
-            Ok(Err(mut error)) => {
-                return Outcome::Lost(match error.take_message() {
-                    Some(_) => ExecutionStatus::NotRun,
-                    None => ExecutionStatus::MayHaveRun,
-                });
+            Outcome::Failed { .. } => {
+                steering.penalize(now, address);
+                true
             }
-            Err(()) => return Outcome::Lost(ExecutionStatus::MayHaveRun),
-        };
-        let (head, incoming) = receipt.into_parts();
-        let collected = tokio::time::timeout(self.limit, incoming.collect()).await;
-        let Ok(Ok(collected)) = collected else {
-            return Outcome::Lost(ExecutionStatus::MayHaveRun);
-        };
-        let verdict = head
-            .headers
-            .get(vanepath_config::execution_status::HEADER)
-            .and_then(|value| value.to_str().ok()?.parse().ok())
-            .unwrap_or(ExecutionStatus::MayHaveRun);
-        self.rest(address, sender);
-        Outcome::Receipt {
-            status: head.status.as_u16(),
-            headers: head.headers,
-            body: collected.to_bytes(),
-            verdict,
+            Outcome::NoSteeringResponse => true,
         }
     }
 }
+
+/// The attempts of one request.
+struct AttemptPlan {
+    /// In the order in which they are tried.
+    addresses: Vec<SocketAddr>,
+    /// How many of the addresses were tried or skipped.
+    tried: usize,
+    is_at_most_once: bool,
+    may_have_run: bool,
+    /// Responses with status 503 so far.
+    rejections: u32,
+}
+
+impl AttemptPlan {
+    fn next_address(&mut self) -> Option<SocketAddr> {
+        let address =
+            self.addresses.get(self.tried).copied().filter(|_| self.tried < MAX_ATTEMPTS)?;
+        self.tried += 1;
+        Some(address)
+    }
+
+    /// A repeatable request may abandon a suspect address while there is another to try.
+    fn may_abandon(&self) -> bool {
+        !self.is_at_most_once && self.tried < self.addresses.len().min(MAX_ATTEMPTS)
+    }
+}
+
+/// The proxies that a response with status 421 names.
+fn redirect_targets(body: &[u8]) -> Vec<SocketAddr> {
+    let value = std::str::from_utf8(body).ok().and_then(|text| jzon::parse(text).ok());
+    let value = value.unwrap_or(jzon::JsonValue::Null);
+    let targets = value["places"].members();
+    targets.filter_map(|target| target["address"].as_str()?.parse().ok()).collect()
+}
--- a/client/src/lib.rs
+++ b/client/src/lib.rs
@@ -1,7 +1,12 @@
-//! The caller library: the steering routine of the source, and requests that keep its verdicts
-//! (design 7.6). For clerks' and owners' programs, and for the project's stand-in callers.
+//! Client library: content steering (the routine of HLS Content Steering, applied to request
+//! routing) and HTTP requests whose outcome states whether they were executed (design 7.6).
+//!
+//! [`steering`] is a pure state machine that takes the current time as an argument; [`client`] runs
+//! it over hyper. It serves the users' own programs and the test clients of this project.
+
+#![warn(missing_docs)]
 
 pub mod client;
 pub mod steering;
 
-pub use client::{Client, Outcome};
+pub use client::{AttemptError, Client, Outcome};
--- a/testbed/src/replay.rs
+++ b/testbed/src/replay.rs
@@ -148,11 +148,11 @@
         let caller = callers[&one.host].0.clone();
         tokio::time::sleep_until(begun + one.at.div_f64(plan.factor)).await;
         let is_once = {
-            let steering = caller.steering.lock().expect("no panic under this lock");
+            let steering = caller.steering();
             // Without a receipt nobody can say: what is no lookup by its method is left out.
             let is_lookup = ["GET", "HEAD", "OPTIONS"].contains(&one.method.as_str());
-            match steering.receipt() {
-                Some(_) => steering.is_once(&one.method, &one.host, &one.target),
+            match steering.response() {
+                Some(_) => steering.is_at_most_once(&one.method, &one.host, &one.target),
                 None => !is_lookup,
             }
         };
@@ -169,8 +169,8 @@
         });
     }
     while let Some(Ok((outcome, took_ms))) = tasks.join_next().await {
-        *summary.verdicts.entry(outcome.verdict().to_string()).or_default() += 1;
-        if let Outcome::Receipt { status, .. } = outcome {
+        *summary.verdicts.entry(outcome.execution_status().to_string()).or_default() += 1;
+        if let Outcome::Response { status, .. } = outcome {
             *summary.statuses.entry(status).or_default() += 1;
         }
         summary.took_ms.push(took_ms);
--- a/testbed/src/sim/data.rs
+++ b/testbed/src/sim/data.rs
@@ -11,7 +11,7 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 use std::time::Duration;
-use vanepath_client::steering::{Steering, parse};
+use vanepath_client::steering::{Steering, parse_response};
 use vanepath_cluster::{gossip, wire};
 use vanepath_config::ExecutionStatus;
 use vanepath_config::model::Idempotency;
@@ -335,7 +335,7 @@
             Timer::Leave { request, target, call } if self.net.call(call).is_some() => {
                 let caller = self.world.requests[request].caller;
                 let (now, address) = (self.net.now, Net::address_of(target));
-                if self.world.callers[caller].steering.is_doubted(now, &address) {
+                if self.world.callers[caller].steering.is_suspect(now, &address) {
                     // It knocks first.
                     let is_there = self.net.hosts[target].powered && !self.net.is_cut(host, target);
                     let pause = match is_there {
@@ -345,18 +345,18 @@
                     let what = Timer::Knocked { request, target, call, is_there };
                     self.net.timer(host, pause, what);
                 } else {
-                    self.net.timer(host, vanepath_client::client::ATTEMPT_TIMEOUT, what);
+                    self.net.timer(host, vanepath_client::client::SUSPICION_CHECK_INTERVAL, what);
                 }
             }
             Timer::Knocked { request, target, call, is_there } if self.net.call(call).is_some() => {
                 let caller = self.world.requests[request].caller;
                 let (now, address) = (self.net.now, Net::address_of(target));
-                if self.world.callers[caller].steering.may_leave(now, &address, is_there) {
+                if self.world.callers[caller].steering.may_abandon(now, &address, is_there) {
                     self.net.forget(call);
                     self.carried(request, target, None, false);
                 } else {
                     let what = Timer::Leave { request, target, call };
-                    self.net.timer(host, vanepath_client::client::ATTEMPT_TIMEOUT, what);
+                    self.net.timer(host, vanepath_client::client::SUSPICION_CHECK_INTERVAL, what);
                 }
             }
             Timer::Stale { request, target } => self.carried(request, target, None, true),
--- a/testbed/src/sim/data/callers.rs
+++ b/testbed/src/sim/data/callers.rs
@@ -12,7 +12,7 @@
             let limit = vanepath_client::client::POLL_TIMEOUT;
             self.net.ask(host, target, limit, Body::Steer(uri), Purpose::Poll { caller });
         }
-        let pause = self.world.callers[caller].steering.poll_at().saturating_sub(now);
+        let pause = self.world.callers[caller].steering.next_poll_at().saturating_sub(now);
         let pause = pause.clamp(Duration::from_millis(20), Duration::from_millis(200));
         self.net.timer(host, pause, Timer::Poll(caller));
     }
@@ -26,7 +26,7 @@
         let mean = self.world.callers.len() as f64 / self.world.rate / weight;
         let pause = -(1.0 - self.net.random.part()).ln() * mean;
         self.net.timer(host, Duration::from_secs_f64(pause), Timer::NextRequest(caller));
-        if self.world.callers[caller].steering.receipt().is_none() {
+        if self.world.callers[caller].steering.response().is_none() {
             return;
         }
         let sum: u32 = self.world.mix.iter().sum();
@@ -44,8 +44,8 @@
         let now = self.net.now;
         let path = self.world.paths[what as usize];
         let steering = &mut self.world.callers[caller].steering;
-        let order = steering.order(now, method(what), "h", path);
-        let is_once = steering.is_once(method(what), "h", path);
+        let order = steering.attempt_order(now, method(what), "h", path);
+        let is_once = steering.is_at_most_once(method(what), "h", path);
         self.world.requests.push(Request {
             what,
             caller,
@@ -90,7 +90,8 @@
         let life = self.net.hosts[target].life;
         let now = self.net.now;
         let is_once = self.world.requests[number].is_once;
-        let may_use_open = self.world.callers[caller].steering.may_use_open(now, &address, is_once);
+        let may_use_open =
+            self.world.callers[caller].steering.may_reuse_connection(now, &address, is_once);
         let open = &mut self.world.callers[caller].open;
         let is_open = may_use_open && open.contains(&(target, life));
         // One that its machine forgot when it lost power, of which nothing told this side: what is
@@ -108,7 +109,7 @@
         let is_last = request.at >= request.order.len().min(most);
         let limit = if request.connecting { Duration::from_secs(1) } else { CALL_LIMIT };
         let may_leave = !request.is_once && !is_last && !request.connecting;
-        self.world.callers[caller].steering.sent(now, address);
+        self.world.callers[caller].steering.request_started(now, address);
         self.world.requests[number].asked.push(target);
         if is_stale && is_there {
             let delay = 2 * self.net.delays.caller;
@@ -120,7 +121,7 @@
         let call = self.net.ask(host, target, limit, Body::Carry(number), purpose);
         if may_leave {
             let what = Timer::Leave { request: number, target, call };
-            self.net.timer(host, vanepath_client::client::ATTEMPT_TIMEOUT, what);
+            self.net.timer(host, vanepath_client::client::SUSPICION_CHECK_INTERVAL, what);
         }
     }
 
@@ -145,7 +146,7 @@
         let request = &mut self.world.requests[number];
         let caller = &mut self.world.callers[request.caller];
         let address = Net::address_of(target);
-        caller.steering.heard(now, address, body.is_some());
+        caller.steering.request_finished(now, address, body.is_some());
         match body {
             Some(Body::Carried { verdict, status, named }) => {
                 caller.open.insert((target, life));
@@ -154,13 +155,13 @@
                 request.may_have_run |= verdict != ExecutionStatus::NotRun;
                 request.drops += u32::from(status == 503);
                 let may_go_on = !(request.is_once && request.may_have_run)
-                    && request.drops < vanepath_client::client::MAX_DROPPED
+                    && request.drops < vanepath_client::client::MAX_REJECTIONS
                     && self.breaks != Some(Break::LookupsGiveUp);
-                if !may_go_on || !caller.steering.goes_on(now, status, verdict) {
+                if !may_go_on || !caller.steering.should_retry(now, status, verdict) {
                     return self.end_request(number);
                 }
                 if status == 421 {
-                    caller.steering.misplaced(now, &mut request.order, request.at, &named);
+                    caller.steering.redirect(now, &mut request.order, request.at, &named);
                 }
             }
             _ => {
@@ -179,7 +180,7 @@
                 };
                 request.may_have_run |= was_connected;
                 request.status = 0;
-                caller.steering.penalise(now, address);
+                caller.steering.penalize(now, address);
                 if request.is_once && request.may_have_run {
                     return self.end_request(number);
                 }
@@ -206,7 +207,7 @@
                         if let Some(said) = said {
                             self.world.longest_receipt = self.world.longest_receipt.max(said);
                         }
-                        parse(&text)
+                        parse_response(&text).ok()
                     }
                     _ => None,
                 };
@@ -216,7 +217,7 @@
                 if let Some(receipt) = &receipt {
                     own.receipts.push((now, receipt.ttl, receipt.revision));
                 }
-                own.steering.polled(now, receipt);
+                own.steering.finish_poll(now, receipt);
             }
             Purpose::Carry { request } => self.carried(request, target, body, is_reset),
             Purpose::Greet { way } => {
--- a/testbed/src/traffic.rs
+++ b/testbed/src/traffic.rs
@@ -142,9 +142,10 @@
         }
     };
     let outcome = caller.request(method, &path, &headers, body.into()).await;
-    let verdict = outcome.verdict();
+    let verdict = outcome.execution_status();
     let mut status = 0;
-    if let Outcome::Receipt { status: seen, body, verdict: ExecutionStatus::Ran, .. } = &outcome {
+    if let Outcome::Response { status: seen, body, execution: ExecutionStatus::Ran, .. } = &outcome
+    {
         status = *seen;
         let is_right = match kind {
             Kind::Bulk => **body == *crate::standin::pattern(number, SIZE),
@@ -158,7 +159,7 @@
                 .expect("no panic under this lock")
                 .push(format!("{kind:?} {number}: {seen} with {} bytes: {shown}", body.len()));
         }
-    } else if let Outcome::Receipt { status: seen, .. } = &outcome {
+    } else if let Outcome::Response { status: seen, .. } = &outcome {
         status = *seen;
     }
     let took_ms = start.elapsed().as_millis() as u64;
