--- a/client/src/client/outcome.rs
+++ b/client/src/client/outcome.rs
@@ -29,11 +29,6 @@
 }
 
 impl Outcome {
-    /// Whether the request was executed and its response received.
-    pub fn is_served(&self) -> bool {
-        matches!(self, Outcome::Response { execution: ExecutionStatus::Ran, .. })
-    }
-
     /// Whether the request was executed, as far as is known.
     pub fn execution_status(&self) -> ExecutionStatus {
         match self {
--- a/config-check/src/tests.rs
+++ b/config-check/src/tests.rs
@@ -1,7 +1,9 @@
-use super::{FleetAsIs, Server, check};
+use super::{FleetSnapshot, ProxyLocation, ServerSnapshot, check};
+use vanepath_config::endpoint_list::Server;
+use vanepath_config::model::parse;
 
-fn fleet() -> FleetAsIs {
-    let mut fleet = FleetAsIs { revision: 3, ..FleetAsIs::default() };
+fn fleet() -> FleetSnapshot {
+    let mut fleet = FleetSnapshot { revision: 3, ..FleetSnapshot::default() };
     for (index, (zone, app, is_live)) in [
         ("a1", "s", true),
         ("a2", "s", true),
@@ -12,8 +14,8 @@
     .iter()
     .enumerate()
     {
-        fleet.servers.push(Server {
-            server: vanepath_config::endpoint_list::Server {
+        fleet.servers.push(ServerSnapshot {
+            server: Server {
                 id: format!("{app}-{zone}"),
                 address: format!("127.0.0.1:{}", 9000 + index).parse().unwrap(),
                 region: zone[..1].to_string(),
@@ -27,12 +29,12 @@
         });
     }
     for zone in ["a1", "b1"] {
-        fleet.proxies.push((zone.to_string(), zone[..1].to_string()));
+        fleet.proxies.push(ProxyLocation { zone: zone.to_string(), region: zone[..1].to_string() });
     }
     fleet
 }
 
-fn setup(rules: &str) -> String {
+fn config(rules: &str) -> String {
     format!(
         r#"{{"classes": [{{"name": "c", "urgency": 1, "kind": "repeatable"}}],
           "services": [
@@ -46,11 +48,11 @@
 
 #[test]
 fn findings_say_what_is_missing_now_and_after_a_loss() {
-    let before = setup(
+    let before = config(
         r#"{"name": "one", "match": {"pathPrefix": "/1"}, "class": "c", "service": "s"},
            {"name": "old", "match": {"pathPrefix": "/old"}, "class": "c", "service": "s"}"#,
     );
-    let after = setup(
+    let after = config(
         r#"{"name": "bound", "match": {"pathPrefix": "/b"}, "class": "c", "service": "t",
             "regions": ["b"]},
            {"name": "dead", "match": {"pathPrefix": "/d"}, "class": "c", "service": "u"},
@@ -59,11 +61,11 @@
            {"name": "two", "class": "c", "service": "s"}"#,
     );
     let mut fleet = fleet();
-    fleet.in_force = Some(before.into_bytes());
-    let setup = vanepath_config::model::parse(after.as_bytes()).unwrap();
-    let shown: String = check(&setup, &fleet)
+    fleet.active_config = Some(before.into_bytes());
+    let config = parse(after.as_bytes()).unwrap();
+    let shown: String = check(&config, &fleet)
         .iter()
-        .map(|one| format!("{} {}: {}\n", one.weight, one.path, one.message))
+        .map(|one| format!("{} {}: {}\n", one.severity, one.path, one.message))
         .collect();
     expect_test::expect![[r#"
         bad $.services[2]: service 'u': none of its 1 servers is live
