--- a/testbed/src/commands/demo.rs
+++ b/testbed/src/commands/demo.rs
@@ -13,9 +13,9 @@
     else {
         return Ok(());
     };
-    let shape = match matches.opt_str("deployment").as_deref() {
-        None | Some("raiocerto") => vanepath_testbed::shape::raiocerto(),
-        Some("guild") => vanepath_testbed::shape::guild(),
+    let topology = match matches.opt_str("deployment").as_deref() {
+        None | Some("raiocerto") => vanepath_testbed::topology::raiocerto(),
+        Some("guild") => vanepath_testbed::topology::guild(),
         Some(other) => miette::bail!("--deployment: there is no '{other}'"),
     };
     let seconds: u64 =
@@ -23,23 +23,26 @@
     let runtime = tokio::runtime::Runtime::new()
         .map_err(|error| miette::miette!("cannot start threads: {error}"))?;
     runtime.block_on(async {
-        let fleet = vanepath_testbed::harness::Fleet::start(shape).await;
-        let revision = fleet.put_setup(&fleet.shape.setup).await;
-        fleet.until_in_force(revision, Duration::from_secs(20)).await;
+        let fleet = vanepath_testbed::harness::Fleet::start(topology).await;
+        let revision = fleet.put_config(&fleet.topology.config).await;
+        fleet.wait_until_active(revision, Duration::from_secs(20)).await;
         let traffic = vanepath_testbed::traffic::Traffic::start(&fleet, 1, 0.1).await;
-        let registry = fleet.registries()[0];
-        let proxy = fleet.members[fleet.of("proxy")[0]].address;
+        let registry = fleet.registry_addresses()[0];
+        let proxy = fleet.daemons[fleet.with_role("proxy")[0]].address;
         let setup = fleet.folder.join("setup.json");
-        std::fs::write(&setup, &fleet.shape.setup)
+        std::fs::write(&setup, &fleet.topology.config)
             .map_err(|error| miette::miette!("cannot write {}: {error}", setup.display()))?;
-        println!("a fleet in the shape of {} is up, with a tenth of its traffic", fleet.shape.name);
-        for member in &fleet.members {
+        println!(
+            "a fleet in the shape of {} is up, with a tenth of its traffic",
+            fleet.topology.name
+        );
+        for member in &fleet.daemons {
             println!("  {:12} {:10} {}", member.name, member.zone, member.address);
         }
         println!("logs, settings and the setup lie in {}\n", fleet.folder.display());
         println!("Try, from another terminal:");
         println!("  curl '{registry}/v1/steer?caller=me&zone=north-1&why=1'");
-        println!("  curl -i '{proxy}{}/7' -H 'x-request: 7'", fleet.shape.lookup_path);
+        println!("  curl -i '{proxy}{}/7' -H 'x-request: 7'", fleet.topology.lookup_path);
         println!("  curl {registry}/v1/status");
         println!("  curl {proxy}/vanepath/v1/status");
         println!("  curl -X PUT {registry}/v1/zones/north-1/emptied");
@@ -53,7 +56,7 @@
         }
         let (told, wrong) = traffic.finish().await;
         println!("{} requests, {} of them wrong", told.len(), wrong.len());
-        for (kind, sum) in vanepath_testbed::traffic::sums(&told) {
+        for (kind, sum) in vanepath_testbed::traffic::count_outcomes(&told) {
             println!("  {kind:?}: {sum:?}");
         }
         Ok(())
--- a/testbed/src/commands/measure.rs
+++ b/testbed/src/commands/measure.rs
@@ -22,16 +22,16 @@
     let runtime = tokio::runtime::Runtime::new()
         .map_err(|error| miette::miette!("cannot start threads: {error}"))?;
     runtime.block_on(async {
-        let mut shape = vanepath_testbed::shape::raiocerto();
-        shape.proxies = 1;
-        shape.servers = vec![("ordering", 1)];
-        shape.setup = shape.setup.replace("app = documents", "app = ordering");
-        let fleet = vanepath_testbed::harness::Fleet::start(shape).await;
-        let revision = fleet.put_setup(&fleet.shape.setup).await;
-        fleet.until_in_force(revision, Duration::from_secs(20)).await;
-        let proxy = fleet.of("proxy")[0];
-        let proxy_address = fleet.members[proxy].address;
-        let proxy_pid = fleet.members[proxy].pid().unwrap_or(0);
+        let mut topology = vanepath_testbed::topology::raiocerto();
+        topology.proxies = 1;
+        topology.servers = vec![("ordering", 1)];
+        topology.config = topology.config.replace("app = documents", "app = ordering");
+        let fleet = vanepath_testbed::harness::Fleet::start(topology).await;
+        let revision = fleet.put_config(&fleet.topology.config).await;
+        fleet.wait_until_active(revision, Duration::from_secs(20)).await;
+        let proxy = fleet.with_role("proxy")[0];
+        let proxy_address = fleet.daemons[proxy].address;
+        let proxy_pid = fleet.daemons[proxy].pid().unwrap_or(0);
         let own = std::process::id();
         let mut ratios = Vec::new();
         for kind in ["GET", "POST"] {
@@ -45,7 +45,7 @@
                     let before = (ticks(own), ticks(proxy_pid));
                     let mut tasks = tokio::task::JoinSet::new();
                     for lane in 0..LANES {
-                        tasks.spawn(vanepath_testbed::http::many(
+                        tasks.spawn(vanepath_testbed::http::repeat_request(
                             address,
                             kind,
                             path,
--- a/testbed/src/commands/replay.rs
+++ b/testbed/src/commands/replay.rs
@@ -38,24 +38,24 @@
     let bytes =
         std::fs::read(file).map_err(|error| miette::miette!("cannot read {file}: {error}"))?;
     let recorded = vanepath_testbed::replay::read(&bytes)?;
-    let plan = vanepath_testbed::replay::Plan {
+    let plan = vanepath_testbed::replay::ReplayPlan {
         registries,
         zone: matches.opt_str("zone").unwrap_or_default(),
         region: matches.opt_str("region").unwrap_or_default(),
-        factor,
-        filings: matches.opt_present("filings"),
+        speed_factor: factor,
+        replays_filings: matches.opt_present("filings"),
     };
     let runtime = tokio::runtime::Runtime::new()
         .map_err(|error| miette::miette!("cannot start threads: {error}"))?;
     let summary = runtime.block_on(vanepath_testbed::replay::replay(&plan, recorded));
-    for (verdict, count) in &summary.verdicts {
+    for (verdict, count) in &summary.by_execution_status {
         println!("{count} {verdict}");
     }
-    for (status, count) in &summary.statuses {
+    for (status, count) in &summary.by_http_status {
         println!("{count} with status {status}");
     }
-    if summary.filings_left_out > 0 {
-        println!("{} filings left out (--filings replays them)", summary.filings_left_out);
+    if summary.skipped_filings > 0 {
+        println!("{} filings left out (--filings replays them)", summary.skipped_filings);
     }
     if let (Some(median), Some(worst)) =
         (summary.took_ms.get(summary.took_ms.len() / 2), summary.took_ms.last())
--- a/testbed/src/http.rs
+++ b/testbed/src/http.rs
@@ -2,13 +2,13 @@
 
 use http_body_util::BodyExt;
 
-pub struct Reply {
+pub struct Response {
     pub status: u16,
     pub headers: hyper::HeaderMap,
     pub body: bytes::Bytes,
 }
 
-impl Reply {
+impl Response {
     pub fn json(&self) -> jzon::JsonValue {
         let text = String::from_utf8_lossy(&self.body);
         jzon::parse(&text).unwrap_or(jzon::JsonValue::Null)
@@ -21,7 +21,7 @@
     path: &str,
     headers: &[(&str, &str)],
     body: &[u8],
-) -> Option<Reply> {
+) -> Option<Response> {
     let call = async {
         let stream = tokio::net::TcpStream::connect(address).await.ok()?;
         let io = hyper_util::rt::TokioIo::new(stream);
@@ -40,13 +40,13 @@
         let receipt = sender.send_request(request.body(body).ok()?).await.ok()?;
         let (head, body) = receipt.into_parts();
         let body = body.collect().await.ok()?.to_bytes();
-        Some(Reply { status: head.status.as_u16(), headers: head.headers, body })
+        Some(Response { status: head.status.as_u16(), headers: head.headers, body })
     };
     tokio::time::timeout(std::time::Duration::from_secs(10), call).await.ok().flatten()
 }
 
 /// The same request so many times over one connection, at a pace; how many were served.
-pub async fn many(
+pub async fn repeat_request(
     address: std::net::SocketAddr,
     method: &'static str,
     path: &'static str,
--- a/testbed/src/relay.rs
+++ b/testbed/src/relay.rs
@@ -8,9 +8,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Link {
     /// Nothing passes, and nobody is told.
-    pub is_cut: bool,
+    pub is_partitioned: bool,
     /// Nothing passes from the daemon to who connected to it; what is sent to it comes.
-    pub is_mute: bool,
+    pub is_outbound_blocked: bool,
     pub delay: Duration,
     /// Raised by one, it ends all connections that there are.
     pub resets: u64,
@@ -25,8 +25,8 @@
 
 impl Link {
     fn carries(&self, way: Way) -> bool {
-        let is_mute = self.is_mute && way == Way::FromDaemon;
-        !self.is_cut && !is_mute
+        let is_mute = self.is_outbound_blocked && way == Way::FromDaemon;
+        !self.is_partitioned && !is_mute
     }
 }
 
@@ -64,7 +64,8 @@
     mut watch: tokio::sync::watch::Receiver<Link>,
 ) {
     // A connection made over a cut link just hangs.
-    let Ok(resets) = watch.wait_for(|link| !link.is_cut).await.map(|link| link.resets) else {
+    let Ok(resets) = watch.wait_for(|link| !link.is_partitioned).await.map(|link| link.resets)
+    else {
         return;
     };
     let Ok(far) = tokio::net::TcpStream::connect(to).await else { return };
--- a/testbed/src/replay.rs
+++ b/testbed/src/replay.rs
@@ -9,7 +9,7 @@
 
 /// One recorded request, ready to be sent.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Recorded {
+pub struct RecordedRequest {
     /// After the first of the file.
     pub at: Duration,
     pub method: String,
@@ -20,22 +20,22 @@
     pub body: bytes::Bytes,
 }
 
-pub struct Plan {
+pub struct ReplayPlan {
     pub registries: Vec<SocketAddr>,
     pub zone: String,
     pub region: String,
     /// How many times faster than recorded.
-    pub factor: f64,
+    pub speed_factor: f64,
     /// Whether what runs at most once is replayed as well: it would be filed again.
-    pub filings: bool,
+    pub replays_filings: bool,
 }
 
 #[derive(Debug, Default, PartialEq)]
 pub struct Summary {
-    pub verdicts: BTreeMap<String, usize>,
-    pub statuses: BTreeMap<u16, usize>,
+    pub by_execution_status: BTreeMap<String, usize>,
+    pub by_http_status: BTreeMap<u16, usize>,
     pub took_ms: Vec<u64>,
-    pub filings_left_out: usize,
+    pub skipped_filings: usize,
 }
 
 /// Not passed on: they belong to the recorded connection, or are told anew.
@@ -52,7 +52,7 @@
 ];
 
 /// The requests of a file, in the order of their times; every entry that cannot be sent is named.
-pub fn read(bytes: &[u8]) -> miette::Result<Vec<Recorded>> {
+pub fn read(bytes: &[u8]) -> miette::Result<Vec<RecordedRequest>> {
     let har = har::from_slice(bytes).map_err(|error| {
         let cause = std::error::Error::source(&error).map(|cause| format!(": {cause}"));
         miette::miette!("this is no HAR file: {error}{}", cause.unwrap_or_default())
@@ -92,7 +92,7 @@
     all.sort_by_key(|(at, _)| *at);
     let first = all.first().map_or(0, |(at, _)| *at);
     let since = |at: i64| Duration::from_millis(at.saturating_sub(first) as u64);
-    Ok(all.into_iter().map(|(at, one)| Recorded { at: since(at), ..one }).collect())
+    Ok(all.into_iter().map(|(at, one)| RecordedRequest { at: since(at), ..one }).collect())
 }
 
 fn recorded(
@@ -101,7 +101,7 @@
     url: &str,
     headers: Vec<(String, String)>,
     body: Option<String>,
-) -> Result<(i64, Recorded), String> {
+) -> Result<(i64, RecordedRequest), String> {
     let at: jiff::Timestamp =
         time.parse().map_err(|_| format!("startedDateTime '{time}' is no time"))?;
     hyper::Method::from_bytes(method.as_bytes())
@@ -125,11 +125,11 @@
     }
     let body = body.unwrap_or_default().into();
     let (method, at) = (method.to_string(), at.as_millisecond());
-    Ok((at, Recorded { at: Duration::ZERO, method, host, target, headers, body }))
+    Ok((at, RecordedRequest { at: Duration::ZERO, method, host, target, headers, body }))
 }
 
 /// Sends them at their pace, one caller for each host, and waits for all.
-pub async fn replay(plan: &Plan, recorded: Vec<Recorded>) -> Summary {
+pub async fn replay(plan: &ReplayPlan, recorded: Vec<RecordedRequest>) -> Summary {
     let mut callers: BTreeMap<String, (Arc<Client>, tokio::task::JoinHandle<()>)> = BTreeMap::new();
     for one in &recorded {
         if !callers.contains_key(&one.host) {
@@ -146,7 +146,7 @@
     let mut tasks = tokio::task::JoinSet::new();
     for one in recorded {
         let caller = callers[&one.host].0.clone();
-        tokio::time::sleep_until(begun + one.at.div_f64(plan.factor)).await;
+        tokio::time::sleep_until(begun + one.at.div_f64(plan.speed_factor)).await;
         let is_once = {
             let steering = caller.steering();
             // Without a receipt nobody can say: what is no lookup by its method is left out.
@@ -156,8 +156,8 @@
                 None => !is_lookup,
             }
         };
-        if is_once && !plan.filings {
-            summary.filings_left_out += 1;
+        if is_once && !plan.replays_filings {
+            summary.skipped_filings += 1;
             continue;
         }
         tasks.spawn(async move {
@@ -169,9 +169,10 @@
         });
     }
     while let Some(Ok((outcome, took_ms))) = tasks.join_next().await {
-        *summary.verdicts.entry(outcome.execution_status().to_string()).or_default() += 1;
+        *summary.by_execution_status.entry(outcome.execution_status().to_string()).or_default() +=
+            1;
         if let Outcome::Response { status, .. } = outcome {
-            *summary.statuses.entry(status).or_default() += 1;
+            *summary.by_http_status.entry(status).or_default() += 1;
         }
         summary.took_ms.push(took_ms);
     }
--- a/testbed/src/sim/day.rs
+++ b/testbed/src/sim/day.rs
@@ -69,10 +69,10 @@
 /// After the last fault is over.
 pub const REST: Duration = Duration::from_secs(30);
 
-pub fn shape_of(deployment: Deployment) -> crate::shape::Shape {
+pub fn shape_of(deployment: Deployment) -> crate::topology::Topology {
     match deployment {
-        Deployment::Raiocerto => crate::shape::raiocerto(),
-        Deployment::Guild => crate::shape::guild(),
+        Deployment::Raiocerto => crate::topology::raiocerto(),
+        Deployment::Guild => crate::topology::guild(),
     }
 }
 
@@ -131,7 +131,7 @@
     sim.breaks = plan.breaks;
     sim.visit = plan.visit;
     sim.stores = plan.stores;
-    sim.world.setup_text = shape.setup.clone();
+    sim.world.setup_text = shape.config.clone();
     if plan.faults.contains(&Fault::Downloads) {
         let text = &mut sim.world.setup_text;
         *text =
@@ -169,7 +169,7 @@
         }
     }
     publish(&mut sim, |_| {});
-    sim.world.rate = shape.rate * plan.rate;
+    sim.world.rate = shape.requests_per_second * plan.rate;
     if plan.faults.contains(&Fault::Surge) {
         // At the day's ordinary rate the servers are 45 % busy.
         let first = shape.servers[0];
--- a/testbed/src/sim/day/schedule.rs
+++ b/testbed/src/sim/day/schedule.rs
@@ -16,7 +16,7 @@
     };
     let long = ms(3000 + sim.net.random.draw() % 5000);
     let end = start + long;
-    let zones: Vec<(&'static str, &'static str)> = crate::shape::raiocerto().zones.to_vec();
+    let zones: Vec<(&'static str, &'static str)> = crate::topology::raiocerto().zones.to_vec();
     let servers: Vec<usize> = (0..sim.world.servers.len())
         .filter(|index| !sim.world.servers[*index].app.contains("spare"))
         .collect();
--- a/testbed/src/soak/clients.rs
+++ b/testbed/src/soak/clients.rs
@@ -1,7 +1,7 @@
 //! Clients of a soak: each keeps using its connection until that is gone, whatever happens to the process
 //! behind it, and then takes another proxy.
 
-use super::judge::DEADLINE;
+use super::invariants::DEADLINE;
 use super::record::{End, Kind, Request};
 use crate::sim::Random;
 use http_body_util::BodyExt;
@@ -214,7 +214,7 @@
 /// Whether a success is the answer to this request, and whole.
 fn is_right(asked: &Asked, bytes: &[u8]) -> bool {
     if asked.kind == Kind::Download {
-        return bytes == crate::standin::pattern(&asked.number, DOWNLOAD_BYTES);
+        return bytes == crate::stub::pattern(&asked.number, DOWNLOAD_BYTES);
     }
     let Ok(value) = jzon::parse(&String::from_utf8_lossy(bytes)) else { return false };
     let sent = match asked.kind {
--- a/testbed/src/soak/mod.rs
+++ b/testbed/src/soak/mod.rs
@@ -2,7 +2,7 @@
 //! outside. One seed draws one script (design 10.7).
 
 pub mod clients;
-pub mod judge;
+pub mod invariants;
 pub mod operator;
 pub mod record;
 pub mod script;
@@ -56,7 +56,7 @@
         steps.iter().map(|step| format!("{:>8.3} {:?}", step.at.as_secs_f64(), step.action));
     let script = script.collect();
     let observed = world.play(seed, plan, &steps).await;
-    let faults = judge::judge(&observed);
+    let faults = invariants::judge(&observed);
     let timeline = if faults.is_empty() { String::new() } else { world.timeline() };
     Outcome { seed, observed, faults, script, timeline }
 }
--- a/testbed/src/soak/world.rs
+++ b/testbed/src/soak/world.rs
@@ -4,11 +4,11 @@
 use super::operator::{FIRST_VERSION, Operator, Order, Outcome, versioned};
 use super::record::{Arrival, Observed, ServerLife, Span, Told, Trouble, Usage, UsageOf};
 use super::script::{Action, Daemon, LinkState, Manner, PlatformState, Size, Step};
-use super::{Plan, judge, usage};
+use super::{Plan, invariants, usage};
 use crate::harness::Fleet;
 use crate::relay::Link;
-use crate::shape::Shape;
-use crate::standin::{self, Listed, Server, State};
+use crate::stub::{self, ListedServer, ServerState, StubServer};
+use crate::topology::Topology;
 use rustix::process::Signal;
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
@@ -28,7 +28,7 @@
 
 /// One life of a server.
 struct Life {
-    state: Arc<State>,
+    state: Arc<ServerState>,
     id: String,
     app: String,
     zone: (&'static str, &'static str),
@@ -55,12 +55,12 @@
 impl World {
     /// A fleet that serves.
     pub async fn start(plan: &Plan) -> World {
-        let fleet = Fleet::start_relayed(shape(plan)).await;
-        let revision = fleet.put_setup(&versioned(&fleet.shape.setup, FIRST_VERSION)).await;
-        fleet.until_in_force(revision, START_BOUND).await;
-        let zones = fleet.shape.zones.clone();
+        let fleet = Fleet::start_with_relays(topology(plan)).await;
+        let revision = fleet.put_config(&versioned(&fleet.topology.config, FIRST_VERSION)).await;
+        fleet.wait_until_active(revision, START_BOUND).await;
+        let zones = fleet.topology.zones.clone();
         let mut lives = Vec::new();
-        for (app, count) in &fleet.shape.servers {
+        for (app, count) in &fleet.topology.servers {
             for index in 0..*count {
                 let state = fleet.servers[lives.len()].state.clone();
                 let zone = zones[index % zones.len()];
@@ -69,7 +69,7 @@
             }
         }
         let current = (0..lives.len()).collect();
-        let resets = vec![0; fleet.members.len()];
+        let resets = vec![0; fleet.daemons.len()];
         World {
             fleet,
             start: Instant::now(),
@@ -86,18 +86,18 @@
 
     pub fn size(&self) -> Size {
         Size {
-            proxies: self.fleet.shape.proxies,
-            cores: self.fleet.shape.stores,
+            proxies: self.fleet.topology.proxies,
+            cores: self.fleet.topology.stores,
             servers: self.lives.len(),
-            zones: self.fleet.shape.zones.len(),
+            zones: self.fleet.topology.zones.len(),
         }
     }
 
     /// Plays the script under traffic and gives what was seen.
     pub async fn play(&mut self, seed: u64, plan: &Plan, steps: &[Step]) -> Observed {
         self.start = Instant::now();
-        let proxies = self.fleet.of("proxy");
-        let addresses = proxies.iter().map(|index| self.fleet.members[*index].address).collect();
+        let proxies = self.fleet.with_role("proxy");
+        let addresses = proxies.iter().map(|index| self.fleet.daemons[*index].address).collect();
         let shared = Shared::new(self.start, addresses);
         let mut tasks = tokio::task::JoinSet::new();
         for number in 0..plan.clients {
@@ -108,7 +108,7 @@
         let operator = Arc::new(Operator::new(
             self.start,
             self.named("registry"),
-            self.fleet.shape.setup.clone(),
+            self.fleet.topology.config.clone(),
             outcome.clone(),
         ));
         let (orders, received) = tokio::sync::mpsc::unbounded_channel();
@@ -140,7 +140,7 @@
         reading.abort();
         watching.abort();
         let usage = self.usage_since(&before);
-        let processes = self.fleet.members.len();
+        let processes = self.fleet.daemons.len();
 
         let outcome = std::mem::take(&mut *outcome.lock().expect("no panic under this lock"));
         let requests = std::mem::take(&mut *shared.requests.lock().expect("no panic under it"));
@@ -166,7 +166,7 @@
     /// The logs of all daemons on one timeline: they begin with the time of day.
     pub fn timeline(&self) -> String {
         let mut lines: Vec<String> = Vec::new();
-        for member in &self.fleet.members {
+        for member in &self.fleet.daemons {
             let path = self.fleet.folder.join(format!("{}.log", member.name));
             let text = std::fs::read_to_string(path).unwrap_or_default();
             for line in text.lines() {
@@ -179,7 +179,7 @@
     }
 
     fn named(&self, role: &str) -> Vec<(String, std::net::SocketAddr)> {
-        let of = self.fleet.of(role).into_iter().map(|index| &self.fleet.members[index]);
+        let of = self.fleet.with_role(role).into_iter().map(|index| &self.fleet.daemons[index]);
         of.map(|member| (member.name.clone(), member.address)).collect()
     }
 
@@ -189,7 +189,7 @@
             Daemon::Registry(place) => ("registry", place),
             Daemon::Store(place) => ("store", place),
         };
-        let of = self.fleet.of(role);
+        let of = self.fleet.with_role(role);
         of[place % of.len()]
     }
 
@@ -270,7 +270,7 @@
     }
 
     fn zone(&self, zone: usize) -> String {
-        let zones = &self.fleet.shape.zones;
+        let zones = &self.fleet.topology.zones;
         zones[zone % zones.len()].0.to_string()
     }
 
@@ -290,7 +290,7 @@
             if self.fleet.is_running(index) {
                 left.push(index);
             } else {
-                self.fleet.run(index);
+                self.fleet.start_daemon(index);
             }
         }
         self.starting = left;
@@ -305,8 +305,8 @@
         };
         let link = match state {
             LinkState::Whole => Link::default(),
-            LinkState::Cut => Link { is_cut: true, ..Link::default() },
-            LinkState::Mute => Link { is_mute: true, ..Link::default() },
+            LinkState::Cut => Link { is_partitioned: true, ..Link::default() },
+            LinkState::Mute => Link { is_outbound_blocked: true, ..Link::default() },
             LinkState::Slow => Link { delay: Duration::from_millis(80), ..Link::default() },
             LinkState::Reset => {
                 self.resets[index] += 1;
@@ -318,7 +318,7 @@
         } else {
             self.open(key, what);
         }
-        self.fleet.link(index, Link { resets: self.resets[index], ..link });
+        self.fleet.set_links(index, Link { resets: self.resets[index], ..link });
     }
 
     fn platform(&mut self, state: PlatformState) {
@@ -332,7 +332,7 @@
         } else {
             self.open("platform".to_string(), Trouble::Platform);
         }
-        self.fleet.platform.serve_instead(instead);
+        self.fleet.platform.override_response(instead);
     }
 
     // ---- servers -------------------------------------------------------------------------------
@@ -342,8 +342,8 @@
         let life = &mut self.lives[self.current[server]];
         life.leaving_at = Some(now);
         let id = life.id.clone();
-        self.fleet.platform.change(|list| {
-            list.iter_mut().filter(|one| one.id == id).for_each(|one| one.leaving = true);
+        self.fleet.platform.update_list(|list| {
+            list.iter_mut().filter(|one| one.id == id).for_each(|one| one.draining = true);
         });
     }
 
@@ -353,7 +353,7 @@
         self.spans.push(Span { what: Trouble::Server, from: now, to: now + SERVER_END });
         let id = self.lives[self.current[server]].id.clone();
         self.fleet.servers[server].stop();
-        self.fleet.platform.change(|list| list.retain(|one| one.id != id));
+        self.fleet.platform.update_list(|list| list.retain(|one| one.id != id));
     }
 
     async fn reuse(&mut self, server: usize, is_other_service: bool) {
@@ -363,23 +363,23 @@
         let id = format!("{app}-{server}-again");
         let (zone, address) = (old.zone, self.fleet.servers[server].address);
         let new = loop {
-            match Server::start(&id, address).await {
+            match StubServer::start(&id, address).await {
                 Ok(new) => break new,
                 Err(_) => tokio::time::sleep(TICK).await,
             }
         };
-        let listed = Listed {
+        let listed = ListedServer {
             id: id.clone(),
             address,
             region: zone.1.to_string(),
             zone: zone.0.to_string(),
             labels: vec![("app".to_string(), app.clone())],
-            leaving: false,
+            draining: false,
         };
         self.lives.push(Life { state: new.state.clone(), id, app, zone, leaving_at: None });
         self.current[server] = self.lives.len() - 1;
         self.fleet.servers[server] = new;
-        self.fleet.platform.change(|list| list.push(listed));
+        self.fleet.platform.update_list(|list| list.push(listed));
     }
 
     fn behave(&mut self, server: usize, manner: Manner) {
@@ -389,13 +389,13 @@
         } else {
             self.open(key, Trouble::Server);
         }
-        self.fleet.servers[server].behave(match manner {
-            Manner::Good => standin::Manner::Good,
-            Manner::Stuck => standin::Manner::Stuck,
-            Manner::RunAndLose => standin::Manner::RunAndLose,
-            Manner::Truncate => standin::Manner::Truncate,
-            Manner::Busy => standin::Manner::Busy,
-            Manner::Surplus => standin::Manner::Surplus,
+        self.fleet.servers[server].set_behavior(match manner {
+            Manner::Good => stub::Behavior::Normal,
+            Manner::Stuck => stub::Behavior::Stalled,
+            Manner::RunAndLose => stub::Behavior::DisconnectAfterExecution,
+            Manner::Truncate => stub::Behavior::TruncatedResponse,
+            Manner::Busy => stub::Behavior::Overloaded,
+            Manner::Surplus => stub::Behavior::ExtraResponse,
         });
     }
 
@@ -405,7 +405,7 @@
             let arrived = life.state.arrived.lock().expect("no panic under this lock");
             let arrivals = arrived.iter().map(|one| Arrival {
                 at: one.at.saturating_duration_since(start),
-                number: one.number.clone(),
+                number: one.request_id.clone(),
                 path: one.path.clone(),
             });
             ServerLife {
@@ -433,18 +433,18 @@
 
     /// Ends every trouble that is not over.
     async fn heal(&mut self, orders: &Orders) {
-        for index in 0..self.fleet.members.len() {
+        for index in 0..self.fleet.daemons.len() {
             self.fleet.signal(index, Signal::CONT);
             // Whole, and no connection over it ends for that.
-            self.fleet.link(index, Link { resets: self.resets[index], ..Link::default() });
+            self.fleet.set_links(index, Link { resets: self.resets[index], ..Link::default() });
         }
         self.platform(PlatformState::Good);
-        let emptied: Vec<usize> = (0..self.fleet.shape.zones.len()).collect();
+        let emptied: Vec<usize> = (0..self.fleet.topology.zones.len()).collect();
         for zone in emptied {
             self.order(orders, Order::Return(self.zone(zone)));
         }
         for server in 0..self.current.len() {
-            self.fleet.servers[server].behave(standin::Manner::Good);
+            self.fleet.servers[server].set_behavior(stub::Behavior::Normal);
             if self.open.iter().any(|one| one.0 == format!("crash {server}")) {
                 self.fleet.restart_server(server).await;
             }
@@ -457,12 +457,12 @@
     /// Waits until everything runs, is ready and goes by what was acknowledged; when that was.
     async fn until_calm(&mut self, revision: u64) -> Option<Duration> {
         let began = Instant::now();
-        let all: Vec<usize> = (0..self.fleet.members.len()).collect();
-        while began.elapsed() < judge::CALM_BOUND {
+        let all: Vec<usize> = (0..self.fleet.daemons.len()).collect();
+        while began.elapsed() < invariants::CALM_BOUND {
             // A daemon that was told to stop may take its grace for that.
             for index in &all {
                 if !self.fleet.is_running(*index) {
-                    self.fleet.run(*index);
+                    self.fleet.start_daemon(*index);
                 }
             }
             self.starting.clear();
@@ -475,7 +475,7 @@
     }
 
     async fn is_calm(&self, revision: u64) -> bool {
-        for index in self.fleet.of("proxy") {
+        for index in self.fleet.with_role("proxy") {
             let ready = self.fleet.page(index, "ready").await;
             let is_there = ready["ready"].as_bool() == Some(true)
                 && ready["revision"].as_u64().is_some_and(|there| there >= revision);
@@ -487,11 +487,11 @@
     }
 
     fn usage(&self) -> Vec<(String, u32, Usage)> {
-        let of = |member: &crate::harness::Member| {
+        let of = |member: &crate::harness::Daemon| {
             let pid = member.pid()?;
             Some((member.name.clone(), pid, usage::of(pid)?))
         };
-        self.fleet.members.iter().filter_map(of).collect()
+        self.fleet.daemons.iter().filter_map(of).collect()
     }
 
     /// Of those that have run all the time.
@@ -507,12 +507,12 @@
 
 type Orders = tokio::sync::mpsc::UnboundedSender<Order>;
 
-fn shape(plan: &Plan) -> Shape {
-    let mut shape = crate::shape::raiocerto();
-    shape.proxies = plan.proxies;
+fn topology(plan: &Plan) -> Topology {
+    let mut topology = crate::topology::raiocerto();
+    topology.proxies = plan.proxies;
     let documents = plan.servers / 3;
-    shape.servers = vec![(APPS[0], plan.servers - documents), (APPS[1], documents)];
-    shape
+    topology.servers = vec![(APPS[0], plan.servers - documents), (APPS[1], documents)];
+    topology
 }
 
 /// Asks every proxy again and again which revision is in force there.
--- a/testbed/src/standin.rs
+++ b/testbed/src/stub.rs
@@ -7,77 +7,80 @@
 use std::sync::{Arc, Mutex};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
-    Good,
+pub enum Behavior {
+    Normal,
     /// Takes requests and liveness checks and never replies.
     Silent,
     /// Is well by its liveness checks and never replies to anything else.
-    Stuck,
+    Stalled,
     /// Runs the request and cuts the connection before the reply.
-    RunAndLose,
+    DisconnectAfterExecution,
     /// Adds another whole reply after the right one.
-    Surplus,
+    ExtraResponse,
     /// The same, a little later: when the connection may carry the next request already.
-    LateSurplus,
+    DelayedExtraResponse,
     /// Breaks off in the middle of the reply's body.
-    Truncate,
+    TruncatedResponse,
     /// Replies what is no HTTP.
-    Nonsense,
+    InvalidResponse,
     /// Its liveness check says that it is not well.
-    Unwell,
+    Unhealthy,
     /// Replies 503 to everything but liveness checks.
-    Busy,
+    Overloaded,
 }
 
-pub struct State {
+pub struct ServerState {
     pub id: Mutex<String>,
-    pub manner: Mutex<Manner>,
+    pub behavior: Mutex<Behavior>,
     /// How often each request ran, by its own number.
     pub runs: Mutex<HashMap<String, u32>>,
     /// When requests came, liveness checks aside.
     pub arrivals: Mutex<Vec<std::time::Instant>>,
     /// The same with what they were.
     pub arrived: Mutex<Vec<Arrival>>,
-    pub in_hand: AtomicU64,
-    pub liveness_checks: AtomicU64,
-    pub demand_milli: AtomicU64,
-    pub is_cold: AtomicBool,
+    pub in_flight: AtomicU64,
+    pub health_checks: AtomicU64,
+    pub utilization_milli: AtomicU64,
+    pub is_warming_up: AtomicBool,
 }
 
 /// A request as it came to a server.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub at: std::time::Instant,
-    pub number: String,
+    pub request_id: String,
     pub path: String,
 }
 
 /// A server that listens until it is stopped.
-pub struct Server {
+pub struct StubServer {
     pub address: SocketAddr,
-    pub state: Arc<State>,
+    pub state: Arc<ServerState>,
     task: tokio::task::JoinHandle<()>,
     cut: tokio::sync::watch::Sender<bool>,
 }
 
-impl Server {
-    pub async fn start(id: &str, address: SocketAddr) -> std::io::Result<Server> {
-        let state = Arc::new(State {
+impl StubServer {
+    pub async fn start(id: &str, address: SocketAddr) -> std::io::Result<StubServer> {
+        let state = Arc::new(ServerState {
             id: Mutex::new(id.to_string()),
-            manner: Mutex::new(Manner::Good),
+            behavior: Mutex::new(Behavior::Normal),
             runs: Mutex::default(),
             arrivals: Mutex::default(),
             arrived: Mutex::default(),
-            in_hand: AtomicU64::new(0),
-            liveness_checks: AtomicU64::new(0),
-            demand_milli: AtomicU64::new(100),
-            is_cold: AtomicBool::new(false),
+            in_flight: AtomicU64::new(0),
+            health_checks: AtomicU64::new(0),
+            utilization_milli: AtomicU64::new(100),
+            is_warming_up: AtomicBool::new(false),
         });
-        Server::start_with(state, address).await
+        StubServer::start_with(state, address).await
     }
 
     /// Starts with the counts of an earlier life.
-    pub async fn start_with(state: Arc<State>, address: SocketAddr) -> std::io::Result<Server> {
+    pub async fn start_with(
+        state: Arc<ServerState>,
+        address: SocketAddr,
+    ) -> std::io::Result<StubServer> {
         let socket = tokio::net::TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
@@ -90,7 +93,7 @@
                 tokio::spawn(serve(stream, serving.clone(), watch.clone()));
             }
         });
-        Ok(Server { address, state, task, cut })
+        Ok(StubServer { address, state, task, cut })
     }
 
     /// Ends at once, as a killed process does: nothing listens, all connections are cut.
@@ -99,12 +102,12 @@
         self.cut.send_replace(true);
     }
 
-    pub fn behave(&self, manner: Manner) {
-        *self.state.manner.lock().expect("no panic under this lock") = manner;
+    pub fn set_behavior(&self, manner: Behavior) {
+        *self.state.behavior.lock().expect("no panic under this lock") = manner;
     }
 }
 
-impl Drop for Server {
+impl Drop for StubServer {
     fn drop(&mut self) {
         self.stop();
     }
@@ -212,7 +215,7 @@
 
 async fn serve(
     stream: tokio::net::TcpStream,
-    state: Arc<State>,
+    state: Arc<ServerState>,
     mut cut: tokio::sync::watch::Receiver<bool>,
 ) {
     let bend = Arc::new(Mutex::new(Bend::default()));
@@ -245,42 +248,42 @@
     unit.iter().copied().cycle().take(size).collect()
 }
 
-struct InHand(Arc<State>);
+struct InHand(Arc<ServerState>);
 
 impl Drop for InHand {
     fn drop(&mut self) {
-        self.0.in_hand.fetch_sub(1, Ordering::Relaxed);
+        self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 async fn answer(
-    state: &Arc<State>,
+    state: &Arc<ServerState>,
     bend: &Arc<Mutex<Bend>>,
     request: hyper::Request<hyper::body::Incoming>,
 ) -> hyper::Response<Body> {
     let id = state.id.lock().expect("no panic under this lock").clone();
-    let manner = *state.manner.lock().expect("no panic under this lock");
-    let demand = state.demand_milli.load(Ordering::Relaxed) as f64 / 1000.0;
+    let manner = *state.behavior.lock().expect("no panic under this lock");
+    let demand = state.utilization_milli.load(Ordering::Relaxed) as f64 / 1000.0;
     let receipt = |status: u16, body: Body| {
         let mut receipt = hyper::Response::builder()
             .status(status)
             .header("server-id", &id)
             .header("endpoint-load-metrics", format!("TEXT application_utilization={demand}"));
-        if state.is_cold.load(Ordering::Relaxed) {
+        if state.is_warming_up.load(Ordering::Relaxed) {
             receipt = receipt.header("server-state", "cold");
         }
         receipt.body(body).expect("good header values")
     };
     if request.uri().path() == "/live" {
-        state.liveness_checks.fetch_add(1, Ordering::Relaxed);
+        state.health_checks.fetch_add(1, Ordering::Relaxed);
         return match manner {
-            Manner::Silent => std::future::pending().await,
-            Manner::Unwell => receipt(500, whole("unwell")),
+            Behavior::Silent => std::future::pending().await,
+            Behavior::Unhealthy => receipt(500, whole("unwell")),
             _ => receipt(200, whole("well")),
         };
     }
     state.arrivals.lock().expect("no panic under this lock").push(std::time::Instant::now());
-    state.in_hand.fetch_add(1, Ordering::Relaxed);
+    state.in_flight.fetch_add(1, Ordering::Relaxed);
     let in_hand = InHand(state.clone());
     let number = request
         .headers()
@@ -290,7 +293,7 @@
         .to_string();
     state.arrived.lock().expect("no panic under this lock").push(Arrival {
         at: std::time::Instant::now(),
-        number: number.clone(),
+        request_id: number.clone(),
         path: request.uri().path().to_string(),
     });
     let query: BTreeMap<String, String> = request
@@ -308,10 +311,10 @@
         return receipt(400, whole("broken body"));
     };
     let body = collected.to_bytes();
-    if manner == Manner::Busy {
+    if manner == Behavior::Overloaded {
         return receipt(503, whole("busy"));
     }
-    if matches!(manner, Manner::Silent | Manner::Stuck) {
+    if matches!(manner, Behavior::Silent | Behavior::Stalled) {
         return std::future::pending().await;
     }
     *state.runs.lock().expect("no panic under this lock").entry(number.clone()).or_default() += 1;
@@ -322,14 +325,14 @@
     {
         let mut bend = bend.lock().expect("no panic under this lock");
         match manner {
-            Manner::RunAndLose => bend.left = Some(0),
-            Manner::Truncate => bend.left = Some(200 + size / 2),
-            Manner::Nonsense => bend.instead = b"\x00\x01 no such thing\r\n\r\n".to_vec(),
-            Manner::Surplus => {
+            Behavior::DisconnectAfterExecution => bend.left = Some(0),
+            Behavior::TruncatedResponse => bend.left = Some(200 + size / 2),
+            Behavior::InvalidResponse => bend.instead = b"\x00\x01 no such thing\r\n\r\n".to_vec(),
+            Behavior::ExtraResponse => {
                 bend.surplus =
                     b"HTTP/1.1 200 OK\r\ncontent-length: 11\r\n\r\n{\"x\":\"old\"}".to_vec();
             }
-            Manner::LateSurplus => {
+            Behavior::DelayedExtraResponse => {
                 bend.late =
                     Some((LATE, b"HTTP/1.1 200 OK\r\ncontent-length: 11\r\n\r\n{\"x\":\"old\"}"));
             }
@@ -422,32 +425,32 @@
 
 /// One line of the stand-in platform's list.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedServer {
     pub id: String,
     pub address: SocketAddr,
     pub region: String,
     pub zone: String,
     pub labels: Vec<(String, String)>,
-    pub leaving: bool,
+    pub draining: bool,
 }
 
 #[derive(Default)]
 struct List {
     revision: u64,
-    servers: Vec<Listed>,
+    servers: Vec<ListedServer>,
     /// Served in place of the list where set.
     instead: Option<String>,
 }
 
 /// Serves the platform list, with a revision that rises with each change.
-pub struct Platform {
+pub struct StubPlatform {
     pub address: SocketAddr,
     list: Arc<Mutex<List>>,
     task: tokio::task::JoinHandle<()>,
 }
 
-impl Platform {
-    pub async fn start(address: SocketAddr) -> std::io::Result<Platform> {
+impl StubPlatform {
+    pub async fn start(address: SocketAddr) -> std::io::Result<StubPlatform> {
         let listener = tokio::net::TcpListener::bind(address).await?;
         let list: Arc<Mutex<List>> = Arc::default();
         let shown = list.clone();
@@ -464,23 +467,23 @@
                 );
             }
         });
-        Ok(Platform { address, list, task })
+        Ok(StubPlatform { address, list, task })
     }
 
     /// Changes the list; the revision rises.
-    pub fn change(&self, change: impl FnOnce(&mut Vec<Listed>)) {
+    pub fn update_list(&self, change: impl FnOnce(&mut Vec<ListedServer>)) {
         let mut list = self.list.lock().expect("no panic under this lock");
         change(&mut list.servers);
         list.revision += 1;
     }
 
     /// Serves this text in place of the list, or the list again.
-    pub fn serve_instead(&self, text: Option<String>) {
+    pub fn override_response(&self, text: Option<String>) {
         self.list.lock().expect("no panic under this lock").instead = text;
     }
 }
 
-impl Drop for Platform {
+impl Drop for StubPlatform {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -510,7 +513,7 @@
                 "region": server.region.as_str(),
                 "zone": server.zone.as_str(),
                 "labels": vanepath_config::endpoint_list::labels_as_json(labels),
-                "state": if server.leaving { "leaving" } else { "ready" },
+                "state": if server.draining { "leaving" } else { "ready" },
             }
         })
         .collect();
--- a/testbed/src/shape.rs
+++ b/testbed/src/topology.rs
@@ -1,7 +1,7 @@
 //! The two deployments of the users, scaled to one machine.
 
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct Topology {
     pub name: &'static str,
     /// Zone and region; core machines stand in the first zone of each region.
     pub zones: Vec<(&'static str, &'static str)>,
@@ -10,10 +10,10 @@
     pub stores: usize,
     /// Label `app`, and how many servers of it.
     pub servers: Vec<(&'static str, usize)>,
-    pub setup: String,
+    pub config: String,
     /// Requests a second in all, and of each kind in hundredths: lookups, filings, downloads.
-    pub rate: f64,
-    pub mix: [u32; 3],
+    pub requests_per_second: f64,
+    pub traffic_mix: [u32; 3],
     pub lookup_path: &'static str,
     pub filing_path: &'static str,
     pub bulk_path: &'static str,
@@ -37,7 +37,7 @@
 }
 
 /// A wholesaler for bike shops: stock, prices, orders, catalogues and invoices.
-pub fn raiocerto() -> Shape {
+pub fn raiocerto() -> Topology {
     let setup = format!(
         r#"{{
   "places": [{}],
@@ -64,15 +64,15 @@
 }}"#,
         places()
     );
-    Shape {
+    Topology {
         name: "raiocerto",
         zones: ZONES.to_vec(),
         proxies: 8,
         stores: 3,
         servers: vec![("ordering", 20), ("documents", 10), ("spare", 5)],
-        setup,
-        rate: 200.0,
-        mix: [60, 25, 15],
+        config: setup,
+        requests_per_second: 200.0,
+        traffic_mix: [60, 25, 15],
         lookup_path: "/stock",
         filing_path: "/orders",
         bulk_path: "/documents",
@@ -80,7 +80,7 @@
 }
 
 /// A guild of assessors: parcels, appeals, roll extracts; appeals of the north stay there.
-pub fn guild() -> Shape {
+pub fn guild() -> Topology {
     let setup = format!(
         r#"{{
   "places": [{}],
@@ -109,15 +109,15 @@
 }}"#,
         places()
     );
-    Shape {
+    Topology {
         name: "guild",
         zones: ZONES.to_vec(),
         proxies: 12,
         stores: 3,
         servers: vec![("rolls", 35), ("extracts", 10)],
-        setup,
-        rate: 450.0,
-        mix: [65, 20, 15],
+        config: setup,
+        requests_per_second: 450.0,
+        traffic_mix: [65, 20, 15],
         lookup_path: "/parcels",
         filing_path: "/appeals",
         bulk_path: "/extracts",
--- a/testbed/tests/control.rs
+++ b/testbed/tests/control.rs
@@ -2,30 +2,30 @@
 //! freezes.
 
 use std::time::Duration;
-use vanepath_testbed::harness::{Fleet, until};
-use vanepath_testbed::http::{Reply, call};
-use vanepath_testbed::shape;
+use vanepath_testbed::harness::{Fleet, wait_until};
+use vanepath_testbed::http::{Response, call};
 use vanepath_testbed::sim::day::tagged;
+use vanepath_testbed::topology;
 
-fn tiny() -> shape::Shape {
-    let mut tiny = shape::raiocerto();
+fn tiny() -> topology::Topology {
+    let mut tiny = topology::raiocerto();
     tiny.proxies = 1;
     tiny.servers = vec![("ordering", 1), ("documents", 1)];
     tiny
 }
 
-async fn put(fleet: &Fleet, registry: usize, headers: &[(&str, &str)], body: &[u8]) -> Reply {
-    let address = fleet.registries()[registry];
+async fn put(fleet: &Fleet, registry: usize, headers: &[(&str, &str)], body: &[u8]) -> Response {
+    let address = fleet.registry_addresses()[registry];
     call(address, "PUT", "/v1/setup", headers, body).await.expect("the registry replies")
 }
 
 fn setup(fleet: &Fleet, tag: usize) -> Vec<u8> {
-    tagged(&fleet.shape.setup, tag)
+    tagged(&fleet.topology.config, tag)
 }
 
 /// The setup in force, from the first registry that tells it.
 async fn in_force(fleet: &Fleet) -> Option<Vec<u8>> {
-    for address in fleet.registries() {
+    for address in fleet.registry_addresses() {
         if let Some(reply) = call(address, "GET", "/v1/setup", &[], b"").await
             && reply.status == 200
         {
@@ -40,11 +40,11 @@
 /// Two registries hear what all proxies see of servers; whichever an operator asks tells the same.
 #[tokio::test(flavor = "multi_thread")]
 async fn any_registry_tells_what_all_proxies_see() {
-    let fleet = Fleet::start(shape::Shape { proxies: 6, ..tiny() }).await;
-    let revision = fleet.put_setup(&fleet.shape.setup).await;
-    fleet.until_in_force(revision, SOON).await;
+    let fleet = Fleet::start(topology::Topology { proxies: 6, ..tiny() }).await;
+    let revision = fleet.put_config(&fleet.topology.config).await;
+    fleet.wait_until_active(revision, SOON).await;
     let reasons = async |registry: usize| -> Vec<String> {
-        let address = fleet.registries()[registry];
+        let address = fleet.registry_addresses()[registry];
         let status = call(address, "GET", "/v1/status", &[], b"").await.expect("it replies").json();
         status["servers"].members().map(|server| server["why"].to_string()).collect()
     };
@@ -54,14 +54,14 @@
             let told = reasons(registry).await;
             told.len() == 2 && told.iter().all(is_by_all) && told == reasons(0).await
         };
-        until(&format!("registry {registry} tells of both servers"), SOON, is_told).await;
+        wait_until(&format!("registry {registry} tells of both servers"), SOON, is_told).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn receipts_say_what_was_done() {
     let fleet = Fleet::start(tiny()).await;
-    let first = fleet.put_setup(&fleet.shape.setup).await;
+    let first = fleet.put_config(&fleet.topology.config).await;
     // Only on top of what the operator saw.
     let at = format!("\"{first}\"");
     let second = put(&fleet, 1, &[("if-match", &at)], &setup(&fleet, 2)).await;
@@ -77,11 +77,11 @@
     assert_eq!(again["repeat"].as_bool(), Some(true));
     assert_eq!(put(&fleet, 2, &key, &setup(&fleet, 5)).await.status, 409);
     let looked =
-        call(fleet.registries()[2], "GET", "/v1/submissions/spring-prices", &[], b"").await;
+        call(fleet.registry_addresses()[2], "GET", "/v1/submissions/spring-prices", &[], b"").await;
     assert_eq!(looked.unwrap().json()["revision"], once["revision"]);
     // What is not valid is listed fault by fault and not stored.
     let before = in_force(&fleet).await;
-    let bad = fleet.shape.setup.replace("\"kind\": \"once\"", "\"kind\": \"twice\", \"x\": 1");
+    let bad = fleet.topology.config.replace("\"kind\": \"once\"", "\"kind\": \"twice\", \"x\": 1");
     let refused = put(&fleet, 0, &[], bad.as_bytes()).await;
     assert_eq!(refused.status, 422);
     assert_eq!(refused.json()["faults"].as_array().unwrap().len(), 2);
@@ -95,14 +95,14 @@
         ("POST", "/v1/setup", 405),
         ("GET", "/v1/nothing", 404),
     ] {
-        let reply = call(fleet.registries()[1], method, path, &[], b"").await.unwrap();
+        let reply = call(fleet.registry_addresses()[1], method, path, &[], b"").await.unwrap();
         assert_eq!(reply.status, status, "{method} {path}");
     }
     assert_eq!(in_force(&fleet).await, before);
     // Racing writes: each accepted one has a revision of its own and stays readable.
     let mut race = tokio::task::JoinSet::new();
     for tag in 10..22 {
-        let (address, body) = (fleet.registries()[tag % 3], setup(&fleet, tag));
+        let (address, body) = (fleet.registry_addresses()[tag % 3], setup(&fleet, tag));
         race.spawn(async move {
             let reply = call(address, "PUT", "/v1/setup", &[], &body).await.unwrap();
             (reply.status, reply.json()["revision"].as_u64(), body)
@@ -115,7 +115,7 @@
         let revision = revision.unwrap();
         assert!(revisions.insert(revision), "one revision for two setups");
         let path = format!("/v1/setup/{revision}");
-        let read = call(fleet.registries()[0], "GET", &path, &[], b"").await.unwrap();
+        let read = call(fleet.registry_addresses()[0], "GET", &path, &[], b"").await.unwrap();
         assert_eq!(read.body, body);
     }
 }
@@ -125,9 +125,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_old_version_of_a_setup_changes_nothing() {
     let fleet = Fleet::start(tiny()).await;
-    fleet.put_setup(&fleet.shape.setup).await;
+    fleet.put_config(&fleet.topology.config).await;
     let zone = "/v1/zones/north-2/emptied";
-    let emptied = call(fleet.registries()[0], "PUT", zone, &[], b"").await.unwrap();
+    let emptied = call(fleet.registry_addresses()[0], "PUT", zone, &[], b"").await.unwrap();
     assert_eq!(emptied.status, 200);
     let versioned = |version: &str, tag: usize| {
         let setup = String::from_utf8(setup(&fleet, tag)).unwrap();
@@ -150,7 +150,7 @@
     // One revision notes the version that was overtaken.
     assert_eq!(next["revision"].as_u64(), first["revision"].as_u64().map(|one| one + 2));
     assert_eq!(in_force(&fleet).await, Some(versioned("8", 4)));
-    let zones = call(fleet.registries()[2], "GET", "/v1/zones", &[], b"").await.unwrap();
+    let zones = call(fleet.registry_addresses()[2], "GET", "/v1/zones", &[], b"").await.unwrap();
     assert_eq!(zones.json()["emptied"][0].as_str(), Some("north-2"));
     for bad in ["0", "1.5", "\"7\"", "-1", "9007199254740994"] {
         let refused = put(&fleet, 0, &[], &versioned(bad, 5)).await;
@@ -162,29 +162,29 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_accepted_word_outlives_disks_and_power_and_is_never_begun_anew() {
     let mut fleet = Fleet::start(tiny()).await;
-    fleet.put_setup(&fleet.shape.setup).await;
-    let stores = fleet.of("store");
+    fleet.put_config(&fleet.topology.config).await;
+    let stores = fleet.with_role("store");
     // One disk is lost right after the receipt; an empty one takes its seat by itself.
     let body = setup(&fleet, 1);
     assert_eq!(put(&fleet, 0, &[], &body).await.status, 200);
     fleet.kill(stores[0]);
-    fleet.wipe(stores[0]);
+    fleet.wipe_data(stores[0]);
     assert_eq!(in_force(&fleet).await.as_deref(), Some(&body[..]));
-    fleet.run(stores[0]);
+    fleet.start_daemon(stores[0]);
     let fleet_ref = &fleet;
-    until("the empty disk votes", SOON, async || {
+    wait_until("the empty disk votes", SOON, async || {
         fleet_ref.page(stores[0], "ready").await["ready"].as_bool() == Some(true)
     })
     .await;
     // Power is lost everywhere at once: all of it is there afterwards.
-    for index in 0..fleet.members.len() {
+    for index in 0..fleet.daemons.len() {
         fleet.kill(index);
     }
-    for index in 0..fleet.members.len() {
-        fleet.run(index);
+    for index in 0..fleet.daemons.len() {
+        fleet.start_daemon(index);
     }
     let fleet_ref = &fleet;
-    until("the word is back", SOON, async || {
+    wait_until("the word is back", SOON, async || {
         in_force(fleet_ref).await.as_deref() == Some(&body[..])
     })
     .await;
@@ -200,9 +200,9 @@
     let last = versions.pop().unwrap();
     let whole = std::fs::read(&last).unwrap();
     std::fs::write(&last, &whole[..whole.len() / 2]).unwrap();
-    fleet.run(stores[2]);
+    fleet.start_daemon(stores[2]);
     let fleet_ref = &fleet;
-    until("the damaged file is mended", SOON, async || {
+    wait_until("the damaged file is mended", SOON, async || {
         fleet_ref.page(stores[2], "ready").await["ready"].as_bool() == Some(true)
             && std::fs::read(&last).is_ok_and(|bytes| bytes == whole)
     })
@@ -210,8 +210,8 @@
     // Two of three disks are lost: nothing is begun anew, and nothing is taken.
     for index in &stores[1..] {
         fleet.kill(*index);
-        fleet.wipe(*index);
-        fleet.run(*index);
+        fleet.wipe_data(*index);
+        fleet.start_daemon(*index);
     }
     let refused = put(&fleet, 0, &[], &setup(&fleet, 2)).await;
     assert!([503, 504].contains(&refused.status), "{}", refused.status);
@@ -227,9 +227,9 @@
         .output()
         .unwrap();
     assert!(rescue.status.success(), "{}", String::from_utf8_lossy(&rescue.stderr));
-    fleet.run(stores[0]);
+    fleet.start_daemon(stores[0]);
     let fleet_ref = &fleet;
-    until("all three vote again", Duration::from_secs(30), async || {
+    wait_until("all three vote again", Duration::from_secs(30), async || {
         let mut all = true;
         for index in &stores {
             all &= fleet_ref.page(*index, "ready").await["ready"].as_bool() == Some(true);
@@ -242,43 +242,43 @@
     assert_eq!(next.status, 200);
     // What was in force before the rescue is still read, and revisions went on upwards.
     assert!(next.json()["revision"].as_u64().unwrap() > 1000);
-    fleet.until_in_force(next.json()["revision"].as_u64().unwrap(), SOON).await;
+    fleet.wait_until_active(next.json()["revision"].as_u64().unwrap(), SOON).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn with_control_gone_or_frozen_proxies_serve_from_memory() {
     let mut fleet = Fleet::start(tiny()).await;
-    let revision = fleet.put_setup(&fleet.shape.setup).await;
-    fleet.until_in_force(revision, SOON).await;
-    let proxy = fleet.of("proxy")[0];
-    let address = fleet.members[proxy].address;
+    let revision = fleet.put_config(&fleet.topology.config).await;
+    fleet.wait_until_active(revision, SOON).await;
+    let proxy = fleet.with_role("proxy")[0];
+    let address = fleet.daemons[proxy].address;
     let lookup = async || {
         let reply = call(address, "GET", "/stock/1", &[("x-request", "1")], b"").await;
         reply.is_some_and(|reply| reply.status == 200)
     };
-    until("it serves", SOON, async || lookup().await).await;
-    for index in fleet.of("registry").into_iter().chain(fleet.of("store")) {
+    wait_until("it serves", SOON, async || lookup().await).await;
+    for index in fleet.with_role("registry").into_iter().chain(fleet.with_role("store")) {
         fleet.kill(index);
     }
     assert!(lookup().await);
     // The proxy freezes meanwhile and wakes: it serves on once it gave up on fresher news.
-    fleet.freeze(proxy);
+    fleet.suspend(proxy);
     let frozen = std::time::Instant::now();
-    until("a freeze long enough to be one", SOON, async || {
+    wait_until("a freeze long enough to be one", SOON, async || {
         frozen.elapsed() > Duration::from_secs(2)
     })
     .await;
-    fleet.wake(proxy);
+    fleet.resume(proxy);
     assert!(lookup().await);
     let metrics = fleet.page(proxy, "metrics").await;
     assert_eq!(metrics["freezes"].as_u64(), Some(1));
     // Control comes back, with the word from its disks, and rules again.
-    for index in fleet.of("registry").into_iter().chain(fleet.of("store")) {
-        fleet.run(index);
+    for index in fleet.with_role("registry").into_iter().chain(fleet.with_role("store")) {
+        fleet.start_daemon(index);
     }
-    let next = fleet.put_setup(&String::from_utf8(setup(&fleet, 5)).unwrap()).await;
+    let next = fleet.put_config(&String::from_utf8(setup(&fleet, 5)).unwrap()).await;
     assert!(next > revision);
-    fleet.until_in_force(next, SOON).await;
+    fleet.wait_until_active(next, SOON).await;
 }
 
 /// What siblings send that makes no sense closes the connection and is counted; the platform's
@@ -287,10 +287,10 @@
 async fn nonsense_from_outside_changes_nothing() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let fleet = Fleet::start(tiny()).await;
-    let revision = fleet.put_setup(&fleet.shape.setup).await;
-    fleet.until_in_force(revision, SOON).await;
-    let registry = fleet.of("registry")[0];
-    let sibling = fleet.members[registry].sibling_address;
+    let revision = fleet.put_config(&fleet.topology.config).await;
+    fleet.wait_until_active(revision, SOON).await;
+    let registry = fleet.with_role("registry")[0];
+    let sibling = fleet.daemons[registry].cluster_address;
     let greeting = vanepath_cluster::wire::encode(&vanepath_cluster::wire::Handshake {
         system: vanepath_cluster::wire::SYSTEM.to_string(),
         fleet: "another".to_string(),
@@ -319,13 +319,13 @@
         (r#"{"revision": 9, "servers": []}"#, "empty"),
         (r#"{"revision": 0, "servers": []}"#, "older"),
     ] {
-        fleet.platform.serve_instead(Some(text.to_string()));
-        until(wanted, SOON, async || state().await == wanted).await;
+        fleet.platform.override_response(Some(text.to_string()));
+        wait_until(wanted, SOON, async || state().await == wanted).await;
     }
     let status = fleet.page(registry, "status").await;
     assert_eq!(status["servers"].as_array().unwrap().len(), 2);
-    fleet.platform.serve_instead(None);
-    until("good again", SOON, async || state().await == "good").await;
+    fleet.platform.override_response(None);
+    wait_until("good again", SOON, async || state().await == "good").await;
 }
 
 /// A wrong settings file stops the start with the key's name.
@@ -394,84 +394,86 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn cut_and_slow_links_hold_nothing_up_for_long() {
     use vanepath_testbed::relay::Link;
-    use vanepath_testbed::traffic::{Traffic, judge_filings, sums};
-    let mut shape = tiny();
-    shape.proxies = 3;
-    let fleet = Fleet::start_relayed(shape).await;
-    let revision = fleet.put_setup(&fleet.shape.setup).await;
-    fleet.until_in_force(revision, SOON).await;
+    use vanepath_testbed::traffic::{Traffic, check_filings, count_outcomes};
+    let mut topology = tiny();
+    topology.proxies = 3;
+    let fleet = Fleet::start_with_relays(topology).await;
+    let revision = fleet.put_config(&fleet.topology.config).await;
+    fleet.wait_until_active(revision, SOON).await;
     let traffic = Traffic::start(&fleet, 1, 0.2).await;
-    traffic.more(30).await;
+    traffic.wait_for_requests(30).await;
     // Nobody reaches any core machine: callers keep their last receipt, proxies their setup.
-    let core: Vec<usize> = fleet.of("registry").into_iter().chain(fleet.of("store")).collect();
+    let core: Vec<usize> =
+        fleet.with_role("registry").into_iter().chain(fleet.with_role("store")).collect();
     for index in &core {
-        fleet.link(*index, Link { is_cut: true, ..Link::default() });
+        fleet.set_links(*index, Link { is_partitioned: true, ..Link::default() });
     }
-    traffic.more(150).await;
+    traffic.wait_for_requests(150).await;
     for index in &core {
-        fleet.link(*index, Link::default());
+        fleet.set_links(*index, Link::default());
     }
     // One store is cut off, the others are slow: a change is accepted and comes into force.
-    let stores = fleet.of("store");
-    fleet.link(stores[0], Link { is_cut: true, ..Link::default() });
+    let stores = fleet.with_role("store");
+    fleet.set_links(stores[0], Link { is_partitioned: true, ..Link::default() });
     for index in &stores[1..] {
-        fleet.link(*index, Link { delay: Duration::from_millis(60), ..Link::default() });
+        fleet.set_links(*index, Link { delay: Duration::from_millis(60), ..Link::default() });
     }
-    let next = fleet.put_setup(&String::from_utf8(setup(&fleet, 1)).unwrap()).await;
+    let next = fleet.put_config(&String::from_utf8(setup(&fleet, 1)).unwrap()).await;
     assert!(next > revision);
-    fleet.until_in_force(next, SOON).await;
+    fleet.wait_until_active(next, SOON).await;
     for index in &stores {
-        fleet.link(*index, Link::default());
+        fleet.set_links(*index, Link::default());
     }
-    traffic.more(30).await;
+    traffic.wait_for_requests(30).await;
     let (told, wrong) = traffic.finish().await;
     assert_eq!(wrong, Vec::<String>::new());
-    assert_eq!(judge_filings(&told, &fleet.runs()), Vec::<String>::new());
+    assert_eq!(check_filings(&told, &fleet.execution_counts()), Vec::<String>::new());
     let lost =
-        told.iter().filter(|one| one.verdict != vanepath_config::ExecutionStatus::Ran).count();
-    assert_eq!(lost, 0, "{:?}", sums(&told));
+        told.iter().filter(|one| one.execution != vanepath_config::ExecutionStatus::Ran).count();
+    assert_eq!(lost, 0, "{:?}", count_outcomes(&told));
 }
 
 /// Servers and proxies killed and frozen under traffic: no lookup unanswered, no filing twice, and
 /// nothing goes to another service at an old address.
 #[tokio::test(flavor = "multi_thread")]
 async fn kills_and_freezes_under_traffic_lose_no_lookup() {
-    use vanepath_testbed::traffic::{Kind, Traffic, judge_filings};
-    let mut shape = shape::raiocerto();
-    shape.proxies = 4;
-    shape.servers = vec![("ordering", 6), ("documents", 3)];
-    let mut fleet = Fleet::start(shape).await;
-    let revision = fleet.put_setup(&fleet.shape.setup).await;
-    fleet.until_in_force(revision, SOON).await;
+    use vanepath_testbed::traffic::{RequestKind, Traffic, check_filings};
+    let mut topology = topology::raiocerto();
+    topology.proxies = 4;
+    topology.servers = vec![("ordering", 6), ("documents", 3)];
+    let mut fleet = Fleet::start(topology).await;
+    let revision = fleet.put_config(&fleet.topology.config).await;
+    fleet.wait_until_active(revision, SOON).await;
     let traffic = Traffic::start(&fleet, 2, 0.3).await;
-    traffic.more(60).await;
-    let proxies = fleet.of("proxy");
+    traffic.wait_for_requests(60).await;
+    let proxies = fleet.with_role("proxy");
     fleet.kill(proxies[0]);
-    traffic.more(120).await;
-    fleet.run(proxies[0]);
-    fleet.freeze(proxies[1]);
-    traffic.more(150).await;
-    fleet.wake(proxies[1]);
+    traffic.wait_for_requests(120).await;
+    fleet.start_daemon(proxies[0]);
+    fleet.suspend(proxies[1]);
+    traffic.wait_for_requests(150).await;
+    fleet.resume(proxies[1]);
     // A server ends, and another service gets its address.
     let address = fleet.servers[0].address;
     fleet.servers[0].stop();
     let heir = loop {
-        match vanepath_testbed::standin::Server::start("heir", address).await {
+        match vanepath_testbed::stub::StubServer::start("heir", address).await {
             Ok(heir) => break heir,
             Err(_) => tokio::task::yield_now().await,
         }
     };
-    traffic.more(150).await;
+    traffic.wait_for_requests(150).await;
     assert_eq!(heir.state.arrivals.lock().unwrap().len(), 0, "work went to another service");
-    fleet.platform.change(|list| list.retain(|one| one.address != address));
-    traffic.more(60).await;
+    fleet.platform.update_list(|list| list.retain(|one| one.address != address));
+    traffic.wait_for_requests(60).await;
     let (told, wrong) = traffic.finish().await;
     assert_eq!(wrong, Vec::<String>::new());
-    assert_eq!(judge_filings(&told, &fleet.runs()), Vec::<String>::new());
+    assert_eq!(check_filings(&told, &fleet.execution_counts()), Vec::<String>::new());
     let lost: Vec<_> = told
         .iter()
         .filter(|one| {
-            one.kind != Kind::Filing && one.verdict != vanepath_config::ExecutionStatus::Ran
+            one.kind != RequestKind::Filing
+                && one.execution != vanepath_config::ExecutionStatus::Ran
         })
         .collect();
     assert!(lost.is_empty(), "{lost:?}");
@@ -483,30 +485,30 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_core_machine_that_stood_still_reads_out_nothing_older() {
     let mut fleet = Fleet::start(tiny()).await;
-    fleet.put_setup(&fleet.shape.setup).await;
+    fleet.put_config(&fleet.topology.config).await;
     let versioned = |version: u64| {
         let setup = String::from_utf8(setup(&fleet, version as usize)).unwrap();
         setup.replacen('{', &format!("{{\"version\": {version},"), 1).into_bytes()
     };
     let bodies: Vec<Vec<u8>> = (0..60).map(versioned).collect();
     assert_eq!(put(&fleet, 0, &[], &bodies[1]).await.status, 200);
-    let (registry, store) = (fleet.of("registry")[0], fleet.of("store")[0]);
-    let addresses = fleet.registries();
+    let (registry, store) = (fleet.with_role("registry")[0], fleet.with_role("store")[0]);
+    let addresses = fleet.registry_addresses();
     // One of each in hand there, as it stands still.
     let (write, read) = (addresses[0], addresses[0]);
     let body = bodies[2].clone();
     let in_hand = tokio::spawn(async move { call(write, "PUT", "/v1/setup", &[], &body).await });
-    fleet.freeze(store);
-    fleet.freeze(registry);
+    fleet.suspend(store);
+    fleet.suspend(registry);
     for (version, body) in bodies.iter().enumerate().skip(3) {
         let told = put(&fleet, 1 + version % 2, &[], body).await;
         assert_eq!(told.status, 200, "version {version}");
     }
     let newest = bodies.last().unwrap().clone();
     let reading = tokio::spawn(async move { call(read, "GET", "/v1/setup", &[], b"").await });
-    fleet.wake(store);
-    fleet.wake(registry);
-    let is_newest = |reply: Option<Reply>| match reply {
+    fleet.resume(store);
+    fleet.resume(registry);
+    let is_newest = |reply: Option<Response>| match reply {
         Some(reply) if reply.status == 200 => reply.body == newest,
         // It cannot tell, and says so.
         _ => true,
@@ -518,13 +520,13 @@
     }
     let _ = in_hand.await.unwrap();
     fleet.kill(store);
-    fleet.run(store);
+    fleet.start_daemon(store);
     for turn in 0..30 {
         let reply = call(addresses[turn % 3], "GET", "/v1/setup", &[], b"").await;
         assert!(is_newest(reply), "turn {turn} after the restart");
     }
-    until("the store has caught up", SOON, async || {
-        let other = fleet.of("store")[1];
+    wait_until("the store has caught up", SOON, async || {
+        let other = fleet.with_role("store")[1];
         let of =
             async |index: usize| fleet.page(index, "status").await["acceptedRevision"].as_u64();
         let (own, others) = (of(store).await, of(other).await);
--- a/testbed/tests/edges.rs
+++ b/testbed/tests/edges.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use vanepath_testbed::harness::Fleet;
-use vanepath_testbed::shape;
-use vanepath_testbed::standin::{Manner, pattern};
+use vanepath_testbed::stub::{Behavior, pattern};
+use vanepath_testbed::topology;
 
 const SETUP: &str = r#"{
   "classes": [
@@ -26,14 +26,14 @@
 }"#;
 
 async fn start(servers: usize) -> Fleet {
-    let mut shape = shape::raiocerto();
-    shape.setup = SETUP.to_string();
-    shape.proxies = 1;
+    let mut topology = topology::raiocerto();
+    topology.config = SETUP.to_string();
+    topology.proxies = 1;
     // All in the proxy's own zone's region order: the first stands in its zone.
-    shape.servers = vec![("s", servers)];
-    let fleet = Fleet::start(shape).await;
-    let revision = fleet.put_setup(SETUP).await;
-    fleet.until_in_force(revision, Duration::from_secs(10)).await;
+    topology.servers = vec![("s", servers)];
+    let fleet = Fleet::start(topology).await;
+    let revision = fleet.put_config(SETUP).await;
+    fleet.wait_until_active(revision, Duration::from_secs(10)).await;
     fleet
 }
 
@@ -64,7 +64,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_that_can_be_read_in_two_ways_are_refused() {
     let fleet = start(2).await;
-    let proxy = fleet.members[fleet.of("proxy")[0]].address;
+    let proxy = fleet.daemons[fleet.with_role("proxy")[0]].address;
     let mut shown = String::new();
     let long = format!("GET /look HTTP/1.1\r\nhost: h\r\nx: {}\r\n\r\n", "y".repeat(70_000));
     let big = format!(
@@ -122,7 +122,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn what_passes_passes_unchanged() {
     let fleet = start(1).await;
-    let proxy = fleet.members[fleet.of("proxy")[0]].address;
+    let proxy = fleet.daemons[fleet.with_role("proxy")[0]].address;
     let call = async |method: &str, path: &str, headers: &[(&str, &str)], body: &[u8]| {
         vanepath_testbed::http::call(proxy, method, path, headers, body).await.unwrap()
     };
@@ -169,38 +169,50 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_servers_never_spoil_a_receipt() {
     let fleet = start(3).await;
-    let proxy = fleet.members[fleet.of("proxy")[0]].address;
+    let proxy = fleet.daemons[fleet.with_role("proxy")[0]].address;
     let call = async |method: &str, path: &str, number: &str| {
         vanepath_testbed::http::call(proxy, method, path, &[("x-request", number)], b"").await
     };
     // The proxy's own zone has server 0 alone: it gets the first go of each request.
     for (manner, status) in [
-        (Manner::RunAndLose, 502),
-        (Manner::Truncate, 502),
-        (Manner::Nonsense, 502),
-        (Manner::Stuck, 504),
-        (Manner::Surplus, 200),
+        (Behavior::DisconnectAfterExecution, 502),
+        (Behavior::TruncatedResponse, 502),
+        (Behavior::InvalidResponse, 502),
+        (Behavior::Stalled, 504),
+        (Behavior::ExtraResponse, 200),
     ] {
         // Whatever came before, it is well again and known to be.
-        fleet.servers[0].behave(Manner::Good);
-        vanepath_testbed::harness::until("it is given work", Duration::from_secs(20), async || {
-            // One that limps is tried with lookups.
-            assert_eq!(call("GET", "/look", "well").await.unwrap().status, 200);
-            let status = fleet.page(fleet.of("proxy")[0], "status").await;
-            status["servers"][0]["why"] == "given work"
-        })
+        fleet.servers[0].set_behavior(Behavior::Normal);
+        vanepath_testbed::harness::wait_until(
+            "it is given work",
+            Duration::from_secs(20),
+            async || {
+                // One that limps is tried with lookups.
+                assert_eq!(call("GET", "/look", "well").await.unwrap().status, 200);
+                let status = fleet.page(fleet.with_role("proxy")[0], "status").await;
+                status["servers"][0]["why"] == "given work"
+            },
+        )
         .await;
-        fleet.servers[0].behave(manner);
+        fleet.servers[0].set_behavior(manner);
         // A filing that it may have run is never told to another, and the caller is told so.
         let number = format!("file-{manner:?}");
         let reply = call("POST", "/file", &number).await.unwrap();
         assert_eq!(reply.status, status, "{manner:?}");
         let verdict = reply.headers.get("vanepath-verdict").unwrap();
         assert_eq!(verdict, if status == 200 { "ran" } else { "may-have-run" }, "{manner:?}");
-        assert!(fleet.runs().get(&number).copied().unwrap_or_default() <= 1, "{manner:?}");
+        assert!(
+            fleet.execution_counts().get(&number).copied().unwrap_or_default() <= 1,
+            "{manner:?}"
+        );
     }
-    for manner in [Manner::RunAndLose, Manner::Truncate, Manner::Nonsense, Manner::Surplus] {
-        fleet.servers[0].behave(manner);
+    for manner in [
+        Behavior::DisconnectAfterExecution,
+        Behavior::TruncatedResponse,
+        Behavior::InvalidResponse,
+        Behavior::ExtraResponse,
+    ] {
+        fleet.servers[0].set_behavior(manner);
         for round in 0..40 {
             let number = format!("look-{manner:?}-{round}");
             let reply = call("GET", "/look", &number).await.unwrap();
@@ -210,7 +222,7 @@
     }
     // A download that breaks off after its first bytes went out breaks off for the caller too.
     for server in &fleet.servers {
-        server.behave(Manner::Truncate);
+        server.set_behavior(Behavior::TruncatedResponse);
     }
     let reply = call("GET", "/look?size=3000000", "cut").await;
     assert!(reply.is_none_or(|reply| reply.status != 200), "a part that looks whole");
@@ -221,15 +233,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_late_second_reply_is_nobodys_once_the_server_is_known_for_it() {
     let fleet = start(1).await;
-    let index = fleet.of("proxy")[0];
-    let proxy = fleet.members[index].address;
+    let index = fleet.with_role("proxy")[0];
+    let proxy = fleet.daemons[index].address;
     let call = async |method: &str, path: &str, number: &str| {
         vanepath_testbed::http::call(proxy, method, path, &[("x-request", number)], b"").await
     };
-    fleet.servers[0].behave(Manner::LateSurplus);
+    fleet.servers[0].set_behavior(Behavior::DelayedExtraResponse);
     assert_eq!(call("GET", "/look", "first").await.unwrap().status, 200);
     let limit = Duration::from_secs(5);
-    vanepath_testbed::harness::until("the second reply is seen", limit, async || {
+    vanepath_testbed::harness::wait_until("the second reply is seen", limit, async || {
         fleet.page(index, "metrics").await["surplusBytes"].as_u64() == Some(1)
     })
     .await;
@@ -238,7 +250,7 @@
             if round % 3 == 0 { ("POST", "/file?waitMs=30") } else { ("GET", "/look?waitMs=30") };
         // Just when the last connection has rested and its second reply is still to come.
         let ended = std::time::Instant::now();
-        vanepath_testbed::harness::until("it rested", limit, async || {
+        vanepath_testbed::harness::wait_until("it rested", limit, async || {
             ended.elapsed().as_millis() > 24
         })
         .await;
@@ -246,7 +258,7 @@
         let reply = call(method, path, &number).await.unwrap();
         assert_eq!(reply.status, 200, "{round}: {}", reply.json());
         assert_eq!(reply.json()["request"].as_str(), Some(number.as_str()), "{round}");
-        assert_eq!(fleet.runs()[&number], 1);
+        assert_eq!(fleet.execution_counts()[&number], 1);
     }
 }
 
@@ -255,8 +267,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_bound_that_comes_while_a_request_waits_holds() {
     let fleet = start(1).await;
-    let index = fleet.of("proxy")[0];
-    let proxy = fleet.members[index].address;
+    let index = fleet.with_role("proxy")[0];
+    let proxy = fleet.daemons[index].address;
     let narrow = |number: &'static str| async move {
         let path = "/narrow?waitMs=1500";
         vanepath_testbed::http::call(proxy, "GET", path, &[("x-request", number)], b"").await
@@ -264,42 +276,46 @@
     let class = async |key: &str| fleet.page(index, "status").await["classes"][2][key].clone();
     let limit = Duration::from_secs(5);
     let first = tokio::spawn(narrow("n1"));
-    vanepath_testbed::harness::until("one is in hand", limit, async || class("used").await == 1)
-        .await;
+    vanepath_testbed::harness::wait_until("one is in hand", limit, async || {
+        class("used").await == 1
+    })
+    .await;
     let second = tokio::spawn(narrow("n2"));
-    vanepath_testbed::harness::until("one waits", limit, async || class("waiting").await == 1)
+    vanepath_testbed::harness::wait_until("one waits", limit, async || class("waiting").await == 1)
         .await;
     let bound = SETUP.replace(
         r#""class": "narrow", "service": "s""#,
         r#""class": "narrow", "service": "s", "regions": ["south"]"#,
     );
     assert_ne!(bound, SETUP);
-    let revision = fleet.put_setup(&bound).await;
-    fleet.until_in_force(revision, limit).await;
+    let revision = fleet.put_config(&bound).await;
+    fleet.wait_until_active(revision, limit).await;
     assert_eq!(first.await.unwrap().unwrap().status, 200, "it was in a server's hands already");
     let second = second.await.unwrap().unwrap();
     assert_eq!(second.status, 421);
     assert_eq!(second.headers.get("vanepath-verdict").unwrap(), "not-run");
-    assert_eq!(fleet.runs().get("n2"), None);
+    assert_eq!(fleet.execution_counts().get("n2"), None);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_given_up_on_is_told_so_at_once() {
     let fleet = start(1).await;
-    let proxy = fleet.members[fleet.of("proxy")[0]].address;
+    let proxy = fleet.daemons[fleet.with_role("proxy")[0]].address;
     // One in the server's hands, one in the queue; the next is dropped without delay.
     let slow = |number: &'static str| async move {
         let path = "/narrow?waitMs=2000";
         vanepath_testbed::http::call(proxy, "GET", path, &[("x-request", number)], b"").await
     };
-    let index = fleet.of("proxy")[0];
+    let index = fleet.with_role("proxy")[0];
     let class = async |key: &str| fleet.page(index, "status").await["classes"][2][key].clone();
     let first = tokio::spawn(slow("n1"));
     let limit = Duration::from_secs(5);
-    vanepath_testbed::harness::until("one is in hand", limit, async || class("used").await == 1)
-        .await;
+    vanepath_testbed::harness::wait_until("one is in hand", limit, async || {
+        class("used").await == 1
+    })
+    .await;
     let second = tokio::spawn(slow("n2"));
-    vanepath_testbed::harness::until("one waits", limit, async || class("waiting").await == 1)
+    vanepath_testbed::harness::wait_until("one waits", limit, async || class("waiting").await == 1)
         .await;
     let begun = std::time::Instant::now();
     let third = slow("n3").await.unwrap();
@@ -312,12 +328,12 @@
     assert_eq!(first.await.unwrap().unwrap().status, 200);
     let done = slow("n4").await.unwrap();
     assert_eq!(done.status, 200);
-    let runs = fleet.runs();
+    let runs = fleet.execution_counts();
     assert_eq!(runs.get("n2"), None);
     assert_eq!(runs.get("n3"), None);
     // No server at all: told at once too, for filings and lookups.
-    fleet.platform.change(|list| list[0].leaving = true);
-    vanepath_testbed::harness::until("no work for it", Duration::from_secs(4), async || {
+    fleet.platform.update_list(|list| list[0].draining = true);
+    vanepath_testbed::harness::wait_until("no work for it", Duration::from_secs(4), async || {
         let reply = vanepath_testbed::http::call(proxy, "POST", "/file", &[], b"").await.unwrap();
         reply.status == 503 && reply.headers.contains_key("retry-after")
     })
@@ -329,9 +345,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_goes_on_after_a_freeze_is_answered_in_its_time() {
     let fleet = start(3).await;
-    fleet.servers.iter().for_each(|server| server.behave(Manner::Stuck));
-    let proxy = fleet.of("proxy")[0];
-    let address = fleet.members[proxy].address;
+    fleet.servers.iter().for_each(|server| server.set_behavior(Behavior::Stalled));
+    let proxy = fleet.with_role("proxy")[0];
+    let address = fleet.daemons[proxy].address;
     let sent = std::time::Instant::now();
     let asked = tokio::spawn(async move {
         let reply = vanepath_testbed::http::call(address, "GET", "/look/1", &[], b"").await;
@@ -339,14 +355,16 @@
     });
     let in_hand =
         || fleet.servers.iter().any(|server| !server.state.arrivals.lock().unwrap().is_empty());
-    vanepath_testbed::harness::until("a server has it", Duration::from_secs(2), async || in_hand())
-        .await;
+    vanepath_testbed::harness::wait_until("a server has it", Duration::from_secs(2), async || {
+        in_hand()
+    })
+    .await;
     // Nobody is there to tell what is in force once it wakes.
-    let core = (0..fleet.members.len()).filter(|index| *index != proxy);
-    core.for_each(|index| fleet.freeze(index));
-    fleet.freeze(proxy);
+    let core = (0..fleet.daemons.len()).filter(|index| *index != proxy);
+    core.for_each(|index| fleet.suspend(index));
+    fleet.suspend(proxy);
     tokio::time::sleep(Duration::from_millis(1800)).await;
-    fleet.wake(proxy);
+    fleet.resume(proxy);
     let (status, took) = asked.await.unwrap();
     assert_eq!(status, Some(504));
     assert!(took < Duration::from_millis(3800), "{took:?} of 3 s");
--- a/testbed/tests/losses.rs
+++ b/testbed/tests/losses.rs
@@ -2,39 +2,39 @@
 //! traffic.
 
 use std::time::Duration;
-use vanepath_testbed::harness::{Fleet, until};
+use vanepath_testbed::harness::{Fleet, wait_until};
 use vanepath_testbed::http::call;
-use vanepath_testbed::shape;
 use vanepath_testbed::sim::day::tagged;
-use vanepath_testbed::standin::pattern;
-use vanepath_testbed::traffic::{Kind, Told, Traffic, judge_filings};
+use vanepath_testbed::stub::pattern;
+use vanepath_testbed::topology;
+use vanepath_testbed::traffic::{RequestKind, RequestRecord, Traffic, check_filings};
 
 const SOON: Duration = Duration::from_secs(15);
 
-fn small(proxies: usize) -> shape::Shape {
-    let mut shape = shape::raiocerto();
-    shape.proxies = proxies;
-    shape.servers = vec![("ordering", 12), ("documents", 6)];
-    shape
+fn small(proxies: usize) -> topology::Topology {
+    let mut topology = topology::raiocerto();
+    topology.proxies = proxies;
+    topology.servers = vec![("ordering", 12), ("documents", 6)];
+    topology
 }
 
-async fn start(shape: shape::Shape) -> Fleet {
-    let fleet = Fleet::start(shape).await;
-    let revision = fleet.put_setup(&fleet.shape.setup).await;
-    fleet.until_in_force(revision, SOON).await;
+async fn start(topology: topology::Topology) -> Fleet {
+    let fleet = Fleet::start(topology).await;
+    let revision = fleet.put_config(&fleet.topology.config).await;
+    fleet.wait_until_active(revision, SOON).await;
     fleet
 }
 
-fn judged(fleet: &Fleet, (told, wrong): (Vec<Told>, Vec<String>)) -> Vec<Told> {
+fn judged(fleet: &Fleet, (told, wrong): (Vec<RequestRecord>, Vec<String>)) -> Vec<RequestRecord> {
     assert_eq!(wrong, Vec::<String>::new());
-    assert_eq!(judge_filings(&told, &fleet.runs()), Vec::<String>::new());
+    assert_eq!(check_filings(&told, &fleet.execution_counts()), Vec::<String>::new());
     told
 }
 
 /// Lookups and downloads that no server ran, or nobody knows.
-fn lost(told: &[Told]) -> Vec<&Told> {
-    let lookups = told.iter().filter(|one| one.kind != Kind::Filing);
-    lookups.filter(|one| one.verdict != vanepath_config::ExecutionStatus::Ran).collect()
+fn lost(told: &[RequestRecord]) -> Vec<&RequestRecord> {
+    let lookups = told.iter().filter(|one| one.kind != RequestKind::Filing);
+    lookups.filter(|one| one.execution != vanepath_config::ExecutionStatus::Ran).collect()
 }
 
 /// A zone goes with its proxies and servers, then a region with a core machine as well; each comes
@@ -43,29 +43,29 @@
 async fn a_zone_and_a_region_are_lost_and_come_back_under_traffic() {
     let mut fleet = start(small(6)).await;
     let traffic = Traffic::start(&fleet, 1, 0.4).await;
-    traffic.more(60).await;
+    traffic.wait_for_requests(60).await;
     for place in ["north-2", "south"] {
         let is_hit = |zone: &str, region: &str| zone == place || region == place;
-        let daemons = fleet.kill_places(is_hit);
+        let daemons = fleet.kill_zones(is_hit);
         let servers = fleet.servers_in(is_hit);
-        traffic.more(80).await;
-        let body = String::from_utf8(tagged(&fleet.shape.setup, servers.len())).unwrap();
-        let next = fleet.put_setup(&body).await;
-        fleet.until_in_force(next, SOON).await;
+        traffic.wait_for_requests(80).await;
+        let body = String::from_utf8(tagged(&fleet.topology.config, servers.len())).unwrap();
+        let next = fleet.put_config(&body).await;
+        fleet.wait_until_active(next, SOON).await;
         for index in daemons {
-            fleet.run(index);
+            fleet.start_daemon(index);
         }
         for index in &servers {
             fleet.restart_server(*index).await;
         }
-        fleet.until_in_force(next, SOON).await;
+        fleet.wait_until_active(next, SOON).await;
         let arrivals = |fleet: &Fleet| -> usize {
             let of = servers.iter().map(|index| &fleet.servers[*index].state.arrivals);
             of.map(|all| all.lock().unwrap().len()).sum()
         };
         let before = arrivals(&fleet);
         let what = format!("the servers of {place} get work again");
-        until(&what, SOON, async || arrivals(&fleet) > before + 5).await;
+        wait_until(&what, SOON, async || arrivals(&fleet) > before + 5).await;
     }
     let told = traffic.finish().await;
     let told = judged(&fleet, told);
@@ -78,47 +78,48 @@
 async fn the_whole_core_is_replaced_and_then_everything_is_killed() {
     let mut fleet = start(small(3)).await;
     let traffic = Traffic::start(&fleet, 1, 0.2).await;
-    traffic.more(30).await;
+    traffic.wait_for_requests(30).await;
     let mut revisions = Vec::new();
     for seat in 0..3 {
-        let (zone, region) = fleet.shape.zones[seat];
-        let old = [fleet.index(&format!("store-{seat}")), fleet.index(&format!("registry-{seat}"))];
+        let (zone, region) = fleet.topology.zones[seat];
+        let old =
+            [fleet.index_of(&format!("store-{seat}")), fleet.index_of(&format!("registry-{seat}"))];
         for index in old {
             fleet.kill(index);
         }
         let store = fleet.add_store(seat, zone, region, "-new", 61 + seat as u8);
-        let seeds: Vec<_> = fleet.live_seeds().into_iter().collect();
+        let seeds: Vec<_> = fleet.running_seeds().into_iter().collect();
         let name = format!("registry-{seat}-new");
-        let registry = fleet.add("registry", &name, zone, region, 51 + seat as u8, &seeds);
-        fleet.run(store);
-        fleet.run(registry);
-        let body = String::from_utf8(tagged(&fleet.shape.setup, seat)).unwrap();
-        let revision = fleet.put_setup(&body).await;
+        let registry = fleet.add_daemon("registry", &name, zone, region, 51 + seat as u8, &seeds);
+        fleet.start_daemon(store);
+        fleet.start_daemon(registry);
+        let body = String::from_utf8(tagged(&fleet.topology.config, seat)).unwrap();
+        let revision = fleet.put_config(&body).await;
         revisions.push((revision, body));
         let fleet_ref = &fleet;
-        until("the new disk votes and its registry is ready", SOON, async || {
+        wait_until("the new disk votes and its registry is ready", SOON, async || {
             fleet_ref.page(store, "status").await["votes"].as_bool() == Some(true)
                 && fleet_ref.page(registry, "ready").await["ready"].as_bool() == Some(true)
         })
         .await;
     }
-    fleet.until_in_force(revisions[2].0, SOON).await;
-    traffic.more(60).await;
+    fleet.wait_until_active(revisions[2].0, SOON).await;
+    traffic.wait_for_requests(60).await;
     let told = traffic.finish().await;
     let told = judged(&fleet, told);
     assert!(lost(&told).is_empty(), "{:?}", lost(&told));
 
     let all: Vec<usize> =
-        (0..fleet.members.len()).filter(|index| fleet.members[*index].pid().is_some()).collect();
+        (0..fleet.daemons.len()).filter(|index| fleet.daemons[*index].pid().is_some()).collect();
     for index in &all {
         fleet.kill(*index);
     }
     for index in &all {
-        fleet.run(*index);
+        fleet.start_daemon(*index);
     }
     // Brought back by what the stores wrote down: no seed of the proxies is there any more.
-    fleet.until_in_force(revisions[2].0, SOON).await;
-    let registry = fleet.members[fleet.index("registry-1-new")].address;
+    fleet.wait_until_active(revisions[2].0, SOON).await;
+    let registry = fleet.daemons[fleet.index_of("registry-1-new")].address;
     for (revision, body) in &revisions {
         let path = format!("/v1/setup/{revision}");
         let read = call(registry, "GET", &path, &[], b"").await.unwrap();
@@ -131,25 +132,25 @@
 /// itself, which takes the next seat that is lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn two_of_five_stores_are_lost_at_one_time() {
-    let mut shape = small(2);
-    shape.stores = 5;
-    let mut fleet = start(shape).await;
-    let stores = fleet.of("store");
+    let mut topology = small(2);
+    topology.stores = 5;
+    let mut fleet = start(topology).await;
+    let stores = fleet.with_role("store");
     let (wiped, gone) = (stores[1], stores[3]);
     fleet.kill(wiped);
     fleet.kill(gone);
-    fleet.wipe(wiped);
-    let (zone, region) = fleet.shape.zones[3];
+    fleet.wipe_data(wiped);
+    let (zone, region) = fleet.topology.zones[3];
     let new = fleet.add_store(3, zone, region, "-new", 63);
-    fleet.run(wiped);
-    fleet.run(new);
-    let body = String::from_utf8(tagged(&fleet.shape.setup, 1)).unwrap();
-    let revision = fleet.put_setup(&body).await;
+    fleet.start_daemon(wiped);
+    fleet.start_daemon(new);
+    let body = String::from_utf8(tagged(&fleet.topology.config, 1)).unwrap();
+    let revision = fleet.put_config(&body).await;
     let fleet_ref = &fleet;
     let votes =
         async |index: usize| fleet_ref.page(index, "status").await["votes"].as_bool() == Some(true);
-    until("both new disks vote", SOON, async || votes(wiped).await && votes(new).await).await;
-    fleet.until_in_force(revision, SOON).await;
+    wait_until("both new disks vote", SOON, async || votes(wiped).await && votes(new).await).await;
+    fleet.wait_until_active(revision, SOON).await;
     let status = fleet.page(new, "status").await;
     assert_eq!(status["seat"].as_u64(), Some(3));
     assert_eq!(status["seats"].as_array().unwrap().len(), 5);
@@ -161,9 +162,9 @@
         names.filter(|name| name.starts_with("version-")).count()
     };
     assert!(versions(&fleet, gone) > 0, "it holds what it held");
-    fleet.run(gone);
+    fleet.start_daemon(gone);
     let fleet_ref = &fleet;
-    until("the old disk is an empty one", SOON, async || {
+    wait_until("the old disk is an empty one", SOON, async || {
         let status = fleet_ref.page(gone, "status").await;
         status["why"].as_str() == Some("its disk is empty and waits for a seat")
             && versions(fleet_ref, gone) == 0
@@ -173,14 +174,14 @@
     fleet.kill(stores[0]);
     fleet.kill(stores[4]);
     let fleet_ref = &fleet;
-    until("the spare has one of the seats", SOON, async || {
+    wait_until("the spare has one of the seats", SOON, async || {
         let status = fleet_ref.page(gone, "status").await;
         status["votes"].as_bool() == Some(true) && incarnation(&status) == spare
     })
     .await;
-    let body = String::from_utf8(tagged(&fleet.shape.setup, 2)).unwrap();
-    let next = fleet.put_setup(&body).await;
-    fleet.until_in_force(next, SOON).await;
+    let body = String::from_utf8(tagged(&fleet.topology.config, 2)).unwrap();
+    let next = fleet.put_config(&body).await;
+    fleet.wait_until_active(next, SOON).await;
 }
 
 /// Every daemon is killed under traffic and started again: each kind of service is there within
@@ -189,18 +190,18 @@
 async fn everything_is_killed_and_serves_again() {
     let mut fleet = start(small(4)).await;
     let traffic = Traffic::start(&fleet, 1, 0.2).await;
-    traffic.more(40).await;
-    let body = tagged(&fleet.shape.setup, 9);
-    let revision = fleet.put_setup(&String::from_utf8(body.clone()).unwrap()).await;
-    for index in 0..fleet.members.len() {
+    traffic.wait_for_requests(40).await;
+    let body = tagged(&fleet.topology.config, 9);
+    let revision = fleet.put_config(&String::from_utf8(body.clone()).unwrap()).await;
+    for index in 0..fleet.daemons.len() {
         fleet.kill(index);
     }
-    for index in 0..fleet.members.len() {
-        fleet.run(index);
+    for index in 0..fleet.daemons.len() {
+        fleet.start_daemon(index);
     }
     let back = std::time::Instant::now();
-    let proxy = fleet.members[fleet.of("proxy")[0]].address;
-    let registry = fleet.registries()[0];
+    let proxy = fleet.daemons[fleet.with_role("proxy")[0]].address;
+    let registry = fleet.registry_addresses()[0];
     for (what, address, method, path, status) in [
         ("a lookup", proxy, "GET", "/stock/1", 200),
         ("a filing", proxy, "POST", "/orders", 200),
@@ -209,7 +210,7 @@
         ("a write", registry, "PUT", "/v1/zones/north-1/emptied", 200),
     ] {
         let headers = [("x-request", "after")];
-        until(what, SOON.saturating_sub(back.elapsed()), async || {
+        wait_until(what, SOON.saturating_sub(back.elapsed()), async || {
             let reply = call(address, method, path, &headers, b"").await;
             reply.is_some_and(|reply| reply.status == status)
         })
@@ -217,7 +218,7 @@
     }
     let read = call(registry, "GET", "/v1/setup", &[], b"").await.unwrap();
     assert_eq!(read.body, body, "revision {revision}");
-    traffic.more(40).await;
+    traffic.wait_for_requests(40).await;
     let told = traffic.finish().await;
     judged(&fleet, told);
 }
@@ -227,31 +228,31 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn who_slept_through_a_mark_and_an_emptied_zone_goes_by_them() {
     let fleet = start(small(2)).await;
-    let proxy = fleet.of("proxy")[0];
-    let address = fleet.members[proxy].address;
+    let proxy = fleet.with_role("proxy")[0];
+    let address = fleet.daemons[proxy].address;
     let lookup = async |number: usize| {
         let headers = [("x-request", &*format!("n{number}"))];
         let reply = call(address, "GET", "/stock/1", &headers, b"").await;
         reply.is_some_and(|reply| reply.status == 200)
     };
-    until("it serves", SOON, async || lookup(0).await).await;
-    fleet.freeze(proxy);
+    wait_until("it serves", SOON, async || lookup(0).await).await;
+    fleet.suspend(proxy);
     let frozen = std::time::Instant::now();
     // Of its own zone one server is left, and it is marked; the rest of its region is emptied.
     let own = fleet.servers_in(|zone, _| zone == "north-1");
     let address0 = fleet.servers[own[0]].address;
-    fleet.platform.change(|list| {
-        list.iter_mut().filter(|one| one.address == address0).for_each(|one| one.leaving = true);
+    fleet.platform.update_list(|list| {
+        list.iter_mut().filter(|one| one.address == address0).for_each(|one| one.draining = true);
         list.retain(|one| one.zone != "north-1" || one.address == address0);
     });
     let path = "/v1/zones/north-2/emptied";
-    let emptied = call(fleet.registries()[1], "PUT", path, &[], b"").await.unwrap();
+    let emptied = call(fleet.registry_addresses()[1], "PUT", path, &[], b"").await.unwrap();
     assert_eq!(emptied.status, 200);
-    until(
+    wait_until(
         "the list and the zone are in force elsewhere, and a freeze long enough",
         SOON,
         async || {
-            let status = fleet.page(fleet.of("proxy")[1], "status").await;
+            let status = fleet.page(fleet.with_role("proxy")[1], "status").await;
             frozen.elapsed() > Duration::from_secs(2)
                 && status["emptied"][0].as_str() == Some("north-2")
                 && status["platformRevision"].as_u64() == Some(2)
@@ -263,7 +264,7 @@
         there.iter().map(|one| fleet.servers[*one].state.arrivals.lock().unwrap().len()).sum()
     };
     let before = arrivals();
-    fleet.wake(proxy);
+    fleet.resume(proxy);
     for number in 1..30 {
         assert!(lookup(number).await, "lookup {number}");
     }
@@ -278,8 +279,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn what_is_in_hand_outlives_all_planned_work() {
     let mut fleet = start(small(2)).await;
-    let proxy = fleet.of("proxy")[0];
-    let address = fleet.members[proxy].address;
+    let proxy = fleet.with_role("proxy")[0];
+    let address = fleet.daemons[proxy].address;
     let size = 200_000;
     let download = tokio::spawn(async move {
         let path = format!("/documents/1?size={size}&trickleMs=250");
@@ -289,19 +290,20 @@
         call(address, "POST", "/orders?waitMs=4000", &[("x-request", "slow")], b"x").await
     });
     let in_hand = |fleet: &Fleet| -> u64 {
-        let of = fleet.servers.iter().map(|one| &one.state.in_hand);
+        let of = fleet.servers.iter().map(|one| &one.state.in_flight);
         of.map(|count| count.load(std::sync::atomic::Ordering::Relaxed)).sum()
     };
-    until("both are in hand", SOON, async || in_hand(&fleet) == 2).await;
-    fleet.platform.change(|list| list.iter_mut().for_each(|one| one.leaving = true));
+    wait_until("both are in hand", SOON, async || in_hand(&fleet) == 2).await;
+    fleet.platform.update_list(|list| list.iter_mut().for_each(|one| one.draining = true));
     for zone in ["north-1", "north-2", "middle-1"] {
         let path = format!("/v1/zones/{zone}/emptied");
-        let emptied = call(fleet.registries()[0], "PUT", &path, &[], b"").await.unwrap();
+        let emptied = call(fleet.registry_addresses()[0], "PUT", &path, &[], b"").await.unwrap();
         assert_eq!(emptied.status, 200);
     }
-    let dropped = fleet.shape.setup.replace("/documents", "/papers").replace("/orders", "/filed");
-    let revision = fleet.put_setup(&dropped).await;
-    fleet.until_in_force(revision, SOON).await;
+    let dropped =
+        fleet.topology.config.replace("/documents", "/papers").replace("/orders", "/filed");
+    let revision = fleet.put_config(&dropped).await;
+    fleet.wait_until_active(revision, SOON).await;
     assert_eq!(in_hand(&fleet), 2, "both are still there");
     assert!(fleet.terminate(proxy).await, "it did not end well");
     let download = download.await.unwrap().expect("a whole receipt");
@@ -309,7 +311,7 @@
     assert_eq!(download.body, pattern("long", size));
     let filing = filing.await.unwrap().expect("a whole receipt");
     assert_eq!((filing.status, filing.json()["request"].as_str()), (200, Some("slow")));
-    assert_eq!(fleet.runs()["slow"], 1);
+    assert_eq!(fleet.execution_counts()["slow"], 1);
 }
 
 /// Every daemon is started anew in its turn, while setups come one after the other and clients ask. None
@@ -319,8 +321,8 @@
 async fn nobody_steps_back_in_a_rolling_restart_amid_a_storm_of_setups() {
     let mut fleet = start(small(4)).await;
     let traffic = Traffic::start(&fleet, 1, 0.2).await;
-    traffic.more(20).await;
-    let (registries, text) = (fleet.registries(), fleet.shape.setup.clone());
+    traffic.wait_for_requests(20).await;
+    let (registries, text) = (fleet.registry_addresses(), fleet.topology.config.clone());
     let taken = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
     let storm = tokio::spawn({
         let taken = taken.clone();
@@ -342,18 +344,18 @@
     };
     let mut waited = Vec::new();
     for round in 0..2 {
-        for index in 0..fleet.members.len() {
+        for index in 0..fleet.daemons.len() {
             let (_, before) = in_force(&fleet, index).await;
             assert!(before > 0);
             // By turns as an operator would, and without a word.
-            if (round + index) % 2 == 0 && fleet.members[index].role == "proxy" {
+            if (round + index) % 2 == 0 && fleet.daemons[index].role == "proxy" {
                 assert!(fleet.terminate(index).await);
             } else {
                 fleet.kill(index);
             }
-            fleet.run(index);
-            let (fleet_ref, name) = (&fleet, fleet.members[index].name.clone());
-            until("it takes work again", SOON, async || {
+            fleet.start_daemon(index);
+            let (fleet_ref, name) = (&fleet, fleet.daemons[index].name.clone());
+            wait_until("it takes work again", SOON, async || {
                 let (is_ready, now) = in_force(fleet_ref, index).await;
                 assert!(now == 0 || now >= before, "{name} goes by {now}, and went by {before}");
                 is_ready && now >= before
@@ -372,18 +374,18 @@
     assert!(taken > 20, "{taken} setups were taken");
     println!("{taken} setups; daemons waited for their floors for so many ms: {waited:?}");
     let asked: Vec<String> = fleet
-        .registries()
+        .registry_addresses()
         .iter()
         .flat_map(|one| ["--floors".to_string(), one.to_string()])
         .collect();
     let (fleet_ref, asked) = (&fleet, &asked);
-    until("the operator's command finds nobody behind", SOON, async || {
+    wait_until("the operator's command finds nobody behind", SOON, async || {
         let mut command = std::process::Command::new(fleet_ref.program("config-check"));
         let out = tokio::task::block_in_place(|| command.args(asked).output());
         out.is_ok_and(|out| out.status.success())
     })
     .await;
-    traffic.more(20).await;
+    traffic.wait_for_requests(20).await;
     let told = judged(&fleet, traffic.finish().await);
     assert!(lost(&told).is_empty(), "{:?}", lost(&told));
 }
--- a/testbed/tests/outside_names.rs
+++ b/testbed/tests/outside_names.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeSet;
 use std::time::Duration;
-use vanepath_testbed::harness::{Fleet, until};
-use vanepath_testbed::{http, shape};
+use vanepath_testbed::harness::{Fleet, wait_until};
+use vanepath_testbed::{http, topology};
 
 /// Objects whose keys are names that operators chose.
 const MAPS: [&str; 2] = ["orders", "labels"];
@@ -34,12 +34,12 @@
     headers: &[(&str, &str)],
     body: &[u8],
 ) -> String {
-    let address = fleet.members[index].address;
+    let address = fleet.daemons[index].address;
     let reply = http::call(address, method, path, headers, body).await.expect("a reply");
     let mut keys = BTreeSet::new();
     paths(&reply.json(), "$", &mut keys);
     let names: BTreeSet<String> = reply.headers.keys().map(|name| name.to_string()).collect();
-    let label = format!("{} {method} {path}", fleet.members[index].role);
+    let label = format!("{} {method} {path}", fleet.daemons[index].role);
     let mut text = format!("{label} {}\n", reply.status);
     text += &format!("  headers {}\n", Vec::from_iter(names).join(" "));
     for key in keys {
@@ -48,8 +48,8 @@
     text
 }
 
-fn small() -> shape::Shape {
-    let mut small = shape::raiocerto();
+fn small() -> topology::Topology {
+    let mut small = topology::raiocerto();
     small.proxies = 2;
     small.servers = vec![("ordering", 2), ("documents", 1)];
     small
@@ -59,18 +59,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn pages_and_answers_keep_their_names() {
     let fleet = Fleet::start(small()).await;
-    let revision = fleet.put_setup(&fleet.shape.setup).await;
-    fleet.until_in_force(revision, Duration::from_secs(10)).await;
-    let (proxy, registry) = (fleet.of("proxy")[0], fleet.of("registry")[0]);
-    let store = fleet.of("store")[0];
-    until("the lookup is served", Duration::from_secs(5), async || {
+    let revision = fleet.put_config(&fleet.topology.config).await;
+    fleet.wait_until_active(revision, Duration::from_secs(10)).await;
+    let (proxy, registry) = (fleet.with_role("proxy")[0], fleet.with_role("registry")[0]);
+    let store = fleet.with_role("store")[0];
+    wait_until("the lookup is served", Duration::from_secs(5), async || {
         let headers = [("x-request", "7")];
-        let address = fleet.members[proxy].address;
+        let address = fleet.daemons[proxy].address;
         let reply = http::call(address, "GET", "/stock/7", &headers, b"").await;
         reply.is_some_and(|reply| reply.status == 200)
     })
     .await;
-    until("the status has servers", Duration::from_secs(10), async || {
+    wait_until("the status has servers", Duration::from_secs(10), async || {
         let status = fleet.page(registry, "status").await;
         !status["servers"].is_empty() && status["ordersFromHere"][0]["order"].len() > 1
     })
@@ -94,9 +94,15 @@
         (registry, "GET", "/v1/setup", vec![], ""),
         (registry, "GET", "/v1/setup/99999", vec![], ""),
         (registry, "PUT", "/v1/setup", vec![], "{}"),
-        (registry, "PUT", "/v1/setup", vec![("if-match", "99")], fleet.shape.setup.as_str()),
-        (registry, "PUT", "/v1/setup", vec![("if-match", "x")], fleet.shape.setup.as_str()),
-        (registry, "PUT", "/v1/setup", vec![("idempotency-key", " ")], fleet.shape.setup.as_str()),
+        (registry, "PUT", "/v1/setup", vec![("if-match", "99")], fleet.topology.config.as_str()),
+        (registry, "PUT", "/v1/setup", vec![("if-match", "x")], fleet.topology.config.as_str()),
+        (
+            registry,
+            "PUT",
+            "/v1/setup",
+            vec![("idempotency-key", " ")],
+            fleet.topology.config.as_str(),
+        ),
         (registry, "POST", "/v1/setup", vec![], ""),
         (registry, "GET", "/v1/nothing", vec![], ""),
         (store, "GET", "/v1/live", vec![], ""),
@@ -140,7 +146,7 @@
     for role in ["proxy", "registry", "store"] {
         let (code, help) = run(role, &["--help"]);
         text += &format!("{role} --help {code:?} {}\n", flags(&help).join(" "));
-        let index = fleet.of(role)[0];
+        let index = fleet.with_role(role)[0];
         let settings = fleet.settings_file(index).to_string_lossy().to_string();
         let (code, said) = run(role, &["--settings", &settings, "--check"]);
         text += &format!("{role} --check {code:?} {said}");
--- a/testbed/tests/whole_path.rs
+++ b/testbed/tests/whole_path.rs
@@ -1,11 +1,11 @@
 //! The whole path with real processes on loopback.
 
 use std::time::Duration;
-use vanepath_testbed::harness::{Fleet, until};
-use vanepath_testbed::shape;
+use vanepath_testbed::harness::{Fleet, wait_until};
+use vanepath_testbed::topology;
 
-fn small() -> shape::Shape {
-    let mut small = shape::raiocerto();
+fn small() -> topology::Topology {
+    let mut small = topology::raiocerto();
     small.proxies = 2;
     small.servers = vec![("ordering", 2), ("documents", 1)];
     small
@@ -15,11 +15,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_setup_is_taken_and_a_lookup_served() {
     let fleet = Fleet::start(small()).await;
-    let revision = fleet.put_setup(&fleet.shape.setup).await;
-    fleet.until_in_force(revision, Duration::from_secs(10)).await;
-    let proxy = fleet.members[fleet.of("proxy")[0]].address;
+    let revision = fleet.put_config(&fleet.topology.config).await;
+    fleet.wait_until_active(revision, Duration::from_secs(10)).await;
+    let proxy = fleet.daemons[fleet.with_role("proxy")[0]].address;
     let headers = [("x-request", "7")];
-    until("the lookup is served", Duration::from_secs(5), async || {
+    wait_until("the lookup is served", Duration::from_secs(5), async || {
         let reply = vanepath_testbed::http::call(proxy, "GET", "/stock/7", &headers, b"").await;
         reply.is_some_and(|reply| {
             reply.status == 200
@@ -29,11 +29,11 @@
     })
     .await;
     // Exactly what was accepted is read back, from any registry.
-    for index in fleet.of("registry") {
+    for index in fleet.with_role("registry") {
         for path in ["/v1/setup".to_string(), format!("/v1/setup/{revision}")] {
             let read = fleet.get(index, &path).await.expect("a registry replies");
             assert_eq!(read.status, 200, "{path}: {:?}", read.body);
-            assert_eq!(read.body, fleet.shape.setup.as_bytes());
+            assert_eq!(read.body, fleet.topology.config.as_bytes());
         }
     }
 }
@@ -43,8 +43,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_recorded_file_is_replayed() {
     let fleet = Fleet::start(small()).await;
-    let revision = fleet.put_setup(&fleet.shape.setup).await;
-    fleet.until_in_force(revision, Duration::from_secs(10)).await;
+    let revision = fleet.put_config(&fleet.topology.config).await;
+    fleet.wait_until_active(revision, Duration::from_secs(10)).await;
     let entry = |second: u32, method: &str, path: &str| {
         format!(
             r#"{{"startedDateTime": "2026-01-02T03:04:{second:02}Z", "time": 1,
@@ -75,16 +75,16 @@
         let said = String::from_utf8_lossy(&run.stdout).to_string();
         (run.status.success(), said + &String::from_utf8_lossy(&run.stderr))
     };
-    let registry = fleet.registries()[0].to_string();
+    let registry = fleet.registry_addresses()[0].to_string();
     let place = ["--registry", &registry, "--zone", "north-1", "--region", "north"];
     let name = file.to_string_lossy().to_string();
     let with = |more: &[&str]| run(&[&place[..], &["--factor", "20"], more].concat());
     let (is_good, said) = with(&[&name]);
     assert!(is_good && said.contains("2 ran") && said.contains("1 filings left out"), "{said}");
-    assert_eq!(fleet.runs().get("r6"), None);
+    assert_eq!(fleet.execution_counts().get("r6"), None);
     let (is_good, said) = with(&["--filings", &name]);
     assert!(is_good && said.contains("3 ran") && said.contains("3 with status 200"), "{said}");
-    assert_eq!(fleet.runs()["r6"], 1);
+    assert_eq!(fleet.execution_counts()["r6"], 1);
     let setup = fleet.settings_file(0).to_string_lossy().to_string();
     for (arguments, wanted) in [
         (vec!["--registry", &registry, &setup], "no HAR file"),
