--- a/testbed/src/harness.rs
+++ b/testbed/src/harness.rs
@@ -1,157 +1,97 @@
-//! A whole fleet as processes on one machine: each daemon at a loopback address of its own.
+//! A whole fleet as processes on one machine: each daemon at a loopback address of its own, with stub
+//! servers and a stub platform in this process.
 
-use crate::stub::{ListedServer, StubPlatform, StubServer};
-use crate::topology::Topology;
-use std::net::{Ipv4Addr, SocketAddr};
-use std::time::Duration;
+mod daemon;
+mod queries;
+mod subnet;
+mod wait;
 
-pub struct Daemon {
-    pub name: String,
-    pub role: &'static str,
-    pub zone: &'static str,
-    pub region: &'static str,
-    pub address: SocketAddr,
-    pub cluster_address: SocketAddr,
-    settings: std::path::PathBuf,
-    child: Option<std::process::Child>,
-    relays: Vec<crate::relay::Relay>,
-}
-
-impl Daemon {
-    pub fn pid(&self) -> Option<u32> {
-        self.child.as_ref().map(std::process::Child::id)
-    }
-}
+pub use daemon::Daemon;
+pub use wait::wait_until;
 
+use crate::relay::Link;
+use crate::stub::{ListedServer, StubPlatform, StubServer};
+use crate::topology::Topology;
+use daemon::program;
+use jzon::JsonValue;
+use rustix::process::Signal;
+use std::path::{Path, PathBuf};
+use subnet::{
+    CLUSTER_PORT, FIRST_PROXY_HOST, FIRST_REGISTRY_HOST, FIRST_STORE_HOST, HTTP_PORT,
+    LAST_HOST_BEFORE_SERVERS, PLATFORM_HOST, RELAY_PORT_OFFSET, Subnet,
+};
+
+/// Time that daemons give requests in flight when they are terminated.
+const SHUTDOWN_GRACE_MS: u64 = 15_000;
+/// Seeds that the settings of a daemon name.
+const SEEDS: usize = 3;
+
+/// A fleet; its processes are killed and its folder is removed when it is dropped.
 pub struct Fleet {
+    /// The deployment that it was started as.
     pub topology: Topology,
-    pub folder: std::path::PathBuf,
+    /// Settings, logs and data of its daemons.
+    pub folder: PathBuf,
+    /// All daemons, running or not; functions refer to them by index.
     pub daemons: Vec<Daemon>,
+    /// Serves the endpoint list.
     pub platform: StubPlatform,
+    /// The stub servers, in the order of the topology.
     pub servers: Vec<StubServer>,
-    net: [u8; 2],
-    is_relayed: bool,
-}
-
-static FLEETS: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
-const PORT: u16 = 7000;
-
-/// Where the programs lie: beside this very test or tool.
-fn program(role: &str) -> std::path::PathBuf {
-    let own = std::env::current_exe().expect("a running program has a path");
-    let name = format!("vanepath-{role}");
-    own.ancestors()
-        .skip(1)
-        .take(3)
-        .map(|folder| folder.join(&name))
-        .find(|path| path.exists())
-        .unwrap_or_else(|| panic!("{name} is not built: run 'cargo build --workspace' first"))
-}
-
-/// Waits until the condition holds. Panics, saying what was awaited, after the limit.
-pub async fn wait_until(
-    what: &str,
-    limit: Duration,
-    mut condition: impl AsyncFnMut() -> bool,
-) -> Duration {
-    let start = std::time::Instant::now();
-    loop {
-        if condition().await {
-            return start.elapsed();
-        }
-        assert!(start.elapsed() < limit, "not within {limit:?}: {what}");
-        tokio::time::sleep(Duration::from_millis(10)).await;
-    }
+    subnet: Subnet,
+    /// Whether daemons are reached through relays.
+    has_relays: bool,
 }
 
 impl Fleet {
-    fn at(net: [u8; 2], host: u8, port: u16) -> SocketAddr {
-        SocketAddr::from((Ipv4Addr::new(127, net[0], net[1], host), port))
-    }
-
-    /// The same, with a relay in front of every address of every daemon.
+    /// Starts stubs and daemons, with a relay in front of every address of every daemon.
     pub async fn start_with_relays(topology: Topology) -> Fleet {
-        Self::start_as(topology, true).await
+        Self::start_all(topology, true).await
     }
 
-    /// Stand-ins and processes, all started; nothing is awaited yet.
+    /// Starts stubs and daemons, and does not wait until these are ready.
     pub async fn start(topology: Topology) -> Fleet {
-        Self::start_as(topology, false).await
+        Self::start_all(topology, false).await
     }
 
-    async fn start_as(topology: Topology, is_relayed: bool) -> Fleet {
-        let pid = std::process::id();
-        let number = FLEETS.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        let net = [64 + (pid % 128) as u8, (pid / 128 % 8) as u8 * 32 + number % 32];
-        let folder = std::env::temp_dir().join(format!("vanepath-testbed-{pid}-{number}"));
+    async fn start_all(topology: Topology, has_relays: bool) -> Fleet {
+        let subnet = Subnet::new();
+        let folder = std::env::temp_dir().join(subnet.folder_name());
+        // Left behind by an earlier process of the same number, if it is there.
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("the folder for temporary files takes a folder");
-        let platform =
-            StubPlatform::start(Self::at(net, 250, PORT)).await.expect("the address is free");
+        let platform = StubPlatform::start(subnet.address(PLATFORM_HOST, HTTP_PORT));
+        let platform = platform.await.expect("the address is free");
         let mut fleet = Fleet {
             topology,
             folder,
             daemons: Vec::new(),
             platform,
             servers: Vec::new(),
-            net,
-            is_relayed,
+            subnet,
+            has_relays,
         };
         fleet.start_servers().await;
-        let core: Vec<(&'static str, &'static str)> =
-            fleet.topology.zones[..fleet.topology.stores].to_vec();
-        for (seat, (zone, region)) in core.iter().enumerate() {
-            fleet.add_store(seat, zone, region, "", 11 + seat as u8);
-            fleet.add_daemon(
-                "registry",
-                &format!("registry-{seat}"),
-                zone,
-                region,
-                1 + seat as u8,
-                &[],
-            );
-        }
-        for index in 0..fleet.topology.proxies {
-            let (zone, region) = fleet.topology.zones[index % fleet.topology.zones.len()];
-            fleet.add_daemon(
-                "proxy",
-                &format!("proxy-{index}"),
-                zone,
-                region,
-                21 + index as u8,
-                &[],
-            );
-        }
+        fleet.add_core();
+        fleet.add_proxies();
         for index in 0..fleet.daemons.len() {
-            if is_relayed {
-                let member = &mut fleet.daemons[index];
-                for (at, to) in [(member.address, PORT), (member.cluster_address, PORT + 1)] {
-                    let to = SocketAddr::new(at.ip(), to);
-                    let relay = crate::relay::Relay::start(at, to).await;
-                    member.relays.push(relay.expect("the address is free"));
-                }
+            if has_relays {
+                fleet.daemons[index].start_relays().await;
             }
             fleet.start_daemon(index);
         }
         fleet
     }
 
-    /// Sets all links towards a daemon; what it asks of others goes by theirs.
-    pub fn set_links(&self, index: usize, link: crate::relay::Link) {
-        for relay in &self.daemons[index].relays {
-            relay.set(link);
-        }
-    }
-
     async fn start_servers(&mut self) {
         let mut listed = Vec::new();
-        let mut host = 100;
+        let mut host = LAST_HOST_BEFORE_SERVERS;
         for (app, count) in self.topology.servers.clone() {
             for index in 0..count {
                 host += 1;
-                let (zone, region) = self.topology.zones[index % self.topology.zones.len()];
+                let (zone, region) = self.topology.zone(index);
                 let id = format!("{app}-{index}");
-                let address = Self::at(self.net, host, PORT);
+                let address = self.subnet.address(host, HTTP_PORT);
                 let server = StubServer::start(&id, address).await.expect("the address is free");
                 self.servers.push(server);
                 listed.push(ListedServer {
@@ -167,35 +107,57 @@
         self.platform.update_list(|list| *list = listed);
     }
 
-    /// A store with an empty data folder of its own; `suffix` tells replacements apart.
+    /// The core machines, with a store and a registry each.
+    fn add_core(&mut self) {
+        for machine in 0..self.topology.stores {
+            let (zone, region) = self.topology.zones[machine];
+            self.add_store(machine, zone, region, "", FIRST_STORE_HOST + machine as u8);
+            let name = format!("registry-{machine}");
+            let host = FIRST_REGISTRY_HOST + machine as u8;
+            self.add_daemon("registry", &name, zone, region, host, &[]);
+        }
+    }
+
+    fn add_proxies(&mut self) {
+        for index in 0..self.topology.proxies {
+            let (zone, region) = self.topology.zone(index);
+            let name = format!("proxy-{index}");
+            self.add_daemon("proxy", &name, zone, region, FIRST_PROXY_HOST + index as u8, &[]);
+        }
+    }
+
+    /// Adds a store with an empty data folder and returns its index; `suffix` distinguishes replacements.
     pub fn add_store(
         &mut self,
-        seat: usize,
+        machine: usize,
         zone: &'static str,
         region: &'static str,
         suffix: &str,
         host: u8,
     ) -> usize {
-        let name = format!("store-{seat}{suffix}");
+        let name = format!("store-{machine}{suffix}");
         let data = self.folder.join(format!("{name}-data"));
         let data = data.to_string_lossy().to_string();
-        let mut more = vec![
-            ("stores", jzon::JsonValue::from(self.topology.stores)),
-            ("dataFolder", jzon::JsonValue::from(data)),
+        let mut settings = vec![
+            ("stores", JsonValue::from(self.topology.stores)),
+            ("dataFolder", JsonValue::from(data)),
         ];
-        more.extend(self.running_seeds());
-        self.add_daemon("store", &name, zone, region, host, &more)
+        settings.extend(self.running_seeds());
+        self.add_daemon("store", &name, zone, region, host, &settings)
     }
 
-    /// Once daemons run, whoever installs another one names some of those as its seeds.
-    pub fn running_seeds(&self) -> Option<(&'static str, jzon::JsonValue)> {
-        let live = self.daemons.iter().filter(|member| member.child.is_some());
-        let core = live.filter(|member| member.role != "proxy");
-        let seeds: Vec<jzon::JsonValue> =
-            core.take(3).map(|member| member.cluster_address.to_string().into()).collect();
+    /// The setting `seeds` for a daemon that is added to a running fleet: some of its registries and
+    /// stores. `None` if none of these runs.
+    pub fn running_seeds(&self) -> Option<(&'static str, JsonValue)> {
+        let running = self.daemons.iter().filter(|daemon| daemon.child.is_some());
+        let core = running.filter(|daemon| daemon.role != "proxy");
+        let seeds: Vec<JsonValue> =
+            core.take(SEEDS).map(|daemon| daemon.cluster_address.to_string().into()).collect();
         (!seeds.is_empty()).then(|| ("seeds", seeds.into()))
     }
 
+    /// Adds a daemon, writes its settings and returns its index. `settings` are added to the common ones, or
+    /// replace them.
     pub fn add_daemon(
         &mut self,
         role: &'static str,
@@ -203,43 +165,44 @@
         zone: &'static str,
         region: &'static str,
         host: u8,
-        more: &[(&str, jzon::JsonValue)],
+        settings: &[(&str, JsonValue)],
     ) -> usize {
-        let listen = Self::at(self.net, host, PORT);
-        let sibling_listen = Self::at(self.net, host, PORT + 1);
-        // Through relays others reach it a hundred ports higher.
-        let shift = if self.is_relayed { 100 } else { 0 };
-        let address = Self::at(self.net, host, PORT + shift);
-        let sibling_address = Self::at(self.net, host, PORT + 1 + shift);
-        let seed = |seat: u8| Self::at(self.net, 1 + seat, PORT + 1 + shift).to_string();
-        let seeds: Vec<jzon::JsonValue> = (0..3).map(|seat| seed(seat).into()).collect();
-        let mut value = jzon::object! {
-            "fleet": format!("fleet-{}-{}", self.net[0], self.net[1]),
+        let port_offset = if self.has_relays { RELAY_PORT_OFFSET } else { 0 };
+        let address = self.subnet.address(host, HTTP_PORT + port_offset);
+        let cluster_address = self.subnet.address(host, CLUSTER_PORT + port_offset);
+        let seed = |machine: u8| {
+            let address =
+                self.subnet.address(FIRST_REGISTRY_HOST + machine, CLUSTER_PORT + port_offset);
+            JsonValue::from(address.to_string())
+        };
+        let seeds: Vec<JsonValue> = (0..SEEDS as u8).map(seed).collect();
+        let mut document = jzon::object! {
+            "fleet": self.subnet.fleet_name(),
             "name": name,
             "region": region,
             "zone": zone,
-            "listen": listen.to_string(),
+            "listen": self.subnet.address(host, HTTP_PORT).to_string(),
             "advertise": address.to_string(),
-            "siblingListen": sibling_listen.to_string(),
-            "siblingAdvertise": sibling_address.to_string(),
+            "siblingListen": self.subnet.address(host, CLUSTER_PORT).to_string(),
+            "siblingAdvertise": cluster_address.to_string(),
             "seeds": seeds,
-            "graceMs": 15000,
+            "graceMs": SHUTDOWN_GRACE_MS,
         };
         if role == "registry" {
-            value["platform"] = format!("http://{}/servers", self.platform.address).into();
+            document["platform"] = format!("http://{}/servers", self.platform.address).into();
         }
-        for (key, one) in more {
-            value[*key] = one.clone();
+        for (key, value) in settings {
+            document[*key] = value.clone();
         }
         let settings = self.folder.join(format!("{name}.json"));
-        std::fs::write(&settings, value.pretty(2)).expect("the folder takes files");
+        std::fs::write(&settings, document.pretty(2)).expect("the folder takes files");
         self.daemons.push(Daemon {
             name: name.to_string(),
             role,
             zone,
             region,
             address,
-            cluster_address: sibling_address,
+            cluster_address,
             settings,
             child: None,
             relays: Vec::new(),
@@ -247,71 +210,48 @@
         self.daemons.len() - 1
     }
 
+    /// Starts the process of a daemon.
     pub fn start_daemon(&mut self, index: usize) {
-        let member = &mut self.daemons[index];
-        let log = std::fs::File::options()
-            .create(true)
-            .append(true)
-            .open(self.folder.join(format!("{}.log", member.name)))
-            .expect("the folder takes files");
-        let child = std::process::Command::new(program(member.role))
-            .arg("--settings")
-            .arg(&member.settings)
-            .stdin(std::process::Stdio::null())
-            .stdout(std::process::Stdio::null())
-            .stderr(log)
-            .spawn()
-            .expect("the program starts");
-        member.child = Some(child);
+        self.daemons[index].start(&self.folder);
     }
 
-    /// Sends a signal to a daemon that runs.
-    pub fn signal(&self, index: usize, signal: rustix::process::Signal) {
-        if let Some(child) = &self.daemons[index].child
-            && let Some(pid) = rustix::process::Pid::from_raw(child.id() as i32)
-        {
-            let _ = rustix::process::kill_process(pid, signal);
-        }
+    /// Sets the state of all links towards a daemon; its own connections to others use their links.
+    pub fn set_links(&self, index: usize, link: Link) {
+        self.daemons[index].set_links(link);
+    }
+
+    /// Sends a signal to a daemon, if it runs.
+    pub fn signal(&self, index: usize, signal: Signal) {
+        self.daemons[index].signal(signal);
     }
 
-    /// Kills at once, as power loss to the process does.
+    /// Kills a daemon at once, which is what a power loss is to the process.
     pub fn kill(&mut self, index: usize) {
-        if let Some(mut child) = self.daemons[index].child.take() {
-            let _ = child.kill();
-            let _ = child.wait();
-        }
+        self.daemons[index].kill();
     }
 
+    /// Suspends a daemon, as a long pause of its machine does.
     pub fn suspend(&self, index: usize) {
-        self.signal(index, rustix::process::Signal::STOP);
+        self.signal(index, Signal::STOP);
     }
 
+    /// Resumes a suspended daemon.
     pub fn resume(&self, index: usize) {
-        self.signal(index, rustix::process::Signal::CONT);
+        self.signal(index, Signal::CONT);
     }
 
-    /// Whether a daemon runs; one that ended is taken note of.
+    /// Whether a daemon runs.
     pub fn is_running(&mut self, index: usize) -> bool {
-        let member = &mut self.daemons[index];
-        let Some(child) = &mut member.child else { return false };
-        let has_ended = matches!(child.try_wait(), Ok(Some(_)) | Err(_));
-        if has_ended {
-            member.child = None;
-        }
-        !has_ended
+        self.daemons[index].is_running()
     }
 
-    /// Asks it to stop and waits until it has; whether it ended well.
+    /// Terminates a daemon, waits until it has ended, and returns whether it ended with success.
     pub async fn terminate(&mut self, index: usize) -> bool {
-        self.signal(index, rustix::process::Signal::TERM);
-        let Some(mut child) = self.daemons[index].child.take() else {
-            return false;
-        };
-        let ended = tokio::task::spawn_blocking(move || child.wait());
-        matches!(ended.await, Ok(Ok(status)) if status.success())
+        self.daemons[index].terminate().await
     }
 
-    /// Kills every daemon of these places, and ends their servers.
+    /// Kills the running daemons and stops the servers of all zones for which `is_hit` holds (it gets zone
+    /// and region). Returns the indices of the daemons.
     pub fn kill_zones(&mut self, is_hit: impl Fn(&str, &str) -> bool) -> Vec<usize> {
         let hit: Vec<usize> = (0..self.daemons.len())
             .filter(|index| is_hit(self.daemons[*index].zone, self.daemons[*index].region))
@@ -326,16 +266,7 @@
         hit
     }
 
-    /// The stand-in servers of these places.
-    pub fn servers_in(&self, is_hit: impl Fn(&str, &str) -> bool) -> Vec<usize> {
-        let zones = &self.topology.zones;
-        let counts = self.topology.servers.iter().flat_map(|(_, count)| 0..*count);
-        let places = counts.map(|index| zones[index % zones.len()]);
-        let numbered = places.enumerate().filter(|(_, (zone, region))| is_hit(zone, region));
-        numbered.map(|(index, _)| index).collect()
-    }
-
-    /// Starts a server again at its address, with its counts.
+    /// Starts a stopped server again at its address, with its state.
     pub async fn restart_server(&mut self, index: usize) {
         let (state, address) = (self.servers[index].state.clone(), self.servers[index].address);
         self.servers[index] = loop {
@@ -346,119 +277,26 @@
         };
     }
 
-    /// Removes a store's data, as a lost disk does. It must not be running.
+    /// Removes a store's data, as the loss of its disk does. The store must not be running.
     pub fn wipe_data(&self, index: usize) {
-        let data = self.folder.join(format!("{}-data", self.daemons[index].name));
-        let _ = std::fs::remove_dir_all(data);
+        // It may have no data yet.
+        let _ = std::fs::remove_dir_all(self.data_folder(index));
     }
 
-    pub fn data_folder(&self, index: usize) -> std::path::PathBuf {
-        self.folder.join(format!("{}-data", self.daemons[index].name))
+    /// The folder of a store's data.
+    pub fn data_folder(&self, index: usize) -> PathBuf {
+        self.daemons[index].data_folder(&self.folder)
     }
 
-    pub fn settings_file(&self, index: usize) -> &std::path::Path {
+    /// The settings file of a daemon.
+    pub fn settings_file(&self, index: usize) -> &Path {
         &self.daemons[index].settings
     }
 
-    pub fn program(&self, role: &str) -> std::path::PathBuf {
+    /// The path of a program of the workspace, by its name without the prefix.
+    pub fn program(&self, role: &str) -> PathBuf {
         program(role)
     }
-
-    pub fn index_of(&self, name: &str) -> usize {
-        self.daemons
-            .iter()
-            .position(|member| member.name == name)
-            .unwrap_or_else(|| panic!("no daemon is named {name}"))
-    }
-
-    pub fn with_role(&self, role: &str) -> Vec<usize> {
-        (0..self.daemons.len()).filter(|index| self.daemons[*index].role == role).collect()
-    }
-
-    pub fn registry_addresses(&self) -> Vec<SocketAddr> {
-        self.with_role("registry").into_iter().map(|index| self.daemons[index].address).collect()
-    }
-
-    pub async fn get(&self, index: usize, path: &str) -> Option<crate::http::Response> {
-        crate::http::call(self.daemons[index].address, "GET", path, &[], b"").await
-    }
-
-    /// A daemon's own page (`status`, `metrics`, `ready`), wherever it keeps them.
-    pub async fn page(&self, index: usize, page: &str) -> jzon::JsonValue {
-        let prefix = if self.daemons[index].role == "proxy" { "/vanepath" } else { "" };
-        match self.get(index, &format!("{prefix}/v1/{page}")).await {
-            Some(reply) => reply.json(),
-            None => jzon::JsonValue::Null,
-        }
-    }
-
-    /// Gives the operator's setup to the first registry that takes it; its revision.
-    pub async fn put_config(&self, setup: &str) -> u64 {
-        let mut last = String::new();
-        let start = std::time::Instant::now();
-        while start.elapsed() < Duration::from_secs(20) {
-            for address in self.registry_addresses() {
-                let call = crate::http::call(address, "PUT", "/v1/setup", &[], setup.as_bytes());
-                match call.await {
-                    Some(reply) if reply.status == 200 => {
-                        return reply.json()["revision"].as_u64().expect("a receipt says it");
-                    }
-                    Some(reply) => last = String::from_utf8_lossy(&reply.body).to_string(),
-                    None => last = format!("{address} does not reply"),
-                }
-            }
-            tokio::time::sleep(Duration::from_millis(50)).await;
-        }
-        panic!("no registry takes the setup: {last}");
-    }
-
-    /// Until every running proxy goes by this revision or a later one, and is ready.
-    pub async fn wait_until_active(&self, revision: u64, limit: Duration) -> Duration {
-        let proxies: Vec<usize> = self
-            .with_role("proxy")
-            .into_iter()
-            .filter(|index| self.daemons[*index].child.is_some())
-            .collect();
-        let proxies = &proxies;
-        wait_until(&format!("revision {revision} at all proxies"), limit, async || {
-            for index in proxies {
-                let ready = self.page(*index, "ready").await;
-                let is_there = ready["ready"].as_bool() == Some(true)
-                    && ready["revision"].as_u64().is_some_and(|there| there >= revision);
-                if !is_there {
-                    return false;
-                }
-            }
-            true
-        })
-        .await
-    }
-
-    /// How often each request ran, over all servers.
-    pub fn execution_counts(&self) -> std::collections::HashMap<String, u32> {
-        let mut all = std::collections::HashMap::new();
-        for server in &self.servers {
-            for (number, count) in server.state.runs.lock().expect("no panic").iter() {
-                *all.entry(number.clone()).or_default() += count;
-            }
-        }
-        all
-    }
-
-    /// The logs of all daemons, for a failed test.
-    pub fn logs(&self) -> String {
-        let mut all = String::new();
-        for member in &self.daemons {
-            let path = self.folder.join(format!("{}.log", member.name));
-            let text = std::fs::read_to_string(path).unwrap_or_default();
-            let lines: Vec<&str> = text.lines().rev().take(12).collect();
-            all += &format!("--- {}\n", member.name);
-            for line in lines.iter().rev() {
-                all += &format!("{line}\n");
-            }
-        }
-        all
-    }
 }
 
 impl Drop for Fleet {
@@ -466,12 +304,10 @@
         if std::thread::panicking() {
             eprintln!("{}", self.logs());
         }
-        for member in &mut self.daemons {
-            if let Some(mut child) = member.child.take() {
-                let _ = child.kill();
-                let _ = child.wait();
-            }
+        for daemon in &mut self.daemons {
+            daemon.kill();
         }
+        // A folder that cannot be removed does no harm.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
--- a/testbed/src/http.rs
+++ b/testbed/src/http.rs
@@ -1,34 +1,44 @@
-//! A plain HTTP call, as an operator's script would make it.
+//! Plain HTTP requests, as an operator's script makes them.
 
-use http_body_util::BodyExt;
+use bytes::Bytes;
+use http_body_util::{BodyExt, Full};
+use hyper::client::conn::http1::{SendRequest, handshake};
+use hyper_util::rt::TokioIo;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::net::TcpStream;
 
+/// Time-out of a request, connection included.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// A complete response.
 pub struct Response {
+    /// HTTP status code.
     pub status: u16,
+    /// Header fields.
     pub headers: hyper::HeaderMap,
-    pub body: bytes::Bytes,
+    /// The whole body.
+    pub body: Bytes,
 }
 
 impl Response {
+    /// The body as JSON; null if it is none.
     pub fn json(&self) -> jzon::JsonValue {
         let text = String::from_utf8_lossy(&self.body);
         jzon::parse(&text).unwrap_or(jzon::JsonValue::Null)
     }
 }
 
+/// Makes a request over a connection of its own. `None` if there is no complete response in time.
 pub async fn call(
-    address: std::net::SocketAddr,
+    address: SocketAddr,
     method: &str,
     path: &str,
     headers: &[(&str, &str)],
     body: &[u8],
 ) -> Option<Response> {
     let call = async {
-        let stream = tokio::net::TcpStream::connect(address).await.ok()?;
-        let io = hyper_util::rt::TokioIo::new(stream);
-        let (mut sender, connection) = hyper::client::conn::http1::handshake(io).await.ok()?;
-        tokio::spawn(async move {
-            let _ = connection.await;
-        });
+        let mut connection = connect(TcpStream::connect(address).await.ok()?).await?;
         let mut request = hyper::Request::builder()
             .method(method)
             .uri(path)
@@ -36,52 +46,56 @@
         for (name, value) in headers {
             request = request.header(*name, *value);
         }
-        let body = http_body_util::Full::new(bytes::Bytes::copy_from_slice(body));
-        let receipt = sender.send_request(request.body(body).ok()?).await.ok()?;
-        let (head, body) = receipt.into_parts();
+        let body = Full::new(Bytes::copy_from_slice(body));
+        let response = connection.send_request(request.body(body).ok()?).await.ok()?;
+        let (head, body) = response.into_parts();
         let body = body.collect().await.ok()?.to_bytes();
         Some(Response { status: head.status.as_u16(), headers: head.headers, body })
     };
-    tokio::time::timeout(std::time::Duration::from_secs(10), call).await.ok().flatten()
+    tokio::time::timeout(REQUEST_TIMEOUT, call).await.ok().flatten()
 }
 
-/// The same request so many times over one connection, at a pace; how many were served.
+/// Makes the same request `count` times over one connection, one per interval, and returns how many were
+/// served. Stops at the first that fails.
 pub async fn repeat_request(
-    address: std::net::SocketAddr,
+    address: SocketAddr,
     method: &'static str,
     path: &'static str,
-    number: String,
+    request_id: String,
     count: usize,
-    pause: std::time::Duration,
+    interval: Duration,
 ) -> usize {
-    let Ok(stream) = tokio::net::TcpStream::connect(address).await else { return 0 };
+    let Ok(stream) = TcpStream::connect(address).await else { return 0 };
     let _ = stream.set_nodelay(true);
-    let io = hyper_util::rt::TokioIo::new(stream);
-    let Ok((mut sender, connection)) = hyper::client::conn::http1::handshake(io).await else {
-        return 0;
-    };
-    tokio::spawn(async move {
-        let _ = connection.await;
-    });
+    let Some(mut connection) = connect(stream).await else { return 0 };
     let mut served = 0;
-    let mut pulse = tokio::time::interval(pause);
-    for turn in 0..count {
-        pulse.tick().await;
+    let mut interval = tokio::time::interval(interval);
+    for index in 0..count {
+        interval.tick().await;
         let request = hyper::Request::builder()
             .method(method)
             .uri(path)
             .header(hyper::header::HOST, "shop.example")
-            .header("x-request", format!("{number}-{turn}"))
-            .body(http_body_util::Full::new(bytes::Bytes::new()));
+            .header("x-request", format!("{request_id}-{index}"))
+            .body(Full::new(Bytes::new()));
         let Ok(request) = request else { return served };
-        if sender.ready().await.is_err() {
+        if connection.ready().await.is_err() {
             return served;
         }
-        let Ok(receipt) = sender.send_request(request).await else { return served };
-        let is_good = receipt.status() == hyper::StatusCode::OK;
-        if receipt.into_body().collect().await.is_ok() && is_good {
+        let Ok(response) = connection.send_request(request).await else { return served };
+        let is_good = response.status() == hyper::StatusCode::OK;
+        if response.into_body().collect().await.is_ok() && is_good {
             served += 1;
         }
     }
     served
 }
+
+async fn connect(stream: TcpStream) -> Option<SendRequest<Full<Bytes>>> {
+    let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
+    tokio::spawn(async move {
+        // Errors of the connection are reported to the requests on it.
+        let _ = connection.await;
+    });
+    Some(sender)
+}
--- a/testbed/src/relay.rs
+++ b/testbed/src/relay.rs
@@ -1,52 +1,66 @@
-//! A relay between the address that a daemon advertises and the one that it listens at, so that
-//! links can be cut without a word and delayed.
+//! A TCP relay between the address that a daemon advertises and the one that it listens at, so that links
+//! can be partitioned, blocked, delayed and reset.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::watch;
 
+/// Size of the buffer for each direction of a connection.
+const BUFFER_BYTES: usize = 64 << 10;
+
+/// State of the link towards a daemon.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Link {
-    /// Nothing passes, and nobody is told.
+    /// Nothing passes in either direction, and connections stay open.
     pub is_partitioned: bool,
-    /// Nothing passes from the daemon to who connected to it; what is sent to it comes.
+    /// Nothing passes from the daemon to its peers; what they send arrives.
     pub is_outbound_blocked: bool,
+    /// Delay of everything that passes.
     pub delay: Duration,
-    /// Raised by one, it ends all connections that there are.
+    /// A change of this count closes all connections over the link.
     pub resets: u64,
 }
 
-/// Which way bytes go through a relay.
+/// Direction of bytes through a relay.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Direction {
     ToDaemon,
     FromDaemon,
 }
 
 impl Link {
-    fn carries(&self, way: Way) -> bool {
-        let is_mute = self.is_outbound_blocked && way == Way::FromDaemon;
-        !self.is_partitioned && !is_mute
+    fn passes(&self, direction: Direction) -> bool {
+        let is_blocked = self.is_outbound_blocked && direction == Direction::FromDaemon;
+        !self.is_partitioned && !is_blocked
     }
 }
 
+/// A relay that accepts connections until it is dropped.
 pub struct Relay {
-    link: tokio::sync::watch::Sender<Link>,
-    task: tokio::task::JoinHandle<()>,
+    link: watch::Sender<Link>,
+    accept_task: tokio::task::JoinHandle<()>,
 }
 
 impl Relay {
-    pub async fn start(at: SocketAddr, to: SocketAddr) -> std::io::Result<Relay> {
-        let listener = tokio::net::TcpListener::bind(at).await?;
-        let (link, watch) = tokio::sync::watch::channel(Link::default());
-        let task = tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                tokio::spawn(join(near, to, watch.clone()));
+    /// Relays connections at `listen` to `target`.
+    ///
+    /// # Errors
+    /// If the address cannot be bound.
+    pub async fn start(listen: SocketAddr, target: SocketAddr) -> std::io::Result<Relay> {
+        let listener = TcpListener::bind(listen).await?;
+        let (link, receiver) = watch::channel(Link::default());
+        let accept_task = tokio::spawn(async move {
+            while let Ok((client, _)) = listener.accept().await {
+                tokio::spawn(relay_connection(client, target, receiver.clone()));
             }
         });
-        Ok(Relay { link, task })
+        Ok(Relay { link, accept_task })
     }
 
+    /// Sets the state of the link.
     pub fn set(&self, link: Link) {
         self.link.send_replace(link);
     }
@@ -54,42 +68,38 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.task.abort();
+        self.accept_task.abort();
     }
 }
 
-async fn join(
-    near: tokio::net::TcpStream,
-    to: SocketAddr,
-    mut watch: tokio::sync::watch::Receiver<Link>,
-) {
-    // A connection made over a cut link just hangs.
-    let Ok(resets) = watch.wait_for(|link| !link.is_partitioned).await.map(|link| link.resets)
+async fn relay_connection(client: TcpStream, target: SocketAddr, mut link: watch::Receiver<Link>) {
+    // A connection made over a partitioned link hangs.
+    let Ok(resets) = link.wait_for(|link| !link.is_partitioned).await.map(|link| link.resets)
     else {
         return;
     };
-    let Ok(far) = tokio::net::TcpStream::connect(to).await else { return };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (near_in, near_out) = near.into_split();
-    let (far_in, far_out) = far.into_split();
+    let Ok(daemon) = TcpStream::connect(target).await else { return };
+    let _ = (client.set_nodelay(true), daemon.set_nodelay(true));
+    let (client_reader, client_writer) = client.into_split();
+    let (daemon_reader, daemon_writer) = daemon.into_split();
     tokio::select! {
-        () = pass(near_in, far_out, watch.clone(), Way::ToDaemon) => {}
-        () = pass(far_in, near_out, watch.clone(), Way::FromDaemon) => {}
-        _ = watch.wait_for(|link| link.resets != resets) => {}
+        () = copy(client_reader, daemon_writer, link.clone(), Direction::ToDaemon) => {}
+        () = copy(daemon_reader, client_writer, link.clone(), Direction::FromDaemon) => {}
+        _ = link.wait_for(|link| link.resets != resets) => {}
     }
 }
 
-async fn pass(
-    mut from: tokio::net::tcp::OwnedReadHalf,
-    mut to: tokio::net::tcp::OwnedWriteHalf,
-    mut watch: tokio::sync::watch::Receiver<Link>,
-    way: Way,
+async fn copy(
+    mut reader: OwnedReadHalf,
+    mut writer: OwnedWriteHalf,
+    mut link: watch::Receiver<Link>,
+    direction: Direction,
 ) {
-    let mut buffer = vec![0; 64 << 10];
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
-        let read = from.read(&mut buffer).await;
-        // What is under way when the link is cut stays under way.
-        let Ok(link) = watch.wait_for(|link| link.carries(way)).await.map(|link| *link) else {
+        let read = reader.read(&mut buffer).await;
+        // What is in transit when the link is partitioned stays in transit.
+        let Ok(link) = link.wait_for(|link| link.passes(direction)).await.map(|link| *link) else {
             return;
         };
         if link.delay > Duration::ZERO {
@@ -97,7 +107,7 @@
         }
         match read {
             Ok(count) if count > 0 => {
-                if to.write_all(&buffer[..count]).await.is_err() {
+                if writer.write_all(&buffer[..count]).await.is_err() {
                     return;
                 }
             }
--- a/testbed/src/replay.rs
+++ b/testbed/src/replay.rs
@@ -1,187 +1,135 @@
-//! Replays the requests of a recorded HAR file against a fleet, by the caller library, and sums up what
-//! became of them (design 10.6). The file is read by the `har` crate.
+//! Replays the requests of a recorded HAR file against a fleet by the client library, and sums up their
+//! outcomes (design 10.6). The file is read by the `har` crate.
+
+mod reader;
+
+pub use reader::{EntryError, ReadError, read};
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::time::Duration;
+use std::time::{Duration, Instant};
+use tokio::task::{JoinHandle, JoinSet};
 use vanepath_client::{Client, Outcome};
 
 /// One recorded request, ready to be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecordedRequest {
-    /// After the first of the file.
+    /// When it is sent, from the first request of the file.
     pub at: Duration,
+    /// HTTP method.
     pub method: String,
+    /// Host of its URL.
     pub host: String,
-    /// Path and query.
+    /// Path and query of its URL.
     pub target: String,
+    /// Header fields, without those of the recorded connection.
     pub headers: Vec<(String, String)>,
+    /// The whole body.
     pub body: bytes::Bytes,
 }
 
+/// How recorded requests are replayed.
 pub struct ReplayPlan {
+    /// Registries to poll.
     pub registries: Vec<SocketAddr>,
+    /// Zone that the clients state.
     pub zone: String,
+    /// Region that the clients state.
     pub region: String,
     /// How many times faster than recorded.
     pub speed_factor: f64,
-    /// Whether what runs at most once is replayed as well: it would be filed again.
+    /// Whether at-most-once requests are replayed as well: they would be executed a second time.
     pub replays_filings: bool,
 }
 
+/// What became of the replayed requests.
 #[derive(Debug, Default, PartialEq)]
 pub struct Summary {
+    /// Requests by execution status.
     pub by_execution_status: BTreeMap<String, usize>,
+    /// Responses by HTTP status.
     pub by_http_status: BTreeMap<u16, usize>,
+    /// Durations of all requests in milliseconds, ascending.
     pub took_ms: Vec<u64>,
+    /// At-most-once requests that were not replayed.
     pub skipped_filings: usize,
 }
 
-/// Not passed on: they belong to the recorded connection, or are told anew.
-const OWN: [&str; 9] = [
-    "host",
-    "connection",
-    "content-length",
-    "transfer-encoding",
-    "te",
-    "trailer",
-    "upgrade",
-    "keep-alive",
-    "proxy-connection",
-];
-
-/// The requests of a file, in the order of their times; every entry that cannot be sent is named.
-pub fn read(bytes: &[u8]) -> miette::Result<Vec<RecordedRequest>> {
-    let har = har::from_slice(bytes).map_err(|error| {
-        let cause = std::error::Error::source(&error).map(|cause| format!(": {cause}"));
-        miette::miette!("this is no HAR file: {error}{}", cause.unwrap_or_default())
-    })?;
-    // Both versions of the format have the same members here.
-    macro_rules! entries {
-        ($log:expr) => {
-            $log.entries
-                .iter()
-                .map(|entry| {
-                    let request = &entry.request;
-                    let headers = request.headers.iter();
-                    let headers = headers.map(|one| (one.name.clone(), one.value.clone()));
-                    let body = request.post_data.as_ref().and_then(|data| data.text.clone());
-                    let (method, url) = (request.method.clone(), request.url.clone());
-                    (entry.started_date_time.clone(), method, url, headers.collect(), body)
-                })
-                .collect()
-        };
-    }
-    type Entry = (String, String, String, Vec<(String, String)>, Option<String>);
-    let entries: Vec<Entry> = match &har.log {
-        har::Spec::V1_2(log) => entries!(log),
-        har::Spec::V1_3(log) => entries!(log),
-    };
-    let mut all = Vec::new();
-    let mut faults = Vec::new();
-    for (index, (time, method, url, headers, body)) in entries.into_iter().enumerate() {
-        match recorded(&time, &method, &url, headers, body) {
-            Ok(one) => all.push(one),
-            Err(fault) => faults.push(format!("$.log.entries[{index}]: {fault}")),
-        }
-    }
-    if !faults.is_empty() {
-        miette::bail!("these entries cannot be sent:\n{}", faults.join("\n"));
-    }
-    all.sort_by_key(|(at, _)| *at);
-    let first = all.first().map_or(0, |(at, _)| *at);
-    let since = |at: i64| Duration::from_millis(at.saturating_sub(first) as u64);
-    Ok(all.into_iter().map(|(at, one)| RecordedRequest { at: since(at), ..one }).collect())
+/// A client for one host, polling in the background until it is dropped.
+struct HostClient {
+    client: Arc<Client>,
+    polling: JoinHandle<()>,
 }
 
-fn recorded(
-    time: &str,
-    method: &str,
-    url: &str,
-    headers: Vec<(String, String)>,
-    body: Option<String>,
-) -> Result<(i64, RecordedRequest), String> {
-    let at: jiff::Timestamp =
-        time.parse().map_err(|_| format!("startedDateTime '{time}' is no time"))?;
-    hyper::Method::from_bytes(method.as_bytes())
-        .map_err(|_| format!("method '{method}' is none"))?;
-    let uri: hyper::Uri = url.parse().map_err(|_| format!("url '{url}' is none"))?;
-    if uri.scheme_str().is_none_or(|scheme| !["http", "https"].contains(&scheme)) {
-        return Err(format!("url '{url}' is neither http nor https"));
-    }
-    let host = uri.host().unwrap_or_default().to_string();
-    let target = uri.path_and_query().map_or("/", |target| target.as_str()).to_string();
-    let is_own =
-        |name: &str| name.starts_with(':') || OWN.iter().any(|own| own.eq_ignore_ascii_case(name));
-    let headers: Vec<(String, String)> =
-        headers.into_iter().filter(|(name, _)| !is_own(name)).collect();
-    for (name, value) in &headers {
-        let is_good = hyper::header::HeaderName::from_bytes(name.as_bytes()).is_ok()
-            && hyper::header::HeaderValue::from_str(value).is_ok();
-        if !is_good {
-            return Err(format!("header '{name}' cannot be sent"));
-        }
+impl Drop for HostClient {
+    fn drop(&mut self) {
+        self.polling.abort();
     }
-    let body = body.unwrap_or_default().into();
-    let (method, at) = (method.to_string(), at.as_millisecond());
-    Ok((at, RecordedRequest { at: Duration::ZERO, method, host, target, headers, body }))
 }
 
-/// Sends them at their pace, one caller for each host, and waits for all.
+/// Sends the requests at their recorded times, by one client for each host, and waits for all.
 pub async fn replay(plan: &ReplayPlan, recorded: Vec<RecordedRequest>) -> Summary {
-    let mut callers: BTreeMap<String, (Arc<Client>, tokio::task::JoinHandle<()>)> = BTreeMap::new();
-    for one in &recorded {
-        if !callers.contains_key(&one.host) {
-            let (zone, region) = (&plan.zone, &plan.region);
-            let query = format!("caller=replay-{}&zone={zone}&region={region}", callers.len());
-            let caller = Client::new(plan.registries.clone(), &query, 0, &one.host);
-            caller.poll().await;
-            let polling = caller.keep_polling();
-            callers.insert(one.host.clone(), (caller, polling));
-        }
-    }
+    let clients = start_clients(plan, &recorded).await;
     let mut summary = Summary::default();
-    let begun = tokio::time::Instant::now();
-    let mut tasks = tokio::task::JoinSet::new();
-    for one in recorded {
-        let caller = callers[&one.host].0.clone();
-        tokio::time::sleep_until(begun + one.at.div_f64(plan.speed_factor)).await;
-        let is_once = {
-            let steering = caller.steering();
-            // Without a receipt nobody can say: what is no lookup by its method is left out.
-            let is_lookup = ["GET", "HEAD", "OPTIONS"].contains(&one.method.as_str());
-            match steering.response() {
-                Some(_) => steering.is_at_most_once(&one.method, &one.host, &one.target),
-                None => !is_lookup,
-            }
-        };
-        if is_once && !plan.replays_filings {
+    let start = tokio::time::Instant::now();
+    let mut tasks = JoinSet::new();
+    for request in recorded {
+        let client = clients[&request.host].client.clone();
+        tokio::time::sleep_until(start + request.at.div_f64(plan.speed_factor)).await;
+        if !plan.replays_filings && is_at_most_once(&client, &request) {
             summary.skipped_filings += 1;
             continue;
         }
-        tasks.spawn(async move {
-            let start = std::time::Instant::now();
-            let headers: Vec<(&str, &str)> =
-                one.headers.iter().map(|(name, value)| (name.as_str(), value.as_str())).collect();
-            let outcome = caller.request(&one.method, &one.target, &headers, one.body).await;
-            (outcome, start.elapsed().as_millis() as u64)
-        });
+        tasks.spawn(send(client, request));
     }
     while let Some(Ok((outcome, took_ms))) = tasks.join_next().await {
-        *summary.by_execution_status.entry(outcome.execution_status().to_string()).or_default() +=
-            1;
+        let execution_status = outcome.execution_status().to_string();
+        *summary.by_execution_status.entry(execution_status).or_default() += 1;
         if let Outcome::Response { status, .. } = outcome {
             *summary.by_http_status.entry(status).or_default() += 1;
         }
         summary.took_ms.push(took_ms);
     }
     summary.took_ms.sort_unstable();
-    for (_, polling) in callers.into_values() {
-        polling.abort();
-    }
     summary
 }
 
+async fn start_clients(
+    plan: &ReplayPlan,
+    recorded: &[RecordedRequest],
+) -> BTreeMap<String, HostClient> {
+    let mut clients: BTreeMap<String, HostClient> = BTreeMap::new();
+    for request in recorded {
+        if !clients.contains_key(&request.host) {
+            let (zone, region) = (&plan.zone, &plan.region);
+            let query = format!("caller=replay-{}&zone={zone}&region={region}", clients.len());
+            let client = Client::new(plan.registries.clone(), &query, 0, &request.host);
+            client.poll().await;
+            let polling = client.keep_polling();
+            clients.insert(request.host.clone(), HostClient { client, polling });
+        }
+    }
+    clients
+}
+
+/// By the steering rules. Without a steering response these are not known, and every request counts as
+/// at-most-once whose method is not safe.
+fn is_at_most_once(client: &Client, request: &RecordedRequest) -> bool {
+    let steering = client.steering();
+    match steering.response() {
+        Some(_) => steering.is_at_most_once(&request.method, &request.host, &request.target),
+        None => !["GET", "HEAD", "OPTIONS"].contains(&request.method.as_str()),
+    }
+}
+
+async fn send(client: Arc<Client>, request: RecordedRequest) -> (Outcome, u64) {
+    let start = Instant::now();
+    let headers: Vec<(&str, &str)> =
+        request.headers.iter().map(|(name, value)| (name.as_str(), value.as_str())).collect();
+    let outcome = client.request(&request.method, &request.target, &headers, request.body).await;
+    (outcome, start.elapsed().as_millis() as u64)
+}
+
 #[cfg(test)]
 mod tests;
--- a/testbed/src/soak/world.rs
+++ b/testbed/src/soak/world.rs
@@ -402,8 +402,8 @@
     fn server_lives(&self) -> Vec<ServerLife> {
         let start = self.start;
         let life = |life: &Life| {
-            let arrived = life.state.arrived.lock().expect("no panic under this lock");
-            let arrivals = arrived.iter().map(|one| Arrival {
+            let arrivals = life.state.arrivals.lock().expect("no panic under this lock");
+            let arrivals = arrivals.iter().map(|one| Arrival {
                 at: one.at.saturating_duration_since(start),
                 number: one.request_id.clone(),
                 path: one.path.clone(),
--- a/testbed/src/topology.rs
+++ b/testbed/src/topology.rs
@@ -1,24 +1,48 @@
 //! The two deployments of the users, scaled to one machine.
 
+/// A deployment: its daemons, servers, configuration and traffic.
 #[derive(Clone, Debug)]
 pub struct Topology {
+    /// Name of the deployment.
     pub name: &'static str,
-    /// Zone and region; core machines stand in the first zone of each region.
+    /// Zones with their regions; core machines stand in the first zones, one in each.
     pub zones: Vec<(&'static str, &'static str)>,
+    /// Number of proxies, spread over the zones in turn.
     pub proxies: usize,
-    /// Core machines, with a registry and a store each.
+    /// Number of core machines, with a registry and a store each.
     pub stores: usize,
-    /// Label `app`, and how many servers of it.
+    /// The servers by value of the label `app`, and how many of each; spread over the zones in turn.
     pub servers: Vec<(&'static str, usize)>,
+    /// The configuration document.
     pub config: String,
-    /// Requests a second in all, and of each kind in hundredths: lookups, filings, downloads.
+    /// Rate of requests of all kinds.
     pub requests_per_second: f64,
-    pub traffic_mix: [u32; 3],
+    /// Shares of the kinds of requests.
+    pub traffic_mix: TrafficMix,
+    /// Path prefix of lookups.
     pub lookup_path: &'static str,
+    /// Path of filings, which run at most once.
     pub filing_path: &'static str,
+    /// Path prefix of downloads.
     pub bulk_path: &'static str,
 }
 
+/// Shares of requests in percent; the rest are downloads.
+#[derive(Clone, Copy, Debug)]
+pub struct TrafficMix {
+    /// Share of lookups.
+    pub lookup_percent: u32,
+    /// Share of filings.
+    pub filing_percent: u32,
+}
+
+impl Topology {
+    /// Zone and region of the proxy or server with this index: they are spread over the zones in turn.
+    pub fn zone(&self, index: usize) -> (&'static str, &'static str) {
+        self.zones[index % self.zones.len()]
+    }
+}
+
 const ZONES: [(&str, &str); 6] = [
     ("north-1", "north"),
     ("middle-1", "middle"),
@@ -28,17 +52,18 @@
     ("south-2", "south"),
 ];
 
-fn places() -> String {
-    let places: Vec<String> = ZONES
+/// The zones as members of the configuration document.
+fn zones_as_json() -> String {
+    let zones: Vec<String> = ZONES
         .iter()
         .map(|(zone, region)| format!(r#"{{"zone": "{zone}", "region": "{region}"}}"#))
         .collect();
-    places.join(", ")
+    zones.join(", ")
 }
 
 /// A wholesaler for bike shops: stock, prices, orders, catalogues and invoices.
 pub fn raiocerto() -> Topology {
-    let setup = format!(
+    let config = format!(
         r#"{{
   "places": [{}],
   "classes": [
@@ -62,7 +87,7 @@
       "class": "lookup", "service": "ordering"}}
   ]
 }}"#,
-        places()
+        zones_as_json()
     );
     Topology {
         name: "raiocerto",
@@ -70,9 +95,9 @@
         proxies: 8,
         stores: 3,
         servers: vec![("ordering", 20), ("documents", 10), ("spare", 5)],
-        config: setup,
+        config,
         requests_per_second: 200.0,
-        traffic_mix: [60, 25, 15],
+        traffic_mix: TrafficMix { lookup_percent: 60, filing_percent: 25 },
         lookup_path: "/stock",
         filing_path: "/orders",
         bulk_path: "/documents",
@@ -81,7 +106,7 @@
 
 /// A guild of assessors: parcels, appeals, roll extracts; appeals of the north stay there.
 pub fn guild() -> Topology {
-    let setup = format!(
+    let config = format!(
         r#"{{
   "places": [{}],
   "classes": [
@@ -107,7 +132,7 @@
       "class": "lookup", "service": "rolls"}}
   ]
 }}"#,
-        places()
+        zones_as_json()
     );
     Topology {
         name: "guild",
@@ -115,9 +140,9 @@
         proxies: 12,
         stores: 3,
         servers: vec![("rolls", 35), ("extracts", 10)],
-        config: setup,
+        config,
         requests_per_second: 450.0,
-        traffic_mix: [65, 20, 15],
+        traffic_mix: TrafficMix { lookup_percent: 65, filing_percent: 20 },
         lookup_path: "/parcels",
         filing_path: "/appeals",
         bulk_path: "/extracts",
--- a/testbed/src/traffic.rs
+++ b/testbed/src/traffic.rs
@@ -1,221 +1,306 @@
-//! Mixed traffic from stand-in callers, and the judgement of it from outside.
+//! Mixed traffic from test clients, and checks of what the clients observed.
 
-use crate::harness::Fleet;
+use crate::harness::{Fleet, wait_until};
+use crate::stub::pattern;
+use crate::topology::{Topology, TrafficMix};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
-use std::time::Duration;
+use std::time::{Duration, Instant};
+use tokio::task::{JoinHandle, JoinSet};
+use tokio::time::MissedTickBehavior;
 use vanepath_client::{Client, Outcome};
 use vanepath_config::ExecutionStatus;
 
+/// Size of a download.
+const DOWNLOAD_BYTES: usize = 150_000;
+/// How much of a wrong response a mismatch shows.
+const SHOWN_BYTES: usize = 120;
+/// How long [`Traffic::wait_for_requests`] waits.
+const PROGRESS_TIMEOUT: Duration = Duration::from_secs(120);
+
+/// Kinds of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum RequestKind {
+    /// A small response; repeatable.
     Lookup,
+    /// Executed at most once.
     Filing,
+    /// A large response; repeatable.
     Bulk,
 }
 
-/// One request as its caller saw it.
+/// One request as its client observed it.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
+    /// Its identifier, from the header `x-request`.
     pub request_id: String,
+    /// Its kind.
     pub kind: RequestKind,
+    /// Whether it was executed, as the client was told.
     pub execution: ExecutionStatus,
+    /// Status of the response; 0 if there was none.
     pub status: u16,
+    /// When it was started, from the start of the traffic.
     pub started_at: Duration,
+    /// How long it took, in milliseconds.
     pub duration_ms: u64,
 }
 
-pub struct Traffic {
+/// What all clients observed so far.
+#[derive(Clone, Default)]
+struct Observations {
     records: Arc<Mutex<Vec<RequestRecord>>>,
+    /// Responses that do not belong to their request, a line each.
     mismatches: Arc<Mutex<Vec<String>>>,
+}
+
+/// Traffic on a fleet, until it is finished.
+pub struct Traffic {
+    observations: Observations,
     stop: Arc<AtomicBool>,
-    tasks: Vec<tokio::task::JoinHandle<()>>,
-    polling: Vec<tokio::task::JoinHandle<()>>,
+    senders: Vec<JoinHandle<()>>,
+    polling: Vec<JoinHandle<()>>,
+    /// The clients, in the order of their zones.
     pub clients: Vec<Arc<Client>>,
+    /// Requests started so far.
     pub sent: Arc<AtomicU64>,
 }
 
-const SIZE: usize = 150_000;
-
 impl Traffic {
-    /// Callers in every zone send the shape's mix at `part` of its rate until told to stop.
-    pub async fn start(fleet: &Fleet, callers_per_zone: usize, part: f64) -> Traffic {
-        let start = std::time::Instant::now();
+    /// Starts clients in every zone that send the topology's mix at `rate_factor` of its rate.
+    pub async fn start(fleet: &Fleet, clients_per_zone: usize, rate_factor: f64) -> Traffic {
+        let start = Instant::now();
         let mut traffic = Traffic {
-            records: Arc::default(),
-            mismatches: Arc::default(),
+            observations: Observations::default(),
             stop: Arc::default(),
-            tasks: Vec::new(),
+            senders: Vec::new(),
             polling: Vec::new(),
             clients: Vec::new(),
             sent: Arc::default(),
         };
+        traffic.start_clients(fleet, clients_per_zone).await;
+        let rate = fleet.topology.requests_per_second * rate_factor;
+        let interval = Duration::from_secs_f64(traffic.clients.len() as f64 / rate);
+        for (index, client) in traffic.clients.iter().enumerate() {
+            let sender = Sender {
+                index,
+                client: client.clone(),
+                topology: fleet.topology.clone(),
+                start,
+                observations: traffic.observations.clone(),
+                stop: traffic.stop.clone(),
+                sent: traffic.sent.clone(),
+            };
+            traffic.senders.push(tokio::spawn(sender.run(interval)));
+        }
+        traffic
+    }
+
+    async fn start_clients(&mut self, fleet: &Fleet, clients_per_zone: usize) {
         for (zone, region) in &fleet.topology.zones {
-            for index in 0..callers_per_zone {
+            for index in 0..clients_per_zone {
                 let query = format!("caller={zone}-{index}&zone={zone}&region={region}");
-                let spread = traffic.clients.len() as u64;
-                let caller =
-                    Client::new(fleet.registry_addresses(), &query, spread, "shop.example");
-                caller.poll().await;
-                traffic.polling.push(caller.keep_polling());
-                traffic.clients.push(caller);
+                let spread = self.clients.len() as u64;
+                let registries = fleet.registry_addresses();
+                let client = Client::new(registries, &query, spread, "shop.example");
+                client.poll().await;
+                self.polling.push(client.keep_polling());
+                self.clients.push(client);
             }
         }
-        let count = traffic.clients.len();
-        let pause =
-            Duration::from_secs_f64(count as f64 / (fleet.topology.requests_per_second * part));
-        for (index, caller) in traffic.clients.clone().into_iter().enumerate() {
-            let topology = fleet.topology.clone();
-            let (told, wrong) = (traffic.records.clone(), traffic.mismatches.clone());
-            let (stop, sent) = (traffic.stop.clone(), traffic.sent.clone());
-            traffic.tasks.push(tokio::spawn(async move {
-                let mut pulse = tokio::time::interval(pause);
-                pulse.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-                let mut tasks = tokio::task::JoinSet::new();
-                let mut turn = index as u32 * 37;
-                while !stop.load(Ordering::Relaxed) {
-                    pulse.tick().await;
-                    turn = turn.wrapping_add(61);
-                    let kind = match turn % 100 {
-                        part if part < topology.traffic_mix[0] => RequestKind::Lookup,
-                        part if part < topology.traffic_mix[0] + topology.traffic_mix[1] => {
-                            RequestKind::Filing
-                        }
-                        _ => RequestKind::Bulk,
-                    };
-                    let number = format!("{index}-{}", sent.fetch_add(1, Ordering::Relaxed));
-                    let (told, wrong) = (told.clone(), wrong.clone());
-                    let (caller, topology) = (caller.clone(), topology.clone());
-                    tasks.spawn(async move {
-                        let started_at = start.elapsed();
-                        let one = one(&caller, &topology, kind, &number, started_at, &wrong).await;
-                        told.lock().expect("no panic under this lock").push(one);
-                    });
-                }
-                while tasks.join_next().await.is_some() {}
-            }));
-        }
-        traffic
     }
 
+    /// How many requests have ended.
     pub fn count(&self) -> usize {
-        self.records.lock().expect("no panic under this lock").len()
+        self.observations.records.lock().expect("no panic under this lock").len()
     }
 
-    /// Until so many more requests have ended.
+    /// Waits until this many more requests have ended.
+    ///
+    /// # Panics
+    /// If they have not within two minutes.
     pub async fn wait_for_requests(&self, count: usize) {
         let wanted = self.count() + count;
-        crate::harness::wait_until("traffic goes on", Duration::from_secs(120), async || {
-            self.count() >= wanted
-        })
-        .await;
+        wait_until("traffic goes on", PROGRESS_TIMEOUT, async || self.count() >= wanted).await;
     }
 
-    /// Ends the traffic, waits for what is under way, and gives all that was told.
+    /// Stops the traffic, waits for requests in flight, and returns all records and all responses that do
+    /// not belong to their request.
     pub async fn finish(self) -> (Vec<RequestRecord>, Vec<String>) {
         self.stop.store(true, Ordering::Relaxed);
-        for task in self.tasks {
+        for task in self.senders {
             let _ = task.await;
         }
         for task in self.polling {
             task.abort();
         }
-        let told = self.records.lock().expect("no panic under this lock").clone();
-        let wrong = self.mismatches.lock().expect("no panic under this lock").clone();
-        (told, wrong)
+        let records = self.observations.records.lock().expect("no panic under this lock").clone();
+        let mismatches =
+            self.observations.mismatches.lock().expect("no panic under this lock").clone();
+        (records, mismatches)
     }
 }
 
-async fn one(
-    caller: &Client,
-    topology: &crate::topology::Topology,
-    kind: RequestKind,
-    number: &str,
-    started_at: Duration,
-    wrong: &Mutex<Vec<String>>,
-) -> RequestRecord {
-    let start = std::time::Instant::now();
-    let headers = [("x-request", number)];
-    let (method, path, body) = match kind {
-        RequestKind::Lookup => ("GET", format!("{}/{number}", topology.lookup_path), Vec::new()),
-        RequestKind::Filing => {
-            ("POST", topology.filing_path.to_string(), number.as_bytes().to_vec())
+/// Sends the requests of one client.
+struct Sender {
+    index: usize,
+    client: Arc<Client>,
+    topology: Topology,
+    start: Instant,
+    observations: Observations,
+    stop: Arc<AtomicBool>,
+    sent: Arc<AtomicU64>,
+}
+
+impl Sender {
+    async fn run(self, interval: Duration) {
+        let mut interval = tokio::time::interval(interval);
+        interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut tasks = JoinSet::new();
+        // Steps through all shares of the mix, since 61 and 100 have no common divisor.
+        let mut step = self.index as u32 * 37;
+        while !self.stop.load(Ordering::Relaxed) {
+            interval.tick().await;
+            step = step.wrapping_add(61);
+            let kind = kind_for_step(step, self.topology.traffic_mix);
+            let request_id =
+                format!("{}-{}", self.index, self.sent.fetch_add(1, Ordering::Relaxed));
+            let request = TestRequest {
+                client: self.client.clone(),
+                topology: self.topology.clone(),
+                kind,
+                request_id,
+            };
+            let (observations, start) = (self.observations.clone(), self.start);
+            tasks.spawn(async move {
+                let record = request.run(start.elapsed(), &observations.mismatches).await;
+                observations.records.lock().expect("no panic under this lock").push(record);
+            });
         }
-        RequestKind::Bulk => {
-            let form = if number.len().is_multiple_of(2) { "&chunked=1" } else { "" };
-            ("GET", format!("{}/{number}?size={SIZE}{form}", topology.bulk_path), Vec::new())
+        while tasks.join_next().await.is_some() {}
+    }
+}
+
+fn kind_for_step(step: u32, mix: TrafficMix) -> RequestKind {
+    match step % 100 {
+        percent if percent < mix.lookup_percent => RequestKind::Lookup,
+        percent if percent < mix.lookup_percent + mix.filing_percent => RequestKind::Filing,
+        _ => RequestKind::Bulk,
+    }
+}
+
+struct TestRequest {
+    client: Arc<Client>,
+    topology: Topology,
+    kind: RequestKind,
+    request_id: String,
+}
+
+impl TestRequest {
+    async fn run(self, started_at: Duration, mismatches: &Mutex<Vec<String>>) -> RequestRecord {
+        let start = Instant::now();
+        let headers = [("x-request", self.request_id.as_str())];
+        let (method, path, body) = self.method_path_and_body();
+        let outcome = self.client.request(method, &path, &headers, body.into()).await;
+        if let Some(mismatch) = self.mismatch(&outcome) {
+            mismatches.lock().expect("no panic under this lock").push(mismatch);
         }
-    };
-    let outcome = caller.request(method, &path, &headers, body.into()).await;
-    let verdict = outcome.execution_status();
-    let mut status = 0;
-    if let Outcome::Response { status: seen, body, execution: ExecutionStatus::Ran, .. } = &outcome
-    {
-        status = *seen;
-        let is_right = match kind {
-            RequestKind::Bulk => **body == *crate::stub::pattern(number, SIZE),
-            _ => jzon::parse(&String::from_utf8_lossy(body))
-                .is_ok_and(|value| value["request"].as_str() == Some(number)),
+        let status = match &outcome {
+            Outcome::Response { status, .. } => *status,
+            Outcome::Failed { .. } | Outcome::NoSteeringResponse => 0,
         };
-        if *seen != 200 || !is_right {
-            let shown = String::from_utf8_lossy(&body[..body.len().min(120)]).to_string();
-            wrong
-                .lock()
-                .expect("no panic under this lock")
-                .push(format!("{kind:?} {number}: {seen} with {} bytes: {shown}", body.len()));
+        RequestRecord {
+            kind: self.kind,
+            execution: outcome.execution_status(),
+            status,
+            started_at,
+            duration_ms: start.elapsed().as_millis() as u64,
+            request_id: self.request_id,
+        }
+    }
+
+    fn method_path_and_body(&self) -> (&'static str, String, Vec<u8>) {
+        let (topology, request_id) = (&self.topology, &self.request_id);
+        match self.kind {
+            RequestKind::Lookup => {
+                ("GET", format!("{}/{request_id}", topology.lookup_path), Vec::new())
+            }
+            RequestKind::Filing => {
+                ("POST", topology.filing_path.to_string(), request_id.as_bytes().to_vec())
+            }
+            RequestKind::Bulk => {
+                let form = if request_id.len().is_multiple_of(2) { "&chunked=1" } else { "" };
+                let path = topology.bulk_path;
+                ("GET", format!("{path}/{request_id}?size={DOWNLOAD_BYTES}{form}"), Vec::new())
+            }
         }
-    } else if let Outcome::Response { status: seen, .. } = &outcome {
-        status = *seen;
     }
-    let took_ms = start.elapsed().as_millis() as u64;
-    RequestRecord {
-        request_id: number.to_string(),
-        kind,
-        execution: verdict,
-        status,
-        started_at,
-        duration_ms: took_ms,
+
+    /// Why an executed request's response is not its own, if it is not.
+    fn mismatch(&self, outcome: &Outcome) -> Option<String> {
+        let Outcome::Response { status, body, execution: ExecutionStatus::Ran, .. } = outcome
+        else {
+            return None;
+        };
+        let is_own = match self.kind {
+            RequestKind::Bulk => **body == *pattern(&self.request_id, DOWNLOAD_BYTES),
+            RequestKind::Lookup | RequestKind::Filing => {
+                jzon::parse(&String::from_utf8_lossy(body))
+                    .is_ok_and(|value| value["request"].as_str() == Some(&*self.request_id))
+            }
+        };
+        if *status == 200 && is_own {
+            return None;
+        }
+        let shown = String::from_utf8_lossy(&body[..body.len().min(SHOWN_BYTES)]).to_string();
+        let (kind, request_id, size) = (self.kind, &self.request_id, body.len());
+        Some(format!("{kind:?} {request_id}: {status} with {size} bytes: {shown}"))
     }
 }
 
-/// What the requests of one kind came to.
+/// How many requests of one kind were executed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
+    /// Executed, with a response.
     pub ran: u64,
+    /// Not executed.
     pub not_run: u64,
+    /// Not known.
     pub may_have_run: u64,
 }
 
-pub fn count_outcomes(told: &[RequestRecord]) -> HashMap<RequestKind, OutcomeCounts> {
-    let mut sums: HashMap<RequestKind, OutcomeCounts> = HashMap::new();
-    for one in told {
-        let sum = sums.entry(one.kind).or_default();
-        match one.execution {
-            ExecutionStatus::Ran => sum.ran += 1,
-            ExecutionStatus::NotRun => sum.not_run += 1,
-            ExecutionStatus::MayHaveRun => sum.may_have_run += 1,
+/// Counts the outcomes by kind of request.
+pub fn count_outcomes(records: &[RequestRecord]) -> HashMap<RequestKind, OutcomeCounts> {
+    let mut counts: HashMap<RequestKind, OutcomeCounts> = HashMap::new();
+    for record in records {
+        let counts = counts.entry(record.kind).or_default();
+        match record.execution {
+            ExecutionStatus::Ran => counts.ran += 1,
+            ExecutionStatus::NotRun => counts.not_run += 1,
+            ExecutionStatus::MayHaveRun => counts.may_have_run += 1,
         }
     }
-    sums
+    counts
 }
 
-/// Every filing ran at most once, and its verdict is the truth.
-pub fn check_filings(told: &[RequestRecord], runs: &HashMap<String, u32>) -> Vec<String> {
-    let mut faults = Vec::new();
-    for one in told.iter().filter(|one| one.kind == RequestKind::Filing) {
-        let count = runs.get(&one.request_id).copied().unwrap_or_default();
-        let is_true = match one.execution {
+/// Checks that every filing was executed at most once and that its execution status is true. `runs` is how
+/// often each request was executed. Returns a line for each violation.
+pub fn check_filings(records: &[RequestRecord], runs: &HashMap<String, u32>) -> Vec<String> {
+    let mut violations = Vec::new();
+    for record in records.iter().filter(|record| record.kind == RequestKind::Filing) {
+        let count = runs.get(&record.request_id).copied().unwrap_or_default();
+        let is_true = match record.execution {
             ExecutionStatus::Ran => count == 1,
             ExecutionStatus::NotRun => count == 0,
             ExecutionStatus::MayHaveRun => count <= 1,
         };
         if !is_true {
-            faults.push(format!(
+            violations.push(format!(
                 "filing {} was told {} ({}) and ran {count} times",
-                one.request_id, one.execution, one.status
+                record.request_id, record.execution, record.status
             ));
         }
     }
-    faults
+    violations
 }
