--- a/testbed/src/commands/mod.rs
+++ b/testbed/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The verbs of the command line, one module each.
+//! The commands of the command line, one module each.
 
 pub mod demo;
 pub mod measure;
@@ -8,10 +8,11 @@
 pub mod soak;
 pub mod starts;
 
-/// Reads what a verb was given. `None`: its help was asked for, and printed, with `more` after its options.
+/// Parses the arguments of a command. `None` if its help was requested, which was then printed, with `more`
+/// after the options.
 ///
 /// # Errors
-/// An argument is not one of the options.
+/// If an argument is not one of the options.
 pub fn matches(
     mut options: getopts::Options,
     arguments: &[String],
@@ -33,7 +34,7 @@
 /// The first and the last seed of a range such as `1-20`.
 ///
 /// # Errors
-/// The text is no range.
+/// If the text is not a range.
 pub fn seeds(given: Option<String>, default: &str) -> miette::Result<(u64, u64)> {
     let text = given.unwrap_or(default.to_string());
     let range = text.split_once('-').and_then(|(first, last)| {
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,5 +1,5 @@
-//! The project's own proof: stand-in servers, platform and callers, and a harness that runs a
-//! whole fleet as processes on one machine (design 10).
+//! The test bed of vanepath (design 10): a simulator, a harness that runs a whole fleet as processes on one
+//! machine, stub servers and a stub platform, test clients, and soaks.
 
 pub mod harness;
 pub mod http;
--- /dev/null
+++ b/testbed/src/soak/clients/shared.rs
@@ -0,0 +1,71 @@
+//! What all clients of a soak share.
+
+use crate::soak::record::{Request, RequestEnd, RequestKind};
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+/// What all clients of a soak share.
+pub struct Shared {
+    /// Start of the soak.
+    start: Instant,
+    /// Addresses of the proxies.
+    pub proxies: Vec<SocketAddr>,
+    /// Requests that have ended.
+    pub requests: Mutex<Vec<Request>>,
+    /// Whether clients are to stop.
+    pub is_over: AtomicBool,
+    /// Number of the next request.
+    next: AtomicU64,
+}
+
+impl Shared {
+    /// What the clients of a soak share that started at `start`.
+    pub fn new(start: Instant, proxies: Vec<SocketAddr>) -> Arc<Shared> {
+        Arc::new(Shared {
+            start,
+            proxies,
+            requests: Mutex::default(),
+            is_over: AtomicBool::new(false),
+            next: AtomicU64::new(0),
+        })
+    }
+
+    pub(super) fn is_over(&self) -> bool {
+        self.is_over.load(Ordering::Relaxed)
+    }
+
+    /// Records that a request has ended.
+    pub(super) fn record(&self, request: PendingRequest, end: RequestEnd) {
+        let ended_at = self.now();
+        let PendingRequest { request_id, kind, proxy, sent_at } = request;
+        let request = Request { request_id, kind, proxy, sent_at, ended_at, end };
+        self.requests.lock().expect("no panic under this lock").push(request);
+    }
+
+    fn now(&self) -> Duration {
+        self.start.elapsed()
+    }
+}
+
+/// A request in flight.
+pub(super) struct PendingRequest {
+    pub request_id: String,
+    pub kind: RequestKind,
+    /// Index of the proxy.
+    pub proxy: usize,
+    pub sent_at: Duration,
+}
+
+impl PendingRequest {
+    /// A request that is sent now.
+    pub fn new(shared: &Shared, kind: RequestKind, proxy: usize) -> PendingRequest {
+        PendingRequest {
+            request_id: format!("n{}", shared.next.fetch_add(1, Ordering::Relaxed)),
+            kind,
+            proxy,
+            sent_at: shared.now(),
+        }
+    }
+}
--- a/testbed/src/soak/invariants.rs
+++ b/testbed/src/soak/invariants.rs
@@ -1,264 +1,286 @@
-//! Judges of a soak, from outside the product and in its own terms. Pure.
+//! The invariants of a soak, checked on what was observed from outside.
 
-use super::record::{End, Observed, Request, ServerLife, Trouble};
+use super::record::{Fault, Observations, Request, RequestEnd, ServerIncarnation};
+use std::collections::HashMap;
 use std::time::Duration;
 
-/// What clients give a request.
+/// Deadline that clients give a request.
 pub const DEADLINE: Duration = Duration::from_secs(4);
-/// A server gets nothing any more so long after the list showed it as leaving.
-const DRAIN_BOUND: Duration = Duration::from_secs(4);
-/// Servers of a zone get nothing so long after it was emptied.
-const EMPTY_BOUND: Duration = Duration::from_secs(5);
-/// A request is answered so long after its time at the latest.
-const ANSWER_SLACK: Duration = Duration::from_secs(1);
-/// Trouble shows for so long after it is over.
-const AFTERMATH: Duration = Duration::from_secs(4);
-/// All is calm and ready so long after the last trouble.
-pub const CALM_BOUND: Duration = Duration::from_secs(20);
-/// What a process may take more in the calm after the troubles than in the calm before.
-const MORE_MEMORY_KB: u64 = 48 << 10;
-const MORE_FILES: u64 = 120;
-const MORE_THREADS: u64 = 8;
-/// Faults that are told of each judge.
-const TOLD_MOST: usize = 5;
+/// A server receives no new requests from this long after the endpoint list showed it as draining.
+const SERVER_DRAIN_TIMEOUT: Duration = Duration::from_secs(4);
+/// The servers of a zone receive no requests from this long after it was drained.
+const ZONE_DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
+/// A response may come this long after the deadline of its request.
+const RESPONSE_TOLERANCE: Duration = Duration::from_secs(1);
+/// How long a fault affects requests after its end.
+const FAULT_AFTERMATH: Duration = Duration::from_secs(4);
+/// The fleet is stable within this time after the last fault.
+pub const STABILIZATION_TIMEOUT: Duration = Duration::from_secs(20);
+/// Growth of a process that is allowed from before the first fault until after the last one.
+const MAX_MEMORY_GROWTH_KB: u64 = 48 << 10;
+const MAX_OPEN_FILE_GROWTH: u64 = 120;
+const MAX_THREAD_GROWTH: u64 = 8;
+/// Violations of each invariant that are listed.
+const MAX_LISTED_VIOLATIONS: usize = 5;
 
-/// Every fault that the judges find, a line each.
-pub fn judge(observed: &Observed) -> Vec<String> {
-    let judges: [fn(&Observed) -> Vec<String>; 10] = [
-        late_at_leaving_servers,
-        sent_to_emptied_zones,
-        wrong_services,
-        run_twice_or_told_wrongly,
-        wrong_answers,
-        work_in_hand_lost,
-        late_answers,
-        older_configurations,
-        not_calm,
+/// All violations of the invariants, a line each.
+pub fn check(observations: &Observations) -> Vec<String> {
+    let invariants: [fn(&Observations) -> Vec<String>; 10] = [
+        sent_to_draining_servers,
+        sent_to_drained_zones,
+        sent_to_wrong_services,
+        executed_twice_or_misreported,
+        mismatched_responses,
+        in_flight_requests_lost,
+        late_responses,
+        revision_regressions,
+        not_stable,
         grown_processes,
     ];
-    judges.iter().flat_map(|judge| told(judge(observed))).collect()
+    invariants.iter().flat_map(|invariant| limited(invariant(observations))).collect()
 }
 
-fn told(mut faults: Vec<String>) -> Vec<String> {
-    let more = faults.len().saturating_sub(TOLD_MOST);
-    faults.truncate(TOLD_MOST);
+/// Lists the first violations and counts the others.
+fn limited(mut violations: Vec<String>) -> Vec<String> {
+    let more = violations.len().saturating_sub(MAX_LISTED_VIOLATIONS);
+    violations.truncate(MAX_LISTED_VIOLATIONS);
     if more > 0 {
-        faults.push(format!("... and {more} more of these"));
+        violations.push(format!("... and {more} more of these"));
     }
-    faults
+    violations
 }
 
-/// The time in which something could be known at all proxies, from a moment on: troubles that hide it stop the
-/// clock, and for a while after.
-fn known_after(
-    observed: &Observed,
+/// When all proxies must know of a change made at `from`: `bound` later, extended by every fault that may keep
+/// it from them and that overlaps that time.
+fn deadline(
+    observations: &Observations,
     from: Duration,
     bound: Duration,
-    is_hiding: impl Fn(&Trouble) -> bool,
+    is_excuse: impl Fn(&Fault) -> bool,
 ) -> Duration {
     let mut due = from + bound;
     loop {
-        let spans = observed.spans.iter().filter(|span| is_hiding(&span.what));
-        let hiding = spans.filter(|span| span.from <= due && span.to + bound > due);
-        let Some(later) = hiding.map(|span| span.to + bound).max() else { return due };
+        let intervals = observations.fault_intervals.iter();
+        let intervals = intervals.filter(|interval| is_excuse(&interval.fault));
+        let excuses =
+            intervals.filter(|interval| interval.from <= due && interval.to + bound > due);
+        let Some(later) = excuses.map(|interval| interval.to + bound).max() else { return due };
         due = later;
     }
 }
 
-fn late_at_leaving_servers(observed: &Observed) -> Vec<String> {
-    let mut faults = Vec::new();
-    for server in &observed.servers {
-        let Some(leaving_at) = server.leaving_at else { continue };
-        let due = known_after(observed, leaving_at, DRAIN_BOUND, |one| *one == Trouble::Platform);
+/// Servers that are draining receive no new requests.
+fn sent_to_draining_servers(observations: &Observations) -> Vec<String> {
+    let mut violations = Vec::new();
+    for server in &observations.servers {
+        let Some(draining_since) = server.draining_since else { continue };
+        let due = deadline(observations, draining_since, SERVER_DRAIN_TIMEOUT, |one| {
+            *one == Fault::Platform
+        });
         for arrival in server.arrivals.iter().filter(|arrival| arrival.at > due) {
-            if is_from_cut_proxy(observed, &arrival.number, leaving_at) {
+            if is_from_isolated_proxy(observations, &arrival.request_id, draining_since) {
                 continue;
             }
-            let after_ms = (arrival.at - leaving_at).as_millis();
-            faults.push(format!(
+            let after_ms = (arrival.at - draining_since).as_millis();
+            violations.push(format!(
                 "request {} reached {} {after_ms} ms after the list showed it as leaving",
-                arrival.number, server.id
+                arrival.request_id, server.id
             ));
         }
     }
-    faults
+    violations
 }
 
-/// Its proxy could not hear of anything: its link was in trouble. One that only stood still does not count.
-fn is_from_cut_proxy(observed: &Observed, number: &str, since: Duration) -> bool {
-    let Some(request) = observed.requests.iter().find(|one| one.number == number) else {
+/// Whether the proxy of a request may have got no updates, because its link was at fault. A suspended proxy
+/// does not count.
+fn is_from_isolated_proxy(observations: &Observations, request_id: &str, since: Duration) -> bool {
+    let Some(request) = observations.requests.iter().find(|one| one.request_id == request_id)
+    else {
         return false;
     };
-    let of_it = |trouble: &Trouble| *trouble == Trouble::ProxyLink(request.proxy);
-    observed.is_troubled(since, request.ended_at, of_it)
+    let is_of_link = |fault: &Fault| *fault == Fault::ProxyLink(request.proxy);
+    observations.had_fault(since, request.ended_at, is_of_link)
 }
 
-fn sent_to_emptied_zones(observed: &Observed) -> Vec<String> {
-    let mut faults = Vec::new();
-    for emptied in &observed.emptied {
-        let due = known_after(observed, emptied.from, EMPTY_BOUND, |one| *one == Trouble::Core);
-        let servers = observed.servers.iter().filter(|server| server.zone == emptied.zone);
+/// Servers in drained zones receive no requests.
+fn sent_to_drained_zones(observations: &Observations) -> Vec<String> {
+    let mut violations = Vec::new();
+    for drain in &observations.drained_zones {
+        let due = deadline(observations, drain.from, ZONE_DRAIN_TIMEOUT, |one| *one == Fault::Core);
+        let servers = observations.servers.iter().filter(|server| server.zone == drain.zone);
         for server in servers {
-            let is_late = |at: Duration| at > due && at < emptied.to;
+            let is_late = |at: Duration| at > due && at < drain.to;
             for arrival in server.arrivals.iter().filter(|arrival| is_late(arrival.at)) {
-                if !is_from_cut_proxy(observed, &arrival.number, emptied.from) {
-                    let after_ms = (arrival.at - emptied.from).as_millis();
-                    faults.push(format!(
+                if !is_from_isolated_proxy(observations, &arrival.request_id, drain.from) {
+                    let after_ms = (arrival.at - drain.from).as_millis();
+                    violations.push(format!(
                         "request {} reached {} in {} {after_ms} ms after that was emptied",
-                        arrival.number, server.id, emptied.zone
+                        arrival.request_id, server.id, drain.zone
                     ));
                 }
             }
         }
     }
-    faults
+    violations
 }
 
-/// Downloads may go to the service of the other requests as well; nothing else may go elsewhere.
-fn wrong_services(observed: &Observed) -> Vec<String> {
-    let is_wrong = |server: &ServerLife, path: &str| {
+/// Requests go to servers of their service, downloads also to those of the spillover service.
+fn sent_to_wrong_services(observations: &Observations) -> Vec<String> {
+    let is_wrong = |server: &ServerIncarnation, path: &str| {
         server.app == "documents" && !path.starts_with("/documents")
     };
-    let mut faults = Vec::new();
-    for server in &observed.servers {
+    let mut violations = Vec::new();
+    for server in &observations.servers {
         for arrival in server.arrivals.iter().filter(|arrival| is_wrong(server, &arrival.path)) {
-            faults.push(format!(
+            violations.push(format!(
                 "request {} for {} reached {} of {}",
-                arrival.number, arrival.path, server.id, server.app
+                arrival.request_id, arrival.path, server.id, server.app
             ));
         }
     }
-    faults
+    violations
 }
 
-fn run_twice_or_told_wrongly(observed: &Observed) -> Vec<String> {
-    let mut faults = Vec::new();
-    for request in observed.requests.iter().filter(|request| request.kind.is_once()) {
-        let runs = observed.runs.get(&request.number).copied().unwrap_or_default();
+/// At-most-once requests are executed at most once, and as their execution status says.
+fn executed_twice_or_misreported(observations: &Observations) -> Vec<String> {
+    let mut violations = Vec::new();
+    for request in observations.requests.iter().filter(|request| request.kind.is_at_most_once()) {
+        let runs = observations.runs.get(&request.request_id).copied().unwrap_or_default();
         let is_true = match &request.end {
-            // A server may also say by its status that it did not run it.
-            End::Answered { status: 200, verdict, .. } if verdict == "ran" => runs == 1,
-            End::Answered { verdict, .. } if verdict == "not-run" => runs == 0,
+            // With another status the server may have rejected the request.
+            RequestEnd::Response { status: 200, execution, .. } if execution == "ran" => runs == 1,
+            RequestEnd::Response { execution, .. } if execution == "not-run" => runs == 0,
             _ => runs <= 1,
         };
         if !is_true {
-            faults.push(format!(
-                "{} {} ended as {:?} and ran {runs} times",
-                request.kind, request.number, request.end
+            violations.push(format!(
+                "{} {} ended as {} and ran {runs} times",
+                request.kind, request.request_id, request.end
             ));
         }
     }
-    faults
+    violations
 }
 
-fn wrong_answers(observed: &Observed) -> Vec<String> {
+/// Every successful response belongs to its request.
+fn mismatched_responses(observations: &Observations) -> Vec<String> {
     let is_wrong = |request: &&Request| {
-        matches!(&request.end, End::Answered { status: 200, is_right: false, .. })
+        matches!(&request.end, RequestEnd::Response { status: 200, is_correct: false, .. })
     };
-    let wrong = observed.requests.iter().filter(is_wrong);
-    wrong.map(|one| format!("{} {} got what is not its own", one.kind, one.number)).collect()
+    let wrong = observations.requests.iter().filter(is_wrong);
+    wrong.map(|one| format!("{} {} got what is not its own", one.kind, one.request_id)).collect()
 }
 
-/// Whether anything but planned work could have ended this request.
-fn is_excused(observed: &Observed, request: &Request) -> bool {
-    let from = request.sent_at.saturating_sub(AFTERMATH);
-    observed.is_troubled(from, request.ended_at, |trouble| match trouble {
-        Trouble::Proxy(proxy) | Trouble::ProxyLink(proxy) => *proxy == request.proxy,
-        Trouble::Server => true,
-        Trouble::Core | Trouble::Platform => false,
+/// Whether a fault, rather than planned work, may have ended this request.
+fn is_excused(observations: &Observations, request: &Request) -> bool {
+    let from = request.sent_at.saturating_sub(FAULT_AFTERMATH);
+    observations.had_fault(from, request.ended_at, |fault| match fault {
+        Fault::Proxy(proxy) | Fault::ProxyLink(proxy) => *proxy == request.proxy,
+        Fault::Server => true,
+        Fault::Core | Fault::Platform => false,
     })
 }
 
-/// What a server ran comes back, whatever is stopped, started or changed as planned.
-fn work_in_hand_lost(observed: &Observed) -> Vec<String> {
-    let mut faults = Vec::new();
-    for request in observed.requests.iter().filter(|one| matches!(one.end, End::Cut)) {
-        let has_run = observed.runs.contains_key(&request.number);
-        if has_run && !is_excused(observed, request) {
-            faults.push(format!(
+/// The response to an executed request reaches its client whatever planned work is done meanwhile.
+fn in_flight_requests_lost(observations: &Observations) -> Vec<String> {
+    let mut violations = Vec::new();
+    for request in
+        observations.requests.iter().filter(|one| matches!(one.end, RequestEnd::ConnectionClosed))
+    {
+        let has_run = observations.runs.contains_key(&request.request_id);
+        if has_run && !is_excused(observations, request) {
+            violations.push(format!(
                 "{} {} of proxy {} ran, and its connection ended {} ms after it was sent, without trouble",
                 request.kind,
-                request.number,
+                request.request_id,
                 request.proxy,
                 (request.ended_at - request.sent_at).as_millis()
             ));
         }
     }
-    faults
+    violations
 }
 
-/// A request that is given up on is answered at once, and every one in its time.
-fn late_answers(observed: &Observed) -> Vec<String> {
-    let mut faults = Vec::new();
-    for request in &observed.requests {
+/// Every request gets a response, and those that fail get it soon after their deadline.
+fn late_responses(observations: &Observations) -> Vec<String> {
+    let mut violations = Vec::new();
+    for request in &observations.requests {
         let took = request.ended_at - request.sent_at;
         let is_late = match &request.end {
-            End::Answered { status, .. } => *status >= 500 && took > DEADLINE + ANSWER_SLACK,
-            End::Silence => true,
-            End::Cut => false,
+            RequestEnd::Response { status, .. } => {
+                *status >= 500 && took > DEADLINE + RESPONSE_TOLERANCE
+            }
+            RequestEnd::Timeout => true,
+            RequestEnd::ConnectionClosed => false,
         };
-        if is_late && !is_excused(observed, request) {
-            let (kind, number, proxy) = (request.kind, &request.number, request.proxy);
+        if is_late && !is_excused(observations, request) {
+            let (kind, request_id, proxy) = (request.kind, &request.request_id, request.proxy);
             let took_ms = took.as_millis();
-            faults.push(format!(
-                "{kind} {number} of proxy {proxy}: {:?} only after {took_ms} ms",
+            violations.push(format!(
+                "{kind} {request_id} of proxy {proxy}: {} only after {took_ms} ms",
                 request.end
             ));
         }
     }
-    faults
+    violations
 }
 
-/// No daemon goes by, and no registry reads out, an older configuration than before.
-fn older_configurations(observed: &Observed) -> Vec<String> {
-    let mut faults = Vec::new();
-    let mut highest: std::collections::HashMap<&str, u64> = Default::default();
-    for told in &observed.told {
-        let before = highest.entry(&told.daemon).or_default();
-        if told.revision > 0 && told.revision < *before {
-            let (daemon, revision) = (&told.daemon, told.revision);
-            faults.push(format!("{daemon} went from revision {before} back to {revision}"));
+/// No proxy goes back to an older revision, and no registry returns one that is older than an acknowledged one.
+fn revision_regressions(observations: &Observations) -> Vec<String> {
+    let mut violations = Vec::new();
+    let mut highest: HashMap<&str, u64> = HashMap::new();
+    for reading in &observations.proxy_revisions {
+        let before = highest.entry(&reading.daemon).or_default();
+        if reading.revision > 0 && reading.revision < *before {
+            let (daemon, revision) = (&reading.daemon, reading.revision);
+            violations.push(format!("{daemon} went from revision {before} back to {revision}"));
         }
-        *before = told.revision.max(*before);
+        *before = reading.revision.max(*before);
     }
-    for read in &observed.reads {
-        let acknowledged = observed.acknowledged.iter().filter(|one| one.at < read.asked_at);
+    for read in &observations.config_reads {
+        let acknowledged =
+            observations.acknowledged.iter().filter(|one| one.at < read.requested_at);
         let newest = acknowledged.map(|one| one.revision).max().unwrap_or_default();
         if read.revision < newest {
             let (daemon, revision) = (&read.daemon, read.revision);
-            faults.push(format!(
+            violations.push(format!(
                 "{daemon} read out revision {revision}, and {newest} was acknowledged before"
             ));
         }
     }
-    faults
+    violations
 }
 
-fn not_calm(observed: &Observed) -> Vec<String> {
-    let Some(calm_at) = observed.calm_at else {
-        return vec![format!("not ready and calm {CALM_BOUND:?} after the last trouble")];
+/// The fleet is stable after the last fault, and serves every request then.
+fn not_stable(observations: &Observations) -> Vec<String> {
+    let Some(stable_at) = observations.stable_at else {
+        return vec![format!(
+            "not ready and calm {STABILIZATION_TIMEOUT:?} after the last trouble"
+        )];
     };
     let is_failed = |request: &&Request| {
-        request.sent_at >= calm_at && !matches!(request.end, End::Answered { status: 200, .. })
+        request.sent_at >= stable_at
+            && !matches!(request.end, RequestEnd::Response { status: 200, .. })
     };
-    let failed = observed.requests.iter().filter(is_failed);
+    let failed = observations.requests.iter().filter(is_failed);
     failed
-        .map(|one| format!("{} {} in the calm at the end: {:?}", one.kind, one.number, one.end))
+        .map(|one| format!("{} {} in the calm at the end: {}", one.kind, one.request_id, one.end))
         .collect()
 }
 
-fn grown_processes(observed: &Observed) -> Vec<String> {
-    let mut faults = Vec::new();
-    for usage in &observed.usage {
+/// No process leaks resources.
+fn grown_processes(observations: &Observations) -> Vec<String> {
+    let mut violations = Vec::new();
+    for usage in &observations.usage {
         let (before, after) = (usage.before, usage.after);
-        let is_grown = after.memory_kb > before.memory_kb + MORE_MEMORY_KB
-            || after.open_files > before.open_files + MORE_FILES
-            || after.threads > before.threads + MORE_THREADS;
+        let is_grown = after.memory_kb > before.memory_kb + MAX_MEMORY_GROWTH_KB
+            || after.open_files > before.open_files + MAX_OPEN_FILE_GROWTH
+            || after.threads > before.threads + MAX_THREAD_GROWTH;
         if is_grown {
-            faults.push(format!("{} had {before:?} before and {after:?} after", usage.daemon));
+            violations.push(format!("{} had {before:?} before and {after:?} after", usage.daemon));
         }
     }
-    faults
+    violations
 }
 
 #[cfg(test)]
--- a/testbed/src/soak/operator.rs
+++ b/testbed/src/soak/operator.rs
@@ -1,149 +1,192 @@
-//! The operator of a soak: configurations and orders to empty zones, one after the other, each sent again until
-//! it is acknowledged.
+//! The operator of a soak: sends configurations and orders to drain zones, one after the other, each again
+//! until it is acknowledged, and reads the active configuration.
 
-use super::record::{Acknowledged, Emptied, Told};
+use super::record::{Acknowledged, DrainedZone, RevisionReading};
+use crate::http::{Response, call};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
+use tokio::sync::mpsc::UnboundedReceiver;
+
+/// How long an order is retried.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time-out of one request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// Delay between two requests of an order.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Interval between two reads of the active configuration.
+const READ_INTERVAL: Duration = Duration::from_millis(250);
+/// Version of the configuration that a fleet starts with.
+pub const FIRST_VERSION: u64 = 1;
 
 /// What the operator is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
+    /// Send the next version of the configuration.
     Configure,
-    Empty(String),
-    Return(String),
+    /// Drain a zone.
+    DrainZone(String),
+    /// End the draining of a zone.
+    RestoreZone(String),
 }
 
-/// What came of it.
+/// What the operator did and read.
 #[derive(Debug, Default)]
 pub struct Outcome {
+    /// Configurations that were acknowledged.
     pub acknowledged: Vec<Acknowledged>,
-    pub emptied: Vec<Emptied>,
-    pub reads: Vec<Told>,
-    /// The highest revision that any acknowledgement told.
+    /// Zones that were drained, and when.
+    pub drained_zones: Vec<DrainedZone>,
+    /// Revisions of the configurations that registries returned.
+    pub config_reads: Vec<RevisionReading>,
+    /// The highest revision of any acknowledgement.
     pub revision: u64,
+    /// Orders that were acknowledged.
     pub changes: usize,
+    /// Version of the configuration that was sent last.
     version: u64,
 }
 
-pub struct Operator {
-    pub start: Instant,
-    /// Registries by name.
-    pub registries: Vec<(String, SocketAddr)>,
-    pub setup: String,
-    pub outcome: Arc<Mutex<Outcome>>,
+/// A daemon's name and the address of its HTTP interface.
+#[derive(Clone, Debug)]
+pub struct NamedAddress {
+    /// The daemon's name.
+    pub name: String,
+    /// Its address.
+    pub address: SocketAddr,
 }
 
-/// An order is sent again for so long.
-const SENT_FOR: Duration = Duration::from_secs(20);
-/// One sending is given up after so long.
-const SENDING: Duration = Duration::from_secs(5);
-/// Of the setup that a fleet begins with.
-pub const FIRST_VERSION: u64 = 1;
-const READ_EVERY: Duration = Duration::from_millis(250);
+/// The operator of one fleet.
+pub struct Operator {
+    /// Start of the soak.
+    start: Instant,
+    registries: Vec<NamedAddress>,
+    /// The configuration document without a version.
+    config: String,
+    outcome: Arc<Mutex<Outcome>>,
+}
 
 impl Operator {
-    /// An operator of a fleet that goes by the first version of this setup.
+    /// An operator of a fleet whose active configuration is the first version of this one.
     pub fn new(
         start: Instant,
-        registries: Vec<(String, SocketAddr)>,
-        setup: String,
+        registries: Vec<NamedAddress>,
+        config: String,
         outcome: Arc<Mutex<Outcome>>,
     ) -> Operator {
         outcome.lock().expect("no panic under this lock").version = FIRST_VERSION;
-        Operator { start, registries, setup, outcome }
+        Operator { start, registries, config, outcome }
     }
 
-    /// Carries out orders until there are no more.
-    pub async fn run(self: Arc<Self>, mut orders: tokio::sync::mpsc::UnboundedReceiver<Order>) {
-        let mut turn = 0;
+    /// Carries out orders until the sender is dropped.
+    pub async fn run(self: Arc<Self>, mut orders: UnboundedReceiver<Order>) {
+        let mut number = 0;
         while let Some(order) = orders.recv().await {
-            turn += 1;
-            self.carry_out(order, turn).await;
+            number += 1;
+            self.carry_out(order, number).await;
         }
     }
 
-    fn with<R>(&self, act: impl FnOnce(&mut Outcome) -> R) -> R {
-        act(&mut self.outcome.lock().expect("no panic under this lock"))
+    fn with_outcome<R>(&self, action: impl FnOnce(&mut Outcome) -> R) -> R {
+        action(&mut self.outcome.lock().expect("no panic under this lock"))
     }
 
-    async fn carry_out(&self, order: Order, turn: usize) {
-        let (method, path, body) = match &order {
+    async fn carry_out(&self, order: Order, number: usize) {
+        let (method, path, body) = self.request(&order);
+        let start = Instant::now();
+        if let Order::RestoreZone(zone) = &order {
+            self.end_drain(zone);
+        }
+        // The same key with every request of the order, so that it is applied once.
+        let key = format!("soak-{number}");
+        let headers = [("idempotency-key", key.as_str())];
+        let mut attempt = number;
+        while start.elapsed() < ORDER_TIMEOUT {
+            attempt += 1;
+            let registry = &self.registries[attempt % self.registries.len()];
+            let call = call(registry.address, method, &path, &headers, body.as_bytes());
+            if let Some(response) = successful(call).await {
+                return self.record(&order, &response.json());
+            }
+            tokio::time::sleep(RETRY_DELAY).await;
+        }
+    }
+
+    fn request(&self, order: &Order) -> (&'static str, String, String) {
+        match order {
             Order::Configure => {
-                let version = self.with(|outcome| {
+                let version = self.with_outcome(|outcome| {
                     outcome.version += 1;
                     outcome.version
                 });
-                ("PUT", "/v1/setup".to_string(), versioned(&self.setup, version))
+                ("PUT", "/v1/setup".to_string(), versioned(&self.config, version))
             }
-            Order::Empty(zone) => ("PUT", format!("/v1/zones/{zone}/emptied"), String::new()),
-            Order::Return(zone) => ("DELETE", format!("/v1/zones/{zone}/emptied"), String::new()),
-        };
-        let began = Instant::now();
-        if let Order::Return(zone) = &order {
-            let now = self.start.elapsed();
-            self.with(|outcome| {
-                let is_open = |one: &&mut Emptied| one.zone == *zone && one.to == Duration::MAX;
-                outcome.emptied.iter_mut().filter(is_open).for_each(|one| one.to = now);
-            });
-        }
-        // The same key with every sending: it counts once.
-        let key = format!("soak-{turn}");
-        let headers = [("idempotency-key", key.as_str())];
-        let mut at = turn;
-        while began.elapsed() < SENT_FOR {
-            at += 1;
-            let (_, registry) = self.registries[at % self.registries.len()];
-            let call = crate::http::call(registry, method, &path, &headers, body.as_bytes());
-            let reply = tokio::time::timeout(SENDING, call).await.ok().flatten();
-            if let Some(reply) = reply.filter(|reply| reply.status == 200) {
-                return self.note(&order, &reply.json());
+            Order::DrainZone(zone) => ("PUT", format!("/v1/zones/{zone}/emptied"), String::new()),
+            Order::RestoreZone(zone) => {
+                ("DELETE", format!("/v1/zones/{zone}/emptied"), String::new())
             }
-            tokio::time::sleep(Duration::from_millis(50)).await;
         }
     }
 
-    fn note(&self, order: &Order, receipt: &jzon::JsonValue) {
+    /// A zone may get requests again from the moment at which its restoration is first requested.
+    fn end_drain(&self, zone: &str) {
+        let now = self.start.elapsed();
+        self.with_outcome(|outcome| {
+            let is_open =
+                |drain: &&mut DrainedZone| drain.zone == zone && drain.to == Duration::MAX;
+            outcome.drained_zones.iter_mut().filter(is_open).for_each(|drain| drain.to = now);
+        });
+    }
+
+    fn record(&self, order: &Order, acknowledgement: &jzon::JsonValue) {
         let at = self.start.elapsed();
-        let number = |key: &str| receipt[key].as_u64().unwrap_or_default();
-        self.with(|outcome| {
+        let member = |key: &str| acknowledgement[key].as_u64().unwrap_or_default();
+        self.with_outcome(|outcome| {
             outcome.changes += 1;
-            outcome.revision = outcome.revision.max(number("revision"));
+            outcome.revision = outcome.revision.max(member("revision"));
             match order {
                 Order::Configure => {
-                    let revision = number("setupRevision");
+                    let revision = member("setupRevision");
                     outcome.acknowledged.push(Acknowledged { revision, at });
                 }
-                Order::Empty(zone) => {
-                    let emptied = Emptied { zone: zone.clone(), from: at, to: Duration::MAX };
-                    outcome.emptied.push(emptied);
+                Order::DrainZone(zone) => {
+                    let drain = DrainedZone { zone: zone.clone(), from: at, to: Duration::MAX };
+                    outcome.drained_zones.push(drain);
                 }
-                Order::Return(_) => {}
+                Order::RestoreZone(_) => {}
             }
         });
     }
 
-    /// Reads the configuration in force at each registry in turn.
+    /// Reads the active configuration from each registry in turn, until it is aborted.
     pub async fn keep_reading(self: Arc<Self>) {
-        for turn in 0.. {
-            tokio::time::sleep(READ_EVERY).await;
-            let (daemon, registry) = &self.registries[turn % self.registries.len()];
-            let asked_at = self.start.elapsed();
-            let call = crate::http::call(*registry, "GET", "/v1/setup", &[], b"");
-            let reply = tokio::time::timeout(SENDING, call).await.ok().flatten();
-            let Some(reply) = reply.filter(|reply| reply.status == 200) else { continue };
-            let revision = reply.headers.get("vanepath-setup-revision");
+        for number in 0.. {
+            tokio::time::sleep(READ_INTERVAL).await;
+            let registry = &self.registries[number % self.registries.len()];
+            let requested_at = self.start.elapsed();
+            let call = call(registry.address, "GET", "/v1/setup", &[], b"");
+            let Some(response) = successful(call).await else { continue };
+            let revision = response.headers.get("vanepath-setup-revision");
             let revision = revision.and_then(|value| value.to_str().ok()?.parse().ok());
-            let daemon = daemon.clone();
-            let told = Told { daemon, asked_at, revision: revision.unwrap_or_default() };
-            self.with(|outcome| outcome.reads.push(told));
+            let reading = RevisionReading {
+                daemon: registry.name.clone(),
+                requested_at,
+                revision: revision.unwrap_or_default(),
+            };
+            self.with_outcome(|outcome| outcome.config_reads.push(reading));
         }
     }
 }
 
-/// The setup under a version of its own.
-pub fn versioned(setup: &str, version: u64) -> String {
-    let mut value = jzon::parse(setup).expect("the shape's setup is a document");
+/// The response to a request, if it comes in time and has status 200.
+async fn successful(call: impl Future<Output = Option<Response>>) -> Option<Response> {
+    let response = tokio::time::timeout(REQUEST_TIMEOUT, call).await.ok().flatten();
+    response.filter(|response| response.status == 200)
+}
+
+/// The configuration with a version.
+pub fn versioned(config: &str, version: u64) -> String {
+    let mut value = jzon::parse(config).expect("the topology's configuration is a document");
     value["version"] = version.into();
     value.dump()
 }
--- a/testbed/src/soak/record.rs
+++ b/testbed/src/soak/record.rs
@@ -1,158 +1,228 @@
-//! What a soak saw from outside: requests as their clients saw them, what came to servers, and what was done
-//! to the fleet when. Times are from the start of the soak.
+//! What a soak observed from outside: requests as their clients saw them, what servers received, and what was
+//! done to the fleet when. Times are from the start of the soak.
 
+use std::collections::HashMap;
+use std::fmt::{Display, Formatter};
 use std::time::Duration;
 
+/// Kinds of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Kind {
+pub enum RequestKind {
+    /// A small response; repeatable.
     Lookup,
+    /// Executed at most once.
     Filing,
+    /// A filing with a large body.
     Upload,
+    /// A large response; repeatable.
     Download,
 }
 
-impl Kind {
-    /// What may run at most once.
-    pub fn is_once(self) -> bool {
-        matches!(self, Kind::Filing | Kind::Upload)
+impl RequestKind {
+    /// Whether the request may be executed at most once.
+    pub fn is_at_most_once(self) -> bool {
+        matches!(self, RequestKind::Filing | RequestKind::Upload)
     }
 }
 
 /// How a request ended for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
-    /// A whole answer; `verdict` is what the proxy says of it.
-    Answered { status: u16, verdict: String, is_right: bool },
-    /// The connection ended first.
-    Cut,
-    /// Nothing came for much longer than the client had given.
-    Silence,
+pub enum RequestEnd {
+    /// A complete response.
+    Response {
+        /// HTTP status code.
+        status: u16,
+        /// Execution status that the proxy stated; empty if none.
+        execution: String,
+        /// Whether the body is the response to this request, and complete.
+        is_correct: bool,
+    },
+    /// The connection closed first.
+    ConnectionClosed,
+    /// Nothing was received for much longer than the deadline of the request.
+    Timeout,
+}
+
+impl Display for RequestEnd {
+    /// The form in which violations show it.
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
+        match self {
+            RequestEnd::Response { status, execution, is_correct } => write!(
+                formatter,
+                "Answered {{ status: {status}, verdict: {execution:?}, is_right: {is_correct} }}"
+            ),
+            RequestEnd::ConnectionClosed => formatter.write_str("Cut"),
+            RequestEnd::Timeout => formatter.write_str("Silence"),
+        }
+    }
 }
 
 /// One request of a client.
 #[derive(Clone, Debug)]
 pub struct Request {
-    pub number: String,
-    pub kind: Kind,
-    /// The proxy that it was sent to.
+    /// Its identifier, from the header `x-request`.
+    pub request_id: String,
+    /// Its kind.
+    pub kind: RequestKind,
+    /// Index of the proxy that it was sent to.
     pub proxy: usize,
+    /// When it was sent.
     pub sent_at: Duration,
+    /// When it ended.
     pub ended_at: Duration,
-    pub end: End,
+    /// How it ended.
+    pub end: RequestEnd,
 }
 
-/// A request as it came to a server.
+/// A request as it was received by a server.
 #[derive(Clone, Debug)]
 pub struct Arrival {
+    /// When it was received.
     pub at: Duration,
-    pub number: String,
+    /// Its identifier, from the header `x-request`.
+    pub request_id: String,
+    /// Its path, without the query.
     pub path: String,
 }
 
-/// One life of a server.
+/// A server from its start at an address to its end there.
 #[derive(Clone, Debug)]
-pub struct ServerLife {
+pub struct ServerIncarnation {
+    /// Its identifier.
     pub id: String,
+    /// Its service, by the label `app`.
     pub app: String,
+    /// Its zone.
     pub zone: String,
-    /// When the list showed it as leaving.
-    pub leaving_at: Option<Duration>,
+    /// When the endpoint list showed it as draining.
+    pub draining_since: Option<Duration>,
+    /// Requests that it received.
     pub arrivals: Vec<Arrival>,
 }
 
-/// A span in which something was not as it should be.
+/// How long a fault lasted.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Span {
-    pub what: Trouble,
+pub struct FaultInterval {
+    /// The fault.
+    pub fault: Fault,
+    /// When it began.
     pub from: Duration,
+    /// When it ended.
     pub to: Duration,
 }
 
+/// Where a fault is.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Trouble {
-    /// Unplanned, at a proxy: killed or standing still.
+pub enum Fault {
+    /// An unplanned fault of the proxy with this index: killed or suspended.
     Proxy(usize),
-    /// The link towards a proxy is in trouble: it may hear of nothing.
+    /// A fault of the link towards the proxy with this index, which may get no updates.
     ProxyLink(usize),
-    /// At a core machine, planned or not.
+    /// A fault of a core machine, planned or not.
     Core,
-    /// At a server.
+    /// A fault of a server.
     Server,
-    /// The platform's list is not to be had.
+    /// The endpoint list cannot be read from the platform.
     Platform,
 }
 
-/// A zone that was ordered to be empty: from the acknowledgement to the moment at which its return was sent.
+/// A drained zone: from the acknowledgement of the order to the first request to restore the zone.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Emptied {
+pub struct DrainedZone {
+    /// Name of the zone.
     pub zone: String,
+    /// When the order was acknowledged.
     pub from: Duration,
+    /// When the restoration was requested; [`Duration::MAX`] before.
     pub to: Duration,
 }
 
 /// A configuration that was acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Acknowledged {
+    /// Its revision.
     pub revision: u64,
+    /// When it was acknowledged.
     pub at: Duration,
 }
 
-/// What a daemon told of its revision, asked then.
+/// A revision that a daemon stated.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct RevisionReading {
+    /// Name of the daemon.
     pub daemon: String,
-    pub asked_at: Duration,
+    /// When the request was sent.
+    pub requested_at: Duration,
+    /// The revision; 0 if the daemon has none yet.
     pub revision: u64,
 }
 
-/// What a process takes.
+/// Resources of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
+    /// Resident memory.
     pub memory_kb: u64,
+    /// Open file descriptors.
     pub open_files: u64,
+    /// Threads.
     pub threads: u64,
 }
 
-/// The same process in the calm before the troubles and after them.
+/// Resources of the same process before the first fault and after the last one.
 #[derive(Clone, Debug, PartialEq)]
-pub struct UsageOf {
+pub struct UsageComparison {
+    /// Name of the daemon.
     pub daemon: String,
+    /// Before the first fault.
     pub before: Usage,
+    /// After the last fault.
     pub after: Usage,
 }
 
-/// All that one soak saw.
+/// All that one soak observed.
 #[derive(Clone, Debug, Default)]
-pub struct Observed {
+pub struct Observations {
+    /// Requests that have ended.
     pub requests: Vec<Request>,
-    pub servers: Vec<ServerLife>,
-    /// How often each request ran.
-    pub runs: std::collections::HashMap<String, u32>,
-    pub spans: Vec<Span>,
-    pub emptied: Vec<Emptied>,
+    /// All servers.
+    pub servers: Vec<ServerIncarnation>,
+    /// How often each request was executed.
+    pub runs: HashMap<String, u32>,
+    /// All faults.
+    pub fault_intervals: Vec<FaultInterval>,
+    /// All drained zones.
+    pub drained_zones: Vec<DrainedZone>,
+    /// All acknowledged configurations.
     pub acknowledged: Vec<Acknowledged>,
-    /// By proxies, of what is in force there.
-    pub told: Vec<Told>,
-    /// By registries, of the configuration that they read out.
-    pub reads: Vec<Told>,
-    pub usage: Vec<UsageOf>,
-    /// When all was calm and ready again after the last trouble; `None`: not within the bound.
-    pub calm_at: Option<Duration>,
-    pub last_trouble_at: Duration,
+    /// The active revisions that proxies stated.
+    pub proxy_revisions: Vec<RevisionReading>,
+    /// The revisions of the configurations that registries returned.
+    pub config_reads: Vec<RevisionReading>,
+    /// Resources of the processes that ran all the time.
+    pub usage: Vec<UsageComparison>,
+    /// When the fleet was stable again after the last fault; `None` if it was not in time.
+    pub stable_at: Option<Duration>,
+    /// When the last fault ended.
+    pub last_fault_at: Duration,
+    /// Signals sent to daemons.
     pub signals: usize,
+    /// Orders of the operator that were acknowledged.
     pub changes: usize,
+    /// Processes of the fleet.
     pub processes: usize,
 }
 
-impl Observed {
-    /// Whether something of that sort was wrong at any moment of a span.
-    pub fn is_troubled(
+impl Observations {
+    /// Whether any fault for which `is_relevant` holds lasted at any moment from `from` to `to`.
+    pub fn had_fault(
         &self,
         from: Duration,
         to: Duration,
-        is_meant: impl Fn(&Trouble) -> bool,
+        is_relevant: impl Fn(&Fault) -> bool,
     ) -> bool {
-        self.spans.iter().any(|span| is_meant(&span.what) && span.from <= to && span.to >= from)
+        self.fault_intervals.iter().any(|interval| {
+            is_relevant(&interval.fault) && interval.from <= to && interval.to >= from
+        })
     }
 }
--- a/testbed/src/soak/script.rs
+++ b/testbed/src/soak/script.rs
@@ -1,135 +1,160 @@
-//! What happens during a soak: series of troubles and of planned work that overlap, drawn from a seed.
+//! The script of a soak: overlapping series of faults and planned work, generated from a seed.
 
 use crate::sim::Random;
+use crate::stub::Behavior;
 use std::time::Duration;
 
-/// One thing done to the fleet. Daemons are named by their place among those of their role, servers by theirs
-/// among all, and both wrap round.
+/// One action on the fleet. Daemons are given by their index among those of their role, servers and zones by
+/// their index among all.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
+    /// Send SIGTERM.
     Terminate(Daemon),
-    /// A second SIGTERM while it stops.
+    /// Send a second SIGTERM during the shutdown.
     TerminateAgain(Daemon),
+    /// Send SIGKILL.
     Kill(Daemon),
+    /// Start the daemon again once it has ended.
     Start(Daemon),
-    Freeze(Daemon),
-    Wake(Daemon),
+    /// Send SIGSTOP.
+    Suspend(Daemon),
+    /// Send SIGCONT.
+    Resume(Daemon),
+    /// Send SIGHUP.
     HangUp(Daemon),
-    Link(Daemon, LinkState),
-    /// The list shows the server as leaving.
-    Leave(usize),
-    /// It ends, and the list does not show it any more.
-    End(usize),
-    /// A new server at the address, listed at once; of the other service if so said.
-    Reuse {
+    /// Set the state of the links towards the daemon.
+    SetLink(Daemon, LinkState),
+    /// The endpoint list shows the server as draining.
+    DrainServer(usize),
+    /// The server ends, and the endpoint list does not contain it any more.
+    RemoveServer(usize),
+    /// A new server starts at the address of an ended one, and is listed at once.
+    ReuseAddress {
+        /// The ended server.
         server: usize,
+        /// Whether the new one belongs to the other service.
         is_other_service: bool,
     },
-    Crash(usize),
-    Restart(usize),
-    Behave(usize, Manner),
+    /// The server ends without notice.
+    CrashServer(usize),
+    /// A crashed server starts again.
+    RestartServer(usize),
+    /// Set how a server responds.
+    SetBehavior(usize, Behavior),
     /// The operator sends the next configuration.
     Configure,
-    Empty(usize),
-    Return(usize),
+    /// The operator drains a zone.
+    DrainZone(usize),
+    /// The operator ends the draining of a zone.
+    RestoreZone(usize),
+    /// Set how the platform responds.
     Platform(PlatformState),
 }
 
-/// A daemon by its role and its place among those of the role.
+/// A daemon by its role and its index among those of the role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Daemon {
+    /// A proxy.
     Proxy(usize),
+    /// A registry.
     Registry(usize),
+    /// A store.
     Store(usize),
 }
 
-/// How the links towards a daemon are.
+/// State of the links towards a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkState {
-    Whole,
-    Cut,
-    Mute,
+    /// Everything passes.
+    Healthy,
+    /// Nothing passes.
+    Partitioned,
+    /// Nothing passes from the daemon.
+    OutboundBlocked,
+    /// Everything passes with a delay.
     Slow,
+    /// All connections are closed once.
     Reset,
 }
 
-/// How a server behaves.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
-    Good,
-    Stuck,
-    RunAndLose,
-    Truncate,
-    Busy,
-    Surplus,
-}
-
-/// How the platform answers.
+/// How the platform responds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlatformState {
-    Good,
+    /// With the endpoint list.
+    Normal,
+    /// With a text that is no endpoint list.
     Malformed,
+    /// With an empty list.
     Empty,
 }
 
-/// An action and when it is due, from the start of the soak.
+/// An action and when it is due.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
+    /// When it is due, from the start of the script.
     pub at: Duration,
+    /// The action.
     pub action: Action,
 }
 
-/// The size of the fleet that the script is for.
+/// The size of the fleet that a script is for.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
+    /// Number of proxies.
     pub proxies: usize,
+    /// Number of core machines, with a registry and a store each.
     pub cores: usize,
+    /// Number of servers.
     pub servers: usize,
+    /// Number of zones.
     pub zones: usize,
 }
 
-/// The series that are drawn from.
-const SERIES: [fn(&mut Draw<'_>); 14] = [
+/// The series that scripts consist of.
+const SERIES: [fn(&mut ScriptBuilder<'_>); 14] = [
     rolling_restart,
-    herd_of_kills,
-    freezes,
+    simultaneous_kills,
+    suspensions,
     hang_ups,
-    stops_during_start,
+    stops_during_startup,
     double_terminations,
-    leaving_in_series,
+    drains_in_series,
     spot_notices,
-    crashes,
-    misbehaviour,
-    proxy_links,
-    core_machine,
-    storm_of_changes,
-    evacuation,
+    server_crashes,
+    server_misbehavior,
+    link_faults,
+    core_faults,
+    burst_of_configurations,
+    zone_drain,
 ];
-const PLATFORM_TROUBLE_PART: f64 = 0.4;
-/// From the notice to the end of a server that leaves: the bound and a little more.
-const NOTICE: Duration = Duration::from_millis(5500);
+const PLATFORM_FAULT_PROBABILITY: f64 = 0.4;
+/// Time from the draining of a server to its removal: a little more than its drain time-out.
+const DRAIN_NOTICE: Duration = Duration::from_millis(5500);
+/// The same for a server whose machine is reclaimed by its provider.
 const SPOT_NOTICE: Duration = Duration::from_millis(1500);
 
-struct Draw<'d> {
-    random: &'d mut Random,
+/// A script under construction. The order of its random draws determines the script of a seed.
+struct ScriptBuilder<'r> {
+    random: &'r mut Random,
     size: Size,
-    begins: Duration,
-    ends: Duration,
+    /// Series begin between these times.
+    earliest: Duration,
+    latest: Duration,
     steps: Vec<Step>,
-    /// Servers that were used already: each leaves or crashes once.
-    used: Vec<usize>,
-    /// When the last trouble of a core machine is over: one at a time.
-    core_free_at: Duration,
+    /// Servers that were used already: each is drained, crashes or misbehaves once.
+    used_servers: Vec<usize>,
+    /// When the last fault of a core machine is over: one has a fault at a time.
+    core_available_at: Duration,
 }
 
-impl Draw<'_> {
+impl ScriptBuilder<'_> {
     fn step(&mut self, at: Duration, action: Action) {
         self.steps.push(Step { at, action });
     }
 
-    fn moment(&mut self) -> Duration {
-        let (begins, ends) = (self.begins, self.ends);
-        self.random.between(begins, ends)
+    /// When a series begins.
+    fn start_time(&mut self) -> Duration {
+        self.random.between(self.earliest, self.latest)
     }
 
     fn pause(&mut self, low_ms: u64, high_ms: u64) -> Duration {
@@ -140,219 +165,232 @@
         Daemon::Proxy(self.random.below(self.size.proxies))
     }
 
-    /// A server that nothing was done to yet.
+    /// A server that was not used yet; `None` if a third or fewer of them are left.
     fn server(&mut self) -> Option<usize> {
         let free: Vec<usize> =
-            (0..self.size.servers).filter(|server| !self.used.contains(server)).collect();
+            (0..self.size.servers).filter(|server| !self.used_servers.contains(server)).collect();
         if free.len() <= self.size.servers / 3 {
             return None;
         }
         let server = free[self.random.below(free.len())];
-        self.used.push(server);
+        self.used_servers.push(server);
         Some(server)
     }
 
-    fn some_proxies(&mut self, part: f64) -> Vec<Daemon> {
-        let count = ((self.size.proxies as f64 * part) as usize).max(1);
+    /// Neighbouring proxies, as many as this share of all.
+    fn some_proxies(&mut self, share: f64) -> Vec<Daemon> {
+        let count = ((self.size.proxies as f64 * share) as usize).max(1);
         let first = self.random.below(self.size.proxies);
         (0..count).map(|offset| Daemon::Proxy((first + offset) % self.size.proxies)).collect()
     }
 }
 
-/// The script of a seed, in the order of time.
-pub fn draw(seed: u64, size: Size, length: Duration) -> Vec<Step> {
+/// The script of a seed, ordered by time.
+pub fn generate(seed: u64, size: Size, length: Duration) -> Vec<Step> {
     let mut random = Random::new(seed);
-    let begins = Duration::from_millis(500);
-    let ends = length.mul_f64(0.75).max(begins + Duration::from_secs(1));
-    let mut draw = Draw {
+    let earliest = Duration::from_millis(500);
+    let latest = length.mul_f64(0.75).max(earliest + Duration::from_secs(1));
+    let mut builder = ScriptBuilder {
         random: &mut random,
         size,
-        begins,
-        ends,
+        earliest,
+        latest,
         steps: Vec::new(),
-        used: Vec::new(),
-        core_free_at: begins,
+        used_servers: Vec::new(),
+        core_available_at: earliest,
     };
-    let count = 5 + draw.random.below(5);
-    let first = draw.random.below(SERIES.len());
-    for turn in 0..count {
-        // Every series comes up before any does again, whatever the seed.
-        SERIES[(first + seed as usize + 5 * turn) % SERIES.len()](&mut draw);
+    let count = 5 + builder.random.below(5);
+    let first = builder.random.below(SERIES.len());
+    for index in 0..count {
+        // Every series is used before any is used again, whatever the seed.
+        SERIES[(first + seed as usize + 5 * index) % SERIES.len()](&mut builder);
     }
-    if draw.random.chance(PLATFORM_TROUBLE_PART) {
-        platform_trouble(&mut draw);
+    if builder.random.chance(PLATFORM_FAULT_PROBABILITY) {
+        platform_fault(&mut builder);
     }
-    let mut steps = draw.steps;
+    let mut steps = builder.steps;
     steps.retain(|step| step.at < length);
     steps.sort_by_key(|step| step.at);
     steps
 }
 
-fn rolling_restart(draw: &mut Draw<'_>) {
-    let mut at = draw.moment();
-    let gap = draw.pause(100, 900);
-    for proxy in draw.some_proxies(0.5) {
-        draw.step(at, Action::Terminate(proxy));
-        let down = draw.pause(300, 4000);
-        draw.step(at + down, Action::Start(proxy));
+fn rolling_restart(builder: &mut ScriptBuilder<'_>) {
+    let mut at = builder.start_time();
+    let gap = builder.pause(100, 900);
+    for proxy in builder.some_proxies(0.5) {
+        builder.step(at, Action::Terminate(proxy));
+        let down = builder.pause(300, 4000);
+        builder.step(at + down, Action::Start(proxy));
         at += gap;
     }
 }
 
-fn herd_of_kills(draw: &mut Draw<'_>) {
-    let at = draw.moment();
-    for proxy in draw.some_proxies(0.4) {
-        draw.step(at, Action::Kill(proxy));
-        let down = draw.pause(100, 2500);
-        draw.step(at + down, Action::Start(proxy));
+fn simultaneous_kills(builder: &mut ScriptBuilder<'_>) {
+    let at = builder.start_time();
+    for proxy in builder.some_proxies(0.4) {
+        builder.step(at, Action::Kill(proxy));
+        let down = builder.pause(100, 2500);
+        builder.step(at + down, Action::Start(proxy));
     }
 }
 
-fn freezes(draw: &mut Draw<'_>) {
-    let count = 1 + draw.random.below(3);
+fn suspensions(builder: &mut ScriptBuilder<'_>) {
+    let count = 1 + builder.random.below(3);
     for _ in 0..count {
-        let (at, proxy, stands) = (draw.moment(), draw.proxy(), draw.pause(300, 5500));
-        draw.step(at, Action::Freeze(proxy));
-        draw.step(at + stands, Action::Wake(proxy));
+        let (at, proxy, duration) =
+            (builder.start_time(), builder.proxy(), builder.pause(300, 5500));
+        builder.step(at, Action::Suspend(proxy));
+        builder.step(at + duration, Action::Resume(proxy));
     }
 }
 
-fn hang_ups(draw: &mut Draw<'_>) {
-    let mut at = draw.moment();
-    for proxy in draw.some_proxies(0.7) {
-        draw.step(at, Action::HangUp(proxy));
+fn hang_ups(builder: &mut ScriptBuilder<'_>) {
+    let mut at = builder.start_time();
+    for proxy in builder.some_proxies(0.7) {
+        builder.step(at, Action::HangUp(proxy));
         at += Duration::from_millis(120);
     }
 }
 
-fn stops_during_start(draw: &mut Draw<'_>) {
-    let (at, proxy) = (draw.moment(), draw.proxy());
-    draw.step(at, Action::Kill(proxy));
+fn stops_during_startup(builder: &mut ScriptBuilder<'_>) {
+    let (at, proxy) = (builder.start_time(), builder.proxy());
+    builder.step(at, Action::Kill(proxy));
     let mut next = at + Duration::from_millis(200);
-    for turn in 0..3 {
-        draw.step(next, Action::Start(proxy));
-        let soon = draw.pause(5, 400);
-        let stop = if turn == 1 { Action::Kill(proxy) } else { Action::Terminate(proxy) };
-        draw.step(next + soon, stop);
+    for index in 0..3 {
+        builder.step(next, Action::Start(proxy));
+        let soon = builder.pause(5, 400);
+        let stop = if index == 1 { Action::Kill(proxy) } else { Action::Terminate(proxy) };
+        builder.step(next + soon, stop);
         next += soon + Duration::from_millis(700);
     }
-    draw.step(next + Duration::from_secs(3), Action::Start(proxy));
+    builder.step(next + Duration::from_secs(3), Action::Start(proxy));
 }
 
-fn double_terminations(draw: &mut Draw<'_>) {
-    let (at, proxy) = (draw.moment(), draw.proxy());
-    let again = draw.pause(50, 2500);
-    draw.step(at, Action::Terminate(proxy));
-    draw.step(at + again, Action::TerminateAgain(proxy));
-    draw.step(at + Duration::from_secs(5), Action::Start(proxy));
+fn double_terminations(builder: &mut ScriptBuilder<'_>) {
+    let (at, proxy) = (builder.start_time(), builder.proxy());
+    let again = builder.pause(50, 2500);
+    builder.step(at, Action::Terminate(proxy));
+    builder.step(at + again, Action::TerminateAgain(proxy));
+    builder.step(at + Duration::from_secs(5), Action::Start(proxy));
 }
 
-fn leaving_in_series(draw: &mut Draw<'_>) {
-    let mut at = draw.moment();
-    let gap = draw.pause(100, 900);
-    let count = 3 + draw.random.below(4);
+fn drains_in_series(builder: &mut ScriptBuilder<'_>) {
+    let mut at = builder.start_time();
+    let gap = builder.pause(100, 900);
+    let count = 3 + builder.random.below(4);
     for _ in 0..count {
-        let Some(server) = draw.server() else { return };
-        let is_other_service = draw.random.chance(0.5);
-        draw.step(at, Action::Leave(server));
-        draw.step(at + NOTICE, Action::End(server));
-        let later = at + NOTICE + Duration::from_millis(600);
-        draw.step(later, Action::Reuse { server, is_other_service });
+        let Some(server) = builder.server() else { return };
+        let is_other_service = builder.random.chance(0.5);
+        builder.step(at, Action::DrainServer(server));
+        builder.step(at + DRAIN_NOTICE, Action::RemoveServer(server));
+        let later = at + DRAIN_NOTICE + Duration::from_millis(600);
+        builder.step(later, Action::ReuseAddress { server, is_other_service });
         at += gap;
     }
 }
 
-fn spot_notices(draw: &mut Draw<'_>) {
-    let at = draw.moment();
+fn spot_notices(builder: &mut ScriptBuilder<'_>) {
+    let at = builder.start_time();
     for _ in 0..2 {
-        let Some(server) = draw.server() else { return };
-        draw.step(at, Action::Leave(server));
-        draw.step(at + SPOT_NOTICE, Action::End(server));
+        let Some(server) = builder.server() else { return };
+        builder.step(at, Action::DrainServer(server));
+        builder.step(at + SPOT_NOTICE, Action::RemoveServer(server));
     }
 }
 
-fn crashes(draw: &mut Draw<'_>) {
-    let at = draw.moment();
+fn server_crashes(builder: &mut ScriptBuilder<'_>) {
+    let at = builder.start_time();
     for _ in 0..2 {
-        let Some(server) = draw.server() else { return };
-        draw.step(at, Action::Crash(server));
-        let down = draw.pause(300, 5000);
-        draw.step(at + down, Action::Restart(server));
+        let Some(server) = builder.server() else { return };
+        builder.step(at, Action::CrashServer(server));
+        let down = builder.pause(300, 5000);
+        builder.step(at + down, Action::RestartServer(server));
     }
 }
 
-fn misbehaviour(draw: &mut Draw<'_>) {
-    let manners =
-        [Manner::Stuck, Manner::RunAndLose, Manner::Truncate, Manner::Busy, Manner::Surplus];
+fn server_misbehavior(builder: &mut ScriptBuilder<'_>) {
+    let behaviors = [
+        Behavior::Stalled,
+        Behavior::DisconnectAfterExecution,
+        Behavior::TruncatedResponse,
+        Behavior::Overloaded,
+        Behavior::ExtraResponse,
+    ];
     for _ in 0..2 {
-        let Some(server) = draw.server() else { return };
-        let manner = manners[draw.random.below(manners.len())];
-        let (at, lasts) = (draw.moment(), draw.pause(500, 4000));
-        draw.step(at, Action::Behave(server, manner));
-        draw.step(at + lasts, Action::Behave(server, Manner::Good));
+        let Some(server) = builder.server() else { return };
+        let behavior = behaviors[builder.random.below(behaviors.len())];
+        let (at, duration) = (builder.start_time(), builder.pause(500, 4000));
+        builder.step(at, Action::SetBehavior(server, behavior));
+        builder.step(at + duration, Action::SetBehavior(server, Behavior::Normal));
     }
 }
 
-fn proxy_links(draw: &mut Draw<'_>) {
-    let states = [LinkState::Cut, LinkState::Mute, LinkState::Slow, LinkState::Reset];
+fn link_faults(builder: &mut ScriptBuilder<'_>) {
+    let states =
+        [LinkState::Partitioned, LinkState::OutboundBlocked, LinkState::Slow, LinkState::Reset];
     for _ in 0..2 {
-        let state = states[draw.random.below(states.len())];
-        let (at, proxy, lasts) = (draw.moment(), draw.proxy(), draw.pause(300, 4000));
-        draw.step(at, Action::Link(proxy, state));
-        draw.step(at + lasts, Action::Link(proxy, LinkState::Whole));
+        let state = states[builder.random.below(states.len())];
+        let (at, proxy, duration) =
+            (builder.start_time(), builder.proxy(), builder.pause(300, 4000));
+        builder.step(at, Action::SetLink(proxy, state));
+        builder.step(at + duration, Action::SetLink(proxy, LinkState::Healthy));
     }
 }
 
-/// One core machine after the other: its registry, its store, or both.
-fn core_machine(draw: &mut Draw<'_>) {
-    let count = 1 + draw.random.below(2);
+/// Faults of one core machine after the other: of its registry, its store, or both.
+fn core_faults(builder: &mut ScriptBuilder<'_>) {
+    let count = 1 + builder.random.below(2);
     for _ in 0..count {
-        let at = draw.moment().max(draw.core_free_at);
-        let seat = draw.random.below(draw.size.cores);
-        let lasts = draw.pause(300, 4500);
-        let daemons = match draw.random.below(3) {
-            0 => vec![Daemon::Registry(seat)],
-            1 => vec![Daemon::Store(seat)],
-            _ => vec![Daemon::Registry(seat), Daemon::Store(seat)],
+        let at = builder.start_time().max(builder.core_available_at);
+        let machine = builder.random.below(builder.size.cores);
+        let duration = builder.pause(300, 4500);
+        let daemons = match builder.random.below(3) {
+            0 => vec![Daemon::Registry(machine)],
+            1 => vec![Daemon::Store(machine)],
+            _ => vec![Daemon::Registry(machine), Daemon::Store(machine)],
         };
-        let what = draw.random.below(5);
+        let fault = builder.random.below(5);
         for daemon in daemons {
-            let (begin, end) = match what {
+            let (begin, end) = match fault {
                 0 => (Action::Kill(daemon), Action::Start(daemon)),
                 1 => (Action::Terminate(daemon), Action::Start(daemon)),
-                2 => (Action::Freeze(daemon), Action::Wake(daemon)),
-                3 => (Action::Link(daemon, LinkState::Cut), Action::Link(daemon, LinkState::Whole)),
-                _ => {
-                    (Action::Link(daemon, LinkState::Mute), Action::Link(daemon, LinkState::Whole))
-                }
+                2 => (Action::Suspend(daemon), Action::Resume(daemon)),
+                3 => (
+                    Action::SetLink(daemon, LinkState::Partitioned),
+                    Action::SetLink(daemon, LinkState::Healthy),
+                ),
+                _ => (
+                    Action::SetLink(daemon, LinkState::OutboundBlocked),
+                    Action::SetLink(daemon, LinkState::Healthy),
+                ),
             };
-            draw.step(at, begin);
-            draw.step(at + lasts, end);
+            builder.step(at, begin);
+            builder.step(at + duration, end);
         }
-        draw.core_free_at = at + lasts + Duration::from_secs(4);
+        builder.core_available_at = at + duration + Duration::from_secs(4);
     }
 }
 
-fn storm_of_changes(draw: &mut Draw<'_>) {
-    let mut at = draw.moment();
-    let gap = draw.pause(20, 300);
+fn burst_of_configurations(builder: &mut ScriptBuilder<'_>) {
+    let mut at = builder.start_time();
+    let gap = builder.pause(20, 300);
     for _ in 0..8 {
-        draw.step(at, Action::Configure);
+        builder.step(at, Action::Configure);
         at += gap;
     }
 }
 
-fn evacuation(draw: &mut Draw<'_>) {
-    let (at, lasts) = (draw.moment(), draw.pause(500, 7000));
-    let zone = draw.random.below(draw.size.zones);
-    draw.step(at, Action::Empty(zone));
-    draw.step(at + lasts, Action::Return(zone));
+fn zone_drain(builder: &mut ScriptBuilder<'_>) {
+    let (at, duration) = (builder.start_time(), builder.pause(500, 7000));
+    let zone = builder.random.below(builder.size.zones);
+    builder.step(at, Action::DrainZone(zone));
+    builder.step(at + duration, Action::RestoreZone(zone));
 }
 
-fn platform_trouble(draw: &mut Draw<'_>) {
+fn platform_fault(builder: &mut ScriptBuilder<'_>) {
     let states = [PlatformState::Malformed, PlatformState::Empty];
-    let state = states[draw.random.below(states.len())];
-    let (at, lasts) = (draw.moment(), draw.pause(300, 2500));
-    draw.step(at, Action::Platform(state));
-    draw.step(at + lasts, Action::Platform(PlatformState::Good));
+    let state = states[builder.random.below(states.len())];
+    let (at, duration) = (builder.start_time(), builder.pause(300, 2500));
+    builder.step(at, Action::Platform(state));
+    builder.step(at + duration, Action::Platform(PlatformState::Normal));
 }
--- a/testbed/src/soak/usage.rs
+++ b/testbed/src/soak/usage.rs
@@ -1,8 +1,8 @@
-//! What a process of the fleet takes, as the system tells it.
+//! Resources of a process, from `/proc`.
 
 use super::record::Usage;
 
-/// Of the process with this number; `None`: it is not there.
+/// The resources of the process with this identifier; `None` if it does not exist.
 pub fn of(pid: u32) -> Option<Usage> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let open_files = std::fs::read_dir(format!("/proc/{pid}/fd")).ok()?.count() as u64;
--- /dev/null
+++ b/testbed/src/soak/world/servers.rs
@@ -0,0 +1,109 @@
+//! The stub servers of a soak.
+
+use super::{APPS, Incarnation, TICK, World};
+use crate::soak::record::{Arrival, Fault, ServerIncarnation};
+use crate::stub::{Behavior, ListedServer, StubServer};
+use std::collections::HashMap;
+use std::time::Duration;
+
+/// How long the removal of a server may cost the requests that it had in flight.
+const SERVER_REMOVAL_FAULT: Duration = Duration::from_secs(1);
+
+impl World {
+    /// The endpoint list shows the server as draining.
+    pub(super) fn drain_server(&mut self, server: usize) {
+        let now = self.start.elapsed();
+        let incarnation = &mut self.incarnations[self.current[server]];
+        incarnation.draining_since = Some(now);
+        let id = incarnation.id.clone();
+        self.fleet.platform.update_list(|list| {
+            list.iter_mut().filter(|one| one.id == id).for_each(|one| one.draining = true);
+        });
+    }
+
+    /// The server ends, and the endpoint list does not contain it any more.
+    pub(super) fn remove_server(&mut self, server: usize) {
+        self.faults.record(Fault::Server, SERVER_REMOVAL_FAULT);
+        let id = self.incarnations[self.current[server]].id.clone();
+        self.fleet.servers[server].stop();
+        self.fleet.platform.update_list(|list| list.retain(|one| one.id != id));
+    }
+
+    /// A new server starts at the address of one that ended, and is listed at once.
+    pub(super) async fn reuse_address(&mut self, server: usize, is_other_service: bool) {
+        let old = &self.incarnations[self.current[server]];
+        let position = APPS.iter().position(|app| *app == old.app).unwrap_or_default();
+        let app = APPS[(position + usize::from(is_other_service)) % APPS.len()].to_string();
+        let id = format!("{app}-{server}-again");
+        let (zone, address) = (old.zone, self.fleet.servers[server].address);
+        let new = loop {
+            match StubServer::start(&id, address).await {
+                Ok(new) => break new,
+                Err(_) => tokio::time::sleep(TICK).await,
+            }
+        };
+        let listed = ListedServer {
+            id: id.clone(),
+            address,
+            region: zone.1.to_string(),
+            zone: zone.0.to_string(),
+            labels: vec![("app".to_string(), app.clone())],
+            draining: false,
+        };
+        self.incarnations.push(Incarnation {
+            state: new.state.clone(),
+            id,
+            app,
+            zone,
+            draining_since: None,
+        });
+        self.current[server] = self.incarnations.len() - 1;
+        self.fleet.servers[server] = new;
+        self.fleet.platform.update_list(|list| list.push(listed));
+    }
+
+    /// Sets how a server responds.
+    pub(super) fn set_behavior(&mut self, server: usize, behavior: Behavior) {
+        let key = format!("behavior {server}");
+        if behavior == Behavior::Normal {
+            self.faults.end(&key);
+        } else {
+            self.faults.begin(key, Fault::Server);
+        }
+        self.fleet.servers[server].set_behavior(behavior);
+    }
+
+    /// What all servers received, by incarnation.
+    pub(super) fn server_incarnations(&self) -> Vec<ServerIncarnation> {
+        let start = self.start;
+        let incarnation = |incarnation: &Incarnation| {
+            let arrivals = incarnation.state.arrivals.lock().expect("no panic under this lock");
+            let arrivals = arrivals.iter().map(|one| Arrival {
+                at: one.at.saturating_duration_since(start),
+                request_id: one.request_id.clone(),
+                path: one.path.clone(),
+            });
+            ServerIncarnation {
+                id: incarnation.id.clone(),
+                app: incarnation.app.clone(),
+                zone: incarnation.zone.0.to_string(),
+                draining_since: incarnation.draining_since,
+                arrivals: arrivals.collect(),
+            }
+        };
+        self.incarnations.iter().map(incarnation).collect()
+    }
+
+    /// How often each request was executed, over all servers.
+    pub(super) fn runs(&self) -> HashMap<String, u32> {
+        let mut counts = HashMap::new();
+        for incarnation in &self.incarnations {
+            for (request_id, count) in
+                incarnation.state.runs.lock().expect("no panic under it").iter()
+            {
+                *counts.entry(request_id.clone()).or_default() += count;
+            }
+        }
+        counts
+    }
+}
--- /dev/null
+++ b/testbed/src/soak/world/stability.rs
@@ -0,0 +1,98 @@
+//! The stable state of a fleet without faults, and the resources that its processes use in it.
+
+use super::{Orders, World};
+use crate::harness::Daemon;
+use crate::relay::Link;
+use crate::soak::operator::Order;
+use crate::soak::record::{Usage, UsageComparison};
+use crate::soak::script::PlatformState;
+use crate::soak::{invariants, usage};
+use crate::stub::Behavior;
+use rustix::process::Signal;
+use std::time::{Duration, Instant};
+
+/// Delay between two checks whether the fleet is stable.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+/// The resources of one process at one moment.
+pub(super) struct ProcessUsage {
+    daemon: String,
+    pid: u32,
+    usage: Usage,
+}
+
+impl World {
+    /// Ends every fault.
+    pub(super) async fn end_faults(&mut self, orders: &Orders) {
+        for index in 0..self.fleet.daemons.len() {
+            self.fleet.signal(index, Signal::CONT);
+            // The same number of resets: connections over the link stay open.
+            self.fleet.set_links(index, Link { resets: self.resets[index], ..Link::default() });
+        }
+        self.set_platform(PlatformState::Normal);
+        let zones: Vec<usize> = (0..self.fleet.topology.zones.len()).collect();
+        for zone in zones {
+            self.order(orders, Order::RestoreZone(self.zone_name(zone)));
+        }
+        for server in 0..self.current.len() {
+            self.fleet.servers[server].set_behavior(Behavior::Normal);
+            if self.faults.is_ongoing(&format!("crash {server}")) {
+                self.fleet.restart_server(server).await;
+            }
+        }
+        self.faults.end_all();
+    }
+
+    /// Waits until every daemon runs and every proxy is ready with the acknowledged configuration, and returns
+    /// when that was. `None` if it is not within the time-out.
+    pub(super) async fn wait_until_stable(&mut self, revision: u64) -> Option<Duration> {
+        let start = Instant::now();
+        let all: Vec<usize> = (0..self.fleet.daemons.len()).collect();
+        while start.elapsed() < invariants::STABILIZATION_TIMEOUT {
+            // A daemon that is terminating may take its whole grace period.
+            for index in &all {
+                if !self.fleet.is_running(*index) {
+                    self.fleet.start_daemon(*index);
+                }
+            }
+            self.to_restart.clear();
+            if self.is_stable(revision).await {
+                return Some(self.start.elapsed());
+            }
+            tokio::time::sleep(CHECK_INTERVAL).await;
+        }
+        None
+    }
+
+    async fn is_stable(&self, revision: u64) -> bool {
+        for index in self.fleet.with_role("proxy") {
+            if !self.fleet.is_active(index, revision).await {
+                return false;
+            }
+        }
+        true
+    }
+
+    /// The resources of all running processes.
+    pub(super) fn usage(&self) -> Vec<ProcessUsage> {
+        let usage_of = |daemon: &Daemon| {
+            let pid = daemon.pid()?;
+            Some(ProcessUsage { daemon: daemon.name.clone(), pid, usage: usage::of(pid)? })
+        };
+        self.fleet.daemons.iter().filter_map(usage_of).collect()
+    }
+
+    /// The resources of the processes that have run since then.
+    pub(super) fn usage_since(&self, before: &[ProcessUsage]) -> Vec<UsageComparison> {
+        let after = self.usage();
+        let same = before.iter().filter_map(|before| {
+            let after = after.iter().find(|after| after.pid == before.pid)?;
+            Some(UsageComparison {
+                daemon: before.daemon.clone(),
+                before: before.usage,
+                after: after.usage,
+            })
+        });
+        same.collect()
+    }
+}
--- a/testbed/tests/soak.rs
+++ b/testbed/tests/soak.rs
@@ -2,7 +2,7 @@
 //! `cargo run --release -p vanepath-testbed -- soak --seeds 1-50`.
 
 use std::time::Duration;
-use vanepath_testbed::soak::script::{Action, Size, draw};
+use vanepath_testbed::soak::script::{Action, Size, generate};
 use vanepath_testbed::soak::{Plan, run};
 
 const SIZE: Size = Size { proxies: 6, cores: 3, servers: 18, zones: 6 };
@@ -13,12 +13,12 @@
     let plan = Plan { proxies: 4, servers: 12, length: Duration::from_secs(10), clients: 16 };
     for seed in [1, 2] {
         let outcome = run(seed, &plan).await;
-        let observed = &outcome.observed;
-        assert!(observed.requests.len() > 500, "{} requests", observed.requests.len());
-        let (script, faults) = (outcome.script.join("\n"), outcome.faults.join("\n"));
+        let observations = &outcome.observations;
+        assert!(observations.requests.len() > 500, "{} requests", observations.requests.len());
+        let (script, violations) = (outcome.script.join("\n"), outcome.violations.join("\n"));
         assert!(
-            outcome.faults.is_empty(),
-            "seed {seed}:\n{faults}\n\n{script}\n\n{}",
+            outcome.violations.is_empty(),
+            "seed {seed}:\n{violations}\n\n{script}\n\n{}",
             outcome.timeline
         );
     }
@@ -29,11 +29,11 @@
 fn a_seed_has_one_script() {
     let length = Duration::from_secs(16);
     for seed in 1..=50 {
-        let script = draw(seed, SIZE, length);
-        assert_eq!(script, draw(seed, SIZE, length));
+        let script = generate(seed, SIZE, length);
+        assert_eq!(script, generate(seed, SIZE, length));
         assert!(script.len() > 4 && script.iter().all(|step| step.at < length), "seed {seed}");
         assert!(script.is_sorted_by_key(|step| step.at));
-        assert_ne!(script, draw(seed + 1, SIZE, length));
+        assert_ne!(script, generate(seed + 1, SIZE, length));
     }
 }
 
@@ -42,25 +42,25 @@
 fn fifty_seeds_hold_every_kind_of_action() {
     let length = Duration::from_secs(16);
     let all: Vec<Action> =
-        (1..=50).flat_map(|seed| draw(seed, SIZE, length)).map(|step| step.action).collect();
+        (1..=50).flat_map(|seed| generate(seed, SIZE, length)).map(|step| step.action).collect();
     let has = |is_meant: fn(&Action) -> bool| all.iter().filter(|one| is_meant(one)).count() >= 5;
     let kinds: [fn(&Action) -> bool; 17] = [
         |one| matches!(one, Action::Terminate(_)),
         |one| matches!(one, Action::TerminateAgain(_)),
         |one| matches!(one, Action::Kill(_)),
         |one| matches!(one, Action::Start(_)),
-        |one| matches!(one, Action::Freeze(_)),
-        |one| matches!(one, Action::Wake(_)),
+        |one| matches!(one, Action::Suspend(_)),
+        |one| matches!(one, Action::Resume(_)),
         |one| matches!(one, Action::HangUp(_)),
-        |one| matches!(one, Action::Link(..)),
-        |one| matches!(one, Action::Leave(_)),
-        |one| matches!(one, Action::End(_)),
-        |one| matches!(one, Action::Reuse { .. }),
-        |one| matches!(one, Action::Crash(_)),
-        |one| matches!(one, Action::Behave(..)),
+        |one| matches!(one, Action::SetLink(..)),
+        |one| matches!(one, Action::DrainServer(_)),
+        |one| matches!(one, Action::RemoveServer(_)),
+        |one| matches!(one, Action::ReuseAddress { .. }),
+        |one| matches!(one, Action::CrashServer(_)),
+        |one| matches!(one, Action::SetBehavior(..)),
         |one| matches!(one, Action::Configure),
-        |one| matches!(one, Action::Empty(_)),
-        |one| matches!(one, Action::Return(_)),
+        |one| matches!(one, Action::DrainZone(_)),
+        |one| matches!(one, Action::RestoreZone(_)),
         |one| matches!(one, Action::Platform(_)),
     ];
     for (place, kind) in kinds.into_iter().enumerate() {
