--- a/testbed/tests/control.rs
+++ b/testbed/tests/control.rs
@@ -2,16 +2,18 @@
 //! freezes.
 
 use std::time::Duration;
+use vanepath_config::ExecutionStatus;
 use vanepath_testbed::harness::{Fleet, wait_until};
 use vanepath_testbed::http::{Response, call};
 use vanepath_testbed::sim::day::tagged;
+use vanepath_testbed::stub::StubServer;
 use vanepath_testbed::topology;
 
-fn tiny() -> topology::Topology {
-    let mut tiny = topology::raiocerto();
-    tiny.proxies = 1;
-    tiny.servers = vec![("ordering", 1), ("documents", 1)];
-    tiny
+fn tiny_topology() -> topology::Topology {
+    let mut tiny_topology = topology::raiocerto();
+    tiny_topology.proxies = 1;
+    tiny_topology.servers = vec![("ordering", 1), ("documents", 1)];
+    tiny_topology
 }
 
 async fn put(fleet: &Fleet, registry: usize, headers: &[(&str, &str)], body: &[u8]) -> Response {
@@ -19,12 +21,12 @@
     call(address, "PUT", "/v1/setup", headers, body).await.expect("the registry replies")
 }
 
-fn setup(fleet: &Fleet, tag: usize) -> Vec<u8> {
+fn tagged_config(fleet: &Fleet, tag: usize) -> Vec<u8> {
     tagged(&fleet.topology.config, tag)
 }
 
 /// The setup in force, from the first registry that tells it.
-async fn in_force(fleet: &Fleet) -> Option<Vec<u8>> {
+async fn active_config(fleet: &Fleet) -> Option<Vec<u8>> {
     for address in fleet.registry_addresses() {
         if let Some(reply) = call(address, "GET", "/v1/setup", &[], b"").await
             && reply.status == 200
@@ -39,8 +41,8 @@
 
 /// Two registries hear what all proxies see of servers; whichever an operator asks tells the same.
 #[tokio::test(flavor = "multi_thread")]
-async fn any_registry_tells_what_all_proxies_see() {
-    let fleet = Fleet::start(topology::Topology { proxies: 6, ..tiny() }).await;
+async fn any_registry_reports_the_observations_of_all_proxies() {
+    let fleet = Fleet::start(topology::Topology { proxies: 6, ..tiny_topology() }).await;
     let revision = fleet.put_config(&fleet.topology.config).await;
     fleet.wait_until_active(revision, SOON).await;
     let reasons = async |registry: usize| -> Vec<String> {
@@ -51,40 +53,40 @@
     let is_by_all = |why: &String| why.starts_with("live for ") && !why.starts_with("live for 1 ");
     for registry in [0, 2, 1] {
         let is_told = async || {
-            let told = reasons(registry).await;
-            told.len() == 2 && told.iter().all(is_by_all) && told == reasons(0).await
+            let shown = reasons(registry).await;
+            shown.len() == 2 && shown.iter().all(is_by_all) && shown == reasons(0).await
         };
         wait_until(&format!("registry {registry} tells of both servers"), SOON, is_told).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn receipts_say_what_was_done() {
-    let fleet = Fleet::start(tiny()).await;
+async fn responses_state_what_was_done() {
+    let fleet = Fleet::start(tiny_topology()).await;
     let first = fleet.put_config(&fleet.topology.config).await;
     // Only on top of what the operator saw.
     let at = format!("\"{first}\"");
-    let second = put(&fleet, 1, &[("if-match", &at)], &setup(&fleet, 2)).await;
+    let second = put(&fleet, 1, &[("if-match", &at)], &tagged_config(&fleet, 2)).await;
     assert_eq!(second.status, 200, "{:?}", second.body);
-    let third = put(&fleet, 2, &[("if-match", &at)], &setup(&fleet, 3)).await;
+    let third = put(&fleet, 2, &[("if-match", &at)], &tagged_config(&fleet, 3)).await;
     assert_eq!(third.status, 412);
     assert_eq!(third.json()["outcome"].as_str(), Some("nothing-done"));
     // A repeat is no second change; another submission under the same key is refused.
     let key = [("idempotency-key", "spring-prices")];
-    let once = put(&fleet, 0, &key, &setup(&fleet, 4)).await.json();
-    let again = put(&fleet, 1, &key, &setup(&fleet, 4)).await.json();
+    let once = put(&fleet, 0, &key, &tagged_config(&fleet, 4)).await.json();
+    let again = put(&fleet, 1, &key, &tagged_config(&fleet, 4)).await.json();
     assert_eq!(once["revision"], again["revision"]);
     assert_eq!(again["repeat"].as_bool(), Some(true));
-    assert_eq!(put(&fleet, 2, &key, &setup(&fleet, 5)).await.status, 409);
+    assert_eq!(put(&fleet, 2, &key, &tagged_config(&fleet, 5)).await.status, 409);
     let looked =
         call(fleet.registry_addresses()[2], "GET", "/v1/submissions/spring-prices", &[], b"").await;
     assert_eq!(looked.unwrap().json()["revision"], once["revision"]);
     // What is not valid is listed fault by fault and not stored.
-    let before = in_force(&fleet).await;
+    let before = active_config(&fleet).await;
     let bad = fleet.topology.config.replace("\"kind\": \"once\"", "\"kind\": \"twice\", \"x\": 1");
-    let refused = put(&fleet, 0, &[], bad.as_bytes()).await;
-    assert_eq!(refused.status, 422);
-    assert_eq!(refused.json()["faults"].as_array().unwrap().len(), 2);
+    let rejected = put(&fleet, 0, &[], bad.as_bytes()).await;
+    assert_eq!(rejected.status, 422);
+    assert_eq!(rejected.json()["faults"].as_array().unwrap().len(), 2);
     let large = vec![b' '; vanepath_config::model::MAX_BYTES + 1];
     assert_eq!(put(&fleet, 0, &[], &large).await.status, 413);
     for (method, path, status) in [
@@ -98,11 +100,11 @@
         let reply = call(fleet.registry_addresses()[1], method, path, &[], b"").await.unwrap();
         assert_eq!(reply.status, status, "{method} {path}");
     }
-    assert_eq!(in_force(&fleet).await, before);
+    assert_eq!(active_config(&fleet).await, before);
     // Racing writes: each accepted one has a revision of its own and stays readable.
     let mut race = tokio::task::JoinSet::new();
     for tag in 10..22 {
-        let (address, body) = (fleet.registry_addresses()[tag % 3], setup(&fleet, tag));
+        let (address, body) = (fleet.registry_addresses()[tag % 3], tagged_config(&fleet, tag));
         race.spawn(async move {
             let reply = call(address, "PUT", "/v1/setup", &[], &body).await.unwrap();
             (reply.status, reply.json()["revision"].as_u64(), body)
@@ -123,15 +125,15 @@
 /// A setup that names its version: what is not newer changes nothing, whatever its key. It is a repeat, or
 /// one that was overtaken; another content under a version that was taken is refused (incident 0012).
 #[tokio::test(flavor = "multi_thread")]
-async fn an_old_version_of_a_setup_changes_nothing() {
-    let fleet = Fleet::start(tiny()).await;
+async fn an_old_version_of_a_configuration_changes_nothing() {
+    let fleet = Fleet::start(tiny_topology()).await;
     fleet.put_config(&fleet.topology.config).await;
     let zone = "/v1/zones/north-2/emptied";
-    let emptied = call(fleet.registry_addresses()[0], "PUT", zone, &[], b"").await.unwrap();
-    assert_eq!(emptied.status, 200);
+    let drained = call(fleet.registry_addresses()[0], "PUT", zone, &[], b"").await.unwrap();
+    assert_eq!(drained.status, 200);
     let versioned = |version: &str, tag: usize| {
-        let setup = String::from_utf8(setup(&fleet, tag)).unwrap();
-        setup.replacen('{', &format!("{{\"version\": {version},"), 1).into_bytes()
+        let config = String::from_utf8(tagged_config(&fleet, tag)).unwrap();
+        config.replacen('{', &format!("{{\"version\": {version},"), 1).into_bytes()
     };
     let first = put(&fleet, 0, &[], &versioned("7", 1)).await.json();
     let other = put(&fleet, 2, &[], &versioned("7", 2)).await;
@@ -145,31 +147,31 @@
         assert_eq!(again["repeat"].as_bool(), Some(true));
         assert_eq!(again["setupRevision"], first["revision"]);
     }
-    assert_eq!(in_force(&fleet).await, Some(versioned("7", 1)));
+    assert_eq!(active_config(&fleet).await, Some(versioned("7", 1)));
     let next = put(&fleet, 1, &[], &versioned("8", 4)).await.json();
     // One revision notes the version that was overtaken.
     assert_eq!(next["revision"].as_u64(), first["revision"].as_u64().map(|one| one + 2));
-    assert_eq!(in_force(&fleet).await, Some(versioned("8", 4)));
+    assert_eq!(active_config(&fleet).await, Some(versioned("8", 4)));
     let zones = call(fleet.registry_addresses()[2], "GET", "/v1/zones", &[], b"").await.unwrap();
     assert_eq!(zones.json()["emptied"][0].as_str(), Some("north-2"));
     for bad in ["0", "1.5", "\"7\"", "-1", "9007199254740994"] {
-        let refused = put(&fleet, 0, &[], &versioned(bad, 5)).await;
-        assert_eq!(refused.status, 422, "{bad}");
-        assert_eq!(refused.json()["faults"][0]["path"].as_str(), Some("$.version"));
+        let rejected = put(&fleet, 0, &[], &versioned(bad, 5)).await;
+        assert_eq!(rejected.status, 422, "{bad}");
+        assert_eq!(rejected.json()["faults"][0]["path"].as_str(), Some("$.version"));
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_accepted_word_outlives_disks_and_power_and_is_never_begun_anew() {
-    let mut fleet = Fleet::start(tiny()).await;
+async fn an_accepted_configuration_survives_disk_and_power_loss_without_a_new_bootstrap() {
+    let mut fleet = Fleet::start(tiny_topology()).await;
     fleet.put_config(&fleet.topology.config).await;
     let stores = fleet.with_role("store");
     // One disk is lost right after the receipt; an empty one takes its seat by itself.
-    let body = setup(&fleet, 1);
+    let body = tagged_config(&fleet, 1);
     assert_eq!(put(&fleet, 0, &[], &body).await.status, 200);
     fleet.kill(stores[0]);
     fleet.wipe_data(stores[0]);
-    assert_eq!(in_force(&fleet).await.as_deref(), Some(&body[..]));
+    assert_eq!(active_config(&fleet).await.as_deref(), Some(&body[..]));
     fleet.start_daemon(stores[0]);
     let fleet_ref = &fleet;
     wait_until("the empty disk votes", SOON, async || {
@@ -185,7 +187,7 @@
     }
     let fleet_ref = &fleet;
     wait_until("the word is back", SOON, async || {
-        in_force(fleet_ref).await.as_deref() == Some(&body[..])
+        active_config(fleet_ref).await.as_deref() == Some(&body[..])
     })
     .await;
     // A file of the version in force is cut short on one disk: that copy alone lacks it.
@@ -213,8 +215,8 @@
         fleet.wipe_data(*index);
         fleet.start_daemon(*index);
     }
-    let refused = put(&fleet, 0, &[], &setup(&fleet, 2)).await;
-    assert!([503, 504].contains(&refused.status), "{}", refused.status);
+    let rejected = put(&fleet, 0, &[], &tagged_config(&fleet, 2)).await;
+    assert!([503, 504].contains(&rejected.status), "{}", rejected.status);
     for index in &stores[1..] {
         assert_eq!(fleet.page(*index, "status").await["votes"].as_bool(), Some(false));
     }
@@ -237,8 +239,8 @@
         all
     })
     .await;
-    assert_eq!(in_force(&fleet).await.as_deref(), Some(&body[..]));
-    let next = put(&fleet, 0, &[], &setup(&fleet, 3)).await;
+    assert_eq!(active_config(&fleet).await.as_deref(), Some(&body[..]));
+    let next = put(&fleet, 0, &[], &tagged_config(&fleet, 3)).await;
     assert_eq!(next.status, 200);
     // What was in force before the rescue is still read, and revisions went on upwards.
     assert!(next.json()["revision"].as_u64().unwrap() > 1000);
@@ -246,8 +248,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn with_control_gone_or_frozen_proxies_serve_from_memory() {
-    let mut fleet = Fleet::start(tiny()).await;
+async fn proxies_serve_from_memory_without_a_control_plane_and_after_a_suspension() {
+    let mut fleet = Fleet::start(tiny_topology()).await;
     let revision = fleet.put_config(&fleet.topology.config).await;
     fleet.wait_until_active(revision, SOON).await;
     let proxy = fleet.with_role("proxy")[0];
@@ -276,7 +278,7 @@
     for index in fleet.with_role("registry").into_iter().chain(fleet.with_role("store")) {
         fleet.start_daemon(index);
     }
-    let next = fleet.put_config(&String::from_utf8(setup(&fleet, 5)).unwrap()).await;
+    let next = fleet.put_config(&String::from_utf8(tagged_config(&fleet, 5)).unwrap()).await;
     assert!(next > revision);
     fleet.wait_until_active(next, SOON).await;
 }
@@ -284,9 +286,9 @@
 /// What siblings send that makes no sense closes the connection and is counted; the platform's
 /// nonsense changes nothing.
 #[tokio::test(flavor = "multi_thread")]
-async fn nonsense_from_outside_changes_nothing() {
+async fn invalid_input_from_outside_changes_nothing() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    let fleet = Fleet::start(tiny()).await;
+    let fleet = Fleet::start(tiny_topology()).await;
     let revision = fleet.put_config(&fleet.topology.config).await;
     fleet.wait_until_active(revision, SOON).await;
     let registry = fleet.with_role("registry")[0];
@@ -330,7 +332,7 @@
 
 /// A wrong settings file stops the start with the key's name.
 #[test]
-fn wrong_settings_stop_the_start() {
+fn invalid_settings_prevent_the_start() {
     let folder = std::env::temp_dir().join(format!("vanepath-settings-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let file = folder.join("settings.json");
@@ -392,10 +394,10 @@
 /// Links that are cut without a word, and slow ones: proxies serve on, what was accepted stays, and
 /// all of it is in force soon after the links are whole.
 #[tokio::test(flavor = "multi_thread")]
-async fn cut_and_slow_links_hold_nothing_up_for_long() {
+async fn partitioned_and_slow_links_delay_nothing_for_long() {
     use vanepath_testbed::relay::Link;
     use vanepath_testbed::traffic::{Traffic, check_filings, count_outcomes};
-    let mut topology = tiny();
+    let mut topology = tiny_topology();
     topology.proxies = 3;
     let fleet = Fleet::start_with_relays(topology).await;
     let revision = fleet.put_config(&fleet.topology.config).await;
@@ -418,25 +420,24 @@
     for index in &stores[1..] {
         fleet.set_links(*index, Link { delay: Duration::from_millis(60), ..Link::default() });
     }
-    let next = fleet.put_config(&String::from_utf8(setup(&fleet, 1)).unwrap()).await;
+    let next = fleet.put_config(&String::from_utf8(tagged_config(&fleet, 1)).unwrap()).await;
     assert!(next > revision);
     fleet.wait_until_active(next, SOON).await;
     for index in &stores {
         fleet.set_links(*index, Link::default());
     }
     traffic.wait_for_requests(30).await;
-    let (told, wrong) = traffic.finish().await;
-    assert_eq!(wrong, Vec::<String>::new());
-    assert_eq!(check_filings(&told, &fleet.execution_counts()), Vec::<String>::new());
-    let lost =
-        told.iter().filter(|one| one.execution != vanepath_config::ExecutionStatus::Ran).count();
-    assert_eq!(lost, 0, "{:?}", count_outcomes(&told));
+    let (records, mismatches) = traffic.finish().await;
+    assert_eq!(mismatches, Vec::<String>::new());
+    assert_eq!(check_filings(&records, &fleet.execution_counts()), Vec::<String>::new());
+    let lost = records.iter().filter(|one| one.execution != ExecutionStatus::Ran).count();
+    assert_eq!(lost, 0, "{:?}", count_outcomes(&records));
 }
 
 /// Servers and proxies killed and frozen under traffic: no lookup unanswered, no filing twice, and
 /// nothing goes to another service at an old address.
 #[tokio::test(flavor = "multi_thread")]
-async fn kills_and_freezes_under_traffic_lose_no_lookup() {
+async fn kills_and_suspensions_under_traffic_lose_no_lookup() {
     use vanepath_testbed::traffic::{RequestKind, Traffic, check_filings};
     let mut topology = topology::raiocerto();
     topology.proxies = 4;
@@ -456,25 +457,22 @@
     // A server ends, and another service gets its address.
     let address = fleet.servers[0].address;
     fleet.servers[0].stop();
-    let heir = loop {
-        match vanepath_testbed::stub::StubServer::start("heir", address).await {
-            Ok(heir) => break heir,
+    let successor = loop {
+        match StubServer::start("heir", address).await {
+            Ok(successor) => break successor,
             Err(_) => tokio::task::yield_now().await,
         }
     };
     traffic.wait_for_requests(150).await;
-    assert_eq!(heir.state.arrivals.lock().unwrap().len(), 0, "work went to another service");
+    assert_eq!(successor.state.arrivals.lock().unwrap().len(), 0, "work went to another service");
     fleet.platform.update_list(|list| list.retain(|one| one.address != address));
     traffic.wait_for_requests(60).await;
-    let (told, wrong) = traffic.finish().await;
-    assert_eq!(wrong, Vec::<String>::new());
-    assert_eq!(check_filings(&told, &fleet.execution_counts()), Vec::<String>::new());
-    let lost: Vec<_> = told
+    let (records, mismatches) = traffic.finish().await;
+    assert_eq!(mismatches, Vec::<String>::new());
+    assert_eq!(check_filings(&records, &fleet.execution_counts()), Vec::<String>::new());
+    let lost: Vec<_> = records
         .iter()
-        .filter(|one| {
-            one.kind != RequestKind::Filing
-                && one.execution != vanepath_config::ExecutionStatus::Ran
-        })
+        .filter(|one| one.kind != RequestKind::Filing && one.execution != ExecutionStatus::Ran)
         .collect();
     assert!(lost.is_empty(), "{lost:?}");
 }
@@ -483,12 +481,12 @@
 /// while dozens of versions are accepted by the others. From the moment at which they go on, and through a
 /// restart of the store, nothing older is read out, by any registry, and the store comes up to date.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_core_machine_that_stood_still_reads_out_nothing_older() {
-    let mut fleet = Fleet::start(tiny()).await;
+async fn a_resumed_core_machine_returns_no_older_configuration() {
+    let mut fleet = Fleet::start(tiny_topology()).await;
     fleet.put_config(&fleet.topology.config).await;
     let versioned = |version: u64| {
-        let setup = String::from_utf8(setup(&fleet, version as usize)).unwrap();
-        setup.replacen('{', &format!("{{\"version\": {version},"), 1).into_bytes()
+        let config = String::from_utf8(tagged_config(&fleet, version as usize)).unwrap();
+        config.replacen('{', &format!("{{\"version\": {version},"), 1).into_bytes()
     };
     let bodies: Vec<Vec<u8>> = (0..60).map(versioned).collect();
     assert_eq!(put(&fleet, 0, &[], &bodies[1]).await.status, 200);
@@ -497,12 +495,12 @@
     // One of each in hand there, as it stands still.
     let (write, read) = (addresses[0], addresses[0]);
     let body = bodies[2].clone();
-    let in_hand = tokio::spawn(async move { call(write, "PUT", "/v1/setup", &[], &body).await });
+    let in_flight = tokio::spawn(async move { call(write, "PUT", "/v1/setup", &[], &body).await });
     fleet.suspend(store);
     fleet.suspend(registry);
     for (version, body) in bodies.iter().enumerate().skip(3) {
-        let told = put(&fleet, 1 + version % 2, &[], body).await;
-        assert_eq!(told.status, 200, "version {version}");
+        let response = put(&fleet, 1 + version % 2, &[], body).await;
+        assert_eq!(response.status, 200, "version {version}");
     }
     let newest = bodies.last().unwrap().clone();
     let reading = tokio::spawn(async move { call(read, "GET", "/v1/setup", &[], b"").await });
@@ -518,7 +516,7 @@
         let reply = call(addresses[turn % 3], "GET", "/v1/setup", &[], b"").await;
         assert!(is_newest(reply), "turn {turn}");
     }
-    let _ = in_hand.await.unwrap();
+    let _ = in_flight.await.unwrap();
     fleet.kill(store);
     fleet.start_daemon(store);
     for turn in 0..30 {
@@ -533,5 +531,5 @@
         own.is_some() && own == others
     })
     .await;
-    assert_eq!(in_force(&fleet).await, Some(newest.clone()));
+    assert_eq!(active_config(&fleet).await, Some(newest.clone()));
 }
--- a/testbed/tests/edges.rs
+++ b/testbed/tests/edges.rs
@@ -2,7 +2,8 @@
 
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use vanepath_testbed::harness::Fleet;
+use vanepath_testbed::harness::{Fleet, wait_until};
+use vanepath_testbed::http::call as http_call;
 use vanepath_testbed::stub::{Behavior, pattern};
 use vanepath_testbed::topology;
 
@@ -62,7 +63,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_that_can_be_read_in_two_ways_are_refused() {
+async fn ambiguous_requests_are_rejected() {
     let fleet = start(2).await;
     let proxy = fleet.daemons[fleet.with_role("proxy")[0]].address;
     let mut shown = String::new();
@@ -120,11 +121,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_passes_passes_unchanged() {
+async fn forwarded_requests_are_unchanged() {
     let fleet = start(1).await;
     let proxy = fleet.daemons[fleet.with_role("proxy")[0]].address;
     let call = async |method: &str, path: &str, headers: &[(&str, &str)], body: &[u8]| {
-        vanepath_testbed::http::call(proxy, method, path, headers, body).await.unwrap()
+        http_call(proxy, method, path, headers, body).await.unwrap()
     };
     // Target, method and end-to-end headers as they are; hop-by-hop ones are not passed on.
     let reply = call("PUT", "/look/a%2Fb?c=%20d&e", &[("x-request", "1")], b"12345").await;
@@ -167,14 +168,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_servers_never_spoil_a_receipt() {
+async fn faulty_servers_never_corrupt_a_response() {
     let fleet = start(3).await;
     let proxy = fleet.daemons[fleet.with_role("proxy")[0]].address;
-    let call = async |method: &str, path: &str, number: &str| {
-        vanepath_testbed::http::call(proxy, method, path, &[("x-request", number)], b"").await
+    let call = async |method: &str, path: &str, request_id: &str| {
+        http_call(proxy, method, path, &[("x-request", request_id)], b"").await
     };
     // The proxy's own zone has server 0 alone: it gets the first go of each request.
-    for (manner, status) in [
+    for (behavior, status) in [
         (Behavior::DisconnectAfterExecution, 502),
         (Behavior::TruncatedResponse, 502),
         (Behavior::InvalidResponse, 502),
@@ -183,41 +184,37 @@
     ] {
         // Whatever came before, it is well again and known to be.
         fleet.servers[0].set_behavior(Behavior::Normal);
-        vanepath_testbed::harness::wait_until(
-            "it is given work",
-            Duration::from_secs(20),
-            async || {
-                // One that limps is tried with lookups.
-                assert_eq!(call("GET", "/look", "well").await.unwrap().status, 200);
-                let status = fleet.page(fleet.with_role("proxy")[0], "status").await;
-                status["servers"][0]["why"] == "given work"
-            },
-        )
+        wait_until("it is given work", Duration::from_secs(20), async || {
+            // One that limps is tried with lookups.
+            assert_eq!(call("GET", "/look", "well").await.unwrap().status, 200);
+            let status = fleet.page(fleet.with_role("proxy")[0], "status").await;
+            status["servers"][0]["why"] == "given work"
+        })
         .await;
-        fleet.servers[0].set_behavior(manner);
+        fleet.servers[0].set_behavior(behavior);
         // A filing that it may have run is never told to another, and the caller is told so.
-        let number = format!("file-{manner:?}");
-        let reply = call("POST", "/file", &number).await.unwrap();
-        assert_eq!(reply.status, status, "{manner:?}");
+        let request_id = format!("file-{behavior:?}");
+        let reply = call("POST", "/file", &request_id).await.unwrap();
+        assert_eq!(reply.status, status, "{behavior:?}");
         let verdict = reply.headers.get("vanepath-verdict").unwrap();
-        assert_eq!(verdict, if status == 200 { "ran" } else { "may-have-run" }, "{manner:?}");
+        assert_eq!(verdict, if status == 200 { "ran" } else { "may-have-run" }, "{behavior:?}");
         assert!(
-            fleet.execution_counts().get(&number).copied().unwrap_or_default() <= 1,
-            "{manner:?}"
+            fleet.execution_counts().get(&request_id).copied().unwrap_or_default() <= 1,
+            "{behavior:?}"
         );
     }
-    for manner in [
+    for behavior in [
         Behavior::DisconnectAfterExecution,
         Behavior::TruncatedResponse,
         Behavior::InvalidResponse,
         Behavior::ExtraResponse,
     ] {
-        fleet.servers[0].set_behavior(manner);
+        fleet.servers[0].set_behavior(behavior);
         for round in 0..40 {
-            let number = format!("look-{manner:?}-{round}");
-            let reply = call("GET", "/look", &number).await.unwrap();
-            assert_eq!(reply.status, 200, "{manner:?} {}", reply.json());
-            assert_eq!(reply.json()["request"].as_str(), Some(number.as_str()), "{manner:?}");
+            let request_id = format!("look-{behavior:?}-{round}");
+            let reply = call("GET", "/look", &request_id).await.unwrap();
+            assert_eq!(reply.status, 200, "{behavior:?} {}", reply.json());
+            assert_eq!(reply.json()["request"].as_str(), Some(request_id.as_str()), "{behavior:?}");
         }
     }
     // A download that breaks off after its first bytes went out breaks off for the caller too.
@@ -231,17 +228,17 @@
 /// A second reply that comes when the connection may carry the next request already cannot be told
 /// from that one's. So a server that was seen to send one gets one request on a connection.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_late_second_reply_is_nobodys_once_the_server_is_known_for_it() {
+async fn a_delayed_extra_response_is_discarded_once_the_server_is_known_for_it() {
     let fleet = start(1).await;
     let index = fleet.with_role("proxy")[0];
     let proxy = fleet.daemons[index].address;
-    let call = async |method: &str, path: &str, number: &str| {
-        vanepath_testbed::http::call(proxy, method, path, &[("x-request", number)], b"").await
+    let call = async |method: &str, path: &str, request_id: &str| {
+        http_call(proxy, method, path, &[("x-request", request_id)], b"").await
     };
     fleet.servers[0].set_behavior(Behavior::DelayedExtraResponse);
     assert_eq!(call("GET", "/look", "first").await.unwrap().status, 200);
     let limit = Duration::from_secs(5);
-    vanepath_testbed::harness::wait_until("the second reply is seen", limit, async || {
+    wait_until("the second reply is seen", limit, async || {
         fleet.page(index, "metrics").await["surplusBytes"].as_u64() == Some(1)
     })
     .await;
@@ -250,39 +247,32 @@
             if round % 3 == 0 { ("POST", "/file?waitMs=30") } else { ("GET", "/look?waitMs=30") };
         // Just when the last connection has rested and its second reply is still to come.
         let ended = std::time::Instant::now();
-        vanepath_testbed::harness::wait_until("it rested", limit, async || {
-            ended.elapsed().as_millis() > 24
-        })
-        .await;
-        let number = format!("n{round}");
-        let reply = call(method, path, &number).await.unwrap();
+        wait_until("it rested", limit, async || ended.elapsed().as_millis() > 24).await;
+        let request_id = format!("n{round}");
+        let reply = call(method, path, &request_id).await.unwrap();
         assert_eq!(reply.status, 200, "{round}: {}", reply.json());
-        assert_eq!(reply.json()["request"].as_str(), Some(number.as_str()), "{round}");
-        assert_eq!(fleet.execution_counts()[&number], 1);
+        assert_eq!(reply.json()["request"].as_str(), Some(request_id.as_str()), "{round}");
+        assert_eq!(fleet.execution_counts()[&request_id], 1);
     }
 }
 
 /// A rule is bound to another region while a request of it waits for room: the bound in force when a
 /// server is chosen holds.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_bound_that_comes_while_a_request_waits_holds() {
+async fn a_region_restriction_applies_to_queued_requests() {
     let fleet = start(1).await;
     let index = fleet.with_role("proxy")[0];
     let proxy = fleet.daemons[index].address;
-    let narrow = |number: &'static str| async move {
+    let narrow = |request_id: &'static str| async move {
         let path = "/narrow?waitMs=1500";
-        vanepath_testbed::http::call(proxy, "GET", path, &[("x-request", number)], b"").await
+        http_call(proxy, "GET", path, &[("x-request", request_id)], b"").await
     };
     let class = async |key: &str| fleet.page(index, "status").await["classes"][2][key].clone();
     let limit = Duration::from_secs(5);
     let first = tokio::spawn(narrow("n1"));
-    vanepath_testbed::harness::wait_until("one is in hand", limit, async || {
-        class("used").await == 1
-    })
-    .await;
+    wait_until("one is in hand", limit, async || class("used").await == 1).await;
     let second = tokio::spawn(narrow("n2"));
-    vanepath_testbed::harness::wait_until("one waits", limit, async || class("waiting").await == 1)
-        .await;
+    wait_until("one waits", limit, async || class("waiting").await == 1).await;
     let bound = SETUP.replace(
         r#""class": "narrow", "service": "s""#,
         r#""class": "narrow", "service": "s", "regions": ["south"]"#,
@@ -298,25 +288,21 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_given_up_on_is_told_so_at_once() {
+async fn rejected_requests_are_answered_at_once() {
     let fleet = start(1).await;
     let proxy = fleet.daemons[fleet.with_role("proxy")[0]].address;
     // One in the server's hands, one in the queue; the next is dropped without delay.
-    let slow = |number: &'static str| async move {
+    let slow = |request_id: &'static str| async move {
         let path = "/narrow?waitMs=2000";
-        vanepath_testbed::http::call(proxy, "GET", path, &[("x-request", number)], b"").await
+        http_call(proxy, "GET", path, &[("x-request", request_id)], b"").await
     };
     let index = fleet.with_role("proxy")[0];
     let class = async |key: &str| fleet.page(index, "status").await["classes"][2][key].clone();
     let first = tokio::spawn(slow("n1"));
     let limit = Duration::from_secs(5);
-    vanepath_testbed::harness::wait_until("one is in hand", limit, async || {
-        class("used").await == 1
-    })
-    .await;
+    wait_until("one is in hand", limit, async || class("used").await == 1).await;
     let second = tokio::spawn(slow("n2"));
-    vanepath_testbed::harness::wait_until("one waits", limit, async || class("waiting").await == 1)
-        .await;
+    wait_until("one waits", limit, async || class("waiting").await == 1).await;
     let begun = std::time::Instant::now();
     let third = slow("n3").await.unwrap();
     assert!(begun.elapsed() < Duration::from_millis(500));
@@ -333,8 +319,8 @@
     assert_eq!(runs.get("n3"), None);
     // No server at all: told at once too, for filings and lookups.
     fleet.platform.update_list(|list| list[0].draining = true);
-    vanepath_testbed::harness::wait_until("no work for it", Duration::from_secs(4), async || {
-        let reply = vanepath_testbed::http::call(proxy, "POST", "/file", &[], b"").await.unwrap();
+    wait_until("no work for it", Duration::from_secs(4), async || {
+        let reply = http_call(proxy, "POST", "/file", &[], b"").await.unwrap();
         reply.status == 503 && reply.headers.contains_key("retry-after")
     })
     .await;
@@ -343,22 +329,19 @@
 /// A proxy that stood still waits for fresh news before it goes to another server, and no longer than its
 /// caller does.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_goes_on_after_a_freeze_is_answered_in_its_time() {
+async fn a_retry_after_a_suspension_is_answered_within_its_deadline() {
     let fleet = start(3).await;
     fleet.servers.iter().for_each(|server| server.set_behavior(Behavior::Stalled));
     let proxy = fleet.with_role("proxy")[0];
     let address = fleet.daemons[proxy].address;
     let sent = std::time::Instant::now();
     let asked = tokio::spawn(async move {
-        let reply = vanepath_testbed::http::call(address, "GET", "/look/1", &[], b"").await;
+        let reply = http_call(address, "GET", "/look/1", &[], b"").await;
         (reply.map(|reply| reply.status), sent.elapsed())
     });
-    let in_hand =
+    let in_flight =
         || fleet.servers.iter().any(|server| !server.state.arrivals.lock().unwrap().is_empty());
-    vanepath_testbed::harness::wait_until("a server has it", Duration::from_secs(2), async || {
-        in_hand()
-    })
-    .await;
+    wait_until("a server has it", Duration::from_secs(2), async || in_flight()).await;
     // Nobody is there to tell what is in force once it wakes.
     let core = (0..fleet.daemons.len()).filter(|index| *index != proxy);
     core.for_each(|index| fleet.suspend(index));
--- a/testbed/tests/fleets.rs
+++ b/testbed/tests/fleets.rs
@@ -2,7 +2,9 @@
 //! zone emptied and returned, and a rolling restart of every daemon under way.
 
 use std::time::Duration;
+use vanepath_config::ExecutionStatus;
 use vanepath_testbed::harness::{Fleet, wait_until};
+use vanepath_testbed::http::call;
 use vanepath_testbed::topology::{self, Topology};
 use vanepath_testbed::traffic::{RequestKind, Traffic, check_filings, count_outcomes};
 
@@ -39,9 +41,9 @@
     let zone = fleet.topology.zones[1].0;
     let registry = fleet.registry_addresses()[0];
     let path = format!("/v1/zones/{zone}/emptied");
-    let emptied = vanepath_testbed::http::call(registry, "PUT", &path, &[], b"").await.unwrap();
-    assert_eq!(emptied.status, 200, "{:?}", emptied.body);
-    let revision = emptied.json()["revision"].as_u64().unwrap();
+    let drained = call(registry, "PUT", &path, &[], b"").await.unwrap();
+    assert_eq!(drained.status, 200, "{:?}", drained.body);
+    let revision = drained.json()["revision"].as_u64().unwrap();
     fleet.wait_until_active(revision, Duration::from_secs(4)).await;
     let before = arrivals_in(&fleet, zone);
     traffic.wait_for_requests(150).await;
@@ -52,7 +54,7 @@
     fleet.put_config(&fleet.topology.config).await;
     let zones = fleet.get(fleet.with_role("registry")[1], "/v1/zones").await.unwrap().json();
     assert_eq!(zones["emptied"][0].as_str(), Some(zone));
-    let returned = vanepath_testbed::http::call(registry, "DELETE", &path, &[], b"").await.unwrap();
+    let returned = call(registry, "DELETE", &path, &[], b"").await.unwrap();
     assert_eq!(returned.status, 200);
     let revision = returned.json()["revision"].as_u64().unwrap();
     fleet.wait_until_active(revision, Duration::from_secs(4)).await;
@@ -74,23 +76,22 @@
     }
     traffic.wait_for_requests(100).await;
 
-    let (told, wrong) = traffic.finish().await;
-    assert_eq!(wrong, Vec::<String>::new(), "receipts that are not the request's own");
-    assert_eq!(check_filings(&told, &fleet.execution_counts()), Vec::<String>::new());
-    let sums = count_outcomes(&told);
+    let (records, mismatches) = traffic.finish().await;
+    assert_eq!(mismatches, Vec::<String>::new(), "receipts that are not the request's own");
+    assert_eq!(check_filings(&records, &fleet.execution_counts()), Vec::<String>::new());
+    let sums = count_outcomes(&records);
     println!("{}: {sums:?}", fleet.topology.name);
-    let lost: Vec<_> =
-        told.iter().filter(|one| one.execution != vanepath_config::ExecutionStatus::Ran).collect();
+    let lost: Vec<_> = records.iter().filter(|one| one.execution != ExecutionStatus::Ran).collect();
     assert!(lost.is_empty(), "lost in planned work: {lost:?}");
     assert!(sums[&RequestKind::Filing].ran > 50);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn raiocertos_day_without_one_lost_request() {
+async fn raiocerto_loses_no_request_in_planned_work() {
     whole_day(topology::raiocerto()).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_guilds_day_without_one_lost_request() {
+async fn guild_loses_no_request_in_planned_work() {
     whole_day(topology::guild()).await;
 }
--- a/testbed/tests/losses.rs
+++ b/testbed/tests/losses.rs
@@ -1,7 +1,9 @@
 //! Places lost and brought back, machines replaced and everything killed, with real processes under
 //! traffic.
 
+use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
+use vanepath_config::ExecutionStatus;
 use vanepath_testbed::harness::{Fleet, wait_until};
 use vanepath_testbed::http::call;
 use vanepath_testbed::sim::day::tagged;
@@ -11,7 +13,7 @@
 
 const SOON: Duration = Duration::from_secs(15);
 
-fn small(proxies: usize) -> topology::Topology {
+fn small_topology(proxies: usize) -> topology::Topology {
     let mut topology = topology::raiocerto();
     topology.proxies = proxies;
     topology.servers = vec![("ordering", 12), ("documents", 6)];
@@ -25,23 +27,26 @@
     fleet
 }
 
-fn judged(fleet: &Fleet, (told, wrong): (Vec<RequestRecord>, Vec<String>)) -> Vec<RequestRecord> {
-    assert_eq!(wrong, Vec::<String>::new());
-    assert_eq!(check_filings(&told, &fleet.execution_counts()), Vec::<String>::new());
-    told
+fn checked(
+    fleet: &Fleet,
+    (records, mismatches): (Vec<RequestRecord>, Vec<String>),
+) -> Vec<RequestRecord> {
+    assert_eq!(mismatches, Vec::<String>::new());
+    assert_eq!(check_filings(&records, &fleet.execution_counts()), Vec::<String>::new());
+    records
 }
 
 /// Lookups and downloads that no server ran, or nobody knows.
-fn lost(told: &[RequestRecord]) -> Vec<&RequestRecord> {
-    let lookups = told.iter().filter(|one| one.kind != RequestKind::Filing);
-    lookups.filter(|one| one.execution != vanepath_config::ExecutionStatus::Ran).collect()
+fn lost(records: &[RequestRecord]) -> Vec<&RequestRecord> {
+    let lookups = records.iter().filter(|one| one.kind != RequestKind::Filing);
+    lookups.filter(|one| one.execution != ExecutionStatus::Ran).collect()
 }
 
 /// A zone goes with its proxies and servers, then a region with a core machine as well; each comes
 /// back. No lookup is lost, operators go on, and what is back gets work again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_zone_and_a_region_are_lost_and_come_back_under_traffic() {
-    let mut fleet = start(small(6)).await;
+async fn a_zone_and_a_region_fail_and_recover_under_traffic() {
+    let mut fleet = start(small_topology(6)).await;
     let traffic = Traffic::start(&fleet, 1, 0.4).await;
     traffic.wait_for_requests(60).await;
     for place in ["north-2", "south"] {
@@ -67,16 +72,16 @@
         let what = format!("the servers of {place} get work again");
         wait_until(&what, SOON, async || arrivals(&fleet) > before + 5).await;
     }
-    let told = traffic.finish().await;
-    let told = judged(&fleet, told);
-    assert!(lost(&told).is_empty(), "{:?}", lost(&told));
+    let records = traffic.finish().await;
+    let records = checked(&fleet, records);
+    assert!(lost(&records).is_empty(), "{:?}", lost(&records));
 }
 
 /// All three core machines in turn by others at new addresses, under traffic and changes; then each
 /// process is killed and started, the proxies with seeds of which none is left.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_whole_core_is_replaced_and_then_everything_is_killed() {
-    let mut fleet = start(small(3)).await;
+    let mut fleet = start(small_topology(3)).await;
     let traffic = Traffic::start(&fleet, 1, 0.2).await;
     traffic.wait_for_requests(30).await;
     let mut revisions = Vec::new();
@@ -105,9 +110,9 @@
     }
     fleet.wait_until_active(revisions[2].0, SOON).await;
     traffic.wait_for_requests(60).await;
-    let told = traffic.finish().await;
-    let told = judged(&fleet, told);
-    assert!(lost(&told).is_empty(), "{:?}", lost(&told));
+    let records = traffic.finish().await;
+    let records = checked(&fleet, records);
+    assert!(lost(&records).is_empty(), "{:?}", lost(&records));
 
     let all: Vec<usize> =
         (0..fleet.daemons.len()).filter(|index| fleet.daemons[*index].pid().is_some()).collect();
@@ -132,7 +137,7 @@
 /// itself, which takes the next seat that is lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn two_of_five_stores_are_lost_at_one_time() {
-    let mut topology = small(2);
+    let mut topology = small_topology(2);
     topology.stores = 5;
     let mut fleet = start(topology).await;
     let stores = fleet.with_role("store");
@@ -188,7 +193,7 @@
 /// fifteen seconds, with the word that was accepted last.
 #[tokio::test(flavor = "multi_thread")]
 async fn everything_is_killed_and_serves_again() {
-    let mut fleet = start(small(4)).await;
+    let mut fleet = start(small_topology(4)).await;
     let traffic = Traffic::start(&fleet, 1, 0.2).await;
     traffic.wait_for_requests(40).await;
     let body = tagged(&fleet.topology.config, 9);
@@ -219,19 +224,19 @@
     let read = call(registry, "GET", "/v1/setup", &[], b"").await.unwrap();
     assert_eq!(read.body, body, "revision {revision}");
     traffic.wait_for_requests(40).await;
-    let told = traffic.finish().await;
-    judged(&fleet, told);
+    let records = traffic.finish().await;
+    checked(&fleet, records);
 }
 
 /// A proxy sleeps while a server is marked as leaving and a zone is emptied. Awake, it sends neither
 /// of them anything, from the first request on.
 #[tokio::test(flavor = "multi_thread")]
-async fn who_slept_through_a_mark_and_an_emptied_zone_goes_by_them() {
-    let fleet = start(small(2)).await;
+async fn a_resumed_proxy_honours_drains_that_it_missed() {
+    let fleet = start(small_topology(2)).await;
     let proxy = fleet.with_role("proxy")[0];
     let address = fleet.daemons[proxy].address;
-    let lookup = async |number: usize| {
-        let headers = [("x-request", &*format!("n{number}"))];
+    let lookup = async |index: usize| {
+        let headers = [("x-request", &*format!("n{index}"))];
         let reply = call(address, "GET", "/stock/1", &headers, b"").await;
         reply.is_some_and(|reply| reply.status == 200)
     };
@@ -246,8 +251,8 @@
         list.retain(|one| one.zone != "north-1" || one.address == address0);
     });
     let path = "/v1/zones/north-2/emptied";
-    let emptied = call(fleet.registry_addresses()[1], "PUT", path, &[], b"").await.unwrap();
-    assert_eq!(emptied.status, 200);
+    let drained = call(fleet.registry_addresses()[1], "PUT", path, &[], b"").await.unwrap();
+    assert_eq!(drained.status, 200);
     wait_until(
         "the list and the zone are in force elsewhere, and a freeze long enough",
         SOON,
@@ -265,8 +270,8 @@
     };
     let before = arrivals();
     fleet.resume(proxy);
-    for number in 1..30 {
-        assert!(lookup(number).await, "lookup {number}");
+    for index in 1..30 {
+        assert!(lookup(index).await, "lookup {index}");
     }
     assert_eq!(arrivals(), before);
     let status = fleet.page(proxy, "status").await;
@@ -277,8 +282,8 @@
 /// A download in a server's hands goes on while its server is marked, its zone emptied, its rule
 /// dropped by a new setup and its proxy asked to stop; so does a filing that takes long.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_is_in_hand_outlives_all_planned_work() {
-    let mut fleet = start(small(2)).await;
+async fn requests_in_flight_survive_all_planned_work() {
+    let mut fleet = start(small_topology(2)).await;
     let proxy = fleet.with_role("proxy")[0];
     let address = fleet.daemons[proxy].address;
     let size = 200_000;
@@ -289,22 +294,22 @@
     let filing = tokio::spawn(async move {
         call(address, "POST", "/orders?waitMs=4000", &[("x-request", "slow")], b"x").await
     });
-    let in_hand = |fleet: &Fleet| -> u64 {
+    let in_flight = |fleet: &Fleet| -> u64 {
         let of = fleet.servers.iter().map(|one| &one.state.in_flight);
-        of.map(|count| count.load(std::sync::atomic::Ordering::Relaxed)).sum()
+        of.map(|count| count.load(Ordering::Relaxed)).sum()
     };
-    wait_until("both are in hand", SOON, async || in_hand(&fleet) == 2).await;
+    wait_until("both are in hand", SOON, async || in_flight(&fleet) == 2).await;
     fleet.platform.update_list(|list| list.iter_mut().for_each(|one| one.draining = true));
     for zone in ["north-1", "north-2", "middle-1"] {
         let path = format!("/v1/zones/{zone}/emptied");
-        let emptied = call(fleet.registry_addresses()[0], "PUT", &path, &[], b"").await.unwrap();
-        assert_eq!(emptied.status, 200);
+        let drained = call(fleet.registry_addresses()[0], "PUT", &path, &[], b"").await.unwrap();
+        assert_eq!(drained.status, 200);
     }
     let dropped =
         fleet.topology.config.replace("/documents", "/papers").replace("/orders", "/filed");
     let revision = fleet.put_config(&dropped).await;
     fleet.wait_until_active(revision, SOON).await;
-    assert_eq!(in_hand(&fleet), 2, "both are still there");
+    assert_eq!(in_flight(&fleet), 2, "both are still there");
     assert!(fleet.terminate(proxy).await, "it did not end well");
     let download = download.await.unwrap().expect("a whole receipt");
     assert_eq!(download.status, 200);
@@ -318,34 +323,34 @@
 /// goes by less than it went by before, no lookup is lost, nothing runs twice, and the operator's command
 /// finds nobody behind.
 #[tokio::test(flavor = "multi_thread")]
-async fn nobody_steps_back_in_a_rolling_restart_amid_a_storm_of_setups() {
-    let mut fleet = start(small(4)).await;
+async fn no_daemon_regresses_in_a_rolling_restart_amid_a_burst_of_configurations() {
+    let mut fleet = start(small_topology(4)).await;
     let traffic = Traffic::start(&fleet, 1, 0.2).await;
     traffic.wait_for_requests(20).await;
     let (registries, text) = (fleet.registry_addresses(), fleet.topology.config.clone());
-    let taken = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
+    let accepted = std::sync::Arc::new(AtomicUsize::new(0));
     let storm = tokio::spawn({
-        let taken = taken.clone();
+        let accepted = accepted.clone();
         async move {
-            let mut pace = tokio::time::interval(Duration::from_millis(40));
+            let mut interval = tokio::time::interval(Duration::from_millis(40));
             for tag in 0_usize.. {
-                pace.tick().await;
+                interval.tick().await;
                 let body = tagged(&text, tag);
                 // One that is down or about to go takes nothing; the next one does.
                 let reply = call(registries[tag % 3], "PUT", "/v1/setup", &[], &body).await;
-                let is_taken = reply.is_some_and(|reply| reply.status == 200);
-                taken.fetch_add(usize::from(is_taken), std::sync::atomic::Ordering::Relaxed);
+                let is_accepted = reply.is_some_and(|reply| reply.status == 200);
+                accepted.fetch_add(usize::from(is_accepted), Ordering::Relaxed);
             }
         }
     });
-    let in_force = async |fleet: &Fleet, index| {
+    let active_config = async |fleet: &Fleet, index| {
         let ready = fleet.page(index, "ready").await;
         (ready["ready"].as_bool() == Some(true), ready["revision"].as_u64().unwrap_or(0))
     };
     let mut waited = Vec::new();
     for round in 0..2 {
         for index in 0..fleet.daemons.len() {
-            let (_, before) = in_force(&fleet, index).await;
+            let (_, before) = active_config(&fleet, index).await;
             assert!(before > 0);
             // By turns as an operator would, and without a word.
             if (round + index) % 2 == 0 && fleet.daemons[index].role == "proxy" {
@@ -356,7 +361,7 @@
             fleet.start_daemon(index);
             let (fleet_ref, name) = (&fleet, fleet.daemons[index].name.clone());
             wait_until("it takes work again", SOON, async || {
-                let (is_ready, now) = in_force(fleet_ref, index).await;
+                let (is_ready, now) = active_config(fleet_ref, index).await;
                 assert!(now == 0 || now >= before, "{name} goes by {now}, and went by {before}");
                 is_ready && now >= before
             })
@@ -370,9 +375,9 @@
         }
     }
     storm.abort();
-    let taken = taken.load(std::sync::atomic::Ordering::Relaxed);
-    assert!(taken > 20, "{taken} setups were taken");
-    println!("{taken} setups; daemons waited for their floors for so many ms: {waited:?}");
+    let accepted = accepted.load(Ordering::Relaxed);
+    assert!(accepted > 20, "{accepted} setups were taken");
+    println!("{accepted} setups; daemons waited for their floors for so many ms: {waited:?}");
     let asked: Vec<String> = fleet
         .registry_addresses()
         .iter()
@@ -386,6 +391,6 @@
     })
     .await;
     traffic.wait_for_requests(20).await;
-    let told = judged(&fleet, traffic.finish().await);
-    assert!(lost(&told).is_empty(), "{:?}", lost(&told));
+    let records = checked(&fleet, traffic.finish().await);
+    assert!(lost(&records).is_empty(), "{:?}", lost(&records));
 }
--- a/testbed/tests/outside_names.rs
+++ b/testbed/tests/outside_names.rs
@@ -48,17 +48,17 @@
     text
 }
 
-fn small() -> topology::Topology {
-    let mut small = topology::raiocerto();
-    small.proxies = 2;
-    small.servers = vec![("ordering", 2), ("documents", 1)];
-    small
+fn small_topology() -> topology::Topology {
+    let mut small_topology = topology::raiocerto();
+    small_topology.proxies = 2;
+    small_topology.servers = vec![("ordering", 2), ("documents", 1)];
+    small_topology
 }
 
 /// Everything that a running fleet answers, by names alone.
 #[tokio::test(flavor = "multi_thread")]
 async fn pages_and_answers_keep_their_names() {
-    let fleet = Fleet::start(small()).await;
+    let fleet = Fleet::start(small_topology()).await;
     let revision = fleet.put_config(&fleet.topology.config).await;
     fleet.wait_until_active(revision, Duration::from_secs(10)).await;
     let (proxy, registry) = (fleet.with_role("proxy")[0], fleet.with_role("registry")[0]);
@@ -136,7 +136,7 @@
 /// What programs take and how they end.
 #[tokio::test(flavor = "multi_thread")]
 async fn flags_and_exit_codes_keep_their_names() {
-    let fleet = Fleet::start(small()).await;
+    let fleet = Fleet::start(small_topology()).await;
     let mut text = String::new();
     let run = |role: &str, arguments: &[&str]| {
         let run = std::process::Command::new(fleet.program(role)).args(arguments).output().unwrap();
@@ -150,9 +150,10 @@
         let settings = fleet.settings_file(index).to_string_lossy().to_string();
         let (code, said) = run(role, &["--settings", &settings, "--check"]);
         text += &format!("{role} --check {code:?} {said}");
-        for wrong in [vec!["--nothing"], vec!["--settings", "/nowhere"], vec!["free"], vec![]] {
-            let (code, said) = run(role, &wrong);
-            text += &format!("{role} {wrong:?} {code:?} {said}\n");
+        for mismatches in [vec!["--nothing"], vec!["--settings", "/nowhere"], vec!["free"], vec![]]
+        {
+            let (code, said) = run(role, &mismatches);
+            text += &format!("{role} {mismatches:?} {code:?} {said}\n");
         }
     }
     expect_test::expect_file!["fixtures/programs.txt"].assert_eq(&text);
--- a/testbed/tests/soak.rs
+++ b/testbed/tests/soak.rs
@@ -9,7 +9,7 @@
 
 /// Two seeds, one after the other.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_short_soak_breaks_nothing() {
+async fn a_short_soak_has_no_violations() {
     let plan = Plan { proxies: 4, servers: 12, length: Duration::from_secs(10), clients: 16 };
     for seed in [1, 2] {
         let outcome = run(seed, &plan).await;
--- a/testbed/tests/whole_path.rs
+++ b/testbed/tests/whole_path.rs
@@ -2,28 +2,29 @@
 
 use std::time::Duration;
 use vanepath_testbed::harness::{Fleet, wait_until};
+use vanepath_testbed::http::call;
 use vanepath_testbed::topology;
 
-fn small() -> topology::Topology {
-    let mut small = topology::raiocerto();
-    small.proxies = 2;
-    small.servers = vec![("ordering", 2), ("documents", 1)];
-    small
+fn small_topology() -> topology::Topology {
+    let mut small_topology = topology::raiocerto();
+    small_topology.proxies = 2;
+    small_topology.servers = vec![("ordering", 2), ("documents", 1)];
+    small_topology
 }
 
 /// Nodes find each other, a setup is taken and reaches all, a lookup is served.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_setup_is_taken_and_a_lookup_served() {
-    let fleet = Fleet::start(small()).await;
+async fn a_configuration_is_accepted_and_a_lookup_served() {
+    let fleet = Fleet::start(small_topology()).await;
     let revision = fleet.put_config(&fleet.topology.config).await;
     fleet.wait_until_active(revision, Duration::from_secs(10)).await;
     let proxy = fleet.daemons[fleet.with_role("proxy")[0]].address;
     let headers = [("x-request", "7")];
     wait_until("the lookup is served", Duration::from_secs(5), async || {
-        let reply = vanepath_testbed::http::call(proxy, "GET", "/stock/7", &headers, b"").await;
+        let reply = call(proxy, "GET", "/stock/7", &headers, b"").await;
         reply.is_some_and(|reply| {
             reply.status == 200
-                && reply.headers.get("vanepath-verdict").is_some_and(|told| told == "ran")
+                && reply.headers.get("vanepath-verdict").is_some_and(|status| status == "ran")
                 && reply.json()["request"].as_str() == Some("7")
         })
     })
@@ -42,7 +43,7 @@
 /// HAR file, and wrong flags, end with a message and a code of their own.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_recorded_file_is_replayed() {
-    let fleet = Fleet::start(small()).await;
+    let fleet = Fleet::start(small_topology()).await;
     let revision = fleet.put_config(&fleet.topology.config).await;
     fleet.wait_until_active(revision, Duration::from_secs(10)).await;
     let entry = |second: u32, method: &str, path: &str| {
@@ -85,9 +86,9 @@
     let (is_good, said) = with(&["--filings", &name]);
     assert!(is_good && said.contains("3 ran") && said.contains("3 with status 200"), "{said}");
     assert_eq!(fleet.execution_counts()["r6"], 1);
-    let setup = fleet.settings_file(0).to_string_lossy().to_string();
+    let config = fleet.settings_file(0).to_string_lossy().to_string();
     for (arguments, wanted) in [
-        (vec!["--registry", &registry, &setup], "no HAR file"),
+        (vec!["--registry", &registry, &config], "no HAR file"),
         (vec!["--registry", "nowhere", &name], "--registry"),
         (vec!["--registry", &registry, "--factor", "0", &name], "--factor"),
         (vec![&*name], "--registry"),
