--- a/testbed/tests/control.rs
+++ b/testbed/tests/control.rs
@@ -1,5 +1,5 @@
-//! The operator's word with real processes: receipts, races, lost and damaged disks, kills and
-//! freezes.
+//! The operator's configuration with real processes: acknowledgements, races, lost and damaged disks, kills and
+//! suspensions.
 
 use std::time::Duration;
 use vanepath_config::ExecutionStatus;
@@ -25,7 +25,7 @@
     tagged(&fleet.topology.config, tag)
 }
 
-/// The setup in force, from the first registry that tells it.
+/// The active configuration, from the first registry that returns it.
 async fn active_config(fleet: &Fleet) -> Option<Vec<u8>> {
     for address in fleet.registry_addresses() {
         if let Some(reply) = call(address, "GET", "/v1/setup", &[], b"").await
@@ -39,7 +39,7 @@
 
 const SOON: Duration = Duration::from_secs(15);
 
-/// Two registries hear what all proxies see of servers; whichever an operator asks tells the same.
+/// Two registries receive the observations of all proxies; every registry reports the same of them.
 #[tokio::test(flavor = "multi_thread")]
 async fn any_registry_reports_the_observations_of_all_proxies() {
     let fleet = Fleet::start(topology::Topology { proxies: 6, ..tiny_topology() }).await;
@@ -64,14 +64,14 @@
 async fn responses_state_what_was_done() {
     let fleet = Fleet::start(tiny_topology()).await;
     let first = fleet.put_config(&fleet.topology.config).await;
-    // Only on top of what the operator saw.
+    // Only if the active revision is the one that the operator saw.
     let at = format!("\"{first}\"");
     let second = put(&fleet, 1, &[("if-match", &at)], &tagged_config(&fleet, 2)).await;
     assert_eq!(second.status, 200, "{:?}", second.body);
     let third = put(&fleet, 2, &[("if-match", &at)], &tagged_config(&fleet, 3)).await;
     assert_eq!(third.status, 412);
     assert_eq!(third.json()["outcome"].as_str(), Some("nothing-done"));
-    // A repeat is no second change; another submission under the same key is refused.
+    // A repeat is no second change; another submission under the same key is rejected.
     let key = [("idempotency-key", "spring-prices")];
     let once = put(&fleet, 0, &key, &tagged_config(&fleet, 4)).await.json();
     let again = put(&fleet, 1, &key, &tagged_config(&fleet, 4)).await.json();
@@ -81,7 +81,7 @@
     let looked =
         call(fleet.registry_addresses()[2], "GET", "/v1/submissions/spring-prices", &[], b"").await;
     assert_eq!(looked.unwrap().json()["revision"], once["revision"]);
-    // What is not valid is listed fault by fault and not stored.
+    // All errors of an invalid configuration are listed, and it is not stored.
     let before = active_config(&fleet).await;
     let bad = fleet.topology.config.replace("\"kind\": \"once\"", "\"kind\": \"twice\", \"x\": 1");
     let rejected = put(&fleet, 0, &[], bad.as_bytes()).await;
@@ -101,7 +101,7 @@
         assert_eq!(reply.status, status, "{method} {path}");
     }
     assert_eq!(active_config(&fleet).await, before);
-    // Racing writes: each accepted one has a revision of its own and stays readable.
+    // Concurrent writes: each accepted one has a revision of its own and stays readable.
     let mut race = tokio::task::JoinSet::new();
     for tag in 10..22 {
         let (address, body) = (fleet.registry_addresses()[tag % 3], tagged_config(&fleet, tag));
@@ -122,8 +122,8 @@
     }
 }
 
-/// A setup that names its version: what is not newer changes nothing, whatever its key. It is a repeat, or
-/// one that was overtaken; another content under a version that was taken is refused (incident 0012).
+/// A configuration that states its version changes nothing unless it is newer, whatever its key: it is a repeat or
+/// was superseded. Another content under the same version is rejected (incident 0012).
 #[tokio::test(flavor = "multi_thread")]
 async fn an_old_version_of_a_configuration_changes_nothing() {
     let fleet = Fleet::start(tiny_topology()).await;
@@ -149,7 +149,7 @@
     }
     assert_eq!(active_config(&fleet).await, Some(versioned("7", 1)));
     let next = put(&fleet, 1, &[], &versioned("8", 4)).await.json();
-    // One revision notes the version that was overtaken.
+    // One revision records the version that was superseded.
     assert_eq!(next["revision"].as_u64(), first["revision"].as_u64().map(|one| one + 2));
     assert_eq!(active_config(&fleet).await, Some(versioned("8", 4)));
     let zones = call(fleet.registry_addresses()[2], "GET", "/v1/zones", &[], b"").await.unwrap();
@@ -166,7 +166,7 @@
     let mut fleet = Fleet::start(tiny_topology()).await;
     fleet.put_config(&fleet.topology.config).await;
     let stores = fleet.with_role("store");
-    // One disk is lost right after the receipt; an empty one takes its seat by itself.
+    // One disk is lost right after the acknowledgement; an empty one becomes a member by itself.
     let body = tagged_config(&fleet, 1);
     assert_eq!(put(&fleet, 0, &[], &body).await.status, 200);
     fleet.kill(stores[0]);
@@ -178,7 +178,7 @@
         fleet_ref.page(stores[0], "ready").await["ready"].as_bool() == Some(true)
     })
     .await;
-    // Power is lost everywhere at once: all of it is there afterwards.
+    // A power loss everywhere at once: everything is there afterwards.
     for index in 0..fleet.daemons.len() {
         fleet.kill(index);
     }
@@ -190,7 +190,7 @@
         active_config(fleet_ref).await.as_deref() == Some(&body[..])
     })
     .await;
-    // A file of the version in force is cut short on one disk: that copy alone lacks it.
+    // A file of the active version is truncated on one disk: only that replica lacks it.
     fleet.kill(stores[2]);
     let folder = fleet.data_folder(stores[2]);
     let mut versions: Vec<_> = std::fs::read_dir(&folder)
@@ -209,7 +209,7 @@
             && std::fs::read(&last).is_ok_and(|bytes| bytes == whole)
     })
     .await;
-    // Two of three disks are lost: nothing is begun anew, and nothing is taken.
+    // Two of three disks are lost: there is no new bootstrap, and nothing is accepted.
     for index in &stores[1..] {
         fleet.kill(*index);
         fleet.wipe_data(*index);
@@ -220,7 +220,7 @@
     for index in &stores[1..] {
         assert_eq!(fleet.page(*index, "status").await["votes"].as_bool(), Some(false));
     }
-    // The operator says to go on from the copy that is left.
+    // The operator orders to continue from the remaining replica.
     fleet.kill(stores[0]);
     let rescue = std::process::Command::new(fleet.program("store"))
         .arg("--settings")
@@ -242,7 +242,7 @@
     assert_eq!(active_config(&fleet).await.as_deref(), Some(&body[..]));
     let next = put(&fleet, 0, &[], &tagged_config(&fleet, 3)).await;
     assert_eq!(next.status, 200);
-    // What was in force before the rescue is still read, and revisions went on upwards.
+    // What was active before the rescue is still readable, and revisions have risen.
     assert!(next.json()["revision"].as_u64().unwrap() > 1000);
     fleet.wait_until_active(next.json()["revision"].as_u64().unwrap(), SOON).await;
 }
@@ -263,7 +263,7 @@
         fleet.kill(index);
     }
     assert!(lookup().await);
-    // The proxy freezes meanwhile and wakes: it serves on once it gave up on fresher news.
+    // The proxy is suspended meanwhile and resumed: it serves again once its wait for updates has timed out.
     fleet.suspend(proxy);
     let frozen = std::time::Instant::now();
     wait_until("a freeze long enough to be one", SOON, async || {
@@ -274,7 +274,7 @@
     assert!(lookup().await);
     let metrics = fleet.page(proxy, "metrics").await;
     assert_eq!(metrics["freezes"].as_u64(), Some(1));
-    // Control comes back, with the word from its disks, and rules again.
+    // The control plane comes back with the configuration from its disks, and accepts changes again.
     for index in fleet.with_role("registry").into_iter().chain(fleet.with_role("store")) {
         fleet.start_daemon(index);
     }
@@ -283,8 +283,8 @@
     fleet.wait_until_active(next, SOON).await;
 }
 
-/// What siblings send that makes no sense closes the connection and is counted; the platform's
-/// nonsense changes nothing.
+/// Invalid frames from other daemons close the connection and are counted; invalid endpoint lists change
+/// nothing.
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_input_from_outside_changes_nothing() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -308,7 +308,7 @@
         let mut stream = tokio::net::TcpStream::connect(sibling).await.unwrap();
         stream.write_all(&bytes).await.unwrap();
         let mut rest = Vec::new();
-        // Ends by itself: the other side closes.
+        // Ends by itself: the other side closes the connection.
         let _ = tokio::time::timeout(SOON, stream.read_to_end(&mut rest)).await.unwrap();
     }
     let metrics = fleet.page(registry, "metrics").await;
@@ -330,7 +330,7 @@
     wait_until("good again", SOON, async || state().await == "good").await;
 }
 
-/// A wrong settings file stops the start with the key's name.
+/// Invalid settings prevent the start; the error names the key.
 #[test]
 fn invalid_settings_prevent_the_start() {
     let folder = std::env::temp_dir().join(format!("vanepath-settings-{}", std::process::id()));
@@ -356,7 +356,7 @@
         let said = String::from_utf8_lossy(&run.stderr).to_string();
         assert!(said.contains(key), "{key}: {said}");
     }
-    // A store's own keys, which no other daemon has.
+    // Keys that only a store has.
     let of_store = good.replacen('{', "{\"dataFolder\": \"/tmp\", \"stores\": 5,", 1);
     for (program, text, key) in [
         (&store, of_store.replace("5,", "4,"), "$.stores: must be odd"),
@@ -391,8 +391,8 @@
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// Links that are cut without a word, and slow ones: proxies serve on, what was accepted stays, and
-/// all of it is in force soon after the links are whole.
+/// Partitioned and slow links: proxies keep serving, accepted configurations stay, and all are active soon after
+/// the links are restored.
 #[tokio::test(flavor = "multi_thread")]
 async fn partitioned_and_slow_links_delay_nothing_for_long() {
     use vanepath_testbed::relay::Link;
@@ -404,7 +404,7 @@
     fleet.wait_until_active(revision, SOON).await;
     let traffic = Traffic::start(&fleet, 1, 0.2).await;
     traffic.wait_for_requests(30).await;
-    // Nobody reaches any core machine: callers keep their last receipt, proxies their setup.
+    // No core machine can be reached: clients keep their last steering response, proxies their configuration.
     let core: Vec<usize> =
         fleet.with_role("registry").into_iter().chain(fleet.with_role("store")).collect();
     for index in &core {
@@ -414,7 +414,7 @@
     for index in &core {
         fleet.set_links(*index, Link::default());
     }
-    // One store is cut off, the others are slow: a change is accepted and comes into force.
+    // One store is partitioned and the others are slow: a change is accepted and becomes active.
     let stores = fleet.with_role("store");
     fleet.set_links(stores[0], Link { is_partitioned: true, ..Link::default() });
     for index in &stores[1..] {
@@ -434,8 +434,8 @@
     assert_eq!(lost, 0, "{:?}", count_outcomes(&records));
 }
 
-/// Servers and proxies killed and frozen under traffic: no lookup unanswered, no filing twice, and
-/// nothing goes to another service at an old address.
+/// Servers and proxies are killed and suspended under traffic: every lookup is answered, no filing is executed
+/// twice, and nothing is sent to another service at a reused address.
 #[tokio::test(flavor = "multi_thread")]
 async fn kills_and_suspensions_under_traffic_lose_no_lookup() {
     use vanepath_testbed::traffic::{RequestKind, Traffic, check_filings};
@@ -454,7 +454,7 @@
     fleet.suspend(proxies[1]);
     traffic.wait_for_requests(150).await;
     fleet.resume(proxies[1]);
-    // A server ends, and another service gets its address.
+    // A server ends, and a server of another service gets its address.
     let address = fleet.servers[0].address;
     fleet.servers[0].stop();
     let successor = loop {
@@ -477,9 +477,9 @@
     assert!(lost.is_empty(), "{lost:?}");
 }
 
-/// Points 1 and 4 of docs/control.md: the registry and the store of one core machine stand still for seconds
-/// while dozens of versions are accepted by the others. From the moment at which they go on, and through a
-/// restart of the store, nothing older is read out, by any registry, and the store comes up to date.
+/// Points 1 and 4 of docs/control.md: the registry and the store of one core machine are suspended for seconds
+/// while the others accept dozens of versions. From their resumption on, and through a restart of the store, no
+/// registry returns an older configuration, and the store catches up.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_resumed_core_machine_returns_no_older_configuration() {
     let mut fleet = Fleet::start(tiny_topology()).await;
@@ -492,7 +492,7 @@
     assert_eq!(put(&fleet, 0, &[], &bodies[1]).await.status, 200);
     let (registry, store) = (fleet.with_role("registry")[0], fleet.with_role("store")[0]);
     let addresses = fleet.registry_addresses();
-    // One of each in hand there, as it stands still.
+    // A write and a read are in flight there when it is suspended.
     let (write, read) = (addresses[0], addresses[0]);
     let body = bodies[2].clone();
     let in_flight = tokio::spawn(async move { call(write, "PUT", "/v1/setup", &[], &body).await });
@@ -508,7 +508,7 @@
     fleet.resume(registry);
     let is_newest = |reply: Option<Response>| match reply {
         Some(reply) if reply.status == 200 => reply.body == newest,
-        // It cannot tell, and says so.
+        // It does not know, and says so.
         _ => true,
     };
     assert!(is_newest(reading.await.unwrap()), "what was asked while it stood still");
--- a/testbed/tests/edges.rs
+++ b/testbed/tests/edges.rs
@@ -1,4 +1,4 @@
-//! What HTTP allows and what it does not, through one real proxy.
+//! Valid, ambiguous and invalid HTTP, and faulty servers, through one real proxy.
 
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -30,7 +30,7 @@
     let mut topology = topology::raiocerto();
     topology.config = SETUP.to_string();
     topology.proxies = 1;
-    // All in the proxy's own zone's region order: the first stands in its zone.
+    // The servers are spread over the zones; the first is in the proxy's own zone.
     topology.servers = vec![("s", servers)];
     let fleet = Fleet::start(topology).await;
     let revision = fleet.put_config(SETUP).await;
@@ -38,7 +38,7 @@
     fleet
 }
 
-/// Sends raw bytes and reads until the connection closes or falls silent after a reply.
+/// Sends raw bytes and reads until the connection closes or is idle after a response.
 async fn raw(address: std::net::SocketAddr, bytes: &[u8]) -> String {
     let mut stream = tokio::net::TcpStream::connect(address).await.unwrap();
     stream.write_all(bytes).await.unwrap();
@@ -127,13 +127,13 @@
     let call = async |method: &str, path: &str, headers: &[(&str, &str)], body: &[u8]| {
         http_call(proxy, method, path, headers, body).await.unwrap()
     };
-    // Target, method and end-to-end headers as they are; hop-by-hop ones are not passed on.
+    // Target, method and end-to-end headers are unchanged; hop-by-hop headers are not forwarded.
     let reply = call("PUT", "/look/a%2Fb?c=%20d&e", &[("x-request", "1")], b"12345").await;
     let value = reply.json();
     assert_eq!(value["target"].as_str(), Some("/look/a%2Fb?c=%20d&e"));
     assert_eq!(value["method"].as_str(), Some("PUT"));
     assert_eq!(value["bodyBytes"].as_u64(), Some(5));
-    // A chunked body, and one too large to be told twice.
+    // A chunked body, and one too large to be replayed.
     for size in [10, 70_000, 290_000] {
         let body = "q".repeat(size);
         let bytes = format!(
@@ -145,7 +145,7 @@
         let reply = call("PUT", "/look", &[], body.as_bytes()).await;
         assert_eq!(reply.json()["bodyBytes"].as_u64(), Some(size as u64));
     }
-    // Expect: the body comes only when it is asked for.
+    // Expect: the body is sent only on request.
     let mut stream = tokio::net::TcpStream::connect(proxy).await.unwrap();
     let start =
         "PUT /look HTTP/1.1\r\nhost: h\r\nexpect: 100-continue\r\ncontent-length: 3\r\n\r\n";
@@ -156,10 +156,10 @@
     stream.write_all(b"abc").await.unwrap();
     let count = stream.read(&mut buffer).await.unwrap();
     assert!(buffer[..count].starts_with(b"HTTP/1.1 200 "));
-    // HEAD has a head and no body, whatever the length told.
+    // A response to HEAD has no body, whatever its content length.
     let reply = raw(proxy, b"HEAD /look HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\r\n").await;
     assert!(reply.starts_with("HTTP/1.1 200 ") && reply.ends_with("\r\n\r\n[closed]"), "{reply}");
-    // Large bodies come whole, with a length and in chunks.
+    // Large bodies are complete, with a content length and in chunks.
     for form in ["", "&chunked=1"] {
         let path = format!("/look?size=3000000{form}");
         let reply = call("GET", &path, &[("x-request", "n")], b"").await;
@@ -174,7 +174,7 @@
     let call = async |method: &str, path: &str, request_id: &str| {
         http_call(proxy, method, path, &[("x-request", request_id)], b"").await
     };
-    // The proxy's own zone has server 0 alone: it gets the first go of each request.
+    // Server 0 is the only one in the proxy's own zone: it gets the first attempt of each request.
     for (behavior, status) in [
         (Behavior::DisconnectAfterExecution, 502),
         (Behavior::TruncatedResponse, 502),
@@ -182,17 +182,17 @@
         (Behavior::Stalled, 504),
         (Behavior::ExtraResponse, 200),
     ] {
-        // Whatever came before, it is well again and known to be.
+        // Whatever came before, it is healthy again and known to be.
         fleet.servers[0].set_behavior(Behavior::Normal);
         wait_until("it is given work", Duration::from_secs(20), async || {
-            // One that limps is tried with lookups.
+            // A degraded server is probed with lookups.
             assert_eq!(call("GET", "/look", "well").await.unwrap().status, 200);
             let status = fleet.page(fleet.with_role("proxy")[0], "status").await;
             status["servers"][0]["why"] == "given work"
         })
         .await;
         fleet.servers[0].set_behavior(behavior);
-        // A filing that it may have run is never told to another, and the caller is told so.
+        // A filing that may have run is not retried, and the client is told so.
         let request_id = format!("file-{behavior:?}");
         let reply = call("POST", "/file", &request_id).await.unwrap();
         assert_eq!(reply.status, status, "{behavior:?}");
@@ -217,7 +217,7 @@
             assert_eq!(reply.json()["request"].as_str(), Some(request_id.as_str()), "{behavior:?}");
         }
     }
-    // A download that breaks off after its first bytes went out breaks off for the caller too.
+    // A download that breaks off after its first bytes were forwarded breaks off for the client too.
     for server in &fleet.servers {
         server.set_behavior(Behavior::TruncatedResponse);
     }
@@ -225,8 +225,8 @@
     assert!(reply.is_none_or(|reply| reply.status != 200), "a part that looks whole");
 }
 
-/// A second reply that comes when the connection may carry the next request already cannot be told
-/// from that one's. So a server that was seen to send one gets one request on a connection.
+/// An extra response that arrives when the connection may be in use for the next request cannot be distinguished
+/// from the response to that. A server that was seen to send one therefore gets one request per connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_delayed_extra_response_is_discarded_once_the_server_is_known_for_it() {
     let fleet = start(1).await;
@@ -245,7 +245,7 @@
     for round in 0..40 {
         let (method, path) =
             if round % 3 == 0 { ("POST", "/file?waitMs=30") } else { ("GET", "/look?waitMs=30") };
-        // Just when the last connection has rested and its second reply is still to come.
+        // The last connection is idle again, and its extra response is still to come.
         let ended = std::time::Instant::now();
         wait_until("it rested", limit, async || ended.elapsed().as_millis() > 24).await;
         let request_id = format!("n{round}");
@@ -256,8 +256,8 @@
     }
 }
 
-/// A rule is bound to another region while a request of it waits for room: the bound in force when a
-/// server is chosen holds.
+/// A rule is restricted to another region while one of its requests is queued: the restriction that is active when
+/// a server is selected applies.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_region_restriction_applies_to_queued_requests() {
     let fleet = start(1).await;
@@ -291,7 +291,7 @@
 async fn rejected_requests_are_answered_at_once() {
     let fleet = start(1).await;
     let proxy = fleet.daemons[fleet.with_role("proxy")[0]].address;
-    // One in the server's hands, one in the queue; the next is dropped without delay.
+    // One request is at the server and one is queued; the next is rejected at once.
     let slow = |request_id: &'static str| async move {
         let path = "/narrow?waitMs=2000";
         http_call(proxy, "GET", path, &[("x-request", request_id)], b"").await
@@ -309,7 +309,7 @@
     assert_eq!(third.status, 503);
     assert_eq!(third.headers.get("retry-after").unwrap(), "1");
     assert_eq!(third.headers.get("vanepath-verdict").unwrap(), "not-run");
-    // The one that waits leaves: it never runs, though its turn would come.
+    // The queued one is cancelled: it never runs, though its turn would come.
     second.abort();
     assert_eq!(first.await.unwrap().unwrap().status, 200);
     let done = slow("n4").await.unwrap();
@@ -317,7 +317,7 @@
     let runs = fleet.execution_counts();
     assert_eq!(runs.get("n2"), None);
     assert_eq!(runs.get("n3"), None);
-    // No server at all: told at once too, for filings and lookups.
+    // No server at all: rejected at once too, filings as well as lookups.
     fleet.platform.update_list(|list| list[0].draining = true);
     wait_until("no work for it", Duration::from_secs(4), async || {
         let reply = http_call(proxy, "POST", "/file", &[], b"").await.unwrap();
@@ -326,8 +326,8 @@
     .await;
 }
 
-/// A proxy that stood still waits for fresh news before it goes to another server, and no longer than its
-/// caller does.
+/// A resumed proxy waits for updates before it retries at another server, and no longer than the deadline of the
+/// request.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_retry_after_a_suspension_is_answered_within_its_deadline() {
     let fleet = start(3).await;
@@ -342,7 +342,7 @@
     let in_flight =
         || fleet.servers.iter().any(|server| !server.state.arrivals.lock().unwrap().is_empty());
     wait_until("a server has it", Duration::from_secs(2), async || in_flight()).await;
-    // Nobody is there to tell what is in force once it wakes.
+    // No other daemon can send updates after the resumption.
     let core = (0..fleet.daemons.len()).filter(|index| *index != proxy);
     core.for_each(|index| fleet.suspend(index));
     fleet.suspend(proxy);
--- a/testbed/tests/fleets.rs
+++ b/testbed/tests/fleets.rs
@@ -1,5 +1,5 @@
-//! The two deployments as processes, with mixed traffic judged from outside: a setup change, a
-//! zone emptied and returned, and a rolling restart of every daemon under way.
+//! The two deployments as processes under mixed traffic that is checked from outside: a configuration change, the
+//! drain and restoration of a zone, and a rolling restart of every daemon.
 
 use std::time::Duration;
 use vanepath_config::ExecutionStatus;
@@ -8,7 +8,7 @@
 use vanepath_testbed::topology::{self, Topology};
 use vanepath_testbed::traffic::{RequestKind, Traffic, check_filings, count_outcomes};
 
-/// Requests in the hands of stand-in servers of a zone, by arrivals.
+/// Requests that the stub servers of a zone have received.
 fn arrivals_in(fleet: &Fleet, zone: &str) -> usize {
     let in_zone = |index: usize| fleet.topology.zones[index % fleet.topology.zones.len()].0 == zone;
     let mut count = 0;
@@ -31,13 +31,13 @@
     let traffic = Traffic::start(&fleet, 2, 0.5).await;
     traffic.wait_for_requests(150).await;
 
-    // Another setup while requests are under way: in force everywhere soon, and none is lost.
+    // Another configuration with requests in flight: active everywhere soon, and no request is lost.
     let changed = fleet.topology.config.replace("\"deadlineMs\": 5000", "\"deadlineMs\": 6000");
     let second = fleet.put_config(&changed).await;
     fleet.wait_until_active(second, Duration::from_secs(4)).await;
     traffic.wait_for_requests(100).await;
 
-    // A zone is emptied: no new work there once it is in force; then it is returned.
+    // A zone is drained: no new requests there once that is active; then it is restored.
     let zone = fleet.topology.zones[1].0;
     let registry = fleet.registry_addresses()[0];
     let path = format!("/v1/zones/{zone}/emptied");
@@ -48,9 +48,9 @@
     let before = arrivals_in(&fleet, zone);
     traffic.wait_for_requests(150).await;
     let meanwhile = arrivals_in(&fleet, zone) - before;
-    // What was chosen before the change may still arrive; nothing else.
+    // Requests for which a server was selected before the change may still arrive; no others.
     assert!(meanwhile <= 5, "{meanwhile} requests went to an emptied zone");
-    // A new setup does not undo it.
+    // A new configuration does not end the drain.
     fleet.put_config(&fleet.topology.config).await;
     let zones = fleet.get(fleet.with_role("registry")[1], "/v1/zones").await.unwrap().json();
     assert_eq!(zones["emptied"][0].as_str(), Some(zone));
@@ -63,7 +63,7 @@
     })
     .await;
 
-    // Every daemon, one after the other, is asked to stop and started again.
+    // Every daemon in turn is terminated and started again.
     for index in 0..fleet.daemons.len() {
         assert!(fleet.terminate(index).await, "{} did not end well", fleet.daemons[index].name);
         fleet.start_daemon(index);
--- a/testbed/tests/losses.rs
+++ b/testbed/tests/losses.rs
@@ -1,5 +1,4 @@
-//! Places lost and brought back, machines replaced and everything killed, with real processes under
-//! traffic.
+//! Zones lost and restored, machines replaced and all daemons killed, with real processes under traffic.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
@@ -36,14 +35,14 @@
     records
 }
 
-/// Lookups and downloads that no server ran, or nobody knows.
+/// Lookups and downloads that were not executed, or of which that is unknown.
 fn lost(records: &[RequestRecord]) -> Vec<&RequestRecord> {
     let lookups = records.iter().filter(|one| one.kind != RequestKind::Filing);
     lookups.filter(|one| one.execution != ExecutionStatus::Ran).collect()
 }
 
-/// A zone goes with its proxies and servers, then a region with a core machine as well; each comes
-/// back. No lookup is lost, operators go on, and what is back gets work again.
+/// A zone fails with its proxies and servers, then a region with a core machine as well; each recovers. No lookup is
+/// lost, operators can make changes, and what has recovered gets requests again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_and_a_region_fail_and_recover_under_traffic() {
     let mut fleet = start(small_topology(6)).await;
@@ -77,8 +76,8 @@
     assert!(lost(&records).is_empty(), "{:?}", lost(&records));
 }
 
-/// All three core machines in turn by others at new addresses, under traffic and changes; then each
-/// process is killed and started, the proxies with seeds of which none is left.
+/// All three core machines are replaced in turn by others at new addresses, under traffic and changes; then each
+/// process is killed and started again, the proxies with seeds of which none exists any more.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_whole_core_is_replaced_and_then_everything_is_killed() {
     let mut fleet = start(small_topology(3)).await;
@@ -122,7 +121,7 @@
     for index in &all {
         fleet.start_daemon(*index);
     }
-    // Brought back by what the stores wrote down: no seed of the proxies is there any more.
+    // The addresses come from the data of the stores: no seed of the proxies exists any more.
     fleet.wait_until_active(revisions[2].0, SOON).await;
     let registry = fleet.daemons[fleet.index_of("registry-1-new")].address;
     for (revision, body) in &revisions {
@@ -132,9 +131,9 @@
     }
 }
 
-/// Five stores; two of their disks are lost at one time, one wiped and one with its machine. Both seats
-/// are given, changes go on meanwhile, and the old machine's disk, back again, is an empty spare by
-/// itself, which takes the next seat that is lost.
+/// Five stores; two of their disks are lost at one time, one wiped and one with its machine. Both member slots are
+/// filled, changes go on meanwhile, and the old machine's disk, when it is back, becomes an empty spare, which
+/// takes the next member slot that is lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn two_of_five_stores_are_lost_at_one_time() {
     let mut topology = small_topology(2);
@@ -189,8 +188,8 @@
     fleet.wait_until_active(next, SOON).await;
 }
 
-/// Every daemon is killed under traffic and started again: each kind of service is there within
-/// fifteen seconds, with the word that was accepted last.
+/// Every daemon is killed under traffic and started again: every function is available within fifteen seconds,
+/// with the configuration that was accepted last.
 #[tokio::test(flavor = "multi_thread")]
 async fn everything_is_killed_and_serves_again() {
     let mut fleet = start(small_topology(4)).await;
@@ -228,8 +227,8 @@
     checked(&fleet, records);
 }
 
-/// A proxy sleeps while a server is marked as leaving and a zone is emptied. Awake, it sends neither
-/// of them anything, from the first request on.
+/// A proxy is suspended while a server is marked as draining and a zone is drained. After its resumption it sends
+/// neither of them anything, from the first request on.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_resumed_proxy_honours_drains_that_it_missed() {
     let fleet = start(small_topology(2)).await;
@@ -243,7 +242,7 @@
     wait_until("it serves", SOON, async || lookup(0).await).await;
     fleet.suspend(proxy);
     let frozen = std::time::Instant::now();
-    // Of its own zone one server is left, and it is marked; the rest of its region is emptied.
+    // One server of its own zone is left, and it is draining; the rest of its region is drained.
     let own = fleet.servers_in(|zone, _| zone == "north-1");
     let address0 = fleet.servers[own[0]].address;
     fleet.platform.update_list(|list| {
@@ -279,8 +278,8 @@
     assert_eq!(status["platformRevision"].as_u64(), Some(2));
 }
 
-/// A download in a server's hands goes on while its server is marked, its zone emptied, its rule
-/// dropped by a new setup and its proxy asked to stop; so does a filing that takes long.
+/// A download in flight continues while its server drains, its zone is drained, its rule is removed by a new
+/// configuration and its proxy is terminated; so does a filing that takes long.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_in_flight_survive_all_planned_work() {
     let mut fleet = start(small_topology(2)).await;
@@ -319,9 +318,9 @@
     assert_eq!(fleet.execution_counts()["slow"], 1);
 }
 
-/// Every daemon is started anew in its turn, while setups come one after the other and clients ask. None
-/// goes by less than it went by before, no lookup is lost, nothing runs twice, and the operator's command
-/// finds nobody behind.
+/// Every daemon is restarted in its turn, under a burst of configurations and traffic. No revision of any of them is
+/// older than one that it had before, no lookup is lost, nothing is executed twice, and the operator's command finds
+/// no daemon behind.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_daemon_regresses_in_a_rolling_restart_amid_a_burst_of_configurations() {
     let mut fleet = start(small_topology(4)).await;
@@ -336,7 +335,7 @@
             for tag in 0_usize.. {
                 interval.tick().await;
                 let body = tagged(&text, tag);
-                // One that is down or about to go takes nothing; the next one does.
+                // A registry that is down or shutting down accepts nothing; the next one does.
                 let reply = call(registries[tag % 3], "PUT", "/v1/setup", &[], &body).await;
                 let is_accepted = reply.is_some_and(|reply| reply.status == 200);
                 accepted.fetch_add(usize::from(is_accepted), Ordering::Relaxed);
@@ -352,7 +351,7 @@
         for index in 0..fleet.daemons.len() {
             let (_, before) = active_config(&fleet, index).await;
             assert!(before > 0);
-            // By turns as an operator would, and without a word.
+            // Terminated and killed in turn.
             if (round + index) % 2 == 0 && fleet.daemons[index].role == "proxy" {
                 assert!(fleet.terminate(index).await);
             } else {
--- a/testbed/tests/outside_names.rs
+++ b/testbed/tests/outside_names.rs
@@ -1,5 +1,5 @@
-//! The names that face outside, as operators' scripts and callers' programs know them: paths, JSON keys,
-//! headers, counters, flags and exit codes (docs/operators.md). They stay whatever the code calls its own.
+//! The names of the external interfaces, as operators' scripts and clients' programs use them: paths, JSON keys,
+//! headers, counters, flags and exit codes (docs/operators.md). They do not follow the names in the code.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -25,7 +25,7 @@
     }
 }
 
-/// One call's status, own headers and keys.
+/// Status, headers and keys of one response.
 async fn call(
     fleet: &Fleet,
     index: usize,
@@ -55,7 +55,7 @@
     small_topology
 }
 
-/// Everything that a running fleet answers, by names alone.
+/// The names in all responses of a running fleet.
 #[tokio::test(flavor = "multi_thread")]
 async fn pages_and_answers_keep_their_names() {
     let fleet = Fleet::start(small_topology()).await;
@@ -123,7 +123,7 @@
     expect_test::expect_file!["fixtures/pages.txt"].assert_eq(&text);
 }
 
-/// The flags of a program, from its own help.
+/// The flags that a program's help lists.
 fn flags(help: &str) -> Vec<&str> {
     let words = help.split([' ', '\n', ',']);
     let mut flags: Vec<&str> =
@@ -133,7 +133,7 @@
     flags
 }
 
-/// What programs take and how they end.
+/// The flags and exit codes of the programs.
 #[tokio::test(flavor = "multi_thread")]
 async fn flags_and_exit_codes_keep_their_names() {
     let fleet = Fleet::start(small_topology()).await;
--- a/testbed/tests/soak.rs
+++ b/testbed/tests/soak.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// A seed always has the same script, in the order of time and within its length; others have others.
+/// A seed always has the same script, ordered by time and within its length; other seeds have others.
 #[test]
 fn a_seed_has_one_script() {
     let length = Duration::from_secs(16);
@@ -37,7 +37,7 @@
     }
 }
 
-/// Fifty seeds hold every kind of action, and series that overlap.
+/// Fifty seeds contain every kind of action, and overlapping series.
 #[test]
 fn fifty_seeds_hold_every_kind_of_action() {
     let length = Duration::from_secs(16);
--- a/testbed/tests/whole_path.rs
+++ b/testbed/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path with real processes on loopback.
+//! The whole path of a configuration and a request, with real processes on loopback.
 
 use std::time::Duration;
 use vanepath_testbed::harness::{Fleet, wait_until};
@@ -12,7 +12,7 @@
     small_topology
 }
 
-/// Nodes find each other, a setup is taken and reaches all, a lookup is served.
+/// Daemons find each other, a configuration is accepted and reaches all, a lookup is served.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_configuration_is_accepted_and_a_lookup_served() {
     let fleet = Fleet::start(small_topology()).await;
@@ -29,7 +29,7 @@
         })
     })
     .await;
-    // Exactly what was accepted is read back, from any registry.
+    // Exactly what was accepted is returned by every registry.
     for index in fleet.with_role("registry") {
         for path in ["/v1/setup".to_string(), format!("/v1/setup/{revision}")] {
             let read = fleet.get(index, &path).await.expect("a registry replies");
@@ -39,8 +39,8 @@
     }
 }
 
-/// A recorded file is replayed through directory and proxies; filings only when asked for. What is no
-/// HAR file, and wrong flags, end with a message and a code of their own.
+/// A recorded file is replayed through steering and proxies, filings only on request. A file that is not in the HAR
+/// format and invalid options end with a message and an error code.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_recorded_file_is_replayed() {
     let fleet = Fleet::start(small_topology()).await;
