--- a/testbed/src/commands/simulate.rs
+++ b/testbed/src/commands/simulate.rs
@@ -1,12 +1,140 @@
-//! Simulated days over a range of seeds.
+//! Simulated scenarios over a range of seeds.
 
 use super::{matches, seeds};
+use std::collections::BTreeMap;
+use std::sync::Mutex;
 use std::time::Duration;
 use strum::IntoEnumIterator;
-use vanepath_testbed::sim::day::{Deployment, Fault, Plan};
+use vanepath_testbed::sim::day::{self, Deployment, Fault, Plan};
+use vanepath_testbed::sim::judge::{Judgement, judge};
+use vanepath_testbed::sim::{Random, cores, on_threads};
 
-/// Runs days over a range of seeds and prints what the judges found.
+/// Mixed into a seed for the choice of faults, so that it does not follow the scenario's own draws.
+const MIX_SEED: u64 = 0x6d69_7865;
+/// Violations of one scenario that are printed.
+const MAX_SHOWN_VIOLATIONS: usize = 6;
+const DEFAULT_OPERATOR_INTERVAL_MS: u64 = 900;
+
+/// Runs scenarios over a range of seeds and prints the violations of their invariants and a table of totals.
+///
+/// # Errors
+/// If the arguments are not understood, or an invariant was violated.
 pub fn run(arguments: &[String]) -> miette::Result<()> {
+    let Some(options) = Options::parse(arguments)? else {
+        return Ok(());
+    };
+    let scenarios = options.scenarios();
+    let totals = Mutex::new(BTreeMap::<String, Totals>::new());
+    on_threads(options.threads, scenarios.len(), |index| {
+        run_scenario(&scenarios[index], &options, &totals);
+    });
+    let mut totals = totals.into_inner().expect("no panic under this lock");
+    print_results(&totals);
+    print_costs(&mut totals);
+    let failed: usize = totals.values().map(|totals| totals.failed).sum();
+    if failed > 0 {
+        miette::bail!("{failed} days with faults");
+    }
+    Ok(())
+}
+
+/// Which faults a scenario has.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Selection {
+    /// One of the given kinds, each in a scenario of its own.
+    Each,
+    /// Several random kinds, one after the other.
+    Mixed,
+    /// Several random kinds at one time.
+    Overlapping,
+    /// The given kinds, one after the other in one scenario.
+    Sequence,
+}
+
+/// The options of the command line.
+struct Options {
+    first_seed: u64,
+    last_seed: u64,
+    selection: Selection,
+    faults: Vec<Fault>,
+    deployments: Vec<Deployment>,
+    /// Share of the deployment's traffic.
+    rate: f64,
+    /// Whether the history of each failed scenario is printed.
+    traces: bool,
+    operator_interval: Duration,
+    threads: usize,
+}
+
+/// One scenario to run.
+struct Scenario {
+    seed: u64,
+    deployment: Deployment,
+    faults: Vec<Fault>,
+}
+
+impl Options {
+    /// `None` if help was requested, which was then printed.
+    fn parse(arguments: &[String]) -> miette::Result<Option<Options>> {
+        let kinds: Vec<String> = Fault::iter().map(|fault| fault.to_string()).collect();
+        let more = &format!("Kinds of fault: {}", kinds.join(", "));
+        let usage = "vanepath-testbed simulate [options]";
+        let Some(matches) = matches(accepted_options(), arguments, usage, more)? else {
+            return Ok(None);
+        };
+        let (first_seed, last_seed) = seeds(matches.opt_str("seeds"), "1-20")?;
+        let kind = matches.opt_str("fault").unwrap_or("each".to_string());
+        let (selection, faults) = parse_faults(&kind)?;
+        let deployments = match matches.opt_str("deployment").as_deref() {
+            None | Some("both") => vec![Deployment::Raiocerto, Deployment::Guild],
+            Some("raiocerto") => vec![Deployment::Raiocerto],
+            Some("guild") => vec![Deployment::Guild],
+            Some(other) => miette::bail!("--deployment: there is no '{other}'"),
+        };
+        let operator_ms = matches.opt_str("operator-ms").and_then(|text| text.parse().ok());
+        Ok(Some(Options {
+            first_seed,
+            last_seed,
+            selection,
+            faults,
+            deployments,
+            rate: matches.opt_str("rate").and_then(|text| text.parse().ok()).unwrap_or(1.0),
+            traces: matches.opt_present("trace"),
+            operator_interval: Duration::from_millis(
+                operator_ms.unwrap_or(DEFAULT_OPERATOR_INTERVAL_MS),
+            ),
+            threads: matches
+                .opt_str("threads")
+                .and_then(|text| text.parse().ok())
+                .unwrap_or(cores()),
+        }))
+    }
+
+    fn scenarios(&self) -> Vec<Scenario> {
+        let mut scenarios = Vec::new();
+        for seed in self.first_seed..=self.last_seed {
+            for deployment in self.deployments.iter().copied() {
+                let faults = match self.selection {
+                    Selection::Each => self.faults.iter().map(|fault| vec![*fault]).collect(),
+                    Selection::Mixed => vec![self.random_faults(seed)],
+                    Selection::Overlapping => vec![day::overlapping(seed)],
+                    Selection::Sequence => vec![self.faults.clone()],
+                };
+                let faults = faults.into_iter();
+                scenarios.extend(faults.map(|faults| Scenario { seed, deployment, faults }));
+            }
+        }
+        scenarios
+    }
+
+    fn random_faults(&self, seed: u64) -> Vec<Fault> {
+        let mut random = Random::new(seed ^ MIX_SEED);
+        let count = 2 + random.below(3);
+        (0..count).map(|_| self.faults[random.below(self.faults.len())]).collect()
+    }
+}
+
+fn accepted_options() -> getopts::Options {
     let mut options = getopts::Options::new();
     options.optopt("", "seeds", "first and last seed, as in 1-100 (default 1-20)", "A-B");
     options.optopt(
@@ -20,67 +148,122 @@
     options.optopt("", "operator-ms", "an operator does something about so often (900)", "N");
     options.optopt("", "threads", "seeds run at one time (default: all cores)", "N");
     options.optflag("", "trace", "print the history of each day that a judge finds fault with");
-    let kinds: Vec<String> = Fault::iter().map(|fault| fault.to_string()).collect();
-    let more = &format!("Kinds of fault: {}", kinds.join(", "));
-    let Some(matches) = matches(options, arguments, "vanepath-testbed simulate [options]", more)?
-    else {
-        return Ok(());
+    options
+}
+
+/// Reads `each`, `mixed`, `overlap`, a kind of fault, or several kinds joined by `+`.
+fn parse_faults(text: &str) -> miette::Result<(Selection, Vec<Fault>)> {
+    let all: Vec<Fault> = Fault::iter().collect();
+    let selection = match text {
+        "each" => return Ok((Selection::Each, all)),
+        "mixed" => return Ok((Selection::Mixed, all)),
+        "overlap" => return Ok((Selection::Overlapping, all)),
+        names if names.contains('+') => Selection::Sequence,
+        _ => Selection::Each,
     };
-    let (first, last) = seeds(matches.opt_str("seeds"), "1-20")?;
-    let kind = matches.opt_str("fault").unwrap_or("each".to_string());
-    let faults: Vec<Fault> = Fault::iter().collect();
-    let chosen: Vec<Fault> = match kind.as_str() {
-        "each" | "mixed" | "overlap" => faults.clone(),
-        // Several, one after the other on one day.
-        names => names
-            .split('+')
-            .map(|name| {
-                let found = faults.iter().copied().find(|fault| fault.to_string() == name);
-                found.ok_or_else(|| miette::miette!("--fault: there is no '{name}'; see --help"))
-            })
-            .collect::<miette::Result<Vec<Fault>>>()?,
+    let faults = text
+        .split('+')
+        .map(|name| {
+            let found = all.iter().copied().find(|fault| fault.to_string() == name);
+            found.ok_or_else(|| miette::miette!("--fault: there is no '{name}'; see --help"))
+        })
+        .collect::<miette::Result<Vec<Fault>>>()?;
+    Ok((selection, faults))
+}
+
+/// Runs one scenario, adds its results to the totals and prints its violations.
+fn run_scenario(scenario: &Scenario, options: &Options, totals: &Mutex<BTreeMap<String, Totals>>) {
+    let plan = Plan {
+        rate: options.rate,
+        traces: options.traces,
+        operator_every: options.operator_interval,
+        overlap: options.selection == Selection::Overlapping,
+        ..Plan::new(scenario.deployment, &scenario.faults)
     };
-    let deployments = match matches.opt_str("deployment").as_deref() {
-        None | Some("both") => vec![Deployment::Raiocerto, Deployment::Guild],
-        Some("raiocerto") => vec![Deployment::Raiocerto],
-        Some("guild") => vec![Deployment::Guild],
-        Some(other) => miette::bail!("--deployment: there is no '{other}'"),
+    let run = day::run(scenario.seed, &plan);
+    let judgement = judge(&run);
+    let names: Vec<String> = scenario.faults.iter().map(|fault| fault.to_string()).collect();
+    let names = names.join("+");
+    let row = match options.selection {
+        Selection::Overlapping => "overlap".to_string(),
+        Selection::Mixed => "mixed".to_string(),
+        Selection::Each | Selection::Sequence => names.clone(),
     };
-    let rate: f64 = matches.opt_str("rate").and_then(|text| text.parse().ok()).unwrap_or(1.0);
-    let traces = matches.opt_present("trace");
-    let operator_ms: u64 =
-        matches.opt_str("operator-ms").and_then(|text| text.parse().ok()).unwrap_or(900);
-    let operator_every = Duration::from_millis(operator_ms);
-    let threads = matches
-        .opt_str("threads")
-        .and_then(|text| text.parse().ok())
-        .unwrap_or(vanepath_testbed::sim::cores());
-
-    let mut work: Vec<(u64, Deployment, Vec<Fault>)> = Vec::new();
-    for seed in first..=last {
-        for deployment in &deployments {
-            if kind == "overlap" {
-                work.push((seed, *deployment, vanepath_testbed::sim::day::overlapping(seed)));
-            } else if kind == "mixed" {
-                let mut random = vanepath_testbed::sim::Random::new(seed ^ 0x6d69_7865);
-                let count = 2 + random.below(3);
-                let mix = (0..count).map(|_| faults[random.below(faults.len())]).collect();
-                work.push((seed, *deployment, mix));
-            } else if kind.contains('+') {
-                work.push((seed, *deployment, chosen.clone()));
-            } else {
-                work.extend(chosen.iter().map(|fault| (seed, *deployment, vec![*fault])));
+    let mut totals = totals.lock().expect("no panic under this lock");
+    let world = &run.sim.world;
+    let other_zone_share = world.goes_other_zone as f64 / world.goes.max(1) as f64;
+    totals.entry(row).or_default().add(&judgement, other_zone_share);
+    // The lock is held, so that the lines of one scenario stay together.
+    if !judgement.faults.is_empty() {
+        println!("seed {} {:?} {names}", scenario.seed, scenario.deployment);
+        for violation in judgement.faults.iter().take(MAX_SHOWN_VIOLATIONS) {
+            println!("    {violation}");
+        }
+        if options.traces {
+            for line in &run.sim.trace {
+                println!("        {line}");
             }
         }
     }
-    let sums = std::sync::Mutex::new(std::collections::BTreeMap::<String, Sum>::new());
-    vanepath_testbed::sim::on_threads(threads, work.len(), |index| {
-        let (seed, deployment, faults) = &work[index];
-        let overlap = kind == "overlap";
-        let plan = Plan { rate, traces, operator_every, overlap, ..Plan::new(*deployment, faults) };
-        one(*seed, &plan, ["mixed", "overlap"].contains(&kind.as_str()), &sums);
-    });
-    let mut sums = sums.into_inner().expect("no panic under this lock");
+}
+
+/// Totals over all scenarios of one row of the table.
+#[derive(Default)]
+struct Totals {
+    scenarios: usize,
+    /// Scenarios in which an invariant was violated.
+    failed: usize,
+    lookups: usize,
+    lookups_lost: usize,
+    filings: usize,
+    filings_may_have_run: usize,
+    /// Shares of retries, summed over the scenarios; so are the figures below that are not maxima.
+    retries: f64,
+    max_config_time: Duration,
+    max_drain_time: Duration,
+    max_resume_time: Duration,
+    cluster_bytes_per_second: f64,
+    cluster_bytes_per_second_other_zone: f64,
+    probes_per_second: f64,
+    saves_per_change: f64,
+    /// The time until each configuration was active.
+    config_times: Vec<Duration>,
+    other_zone_share: f64,
+    client_retries: f64,
+    max_repeats: f64,
+    max_warming_up_rate: f64,
+    pathway_switches: f64,
+    max_server_load: f64,
+}
+
+impl Totals {
+    fn add(&mut self, judgement: &Judgement, other_zone_share: f64) {
+        self.scenarios += 1;
+        self.failed += usize::from(!judgement.faults.is_empty());
+        self.lookups += judgement.lookups;
+        self.lookups_lost += judgement.lookups_lost;
+        self.filings += judgement.filings;
+        self.filings_may_have_run += judgement.filings_may_have_run;
+        self.retries += judgement.further_goes_part;
+        self.cluster_bytes_per_second += judgement.sibling_bytes;
+        self.cluster_bytes_per_second_other_zone += judgement.sibling_bytes_other_zone;
+        self.probes_per_second += judgement.probes;
+        self.client_retries += judgement.doors_part;
+        self.pathway_switches += judgement.switches;
+        self.max_server_load = self.max_server_load.max(judgement.worst_load);
+        self.max_repeats = self.max_repeats.max(judgement.worst_repeats);
+        self.max_warming_up_rate = self.max_warming_up_rate.max(judgement.worst_cold);
+        self.saves_per_change += judgement.saves_per_change;
+        self.config_times.extend(&judgement.setups);
+        self.other_zone_share += other_zone_share;
+        self.max_config_time = self.max_config_time.max(judgement.worst_setup);
+        self.max_drain_time = self.max_drain_time.max(judgement.worst_drain);
+        let resume_time = judgement.resumed_after.unwrap_or_default();
+        self.max_resume_time = self.max_resume_time.max(resume_time);
+    }
+}
+
+fn print_results(totals: &BTreeMap<String, Totals>) {
     println!(
         "{:28} {:>5} {:>6} {:>8} {:>6} {:>8} {:>6} {:>7} {:>8} {:>8} {:>8}",
         "faults",
@@ -95,124 +278,46 @@
         "drain s",
         "resume s"
     );
-    let mut faulty = 0;
-    for (name, sum) in &sums {
-        faulty += sum.faulty;
+    for (name, totals) in totals {
         println!(
             "{name:28} {:5} {:6} {:8} {:6} {:8} {:6} {:7.4} {:8.2} {:8.2} {:8.2}",
-            sum.days,
-            sum.faulty,
-            sum.lookups,
-            sum.lookups_lost,
-            sum.filings,
-            sum.may_have_run,
-            sum.retries / sum.days as f64,
-            sum.worst_setup.as_secs_f64(),
-            sum.worst_drain.as_secs_f64(),
-            sum.worst_resume.as_secs_f64()
+            totals.scenarios,
+            totals.failed,
+            totals.lookups,
+            totals.lookups_lost,
+            totals.filings,
+            totals.filings_may_have_run,
+            totals.retries / totals.scenarios as f64,
+            totals.max_config_time.as_secs_f64(),
+            totals.max_drain_time.as_secs_f64(),
+            totals.max_resume_time.as_secs_f64()
         );
     }
-    for (name, sum) in &mut sums {
-        let days = sum.days as f64;
-        sum.setups.sort_unstable();
-        let median = sum.setups.get(sum.setups.len() / 2).copied().unwrap_or_default();
+}
+
+fn print_costs(totals: &mut BTreeMap<String, Totals>) {
+    for (name, totals) in totals {
+        let scenarios = totals.scenarios as f64;
+        totals.config_times.sort_unstable();
+        let median = totals.config_times.get(totals.config_times.len() / 2);
+        let median = median.copied().unwrap_or_default();
         println!(
             "{name:28} siblings {:.1} kB/s, {:.1} kB/s to other zones; {:.0} probes/s; \
              {:.1} saves for each change; setups in force after {:.3} s (median); {:.1} % of goes \
              to other zones; callers' further tries {:.4}, repeats in 10 s a fifth and {:.0} at most; \
              cold servers {:.1} times their rate at most; {:.2} changes of place for each caller; \
              server under {:.1} times its work at most",
-            sum.sibling_bytes / days / 1000.0,
-            sum.sibling_bytes_other_zone / days / 1000.0,
-            sum.probes / days,
-            sum.saves / days,
+            totals.cluster_bytes_per_second / scenarios / 1000.0,
+            totals.cluster_bytes_per_second_other_zone / scenarios / 1000.0,
+            totals.probes_per_second / scenarios,
+            totals.saves_per_change / scenarios,
             median.as_secs_f64(),
-            100.0 * sum.other_zone / days,
-            sum.doors / days,
-            sum.worst_repeats,
-            sum.worst_cold,
-            sum.switches / days,
-            sum.worst_load
+            100.0 * totals.other_zone_share / scenarios,
+            totals.client_retries / scenarios,
+            totals.max_repeats,
+            totals.max_warming_up_rate,
+            totals.pathway_switches / scenarios,
+            totals.max_server_load
         );
     }
-    if faulty > 0 {
-        miette::bail!("{faulty} days with faults");
-    }
-    Ok(())
-}
-
-#[derive(Default)]
-struct Sum {
-    days: usize,
-    faulty: usize,
-    lookups: usize,
-    lookups_lost: usize,
-    filings: usize,
-    may_have_run: usize,
-    retries: f64,
-    worst_setup: Duration,
-    worst_drain: Duration,
-    worst_resume: Duration,
-    sibling_bytes: f64,
-    sibling_bytes_other_zone: f64,
-    probes: f64,
-    saves: f64,
-    setups: Vec<Duration>,
-    other_zone: f64,
-    doors: f64,
-    worst_repeats: f64,
-    worst_cold: f64,
-    switches: f64,
-    worst_load: f64,
-}
-
-fn one(
-    seed: u64,
-    plan: &Plan,
-    is_mixed: bool,
-    sums: &std::sync::Mutex<std::collections::BTreeMap<String, Sum>>,
-) {
-    let (deployment, faults, traces) = (plan.deployment, &plan.faults, plan.traces);
-    let run = vanepath_testbed::sim::day::run(seed, plan);
-    let judgement = vanepath_testbed::sim::judge::judge(&run);
-    let names: Vec<String> = faults.iter().map(|fault| fault.to_string()).collect();
-    let name = match (is_mixed, plan.overlap) {
-        (true, true) => "overlap".to_string(),
-        (true, false) => "mixed".to_string(),
-        _ => names.join("+"),
-    };
-    let mut sums = sums.lock().expect("no panic under this lock");
-    let sum = sums.entry(name).or_default();
-    sum.days += 1;
-    sum.lookups += judgement.lookups;
-    sum.lookups_lost += judgement.lookups_lost;
-    sum.filings += judgement.filings;
-    sum.may_have_run += judgement.filings_may_have_run;
-    sum.retries += judgement.further_goes_part;
-    sum.sibling_bytes += judgement.sibling_bytes;
-    sum.sibling_bytes_other_zone += judgement.sibling_bytes_other_zone;
-    sum.probes += judgement.probes;
-    sum.doors += judgement.doors_part;
-    sum.switches += judgement.switches;
-    sum.worst_load = sum.worst_load.max(judgement.worst_load);
-    sum.worst_repeats = sum.worst_repeats.max(judgement.worst_repeats);
-    sum.worst_cold = sum.worst_cold.max(judgement.worst_cold);
-    sum.saves += judgement.saves_per_change;
-    sum.setups.extend(&judgement.setups);
-    sum.other_zone += run.sim.world.goes_other_zone as f64 / run.sim.world.goes.max(1) as f64;
-    sum.worst_setup = sum.worst_setup.max(judgement.worst_setup);
-    sum.worst_drain = sum.worst_drain.max(judgement.worst_drain);
-    sum.worst_resume = sum.worst_resume.max(judgement.resumed_after.unwrap_or_default());
-    if !judgement.faults.is_empty() {
-        sum.faulty += 1;
-        println!("seed {seed} {deployment:?} {}", names.join("+"));
-        for fault in judgement.faults.iter().take(6) {
-            println!("    {fault}");
-        }
-        if traces {
-            for line in &run.sim.trace {
-                println!("        {line}");
-            }
-        }
-    }
 }
