--- a/testbed/tests/edges.rs
+++ b/testbed/tests/edges.rs
@@ -1,10 +1,11 @@
-//! What HTTP allows and what it does not, through one real proxy.
+//! Valid, ambiguous and invalid HTTP, and faulty servers, through one real proxy.
 
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use vanepath_testbed::harness::Fleet;
-use vanepath_testbed::shape;
-use vanepath_testbed::standin::{Manner, pattern};
+use vanepath_testbed::harness::{Fleet, wait_until};
+use vanepath_testbed::http::call as http_call;
+use vanepath_testbed::stub::{Behavior, pattern};
+use vanepath_testbed::topology;
 
 const SETUP: &str = r#"{
   "classes": [
@@ -26,18 +27,18 @@
 }"#;
 
 async fn start(servers: usize) -> Fleet {
-    let mut shape = shape::raiocerto();
-    shape.setup = SETUP.to_string();
-    shape.proxies = 1;
-    // All in the proxy's own zone's region order: the first stands in its zone.
-    shape.servers = vec![("s", servers)];
-    let fleet = Fleet::start(shape).await;
-    let revision = fleet.put_setup(SETUP).await;
-    fleet.until_in_force(revision, Duration::from_secs(10)).await;
+    let mut topology = topology::raiocerto();
+    topology.config = SETUP.to_string();
+    topology.proxies = 1;
+    // The servers are spread over the zones; the first is in the proxy's own zone.
+    topology.servers = vec![("s", servers)];
+    let fleet = Fleet::start(topology).await;
+    let revision = fleet.put_config(SETUP).await;
+    fleet.wait_until_active(revision, Duration::from_secs(10)).await;
     fleet
 }
 
-/// Sends raw bytes and reads until the connection closes or falls silent after a reply.
+/// Sends raw bytes and reads until the connection closes or is idle after a response.
 async fn raw(address: std::net::SocketAddr, bytes: &[u8]) -> String {
     let mut stream = tokio::net::TcpStream::connect(address).await.unwrap();
     stream.write_all(bytes).await.unwrap();
@@ -62,9 +63,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_that_can_be_read_in_two_ways_are_refused() {
+async fn ambiguous_requests_are_rejected() {
     let fleet = start(2).await;
-    let proxy = fleet.members[fleet.of("proxy")[0]].address;
+    let proxy = fleet.daemons[fleet.with_role("proxy")[0]].address;
     let mut shown = String::new();
     let long = format!("GET /look HTTP/1.1\r\nhost: h\r\nx: {}\r\n\r\n", "y".repeat(70_000));
     let big = format!(
@@ -120,19 +121,19 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_passes_passes_unchanged() {
+async fn forwarded_requests_are_unchanged() {
     let fleet = start(1).await;
-    let proxy = fleet.members[fleet.of("proxy")[0]].address;
+    let proxy = fleet.daemons[fleet.with_role("proxy")[0]].address;
     let call = async |method: &str, path: &str, headers: &[(&str, &str)], body: &[u8]| {
-        vanepath_testbed::http::call(proxy, method, path, headers, body).await.unwrap()
+        http_call(proxy, method, path, headers, body).await.unwrap()
     };
-    // Target, method and end-to-end headers as they are; hop-by-hop ones are not passed on.
+    // Target, method and end-to-end headers are unchanged; hop-by-hop headers are not forwarded.
     let reply = call("PUT", "/look/a%2Fb?c=%20d&e", &[("x-request", "1")], b"12345").await;
     let value = reply.json();
     assert_eq!(value["target"].as_str(), Some("/look/a%2Fb?c=%20d&e"));
     assert_eq!(value["method"].as_str(), Some("PUT"));
     assert_eq!(value["bodyBytes"].as_u64(), Some(5));
-    // A chunked body, and one too large to be told twice.
+    // A chunked body, and one too large to be replayed.
     for size in [10, 70_000, 290_000] {
         let body = "q".repeat(size);
         let bytes = format!(
@@ -144,7 +145,7 @@
         let reply = call("PUT", "/look", &[], body.as_bytes()).await;
         assert_eq!(reply.json()["bodyBytes"].as_u64(), Some(size as u64));
     }
-    // Expect: the body comes only when it is asked for.
+    // Expect: the body is sent only on request.
     let mut stream = tokio::net::TcpStream::connect(proxy).await.unwrap();
     let start =
         "PUT /look HTTP/1.1\r\nhost: h\r\nexpect: 100-continue\r\ncontent-length: 3\r\n\r\n";
@@ -155,10 +156,10 @@
     stream.write_all(b"abc").await.unwrap();
     let count = stream.read(&mut buffer).await.unwrap();
     assert!(buffer[..count].starts_with(b"HTTP/1.1 200 "));
-    // HEAD has a head and no body, whatever the length told.
+    // A response to HEAD has no body, whatever its content length.
     let reply = raw(proxy, b"HEAD /look HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\r\n").await;
     assert!(reply.starts_with("HTTP/1.1 200 ") && reply.ends_with("\r\n\r\n[closed]"), "{reply}");
-    // Large bodies come whole, with a length and in chunks.
+    // Large bodies are complete, with a content length and in chunks.
     for form in ["", "&chunked=1"] {
         let path = format!("/look?size=3000000{form}");
         let reply = call("GET", &path, &[("x-request", "n")], b"").await;
@@ -167,186 +168,186 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_servers_never_spoil_a_receipt() {
+async fn faulty_servers_never_corrupt_a_response() {
     let fleet = start(3).await;
-    let proxy = fleet.members[fleet.of("proxy")[0]].address;
-    let call = async |method: &str, path: &str, number: &str| {
-        vanepath_testbed::http::call(proxy, method, path, &[("x-request", number)], b"").await
+    let proxy = fleet.daemons[fleet.with_role("proxy")[0]].address;
+    let call = async |method: &str, path: &str, request_id: &str| {
+        http_call(proxy, method, path, &[("x-request", request_id)], b"").await
     };
-    // The proxy's own zone has server 0 alone: it gets the first go of each request.
-    for (manner, status) in [
-        (Manner::RunAndLose, 502),
-        (Manner::Truncate, 502),
-        (Manner::Nonsense, 502),
-        (Manner::Stuck, 504),
-        (Manner::Surplus, 200),
+    // Server 0 is the only one in the proxy's own zone: it gets the first attempt of each request.
+    for (behavior, status) in [
+        (Behavior::DisconnectAfterExecution, 502),
+        (Behavior::TruncatedResponse, 502),
+        (Behavior::InvalidResponse, 502),
+        (Behavior::Stalled, 504),
+        (Behavior::ExtraResponse, 200),
     ] {
-        // Whatever came before, it is well again and known to be.
-        fleet.servers[0].behave(Manner::Good);
-        vanepath_testbed::harness::until("it is given work", Duration::from_secs(20), async || {
-            // One that limps is tried with lookups.
+        // Whatever came before, it is healthy again and known to be.
+        fleet.servers[0].set_behavior(Behavior::Normal);
+        wait_until("it is given work", Duration::from_secs(20), async || {
+            // A degraded server is probed with lookups.
             assert_eq!(call("GET", "/look", "well").await.unwrap().status, 200);
-            let status = fleet.page(fleet.of("proxy")[0], "status").await;
+            let status = fleet.page(fleet.with_role("proxy")[0], "status").await;
             status["servers"][0]["why"] == "given work"
         })
         .await;
-        fleet.servers[0].behave(manner);
-        // A filing that it may have run is never told to another, and the caller is told so.
-        let number = format!("file-{manner:?}");
-        let reply = call("POST", "/file", &number).await.unwrap();
-        assert_eq!(reply.status, status, "{manner:?}");
+        fleet.servers[0].set_behavior(behavior);
+        // A filing that may have run is not retried, and the client is told so.
+        let request_id = format!("file-{behavior:?}");
+        let reply = call("POST", "/file", &request_id).await.unwrap();
+        assert_eq!(reply.status, status, "{behavior:?}");
         let verdict = reply.headers.get("vanepath-verdict").unwrap();
-        assert_eq!(verdict, if status == 200 { "ran" } else { "may-have-run" }, "{manner:?}");
-        assert!(fleet.runs().get(&number).copied().unwrap_or_default() <= 1, "{manner:?}");
+        assert_eq!(verdict, if status == 200 { "ran" } else { "may-have-run" }, "{behavior:?}");
+        assert!(
+            fleet.execution_counts().get(&request_id).copied().unwrap_or_default() <= 1,
+            "{behavior:?}"
+        );
     }
-    for manner in [Manner::RunAndLose, Manner::Truncate, Manner::Nonsense, Manner::Surplus] {
-        fleet.servers[0].behave(manner);
+    for behavior in [
+        Behavior::DisconnectAfterExecution,
+        Behavior::TruncatedResponse,
+        Behavior::InvalidResponse,
+        Behavior::ExtraResponse,
+    ] {
+        fleet.servers[0].set_behavior(behavior);
         for round in 0..40 {
-            let number = format!("look-{manner:?}-{round}");
-            let reply = call("GET", "/look", &number).await.unwrap();
-            assert_eq!(reply.status, 200, "{manner:?} {}", reply.json());
-            assert_eq!(reply.json()["request"].as_str(), Some(number.as_str()), "{manner:?}");
+            let request_id = format!("look-{behavior:?}-{round}");
+            let reply = call("GET", "/look", &request_id).await.unwrap();
+            assert_eq!(reply.status, 200, "{behavior:?} {}", reply.json());
+            assert_eq!(reply.json()["request"].as_str(), Some(request_id.as_str()), "{behavior:?}");
         }
     }
-    // A download that breaks off after its first bytes went out breaks off for the caller too.
+    // A download that breaks off after its first bytes were forwarded breaks off for the client too.
     for server in &fleet.servers {
-        server.behave(Manner::Truncate);
+        server.set_behavior(Behavior::TruncatedResponse);
     }
     let reply = call("GET", "/look?size=3000000", "cut").await;
     assert!(reply.is_none_or(|reply| reply.status != 200), "a part that looks whole");
 }
 
-/// A second reply that comes when the connection may carry the next request already cannot be told
-/// from that one's. So a server that was seen to send one gets one request on a connection.
+/// An extra response that arrives when the connection may be in use for the next request cannot be distinguished
+/// from the response to that. A server that was seen to send one therefore gets one request per connection.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_late_second_reply_is_nobodys_once_the_server_is_known_for_it() {
+async fn a_delayed_extra_response_is_discarded_once_the_server_is_known_for_it() {
     let fleet = start(1).await;
-    let index = fleet.of("proxy")[0];
-    let proxy = fleet.members[index].address;
-    let call = async |method: &str, path: &str, number: &str| {
-        vanepath_testbed::http::call(proxy, method, path, &[("x-request", number)], b"").await
+    let index = fleet.with_role("proxy")[0];
+    let proxy = fleet.daemons[index].address;
+    let call = async |method: &str, path: &str, request_id: &str| {
+        http_call(proxy, method, path, &[("x-request", request_id)], b"").await
     };
-    fleet.servers[0].behave(Manner::LateSurplus);
+    fleet.servers[0].set_behavior(Behavior::DelayedExtraResponse);
     assert_eq!(call("GET", "/look", "first").await.unwrap().status, 200);
     let limit = Duration::from_secs(5);
-    vanepath_testbed::harness::until("the second reply is seen", limit, async || {
+    wait_until("the second reply is seen", limit, async || {
         fleet.page(index, "metrics").await["surplusBytes"].as_u64() == Some(1)
     })
     .await;
     for round in 0..40 {
         let (method, path) =
             if round % 3 == 0 { ("POST", "/file?waitMs=30") } else { ("GET", "/look?waitMs=30") };
-        // Just when the last connection has rested and its second reply is still to come.
+        // The last connection is idle again, and its extra response is still to come.
         let ended = std::time::Instant::now();
-        vanepath_testbed::harness::until("it rested", limit, async || {
-            ended.elapsed().as_millis() > 24
-        })
-        .await;
-        let number = format!("n{round}");
-        let reply = call(method, path, &number).await.unwrap();
+        wait_until("it rested", limit, async || ended.elapsed().as_millis() > 24).await;
+        let request_id = format!("n{round}");
+        let reply = call(method, path, &request_id).await.unwrap();
         assert_eq!(reply.status, 200, "{round}: {}", reply.json());
-        assert_eq!(reply.json()["request"].as_str(), Some(number.as_str()), "{round}");
-        assert_eq!(fleet.runs()[&number], 1);
+        assert_eq!(reply.json()["request"].as_str(), Some(request_id.as_str()), "{round}");
+        assert_eq!(fleet.execution_counts()[&request_id], 1);
     }
 }
 
-/// A rule is bound to another region while a request of it waits for room: the bound in force when a
-/// server is chosen holds.
+/// A rule is restricted to another region while one of its requests is queued: the restriction that is active when
+/// a server is selected applies.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_bound_that_comes_while_a_request_waits_holds() {
+async fn a_region_restriction_applies_to_queued_requests() {
     let fleet = start(1).await;
-    let index = fleet.of("proxy")[0];
-    let proxy = fleet.members[index].address;
-    let narrow = |number: &'static str| async move {
+    let index = fleet.with_role("proxy")[0];
+    let proxy = fleet.daemons[index].address;
+    let narrow = |request_id: &'static str| async move {
         let path = "/narrow?waitMs=1500";
-        vanepath_testbed::http::call(proxy, "GET", path, &[("x-request", number)], b"").await
+        http_call(proxy, "GET", path, &[("x-request", request_id)], b"").await
     };
     let class = async |key: &str| fleet.page(index, "status").await["classes"][2][key].clone();
     let limit = Duration::from_secs(5);
     let first = tokio::spawn(narrow("n1"));
-    vanepath_testbed::harness::until("one is in hand", limit, async || class("used").await == 1)
-        .await;
+    wait_until("one is in hand", limit, async || class("used").await == 1).await;
     let second = tokio::spawn(narrow("n2"));
-    vanepath_testbed::harness::until("one waits", limit, async || class("waiting").await == 1)
-        .await;
+    wait_until("one waits", limit, async || class("waiting").await == 1).await;
     let bound = SETUP.replace(
         r#""class": "narrow", "service": "s""#,
         r#""class": "narrow", "service": "s", "regions": ["south"]"#,
     );
     assert_ne!(bound, SETUP);
-    let revision = fleet.put_setup(&bound).await;
-    fleet.until_in_force(revision, limit).await;
+    let revision = fleet.put_config(&bound).await;
+    fleet.wait_until_active(revision, limit).await;
     assert_eq!(first.await.unwrap().unwrap().status, 200, "it was in a server's hands already");
     let second = second.await.unwrap().unwrap();
     assert_eq!(second.status, 421);
     assert_eq!(second.headers.get("vanepath-verdict").unwrap(), "not-run");
-    assert_eq!(fleet.runs().get("n2"), None);
+    assert_eq!(fleet.execution_counts().get("n2"), None);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_given_up_on_is_told_so_at_once() {
+async fn rejected_requests_are_answered_at_once() {
     let fleet = start(1).await;
-    let proxy = fleet.members[fleet.of("proxy")[0]].address;
-    // One in the server's hands, one in the queue; the next is dropped without delay.
-    let slow = |number: &'static str| async move {
+    let proxy = fleet.daemons[fleet.with_role("proxy")[0]].address;
+    // One request is at the server and one is queued; the next is rejected at once.
+    let slow = |request_id: &'static str| async move {
         let path = "/narrow?waitMs=2000";
-        vanepath_testbed::http::call(proxy, "GET", path, &[("x-request", number)], b"").await
+        http_call(proxy, "GET", path, &[("x-request", request_id)], b"").await
     };
-    let index = fleet.of("proxy")[0];
+    let index = fleet.with_role("proxy")[0];
     let class = async |key: &str| fleet.page(index, "status").await["classes"][2][key].clone();
     let first = tokio::spawn(slow("n1"));
     let limit = Duration::from_secs(5);
-    vanepath_testbed::harness::until("one is in hand", limit, async || class("used").await == 1)
-        .await;
+    wait_until("one is in hand", limit, async || class("used").await == 1).await;
     let second = tokio::spawn(slow("n2"));
-    vanepath_testbed::harness::until("one waits", limit, async || class("waiting").await == 1)
-        .await;
+    wait_until("one waits", limit, async || class("waiting").await == 1).await;
     let begun = std::time::Instant::now();
     let third = slow("n3").await.unwrap();
     assert!(begun.elapsed() < Duration::from_millis(500));
     assert_eq!(third.status, 503);
     assert_eq!(third.headers.get("retry-after").unwrap(), "1");
     assert_eq!(third.headers.get("vanepath-verdict").unwrap(), "not-run");
-    // The one that waits leaves: it never runs, though its turn would come.
+    // The queued one is cancelled: it never runs, though its turn would come.
     second.abort();
     assert_eq!(first.await.unwrap().unwrap().status, 200);
     let done = slow("n4").await.unwrap();
     assert_eq!(done.status, 200);
-    let runs = fleet.runs();
+    let runs = fleet.execution_counts();
     assert_eq!(runs.get("n2"), None);
     assert_eq!(runs.get("n3"), None);
-    // No server at all: told at once too, for filings and lookups.
-    fleet.platform.change(|list| list[0].leaving = true);
-    vanepath_testbed::harness::until("no work for it", Duration::from_secs(4), async || {
-        let reply = vanepath_testbed::http::call(proxy, "POST", "/file", &[], b"").await.unwrap();
+    // No server at all: rejected at once too, filings as well as lookups.
+    fleet.platform.update_list(|list| list[0].draining = true);
+    wait_until("no work for it", Duration::from_secs(4), async || {
+        let reply = http_call(proxy, "POST", "/file", &[], b"").await.unwrap();
         reply.status == 503 && reply.headers.contains_key("retry-after")
     })
     .await;
 }
 
-/// A proxy that stood still waits for fresh news before it goes to another server, and no longer than its
-/// caller does.
+/// A resumed proxy waits for updates before it retries at another server, and no longer than the deadline of the
+/// request.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_goes_on_after_a_freeze_is_answered_in_its_time() {
+async fn a_retry_after_a_suspension_is_answered_within_its_deadline() {
     let fleet = start(3).await;
-    fleet.servers.iter().for_each(|server| server.behave(Manner::Stuck));
-    let proxy = fleet.of("proxy")[0];
-    let address = fleet.members[proxy].address;
+    fleet.servers.iter().for_each(|server| server.set_behavior(Behavior::Stalled));
+    let proxy = fleet.with_role("proxy")[0];
+    let address = fleet.daemons[proxy].address;
     let sent = std::time::Instant::now();
     let asked = tokio::spawn(async move {
-        let reply = vanepath_testbed::http::call(address, "GET", "/look/1", &[], b"").await;
+        let reply = http_call(address, "GET", "/look/1", &[], b"").await;
         (reply.map(|reply| reply.status), sent.elapsed())
     });
-    let in_hand =
+    let in_flight =
         || fleet.servers.iter().any(|server| !server.state.arrivals.lock().unwrap().is_empty());
-    vanepath_testbed::harness::until("a server has it", Duration::from_secs(2), async || in_hand())
-        .await;
-    // Nobody is there to tell what is in force once it wakes.
-    let core = (0..fleet.members.len()).filter(|index| *index != proxy);
-    core.for_each(|index| fleet.freeze(index));
-    fleet.freeze(proxy);
+    wait_until("a server has it", Duration::from_secs(2), async || in_flight()).await;
+    // No other daemon can send updates after the resumption.
+    let core = (0..fleet.daemons.len()).filter(|index| *index != proxy);
+    core.for_each(|index| fleet.suspend(index));
+    fleet.suspend(proxy);
     tokio::time::sleep(Duration::from_millis(1800)).await;
-    fleet.wake(proxy);
+    fleet.resume(proxy);
     let (status, took) = asked.await.unwrap();
     assert_eq!(status, Some(504));
     assert!(took < Duration::from_millis(3800), "{took:?} of 3 s");
