--- a/testbed/src/commands/replay.rs
+++ b/testbed/src/commands/replay.rs
@@ -1,8 +1,13 @@
-//! Recorded requests against a fleet that runs.
+//! Recorded requests against a running fleet.
 
 use super::matches;
+use std::net::SocketAddr;
+use vanepath_testbed::replay::{ReplayPlan, Summary, read, replay};
 
-/// The requests of a recorded file against a fleet that runs.
+/// Replays the requests of a recorded file against a running fleet and prints a summary.
+///
+/// # Errors
+/// If the arguments are not understood, or the file cannot be replayed.
 pub fn run(arguments: &[String]) -> miette::Result<()> {
     let mut options = getopts::Options::new();
     options.optmulti("", "registry", "a directory to ask; again for further ones", "IP:PORT");
@@ -19,7 +24,18 @@
     let [file] = &matches.free[..] else {
         miette::bail!("one HAR file is wanted, not {}; see --help", matches.free.len());
     };
-    let registries: Vec<std::net::SocketAddr> = matches
+    let plan = plan(&matches)?;
+    let bytes =
+        std::fs::read(file).map_err(|error| miette::miette!("cannot read {file}: {error}"))?;
+    let recorded = read(&bytes)?;
+    let runtime = tokio::runtime::Runtime::new()
+        .map_err(|error| miette::miette!("cannot start threads: {error}"))?;
+    print_summary(&runtime.block_on(replay(&plan, recorded)));
+    Ok(())
+}
+
+fn plan(matches: &getopts::Matches) -> miette::Result<ReplayPlan> {
+    let registries: Vec<SocketAddr> = matches
         .opt_strs("registry")
         .iter()
         .map(|text| text.parse().map_err(|_| miette::miette!("--registry: '{text}' is no IP:PORT")))
@@ -27,7 +43,7 @@
     if registries.is_empty() {
         miette::bail!("--registry: at least one is needed");
     }
-    let factor = match matches.opt_str("factor") {
+    let speed_factor = match matches.opt_str("factor") {
         None => 1.0,
         Some(text) => text
             .parse()
@@ -35,21 +51,18 @@
             .filter(|factor: &f64| factor.is_finite() && *factor > 0.0)
             .ok_or_else(|| miette::miette!("--factor: '{text}' is no number above zero"))?,
     };
-    let bytes =
-        std::fs::read(file).map_err(|error| miette::miette!("cannot read {file}: {error}"))?;
-    let recorded = vanepath_testbed::replay::read(&bytes)?;
-    let plan = vanepath_testbed::replay::ReplayPlan {
+    Ok(ReplayPlan {
         registries,
         zone: matches.opt_str("zone").unwrap_or_default(),
         region: matches.opt_str("region").unwrap_or_default(),
-        speed_factor: factor,
+        speed_factor,
         replays_filings: matches.opt_present("filings"),
-    };
-    let runtime = tokio::runtime::Runtime::new()
-        .map_err(|error| miette::miette!("cannot start threads: {error}"))?;
-    let summary = runtime.block_on(vanepath_testbed::replay::replay(&plan, recorded));
-    for (verdict, count) in &summary.by_execution_status {
-        println!("{count} {verdict}");
+    })
+}
+
+fn print_summary(summary: &Summary) {
+    for (execution_status, count) in &summary.by_execution_status {
+        println!("{count} {execution_status}");
     }
     for (status, count) in &summary.by_http_status {
         println!("{count} with status {status}");
@@ -57,10 +70,9 @@
     if summary.skipped_filings > 0 {
         println!("{} filings left out (--filings replays them)", summary.skipped_filings);
     }
-    if let (Some(median), Some(worst)) =
-        (summary.took_ms.get(summary.took_ms.len() / 2), summary.took_ms.last())
+    if let (Some(median), Some(longest)) =
+        (summary.durations_ms.get(summary.durations_ms.len() / 2), summary.durations_ms.last())
     {
-        println!("median {median} ms, longest {worst} ms");
+        println!("median {median} ms, longest {longest} ms");
     }
-    Ok(())
 }
--- a/testbed/src/commands/scale.rs
+++ b/testbed/src/commands/scale.rs
@@ -1,9 +1,12 @@
-//! What the cores cost at several sizes.
+//! Cost of the cores at several sizes of the fleet.
 
 use super::matches;
 use std::time::Duration;
 
-/// The cores at several sizes, on one thread (docs/CAPACITY.md).
+/// Measures the cores at several sizes of the fleet, on one thread (docs/CAPACITY.md).
+///
+/// # Errors
+/// If the arguments are not understood.
 pub fn run(arguments: &[String]) -> miette::Result<()> {
     let mut options = getopts::Options::new();
     options.optopt("", "daemons", "sizes of the fleet (default 14,84,250,670)", "N,N…");
--- a/testbed/src/commands/starts.rs
+++ b/testbed/src/commands/starts.rs
@@ -1,13 +1,25 @@
-//! How long daemons take from their start until they take work.
+//! Start-up times of daemons.
 
 use super::{matches, seeds};
+use std::collections::BTreeMap;
+use std::sync::Mutex;
 use std::time::Duration;
 use strum::IntoEnumIterator;
+use vanepath_testbed::sim::breaks::Break;
 use vanepath_testbed::sim::day::{Deployment, Plan};
+use vanepath_testbed::sim::{cores, on_threads, starts};
 
-/// How long daemons take from their start until they take work (design 5.8).
+/// Threads that run simulations at one time, at most.
+const MAX_THREADS: usize = 3;
+
+/// Start-up times by deployment, scene and role; `None` for a daemon that was never ready.
+type Rows = BTreeMap<(String, starts::Scene, String), Vec<Option<Duration>>>;
+
+/// Measures how long daemons take from their start until they accept work (design 5.8), and prints a table.
+///
+/// # Errors
+/// If the arguments are not understood.
 pub fn run(arguments: &[String]) -> miette::Result<()> {
-    use vanepath_testbed::sim::{breaks::Break, starts};
     let mut options = getopts::Options::new();
     options.optopt("", "seeds", "first and last seed, as in 1-8 (default)", "A-B");
     options.optopt("", "stores", "core machines (default 3)", "N");
@@ -26,10 +38,9 @@
             work.extend((first..=last).map(|seed| (deployment, scene, seed)));
         }
     }
-    type Rows = std::collections::BTreeMap<(String, starts::Scene, String), Vec<Option<Duration>>>;
-    let rows = std::sync::Mutex::new(Rows::new());
-    let threads = vanepath_testbed::sim::cores().min(3);
-    vanepath_testbed::sim::on_threads(threads, work.len(), |index| {
+    let rows = Mutex::new(Rows::new());
+    let threads = cores().min(MAX_THREADS);
+    on_threads(threads, work.len(), |index| {
         let (deployment, scene, seed) = work[index];
         let plan = Plan { breaks, stores, ..Plan::new(deployment, &[]) };
         let all = starts::measure(seed, scene, &plan);
@@ -39,25 +50,29 @@
             rows.entry(key).or_default().push(start.took);
         }
     });
+    print_table(rows.into_inner().expect("no panic under this lock"));
+    Ok(())
+}
+
+fn print_table(rows: Rows) {
     println!(
         "deployment  scene         role      starts   median ms  9 of 10 ms   worst ms   never"
     );
-    for ((deployment, scene, role), all) in rows.into_inner().expect("no panic under this lock") {
+    for ((deployment, scene, role), all) in rows {
         let mut took: Vec<Duration> = all.iter().flatten().copied().collect();
         took.sort_unstable();
-        let at = |part: usize| match took.len() {
+        let percentile_ms = |percent: usize| match took.len() {
             0 => "-".to_string(),
-            count => took[(count - 1) * part / 100].as_millis().to_string(),
+            count => took[(count - 1) * percent / 100].as_millis().to_string(),
         };
         println!(
             "{deployment:11} {:13} {role:9} {:6} {:>11} {:>11} {:>10} {:7}",
             scene.to_string(),
             all.len(),
-            at(50),
-            at(90),
-            at(100),
+            percentile_ms(50),
+            percentile_ms(90),
+            percentile_ms(100),
             all.len() - took.len()
         );
     }
-    Ok(())
 }
--- a/testbed/src/replay.rs
+++ b/testbed/src/replay.rs
@@ -51,7 +51,7 @@
     /// Responses by HTTP status.
     pub by_http_status: BTreeMap<u16, usize>,
     /// Durations of all requests in milliseconds, ascending.
-    pub took_ms: Vec<u64>,
+    pub durations_ms: Vec<u64>,
     /// At-most-once requests that were not replayed.
     pub skipped_filings: usize,
 }
@@ -83,15 +83,15 @@
         }
         tasks.spawn(send(client, request));
     }
-    while let Some(Ok((outcome, took_ms))) = tasks.join_next().await {
+    while let Some(Ok((outcome, durations_ms))) = tasks.join_next().await {
         let execution_status = outcome.execution_status().to_string();
         *summary.by_execution_status.entry(execution_status).or_default() += 1;
         if let Outcome::Response { status, .. } = outcome {
             *summary.by_http_status.entry(status).or_default() += 1;
         }
-        summary.took_ms.push(took_ms);
+        summary.durations_ms.push(durations_ms);
     }
-    summary.took_ms.sort_unstable();
+    summary.durations_ms.sort_unstable();
     summary
 }
 
--- a/testbed/src/soak/clients/shared.rs
+++ b/testbed/src/soak/clients/shared.rs
@@ -1,4 +1,4 @@
-//! What all clients of a soak share.
+//! State that all clients of a soak share.
 
 use crate::soak::record::{Request, RequestEnd, RequestKind};
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What all clients of a soak share.
+/// State that all clients of a soak share.
 pub struct Shared {
     /// Start of the soak.
     start: Instant,
@@ -21,7 +21,7 @@
 }
 
 impl Shared {
-    /// What the clients of a soak share that started at `start`.
+    /// State for a soak that began at `start`, with these proxies.
     pub fn new(start: Instant, proxies: Vec<SocketAddr>) -> Arc<Shared> {
         Arc::new(Shared {
             start,
--- a/testbed/tests/control.rs
+++ b/testbed/tests/control.rs
@@ -52,11 +52,11 @@
     };
     let is_by_all = |why: &String| why.starts_with("live for ") && !why.starts_with("live for 1 ");
     for registry in [0, 2, 1] {
-        let is_told = async || {
+        let is_reported = async || {
             let shown = reasons(registry).await;
             shown.len() == 2 && shown.iter().all(is_by_all) && shown == reasons(0).await
         };
-        wait_until(&format!("registry {registry} tells of both servers"), SOON, is_told).await;
+        wait_until(&format!("registry {registry} tells of both servers"), SOON, is_reported).await;
     }
 }
 
@@ -292,7 +292,7 @@
     let revision = fleet.put_config(&fleet.topology.config).await;
     fleet.wait_until_active(revision, SOON).await;
     let registry = fleet.with_role("registry")[0];
-    let sibling = fleet.daemons[registry].cluster_address;
+    let cluster_address = fleet.daemons[registry].cluster_address;
     let greeting = vanepath_cluster::wire::encode(&vanepath_cluster::wire::Handshake {
         system: vanepath_cluster::wire::SYSTEM.to_string(),
         fleet: "another".to_string(),
@@ -305,7 +305,7 @@
         framed(&greeting),
         b"GET / HTTP/1.1\r\n\r\n".to_vec(),
     ] {
-        let mut stream = tokio::net::TcpStream::connect(sibling).await.unwrap();
+        let mut stream = tokio::net::TcpStream::connect(cluster_address).await.unwrap();
         stream.write_all(&bytes).await.unwrap();
         let mut rest = Vec::new();
         // Ends by itself: the other side closes the connection.
--- a/testbed/tests/losses.rs
+++ b/testbed/tests/losses.rs
@@ -84,20 +84,23 @@
     let traffic = Traffic::start(&fleet, 1, 0.2).await;
     traffic.wait_for_requests(30).await;
     let mut revisions = Vec::new();
-    for seat in 0..3 {
-        let (zone, region) = fleet.topology.zones[seat];
-        let old =
-            [fleet.index_of(&format!("store-{seat}")), fleet.index_of(&format!("registry-{seat}"))];
+    for machine in 0..3 {
+        let (zone, region) = fleet.topology.zones[machine];
+        let old = [
+            fleet.index_of(&format!("store-{machine}")),
+            fleet.index_of(&format!("registry-{machine}")),
+        ];
         for index in old {
             fleet.kill(index);
         }
-        let store = fleet.add_store(seat, zone, region, "-new", 61 + seat as u8);
+        let store = fleet.add_store(machine, zone, region, "-new", 61 + machine as u8);
         let seeds: Vec<_> = fleet.running_seeds().into_iter().collect();
-        let name = format!("registry-{seat}-new");
-        let registry = fleet.add_daemon("registry", &name, zone, region, 51 + seat as u8, &seeds);
+        let name = format!("registry-{machine}-new");
+        let registry =
+            fleet.add_daemon("registry", &name, zone, region, 51 + machine as u8, &seeds);
         fleet.start_daemon(store);
         fleet.start_daemon(registry);
-        let body = String::from_utf8(tagged(&fleet.topology.config, seat)).unwrap();
+        let body = String::from_utf8(tagged(&fleet.topology.config, machine)).unwrap();
         let revision = fleet.put_config(&body).await;
         revisions.push((revision, body));
         let fleet_ref = &fleet;
