--- a/proxy/src/endpoints/outcomes.rs
+++ b/proxy/src/endpoints/outcomes.rs
@@ -55,12 +55,16 @@
             Ok(()) => self.record_success(now, slot),
             Err(AttemptError::Truncated) => self.record_failure(now, slot, Failure::Unwell),
             Err(
-                AttemptError::NotSent | AttemptError::LostAfterSend | AttemptError::Misanswered,
+                AttemptError::NotSent
+                | AttemptError::LostAfterSend
+                | AttemptError::MismatchedResponse,
             ) => self.record_failure(now, slot, Failure::Broken),
             // No proof of a failure: the server may just be busy. A probe will show.
             Err(AttemptError::Silent) => self.update_health(slot, ServerHealth::request_probe),
             Err(
-                AttemptError::NotConnected | AttemptError::Withdrawn | AttemptError::TurnedAway,
+                AttemptError::NotConnected
+                | AttemptError::Withdrawn
+                | AttemptError::RejectedByServer,
             ) => None,
         };
         self.record_for_outlier_detection(now, slot, outcome);
@@ -85,13 +89,13 @@
                     AttemptError::Silent
                     | AttemptError::Truncated
                     | AttemptError::LostAfterSend
-                    | AttemptError::Misanswered,
+                    | AttemptError::MismatchedResponse,
                 ) => state.health.record_request_result(now, false),
                 Err(
                     AttemptError::NotSent
                     | AttemptError::NotConnected
                     | AttemptError::Withdrawn
-                    | AttemptError::TurnedAway,
+                    | AttemptError::RejectedByServer,
                 ) => {}
             }
         });
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -1,4 +1,6 @@
-//! The proxy: carries requests, keeps nothing on disk (design 8).
+//! The proxy: forwards requests to servers, stores nothing on disk (design 8).
+
+#![warn(missing_docs)]
 
 pub mod admission;
 pub mod bandwidth_limiter;
--- a/proxy/tests/congestion.rs
+++ b/proxy/tests/congestion.rs
@@ -267,7 +267,7 @@
         );
         let target = Some(Duration::from_secs_f64(TARGET_MS / 1000.0));
         let left = deadline.saturating_sub(now);
-        let is_past_target = self.deadlines[proxy].is_past_aim(now, "r", left, target);
+        let is_past_target = self.deadlines[proxy].is_past_target(now, "r", left, target);
         if left.is_zero() {
             self.rejected += 1;
             return;
--- a/testbed/src/sim/control/registries.rs
+++ b/testbed/src/sim/control/registries.rs
@@ -9,8 +9,8 @@
 use vanepath_cluster::{gossip, wire};
 use vanepath_config::endpoint_list::EndpointList;
 use vanepath_config::model;
-use vanepath_registry::list_poller::{self, PollOutcome};
-use vanepath_registry::list_sequencer::{Effect as ListEffect, ListSequencer, READ_MOST};
+use vanepath_registry::discovery::sequencer::{Effect as ListEffect, ListSequencer, READ_TIMEOUT};
+use vanepath_registry::discovery::{PollOutcome, poller};
 use vanepath_registry::store_client::{self, NextAction, StoreRequest};
 use vanepath_registry::{leader, steering};
 use vanepath_store::protocol::{Change, Outcome, Request, Response};
@@ -30,14 +30,20 @@
                 let draw = self.net.random.draw();
                 let sequencer =
                     registry.list_sequencer.get_or_insert_with(|| ListSequencer::new(&name, draw));
-                sequencer.pulse(now, &view) == Some(ListEffect::Read)
+                sequencer.on_tick(now, &view) == Some(ListEffect::Read)
             }
-            false => registry.polled_at.is_none_or(|at| now >= at + list_poller::POLL_INTERVAL),
+            false => registry.polled_at.is_none_or(|at| now >= at + poller::POLL_INTERVAL),
         };
         if is_read_due {
             registry.polled_at = Some(now);
             let target = self.platform_host;
-            self.net.send(host, target, READ_MOST, Body::ReadEndpointList, Purpose::EndpointList);
+            self.net.send(
+                host,
+                target,
+                READ_TIMEOUT,
+                Body::ReadEndpointList,
+                Purpose::EndpointList,
+            );
         }
         self.nodes[index].is_ready = ready;
         let RoleState::Registry(registry) = &mut self.nodes[index].role_state else { return };
@@ -80,7 +86,7 @@
         }
         let last = self.nodes[index].view.endpoints.clone();
         let Some(list) = list else { return };
-        let outcome = list_poller::evaluate(&last, &list);
+        let outcome = poller::evaluate(&last, &list);
         if outcome == PollOutcome::Good && list.revision > last.revision {
             self.step_gossip(index, gossip::Event::EndpointListReceived(list));
         }
@@ -98,7 +104,7 @@
         let Some(sequencer) = &mut registry.list_sequencer else { return };
         let source_revision = list.as_ref().map(|list| list.revision);
         let servers = list.map(|list| list.servers.clone());
-        let reply = sequencer.read(now, &view, servers);
+        let reply = sequencer.on_read_completed(now, &view, servers);
         if let (Some(ListEffect::Publish { list, began_at }), Some(source_revision)) =
             (reply, source_revision)
         {
@@ -148,7 +154,7 @@
 
     pub(in crate::sim) fn endpoint_list_text_received(&mut self, index: usize, text: &str) {
         let last = self.nodes[index].view.endpoints.clone();
-        let (_, list) = list_poller::parse_reply(&last, text.as_bytes());
+        let (_, list) = poller::parse_response(&last, text.as_bytes());
         if let Some(list) = list {
             self.step_gossip(index, gossip::Event::EndpointListReceived(Arc::new(list)));
         }
@@ -221,7 +227,7 @@
         match store_call.next(now, stores) {
             NextAction::Send(info) => {
                 let target = Network::host_at(info.cluster_address);
-                let mut request = store_call.question(now);
+                let mut request = store_call.request_at(now);
                 if self.reaches_crash_point(index, CrashPoint::BeforeStoreRequest) {
                     return;
                 }
@@ -260,10 +266,10 @@
         let now = self.net.local_time(host);
         let RoleState::Registry(registry) = &mut self.nodes[index].role_state else { return };
         let Some((store_call, call)) = registry.store_calls.get_mut(&number) else { return };
-        match store_call.told(response) {
+        match store_call.on_response(response) {
             Some(outcome) => {
                 let call = *call;
-                let answered = store_call.answered(now, &outcome);
+                let answered = store_call.acknowledgement(now, &outcome);
                 registry.store_calls.remove(&number);
                 if self.reaches_crash_point(index, CrashPoint::BeforeAcknowledgement) {
                     return;
@@ -292,13 +298,13 @@
             return self.net.reply(call, Body::SteeringResponse(String::new()));
         }
         let has_long_ttl = self.has_mutation(Mutation::LongSteeringTtl);
-        let extend = |mut receipt: jzon::JsonValue| {
+        let extend = |mut response: jzon::JsonValue| {
             if has_long_ttl {
-                receipt["TTL"] = 9.into();
+                response["TTL"] = 9.into();
             }
-            receipt.dump()
+            response.dump()
         };
-        let text = answer.receipt.map(extend).unwrap_or_default();
+        let text = answer.response.map(extend).unwrap_or_default();
         self.net.reply(call, Body::SteeringResponse(text));
     }
 
--- a/testbed/src/sim/traffic/proxies.rs
+++ b/testbed/src/sim/traffic/proxies.rs
@@ -84,11 +84,11 @@
         let mut observations = None;
         let has_changes = ticked.has_changes || std::mem::take(&mut proxy.has_phase_changes);
         if proxy.reporter.is_due(now, has_changes) {
-            let counts = proxy.admission.counts();
+            let usage = proxy.admission.usage();
             observations = Some(wire::ProxyObservations {
                 servers: proxy.endpoints.observations(now),
-                in_flight: counts.iter().map(|one| one.2 as u32).collect(),
-                queued: counts.iter().map(|one| one.3 as u32).collect(),
+                in_flight: usage.iter().map(|class| class.in_flight as u32).collect(),
+                queued: usage.iter().map(|class| class.queued as u32).collect(),
                 request_rates: proxy.request_rates.measure(now),
             });
         }
--- a/testbed/src/sim/traffic/requests.rs
+++ b/testbed/src/sim/traffic/requests.rs
@@ -11,7 +11,7 @@
 use vanepath_cluster::gossip;
 use vanepath_config::ExecutionStatus;
 use vanepath_config::model::Idempotency;
-use vanepath_proxy::admission::{Admission, AdmissionSlot};
+use vanepath_proxy::admission::{Admission, Woken};
 use vanepath_proxy::connector;
 use vanepath_proxy::endpoints::{
     self, CurrentAttempt, IdleConnection, Selection, SelectionContext,
@@ -65,7 +65,7 @@
             let RoleState::Proxy(proxy) = &self.nodes[index].role_state else { return };
             let Some(progress) = proxy.in_progress.get(&progress_id) else { return };
             if self.nodes[index].view.is_stalled {
-                return self.answer_client(index, progress_id, Err(Rejection::BelowFloor));
+                return self.answer_client(index, progress_id, Err(Rejection::BelowReadIndex));
             }
             if now.saturating_sub(progress.received_at) >= gossip::READINESS_TIMEOUT {
                 return self.answer_client(index, progress_id, Err(Rejection::NotReady));
@@ -107,7 +107,7 @@
             return self.answer_client(index, progress_id, Err(Rejection::NoServer));
         }
         proxy.request_rates.record_request(rule_config.service);
-        proxy.retry_budget.took(now);
+        proxy.retry_budget.record_request(now);
         self.world.admitted_at.push(self.net.now);
         progress.lifecycle.state = RequestState::Queued;
         let late = progress.deadline.saturating_sub(now);
@@ -117,13 +117,13 @@
         };
         let admission = proxy.admission.enter(class_index, progress.deadline);
         match admission {
-            Admission::Taken(slot) => progress.permit = Some(slot),
-            Admission::Dropped => {
-                return self.answer_client(index, progress_id, Err(Rejection::NoRoom));
+            Admission::Admitted(slot) => progress.permit = Some(slot),
+            Admission::QueueFull => {
+                return self.answer_client(index, progress_id, Err(Rejection::QueueFull));
             }
-            Admission::Waits(number) => {
-                progress.queue_ticket = Some(number);
-                proxy.queued.insert(number, progress_id);
+            Admission::Queued(ticket) => {
+                progress.queue_ticket = Some(ticket);
+                proxy.queued.insert(ticket, progress_id);
             }
         }
         let is_in = progress.permit.is_some();
@@ -134,10 +134,10 @@
     }
 
     /// Goes on with requests that the admission queue let through.
-    pub(super) fn resume_admitted(&mut self, index: usize, woken: Vec<(u64, AdmissionSlot)>) {
-        for (number, slot) in woken {
+    pub(super) fn resume_admitted(&mut self, index: usize, woken: Vec<Woken>) {
+        for Woken { ticket, slot } in woken {
             let RoleState::Proxy(proxy) = &mut self.nodes[index].role_state else { return };
-            let Some(progress_id) = proxy.queued.remove(&number) else { continue };
+            let Some(progress_id) = proxy.queued.remove(&ticket) else { continue };
             if let Some(progress) = proxy.in_progress.get_mut(&progress_id) {
                 progress.queue_ticket = None;
                 progress.permit = Some(slot);
@@ -160,7 +160,7 @@
         if now >= progress.deadline {
             return self.answer_client(index, progress_id, Err(Rejection::Late));
         }
-        progress.lifecycle.state = RequestState::Choosing;
+        progress.lifecycle.state = RequestState::Selecting;
         let latest = proxy.endpoints.table.load_full();
         if !Arc::ptr_eq(&latest.config, &progress.table.config) {
             let request = &self.world.requests[progress.request];
@@ -268,7 +268,7 @@
                         }
                     });
                 }
-                progress.lifecycle.state = RequestState::Greeted;
+                progress.lifecycle.state = RequestState::Verified;
                 progress.connection = Some((connection, now));
                 self.send_upstream(index, progress_id);
             }
@@ -453,9 +453,9 @@
         if let Some(slot) = progress.in_flight_on {
             proxy.endpoints.release(slot);
         }
-        if let Some(number) = progress.queue_ticket {
-            proxy.admission.leave(number);
-            proxy.queued.remove(&number);
+        if let Some(ticket) = progress.queue_ticket {
+            proxy.admission.leave(ticket);
+            proxy.queued.remove(&ticket);
         }
         let woken = progress.permit.map(|slot| proxy.admission.release(slot)).unwrap_or_default();
         let is_affected = progress.lifecycle.idempotency == Idempotency::NonIdempotent
