--- /dev/null
+++ b/testbed/src/sim/control/discovery.rs
@@ -0,0 +1,122 @@
+//! Discovery: how registries read the platform's endpoint list.
+
+use crate::sim::network::{Body, Purpose};
+use crate::sim::state::{RoleState, Sim};
+use std::sync::Arc;
+use std::time::Duration;
+use vanepath_cluster::gossip;
+use vanepath_cluster::node::ClusterView;
+use vanepath_config::endpoint_list::EndpointList;
+use vanepath_registry::discovery::sequencer::{Effect as ListEffect, ListSequencer, READ_TIMEOUT};
+use vanepath_registry::discovery::{PollOutcome, poller};
+
+impl Sim {
+    /// A registry reads the platform's endpoint list, if it is time.
+    pub(super) fn poll_endpoint_list(&mut self, index: usize, now: Duration, view: &ClusterView) {
+        let host = self.nodes[index].host;
+        let name = self.nodes[index].info.name.clone();
+        let RoleState::Registry(registry) = &mut self.nodes[index].role_state else { return };
+        let is_read_due = match self.has_unversioned_lists {
+            true => {
+                let draw = self.net.random.draw();
+                let sequencer =
+                    registry.list_sequencer.get_or_insert_with(|| ListSequencer::new(&name, draw));
+                sequencer.on_tick(now, view) == Some(ListEffect::Read)
+            }
+            false => registry.polled_at.is_none_or(|at| now >= at + poller::POLL_INTERVAL),
+        };
+        if is_read_due {
+            registry.polled_at = Some(now);
+            let target = self.platform_host;
+            self.net.send(
+                host,
+                target,
+                READ_TIMEOUT,
+                Body::ReadEndpointList,
+                Purpose::EndpointList,
+            );
+        }
+    }
+
+    /// A registry got the platform's endpoint list, or none.
+    pub(in crate::sim) fn endpoint_list_received(
+        &mut self,
+        index: usize,
+        list: Option<Arc<EndpointList>>,
+    ) {
+        if self.has_unversioned_lists {
+            return self.unversioned_list_received(index, list);
+        }
+        let last = self.nodes[index].view.endpoints.clone();
+        let Some(list) = list else { return };
+        let outcome = poller::evaluate(&last, &list);
+        if outcome == PollOutcome::Good && list.revision > last.revision {
+            self.step_gossip(index, gossip::Event::EndpointListReceived(list));
+        }
+    }
+
+    /// A registry got the list of a platform that does not number its lists, or none.
+    fn unversioned_list_received(&mut self, index: usize, list: Option<Arc<EndpointList>>) {
+        let now = self.net.local_time(self.nodes[index].host);
+        let view = self.nodes[index].view.clone();
+        let RoleState::Registry(registry) = &mut self.nodes[index].role_state else { return };
+        let Some(sequencer) = &mut registry.list_sequencer else { return };
+        let source_revision = list.as_ref().map(|list| list.revision);
+        let servers = list.map(|list| list.servers.clone());
+        let reply = sequencer.on_read_completed(now, &view, servers);
+        if let (Some(ListEffect::Publish { list, began_at }), Some(source_revision)) =
+            (reply, source_revision)
+        {
+            let known = self.source_list_revisions.entry(list.revision).or_default();
+            *known = source_revision.max(*known);
+            self.step_gossip(index, gossip::Event::EndpointListRead { list, began_at });
+        }
+    }
+
+    /// The platform's own revision of the list that has this revision within the fleet.
+    pub fn source_list_revision(&self, revision: u64) -> u64 {
+        match self.has_unversioned_lists {
+            true => self.source_list_revisions.get(&revision).copied().unwrap_or_default(),
+            false => revision,
+        }
+    }
+
+    /// What the platform answers: its list, or what a platform in trouble serves in its place. Half of its
+    /// answers are good even then.
+    pub(in crate::sim) fn endpoint_list_reply(&mut self) -> Option<Body> {
+        if !self.endpoint_lists_faulty {
+            return Some(Body::EndpointList(self.platform.clone()));
+        }
+        let revision = self.platform.revision;
+        let mut list = (*self.platform).clone();
+        match self.net.random.below(12) {
+            0 => Some(Body::EndpointListText("{\"revision\": ".to_string())),
+            1 => Some(Body::EndpointListText(format!(
+                r#"{{"revision": {}, "servers": [{{"id": "x", "address": "nowhere", "zone": "z"}}]}}"#,
+                revision + 5
+            ))),
+            2 => Some(Body::EndpointListText(format!(
+                r#"{{"revision": {}, "servers": []}}"#,
+                revision + 5
+            ))),
+            3 => Some(Body::EndpointListText("<html>503</html>".to_string())),
+            4 => {
+                // The list as it was before: no server drains.
+                list.revision = revision.saturating_sub(1);
+                list.servers.iter_mut().for_each(|server| server.draining = false);
+                Some(Body::EndpointList(Arc::new(list)))
+            }
+            5 => None,
+            _ => Some(Body::EndpointList(self.platform.clone())),
+        }
+    }
+
+    /// A registry got text in place of an endpoint list.
+    pub(in crate::sim) fn endpoint_list_text_received(&mut self, index: usize, text: &str) {
+        let last = self.nodes[index].view.endpoints.clone();
+        let (_, list) = poller::parse_response(&last, text.as_bytes());
+        if let Some(list) = list {
+            self.step_gossip(index, gossip::Event::EndpointListReceived(Arc::new(list)));
+        }
+    }
+}
--- a/testbed/src/sim/control/mod.rs
+++ b/testbed/src/sim/control/mod.rs
@@ -2,8 +2,10 @@
 //! calls to the stores and its singleton role. These are thin shells round the programs' cores, like
 //! those of the programs themselves.
 
+mod discovery;
 mod gossip;
 mod nodes;
 mod operators;
 mod registries;
+mod store_calls;
 mod stores;
--- /dev/null
+++ b/testbed/src/sim/control/store_calls.rs
@@ -0,0 +1,175 @@
+//! Operators' calls from a registry to the stores.
+
+use crate::sim::crash_points::CrashPoint;
+use crate::sim::mutations::Mutation;
+use crate::sim::network::{Body, CallId, Network, Purpose, Timer};
+use crate::sim::state::{OperatorCall, RoleState, Sim};
+use std::time::Duration;
+use vanepath_config::model;
+use vanepath_registry::store_client::{self, NextAction, StoreRequest};
+use vanepath_store::protocol::{Change, Outcome, Request, Response};
+
+impl Sim {
+    /// An operator's call reaches a registry.
+    pub(in crate::sim) fn start_store_call(
+        &mut self,
+        index: usize,
+        operation: usize,
+        call: CallId,
+    ) {
+        if let Some(outcome) = self.outcome_without_stores(index, operation) {
+            return self.net.reply(call, Body::OperatorResponse(outcome));
+        }
+        let request = self.store_request(operation);
+        let now = self.net.local_time(self.nodes[index].host);
+        let RoleState::Registry(registry) = &mut self.nodes[index].role_state else { return };
+        registry.next_store_call += 1;
+        let store_call = registry.next_store_call;
+        registry.store_calls.insert(store_call, (StoreRequest::new(request, now), call));
+        self.step_store_call(index, store_call);
+    }
+
+    /// The outcome of a call that does not get as far as the stores: that of an invalid configuration, or
+    /// of a mutation.
+    fn outcome_without_stores(&mut self, index: usize, operation: usize) -> Option<Outcome> {
+        let operator_call = &mut self.operations[operation].call;
+        if let OperatorCall::Change {
+            change: Change::ReplaceConfig { bytes, version, .. }, ..
+        } = operator_call
+        {
+            match model::parse(bytes) {
+                Ok(config) => *version = config.version,
+                Err(errors) if self.mutation != Some(Mutation::AcceptsInvalidConfigs) => {
+                    let paths: Vec<&str> = errors.iter().map(|error| error.path.as_str()).collect();
+                    return Some(Outcome::NotApplied { reason: paths.join(", ") });
+                }
+                Err(_) => {}
+            }
+        }
+        let committed = &self.nodes[index].view.committed;
+        if let OperatorCall::Change { change: Change::DrainZone { zone }, .. } =
+            &self.operations[operation].call
+            && self.has_mutation(Mutation::MergesDrains)
+            && committed.drained_zones.contains(zone)
+        {
+            let (revision, config_revision) = (committed.revision, committed.config_revision);
+            return Some(Outcome::Accepted { revision, config_revision, is_repeat: true });
+        }
+        if self.has_mutation(Mutation::RefusesOperators) && operation.is_multiple_of(9) {
+            return Some(Outcome::NotApplied { reason: "broken on purpose".to_string() });
+        }
+        None
+    }
+
+    fn store_request(&self, operation: usize) -> Request {
+        let operator_call = &self.operations[operation].call;
+        match operator_call {
+            OperatorCall::Change { key, change } => {
+                let is_keyless = operator_call.evacuation().is_some()
+                    && !self.has_mutation(Mutation::CountsRetransmissions);
+                let keyless_for = is_keyless.then_some(Duration::ZERO);
+                Request::Change { key: key.clone(), change: change.clone(), keyless_for }
+            }
+            OperatorCall::Read => Request::Read,
+            OperatorCall::History { revision } => Request::History { revision: *revision },
+        }
+    }
+
+    /// The next step of a call to the stores.
+    pub(in crate::sim) fn step_store_call(&mut self, index: usize, number: usize) {
+        let host = self.nodes[index].host;
+        let now = self.net.local_time(host);
+        let stores = store_client::stores(&self.nodes[index].view);
+        let RoleState::Registry(registry) = &mut self.nodes[index].role_state else { return };
+        let Some((store_call, call)) = registry.store_calls.get_mut(&number) else { return };
+        match store_call.next(now, stores) {
+            NextAction::Send(info) => {
+                let target = Network::host_at(info.cluster_address);
+                let mut request = store_call.request_at(now);
+                if self.reaches_crash_point(index, CrashPoint::BeforeStoreRequest) {
+                    return;
+                }
+                if self.has_mutation(Mutation::ForgetsVersions)
+                    && let Request::Change { change: Change::ReplaceConfig { version, .. }, .. } =
+                        &mut request
+                {
+                    *version = None;
+                }
+                if self.has_mutation(Mutation::ForgetsKeys)
+                    && let Request::Change { key, .. } = &mut request
+                {
+                    *key = format!("{key}-{}", self.net.random.draw());
+                }
+                let body = Body::StoreRequest(request);
+                let timeout = store_client::ATTEMPT_TIMEOUT;
+                self.net.send(
+                    host,
+                    target,
+                    timeout,
+                    body,
+                    Purpose::StoreCall { store_call: number },
+                );
+                self.reaches_crash_point(index, CrashPoint::AfterStoreRequest);
+            }
+            NextAction::Pause(pause) => self.net.set_timer(host, pause, Timer::StoreCall(number)),
+            NextAction::End(outcome) => {
+                let call = *call;
+                registry.store_calls.remove(&number);
+                self.net.reply(call, Body::OperatorResponse(outcome));
+            }
+        }
+    }
+
+    /// A store answered an attempt of a call, or did not.
+    pub(in crate::sim) fn store_call_replied(
+        &mut self,
+        index: usize,
+        number: usize,
+        response: Option<Response>,
+    ) {
+        let host = self.nodes[index].host;
+        let now = self.net.local_time(host);
+        let RoleState::Registry(registry) = &mut self.nodes[index].role_state else { return };
+        let Some((store_call, call)) = registry.store_calls.get_mut(&number) else { return };
+        match store_call.on_response(response) {
+            Some(outcome) => {
+                let call = *call;
+                let acknowledgement = store_call.acknowledgement(now, &outcome);
+                registry.store_calls.remove(&number);
+                if self.reaches_crash_point(index, CrashPoint::BeforeAcknowledgement) {
+                    return;
+                }
+                self.net.reply(call, Body::OperatorResponse(outcome));
+                let Some(acknowledgement) = acknowledgement else { return };
+                for info in store_client::stores(&self.nodes[index].view) {
+                    let target = Network::host_at(info.cluster_address);
+                    let timeout = store_client::ATTEMPT_TIMEOUT;
+                    let body = Body::StoreRequest(acknowledgement.clone());
+                    self.net.send(host, target, timeout, body, Purpose::None);
+                }
+            }
+            None => self.step_store_call(index, number),
+        }
+    }
+
+    /// A store's response, as the mutations alter it.
+    pub(in crate::sim) fn corrupt_response(&self, response: Response) -> Response {
+        match response {
+            Response::Outcome(Outcome::Value { mut value })
+                if self.has_mutation(Mutation::AltersReads) =>
+            {
+                if let Some(byte) = value.document.last_mut() {
+                    *byte = b' ';
+                }
+                Response::Outcome(Outcome::Value { value })
+            }
+            Response::Outcome(Outcome::Accepted { revision, config_revision, is_repeat })
+                if self.has_mutation(Mutation::WrongRevisions) =>
+            {
+                let revision = revision.saturating_sub(revision % 3);
+                Response::Outcome(Outcome::Accepted { revision, config_revision, is_repeat })
+            }
+            response => response,
+        }
+    }
+}
--- a/testbed/src/sim/control/stores.rs
+++ b/testbed/src/sim/control/stores.rs
@@ -4,17 +4,19 @@
 use crate::sim::mutations::Mutation;
 use crate::sim::network::{Body, Event, Network, Purpose};
 use crate::sim::state::{RoleState, Sim};
+use std::ops::ControlFlow;
 use std::sync::Arc;
 use std::time::Duration;
 use vanepath_cluster::{gossip, wire};
 use vanepath_store::consensus;
-use vanepath_store::protocol::Digest;
+use vanepath_store::protocol::{Digest, Request};
 use vanepath_store::shell::StoreDirectory;
 
 /// How long a store waits for another store's response.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
 impl Sim {
+    /// A store's regular tick.
     pub(in crate::sim) fn tick_store(&mut self, index: usize) {
         let view = self.nodes[index].view.clone();
         let directory = StoreDirectory::of(&view);
@@ -51,6 +53,7 @@
         self.step_gossip(index, gossip::Event::StatusChanged(status));
     }
 
+    /// Gives an event to the consensus core and carries out its effects.
     pub(in crate::sim) fn step_store(&mut self, index: usize, event: consensus::Event) {
         if let RoleState::Store(store) = &mut self.nodes[index].role_state {
             store.inbox.push_back(event);
@@ -59,7 +62,7 @@
     }
 
     /// A disk that failed and works again is read anew, as the program's shell does.
-    pub(in crate::sim) fn recover_disk(&mut self, index: usize) {
+    fn recover_disk(&mut self, index: usize) {
         let RoleState::Store(store) = &mut self.nodes[index].role_state else { return };
         if !store.disk_failed || store.disk.is_full || store.busy {
             return;
@@ -70,6 +73,7 @@
         store.inbox.push_back(consensus::Event::DiskRecovered(recovered));
     }
 
+    /// A write to the disk is complete, or fails because the disk is full.
     pub(in crate::sim) fn disk_write_done(&mut self, index: usize) {
         let RoleState::Store(store) = &mut self.nodes[index].role_state else { return };
         store.busy = false;
@@ -96,7 +100,7 @@
     }
 
     /// Handles one event after the other, and the effects of each in order.
-    pub(in crate::sim) fn run_store(&mut self, index: usize) {
+    fn run_store(&mut self, index: usize) {
         let host = self.nodes[index].host;
         loop {
             let RoleState::Store(store) = &mut self.nodes[index].role_state else { return };
@@ -109,100 +113,110 @@
                 store.pending.extend(effects);
                 continue;
             };
-            match effect {
-                consensus::Effect::Persist(writes) => {
-                    if self.reaches_crash_point(index, CrashPoint::BeforeSave) {
-                        return;
-                    }
-                    let RoleState::Store(store) = &mut self.nodes[index].role_state else { return };
-                    store.busy = true;
-                    store.disk.in_flight_writes = writes;
-                    let mut duration = Duration::from_micros(500 + self.net.random.draw() % 4000);
-                    if self.net.random.chance(0.01) {
-                        duration += Duration::from_millis(self.net.random.draw() % 150);
-                    }
-                    let incarnation = self.net.hosts[host].incarnation;
-                    self.net.schedule(
-                        self.net.now + duration,
-                        Event::DiskWriteDone { host, incarnation },
-                    );
-                }
-                consensus::Effect::Send { call, incarnation, request } => {
-                    if self.reaches_crash_point(index, CrashPoint::BeforeCall) {
-                        return;
-                    }
-                    let RoleState::Store(store) = &mut self.nodes[index].role_state else { return };
-                    let purpose = Purpose::Store { call };
-                    match store.directory.address_of(incarnation, &request) {
-                        Some(address) => {
-                            let target = Network::host_at(address);
-                            // Now and then the same message arrives twice, the second time late.
-                            if self.net.random.chance(0.01) {
-                                let late = Body::StoreRequest(request.clone());
-                                self.net.send(host, target, CALL_TIMEOUT, late, Purpose::None);
-                            }
-                            self.net.send(
-                                host,
-                                target,
-                                CALL_TIMEOUT,
-                                Body::StoreRequest(request),
-                                purpose,
-                            );
-                        }
-                        None => {
-                            // No such store is known: the same as no response.
-                            store.inbox.push_back(consensus::Event::ResponseReceived {
-                                call,
-                                response: None,
-                            });
-                        }
-                    }
-                }
-                consensus::Effect::Reset => {
-                    let random = self.net.random.draw();
+            if self.carry_out(index, effect).is_break() {
+                return;
+            }
+        }
+    }
+
+    /// Carries out an effect of the consensus core; breaks if the node is killed meanwhile.
+    fn carry_out(&mut self, index: usize, effect: consensus::Effect) -> ControlFlow<()> {
+        match effect {
+            consensus::Effect::Persist(writes) => {
+                self.visit_crash_point(index, CrashPoint::BeforeSave)?;
+                self.begin_write(index, writes);
+            }
+            consensus::Effect::Send { call, incarnation, request } => {
+                self.visit_crash_point(index, CrashPoint::BeforeCall)?;
+                self.send_to_store(index, call, incarnation, request);
+            }
+            consensus::Effect::Reset => {
+                let random = self.net.random.draw();
+                if let RoleState::Store(store) = &mut self.nodes[index].role_state {
                     store.disk.state = None;
                     store.disk.versions.clear();
                     let recovered = store.disk.recover(random);
                     store.inbox.push_front(consensus::Event::Reset(recovered));
                 }
-                consensus::Effect::Reply { ticket, response } => {
-                    if self.reaches_crash_point(index, CrashPoint::BeforeAnswer) {
-                        return;
-                    }
-                    let response = self.corrupt_response(response);
-                    self.net.reply(ticket, Body::StoreResponse(response));
-                    if self.reaches_crash_point(index, CrashPoint::AfterAnswer) {
-                        return;
-                    }
-                }
-                consensus::Effect::ReplyFromDisk { ticket, versions, as_outcome } => {
-                    let load = |at: &(u64, Digest)| {
-                        store.disk.versions.get(at).map(|value| (**value).clone())
-                    };
-                    let (response, damaged) =
-                        consensus::response_from_disk(&versions, as_outcome, load);
-                    if let Some((revision, digest)) = damaged {
-                        store
-                            .inbox
-                            .push_back(consensus::Event::VersionDamaged { revision, digest });
-                    }
-                    self.net.reply(ticket, Body::StoreResponse(response));
-                }
-                consensus::Effect::Committed(value) => {
-                    if self.reaches_crash_point(index, CrashPoint::BeforeCommit) {
-                        return;
-                    }
-                    let committed = Arc::new(value.committed_config());
-                    self.step_gossip(index, gossip::Event::ConfigCommitted(committed));
-                }
-                consensus::Effect::Log(text) => {
-                    if text.contains("never happen") {
-                        self.violations.push(text.clone());
-                    }
-                    let name = self.nodes[index].info.name.clone();
-                    self.trace_event(|| format!("{name}: {text}"));
+            }
+            consensus::Effect::Reply { ticket, response } => {
+                self.visit_crash_point(index, CrashPoint::BeforeAnswer)?;
+                let response = self.corrupt_response(response);
+                self.net.reply(ticket, Body::StoreResponse(response));
+                self.visit_crash_point(index, CrashPoint::AfterAnswer)?;
+            }
+            consensus::Effect::ReplyFromDisk { ticket, versions, as_outcome } => {
+                self.reply_from_disk(index, ticket, &versions, as_outcome);
+            }
+            consensus::Effect::Committed(value) => {
+                self.visit_crash_point(index, CrashPoint::BeforeCommit)?;
+                let committed = Arc::new(value.committed_config());
+                self.step_gossip(index, gossip::Event::ConfigCommitted(committed));
+            }
+            consensus::Effect::Log(text) => {
+                if text.contains("never happen") {
+                    self.violations.push(text.clone());
                 }
+                let name = self.nodes[index].info.name.clone();
+                self.trace_event(|| format!("{name}: {text}"));
             }
         }
+        ControlFlow::Continue(())
+    }
+
+    fn visit_crash_point(&mut self, index: usize, point: CrashPoint) -> ControlFlow<()> {
+        match self.reaches_crash_point(index, point) {
+            true => ControlFlow::Break(()),
+            false => ControlFlow::Continue(()),
+        }
+    }
+
+    fn begin_write(&mut self, index: usize, writes: Vec<consensus::DiskWrite>) {
+        let host = self.nodes[index].host;
+        let RoleState::Store(store) = &mut self.nodes[index].role_state else { return };
+        store.busy = true;
+        store.disk.in_flight_writes = writes;
+        let mut duration = Duration::from_micros(500 + self.net.random.draw() % 4000);
+        if self.net.random.chance(0.01) {
+            duration += Duration::from_millis(self.net.random.draw() % 150);
+        }
+        let incarnation = self.net.hosts[host].incarnation;
+        let at = self.net.now + duration;
+        self.net.schedule(at, Event::DiskWriteDone { host, incarnation });
+    }
+
+    fn send_to_store(&mut self, index: usize, call: u64, incarnation: u64, request: Request) {
+        let host = self.nodes[index].host;
+        let RoleState::Store(store) = &mut self.nodes[index].role_state else { return };
+        let Some(address) = store.directory.address_of(incarnation, &request) else {
+            // No such store is known: the same as no response.
+            let event = consensus::Event::ResponseReceived { call, response: None };
+            store.inbox.push_back(event);
+            return;
+        };
+        let target = Network::host_at(address);
+        // Now and then the same message arrives twice, the second time late.
+        if self.net.random.chance(0.01) {
+            let copy = Body::StoreRequest(request.clone());
+            self.net.send(host, target, CALL_TIMEOUT, copy, Purpose::None);
+        }
+        let purpose = Purpose::Store { call };
+        self.net.send(host, target, CALL_TIMEOUT, Body::StoreRequest(request), purpose);
+    }
+
+    fn reply_from_disk(
+        &mut self,
+        index: usize,
+        ticket: u64,
+        versions: &[(u64, Digest)],
+        as_outcome: bool,
+    ) {
+        let RoleState::Store(store) = &mut self.nodes[index].role_state else { return };
+        let load = |at: &(u64, Digest)| store.disk.versions.get(at).map(|value| (**value).clone());
+        let (response, damaged) = consensus::response_from_disk(versions, as_outcome, load);
+        if let Some((revision, digest)) = damaged {
+            store.inbox.push_back(consensus::Event::VersionDamaged { revision, digest });
+        }
+        self.net.reply(ticket, Body::StoreResponse(response));
     }
 }
--- a/testbed/src/sim/traffic/proxies.rs
+++ b/testbed/src/sim/traffic/proxies.rs
@@ -2,12 +2,12 @@
 
 use crate::sim::mutations::Mutation;
 use crate::sim::network::{Body, HostFaultKind, Network, Purpose, Timer};
-use crate::sim::state::{RoleState, Sim};
+use crate::sim::state::{Proxy, RoleState, Sim};
 use std::time::Duration;
 use vanepath_cluster::{gossip, wire};
 use vanepath_config::endpoint_list::Server as ListedServer;
 use vanepath_proxy::connector;
-use vanepath_proxy::endpoints::{self, IdleConnection};
+use vanepath_proxy::endpoints::{self, IdleConnection, RoutingTable};
 use vanepath_proxy::health::{Failure, ServerPhase};
 
 impl Sim {
@@ -55,22 +55,7 @@
         proxy.ticked_at = now;
         let revision = endpoints::revision_of(&view);
         let table = proxy.endpoints.table.load_full();
-        let blind_to: &[ServerPhase] = match self.mutation {
-            Some(Mutation::SkipsSlowStart) => &[ServerPhase::WarmingUp, ServerPhase::SlowStart],
-            // Suspect servers are avoided; without that they are tried again and again.
-            Some(Mutation::UnboundRetries) => {
-                &[ServerPhase::WarmingUp, ServerPhase::SlowStart, ServerPhase::Suspect]
-            }
-            _ => &[],
-        };
-        for endpoint in table.endpoints.iter().filter(|_| !blind_to.is_empty()) {
-            proxy.endpoints.update_health(endpoint.slot, |health| {
-                health.reset_outlier_detection();
-                if blind_to.contains(&health.phase) {
-                    health.phase = ServerPhase::Healthy;
-                }
-            });
-        }
+        hide_phases(proxy, &table, self.mutation);
         let plan = view.plan.version();
         if proxy.applied_plan != Some((plan, revision)) {
             proxy.applied_plan = Some((plan, revision));
@@ -98,8 +83,8 @@
             let timeout = connector::TIMEOUT;
             self.net.send(host, Network::host_at(address), timeout, Body::HealthCheck, purpose);
         }
-        for note in ticked.log_lines {
-            self.trace_event(|| format!("{name}: {note}"));
+        for line in ticked.log_lines {
+            self.trace_event(|| format!("{name}: {line}"));
         }
         self.nodes[index].is_ready = ready;
         if ready {
@@ -216,3 +201,24 @@
         }
     }
 }
+
+/// The mutations [`Mutation::SkipsSlowStart`] and [`Mutation::UnboundRetries`]: servers in some phases count
+/// as healthy.
+fn hide_phases(proxy: &mut Proxy, table: &RoutingTable, mutation: Option<Mutation>) {
+    let hidden: &[ServerPhase] = match mutation {
+        Some(Mutation::SkipsSlowStart) => &[ServerPhase::WarmingUp, ServerPhase::SlowStart],
+        // Suspect servers are avoided; without that they are tried again and again.
+        Some(Mutation::UnboundRetries) => {
+            &[ServerPhase::WarmingUp, ServerPhase::SlowStart, ServerPhase::Suspect]
+        }
+        _ => return,
+    };
+    for endpoint in &table.endpoints {
+        proxy.endpoints.update_health(endpoint.slot, |health| {
+            health.reset_outlier_detection();
+            if hidden.contains(&health.phase) {
+                health.phase = ServerPhase::Healthy;
+            }
+        });
+    }
+}
--- a/testbed/src/sim/traffic/requests.rs
+++ b/testbed/src/sim/traffic/requests.rs
@@ -4,7 +4,7 @@
 use crate::sim::crash_points::CrashPoint;
 use crate::sim::mutations::Mutation;
 use crate::sim::network::{Body, CallId, Network, Purpose, Timer};
-use crate::sim::state::{ProxyArrival, RequestInProgress, RoleState, Sim};
+use crate::sim::state::{Proxy, ProxyArrival, RequestInProgress, RoleState, Sim, World};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -161,23 +161,10 @@
             return self.answer_client(index, progress_id, Err(Rejection::Late));
         }
         progress.lifecycle.state = RequestState::Selecting;
-        let latest = proxy.endpoints.table.load_full();
-        if !Arc::ptr_eq(&latest.config, &progress.table.config) {
-            let request = &self.world.requests[progress.request];
-            let (verb, path) = (method(request.kind), self.world.paths[request.kind as usize]);
-            match latest.config.rule_for(verb, "h", path) {
-                Some(rule) => {
-                    let is_within = latest.config.rules[rule].allows_region(&region);
-                    progress.rule = rule;
-                    progress.table = latest.clone();
-                    if !is_within {
-                        return self.answer_client(index, progress_id, Err(Rejection::Misplaced));
-                    }
-                }
-                None => return self.answer_client(index, progress_id, Err(Rejection::Unmatched)),
-            }
+        if let Err(rejection) = adopt_latest_table(proxy, progress_id, &self.world, &region) {
+            return self.answer_client(index, progress_id, Err(rejection));
         }
-        progress.table = latest;
+        let Some(progress) = proxy.in_progress.get_mut(&progress_id) else { return };
         let context = SelectionContext {
             rule: progress.rule,
             service: progress.table.config.rules[progress.rule].service,
@@ -202,6 +189,16 @@
             }
             _ => return self.answer_client(index, progress_id, Err(Rejection::NoServer)),
         };
+        self.start_attempt(index, progress_id, endpoint);
+    }
+
+    /// Starts an attempt at the selected endpoint: on an idle connection or on a new one.
+    fn start_attempt(&mut self, index: usize, progress_id: usize, endpoint: usize) {
+        let host = self.nodes[index].host;
+        let now = self.net.local_time(host);
+        let zone = self.nodes[index].info.zone.clone();
+        let RoleState::Proxy(proxy) = &mut self.nodes[index].role_state else { return };
+        let Some(progress) = proxy.in_progress.get_mut(&progress_id) else { return };
         let slot = progress.table.endpoints[endpoint].slot;
         let address = progress.table.endpoints[endpoint].server.address;
         progress.endpoint_index = endpoint;
@@ -228,12 +225,12 @@
         }
         let RoleState::Proxy(proxy) = &mut self.nodes[index].role_state else { return };
         let Some(progress) = proxy.in_progress.get_mut(&progress_id) else { return };
-        let is_lately = |idle: &IdleConnection<u64>| {
+        let is_recent = |idle: &IdleConnection<u64>| {
             progress.lifecycle.idempotency == Idempotency::Idempotent
                 || now.saturating_sub(idle.verified_at) <= Duration::from_secs(1)
         };
         match idle {
-            Some(idle) if is_lately(&idle) => {
+            Some(idle) if is_recent(&idle) => {
                 progress.connection = Some((idle.connection, idle.verified_at));
                 self.send_upstream(index, progress_id);
             }
@@ -491,3 +488,26 @@
         self.resume_admitted(index, woken);
     }
 }
+
+/// A request goes on with the latest table; its rule may be another one there.
+fn adopt_latest_table(
+    proxy: &mut Proxy,
+    progress_id: usize,
+    world: &World,
+    region: &str,
+) -> Result<(), Rejection> {
+    let latest = proxy.endpoints.table.load_full();
+    let Some(progress) = proxy.in_progress.get_mut(&progress_id) else { return Ok(()) };
+    let has_new_config = !Arc::ptr_eq(&latest.config, &progress.table.config);
+    if has_new_config {
+        let kind = world.requests[progress.request].kind;
+        let path = world.paths[kind as usize];
+        let rule = latest.config.rule_for(method(kind), "h", path).ok_or(Rejection::Unmatched)?;
+        progress.rule = rule;
+    }
+    progress.table = latest;
+    match has_new_config && !progress.table.config.rules[progress.rule].allows_region(region) {
+        true => Err(Rejection::Misplaced),
+        false => Ok(()),
+    }
+}
