--- a/proxy/src/shell/mod.rs
+++ b/proxy/src/shell/mod.rs
@@ -37,9 +37,9 @@
     maintenance::spawn(proxy.clone());
     let stop_accepting = spawn_drain(proxy.clone(), DRAIN_DELAY.min(grace / 2));
     let http = HttpSettings {
-        header_limit: HEADER_READ_TIMEOUT,
+        header_timeout: HEADER_READ_TIMEOUT,
         preserve_header_case: true,
-        buffer_most: MAX_BUFFER_BYTES,
+        max_buffer_bytes: MAX_BUFFER_BYTES,
     };
     let has_admin_listener = serve_admin_pages(&proxy).await?;
     let serve =
--- a/registry/src/control_loop.rs
+++ b/registry/src/control_loop.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use vanepath_cluster::gossip::Event;
-use vanepath_cluster::node::{ClusterView, Deliver, ListPeers};
+use vanepath_cluster::node::{ClusterView, HandleEvent, ListPeers};
 use vanepath_cluster::wire::{NodeStatus, Role};
 
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
@@ -115,6 +115,6 @@
             log::info!("leader of the traffic-shift plan from epoch {} on", plan.epoch);
         }
         self.registry.counters.increment(Counter::PlansMade);
-        let _ = node.gossip.send(Deliver(Event::PlanReceived(Arc::new(plan)))).await;
+        let _ = node.gossip.send(HandleEvent(Event::PlanReceived(Arc::new(plan)))).await;
     }
 }
--- a/registry/src/discovery/poller.rs
+++ b/registry/src/discovery/poller.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use vanepath_cluster::gossip::Event;
-use vanepath_cluster::node::{self, ClusterView, Deliver, Node};
+use vanepath_cluster::node::{self, ClusterView, HandleEvent, Node};
 use vanepath_config::endpoint_list::{self, EndpointList};
 use vanepath_config::settings;
 
@@ -129,7 +129,7 @@
                 log_list(&list, self.node.clock.now().saturating_sub(began_at));
             }
             let event = Event::EndpointListRead { list, began_at };
-            let _ = self.node.gossip.send(Deliver(event)).await;
+            let _ = self.node.gossip.send(HandleEvent(event)).await;
         }
         if outcome != PollOutcome::Good {
             self.counters.increment(Counter::PlatformReadsBad);
--- a/registry/src/discovery/sequencer.rs
+++ b/registry/src/discovery/sequencer.rs
@@ -129,7 +129,7 @@
             }
             rank => {
                 let delay = TAKEOVER_DELAY + TAKEOVER_STEP * rank.saturating_sub(1) as u32;
-                view.list_read_at.is_none_or(|at| has_elapsed(at, delay))
+                view.endpoint_list_read_at.is_none_or(|at| has_elapsed(at, delay))
                     && has_elapsed(last_began_at, delay * PAUSE_FACTOR)
             }
         }
@@ -146,7 +146,7 @@
 
 /// The highest revision that this registry has heard of.
 fn highest_known_revision(view: &ClusterView) -> u64 {
-    view.highest_list_revision.max(view.endpoints.revision)
+    view.highest_endpoint_list_revision.max(view.endpoints.revision)
 }
 
 /// The servers in the order of their ids. A server that moved from one page to the next during the read is
--- a/registry/src/leader/tests.rs
+++ b/registry/src/leader/tests.rs
@@ -61,7 +61,7 @@
     }
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     let response = PullResponse { nodes: deltas, ..PullResponse::default() };
-    gossip.step(now, Event::PullCompleted { address, news: Some(Box::new(response)) });
+    gossip.step(now, Event::PullCompleted { address, response: Some(Box::new(response)) });
     let config = model::parse(
         br#"{"classes": [{"name": "c", "urgency": 1, "kind": "repeatable"}],
           "services": [{"name": "s", "selector": "all", "livenessPath": "/"}],
@@ -70,7 +70,7 @@
     let list = br#"{"revision": 1, "servers": [
         {"id": "s1", "address": "127.0.0.1:1001", "region": "a", "zone": "a1", "state": "ready"},
         {"id": "s2", "address": "127.0.0.1:1002", "region": "b", "zone": "b1", "state": "ready"}]}"#;
-    let (mut view, _) = ClusterView::of(&gossip, &ClusterView::default(), now);
+    let (mut view, _) = ClusterView::from_gossip(&gossip, &ClusterView::default(), now);
     view.config = Arc::new(config.unwrap());
     view.endpoints = Arc::new(endpoint_list::parse(list).unwrap());
     view.is_fresh = true;
--- a/registry/src/store_client/execute.rs
+++ b/registry/src/store_client/execute.rs
@@ -36,7 +36,7 @@
     let transport = &registry.node.transport;
     let reply = transport.call(store.cluster_address, &request, ATTEMPT_TIMEOUT, is_other_zone);
     match reply.await {
-        Ok(wire::Reply::Store(bytes)) => wire::decode(&bytes),
+        Ok(wire::Reply::Store(bytes)) => wire::decode(&bytes).ok(),
         _ => None,
     }
 }
--- a/testbed/src/sim/control/gossip.rs
+++ b/testbed/src/sim/control/gossip.rs
@@ -18,27 +18,27 @@
         let mut changed = false;
         for effect in effects {
             match effect {
-                gossip::Effect::Pull { address, pull } => {
+                gossip::Effect::Pull { address, request } => {
                     let target = Network::host_at(address);
-                    let limit = Duration::from_millis(u64::from(pull.wait_ms) + 1000);
-                    let bytes = wire::encode(&pull).len() as u64 + 4;
+                    let timeout = Duration::from_millis(u64::from(request.wait_ms) + 1000);
+                    let bytes = wire::encode(&request).len() as u64 + 4;
                     self.count_bytes(host, target, bytes);
                     let purpose = Purpose::Pull { address };
-                    self.net.send(host, target, limit, Body::Pull(pull), purpose);
+                    self.net.send(host, target, timeout, Body::Pull(request), purpose);
                 }
-                gossip::Effect::Answer { ticket, news } => {
+                gossip::Effect::Respond { ticket, response } => {
                     if let Some(call) = self.net.find_call(ticket) {
                         let source = call.source;
-                        let bytes = wire::encode(&news).len() as u64 + 4;
+                        let bytes = wire::encode(&response).len() as u64 + 4;
                         self.count_bytes(host, source, bytes);
                     }
-                    self.net.reply(ticket, Body::PullResponse(news));
+                    self.net.reply(ticket, Body::PullResponse(response));
                 }
                 gossip::Effect::RequestReadIndex { address } => {
-                    let limit = read_index::LIMIT;
+                    let timeout = read_index::READ_INDEX_TIMEOUT;
                     let purpose = Purpose::ReadIndex { address };
                     let body = Body::StoreRequest(Request::ReadIndex);
-                    self.net.send(host, Network::host_at(address), limit, body, purpose);
+                    self.net.send(host, Network::host_at(address), timeout, body, purpose);
                 }
                 gossip::Effect::ViewChanged => changed = true,
                 gossip::Effect::Log(line) => {
@@ -55,7 +55,7 @@
     /// Shows the role what the gossip core has.
     fn update_view(&mut self, index: usize, now: Duration) {
         let node = &mut self.nodes[index];
-        let (mut view, log_lines) = ClusterView::of(&node.gossip, &node.view, now);
+        let (mut view, log_lines) = ClusterView::from_gossip(&node.gossip, &node.view, now);
         if self.first_config.is_none() && view.committed.revision > 0 {
             self.first_config = Some(view.committed.clone());
         }
@@ -135,7 +135,7 @@
             let host = self.nodes[index].host;
             let now = self.net.local_time(host);
             let node = &mut self.nodes[index];
-            let (view, _) = ClusterView::of(&node.gossip, &node.view, now);
+            let (view, _) = ClusterView::from_gossip(&node.gossip, &node.view, now);
             node.view = Arc::new(view);
             node.revisions.push(RevisionChange {
                 at: self.net.now,
--- a/testbed/src/sim/control/nodes.rs
+++ b/testbed/src/sim/control/nodes.rs
@@ -128,14 +128,14 @@
         node.view = Arc::default();
         if self.mutation == Some(Mutation::SkipsReadIndex) {
             let address = node.info.cluster_address;
-            node.gossip.step(now, gossip::Event::Floor { address, revision: Some(0) });
+            node.gossip.step(now, gossip::Event::ReadIndexReceived { address, revision: Some(0) });
         }
         if self.mutation == Some(Mutation::StartsFromStaleConfig)
             && let Some(first) = &self.first_config
             && node.info.role == wire::Role::Proxy
         {
             node.gossip.committed = first.clone();
-            node.view = Arc::new(ClusterView::of(&node.gossip, &node.view, now).0);
+            node.view = Arc::new(ClusterView::from_gossip(&node.gossip, &node.view, now).0);
         }
         let name = node.info.name.clone();
         self.trace_event(|| format!("{name} starts"));
--- a/testbed/src/sim/event_loop.rs
+++ b/testbed/src/sim/event_loop.rs
@@ -83,14 +83,14 @@
             return self.arrive_at_server(host, source, call, body);
         };
         match body {
-            Body::Pull(mut pull) => {
+            Body::Pull(mut request) => {
                 if self.has_mutation(Mutation::DelaysConfig)
                     && !self.net.now.as_secs().is_multiple_of(7)
                 {
                     // The puller seems to have every revision already.
-                    pull.config_revision = u64::MAX;
+                    request.config_revision = u64::MAX;
                 }
-                self.step_gossip(index, gossip::Event::PullReceived { ticket: call, pull });
+                self.step_gossip(index, gossip::Event::PullReceived { ticket: call, request });
             }
             Body::StoreRequest(Request::ReadIndex)
                 if self.nodes[index].info.role != wire::Role::Store =>
@@ -119,11 +119,11 @@
         let index = self.by_host.get(&source).copied();
         match (purpose, index) {
             (Purpose::Pull { address }, Some(index)) => {
-                let news = match body {
-                    Some(Body::PullResponse(news)) => Some(Box::new(news)),
+                let response = match body {
+                    Some(Body::PullResponse(response)) => Some(Box::new(response)),
                     _ => None,
                 };
-                self.step_gossip(index, gossip::Event::PullCompleted { address, news });
+                self.step_gossip(index, gossip::Event::PullCompleted { address, response });
             }
             (Purpose::Store { call }, Some(index)) => {
                 let response = match body {
@@ -137,7 +137,7 @@
                     Some(Body::StoreResponse(Response::ReadIndex(revision))) => revision,
                     _ => None,
                 };
-                self.step_gossip(index, gossip::Event::Floor { address, revision });
+                self.step_gossip(index, gossip::Event::ReadIndexReceived { address, revision });
             }
             (Purpose::StoreCall { store_call }, Some(index)) => {
                 let response = match body {
--- a/testbed/src/sim/traffic/clients.rs
+++ b/testbed/src/sim/traffic/clients.rs
@@ -49,11 +49,11 @@
         let host = own.host;
         if let Some((directory, uri)) = own.steering.start_poll(now) {
             let target = Network::host_at(directory);
-            let limit = POLL_TIMEOUT;
+            let timeout = POLL_TIMEOUT;
             self.net.send(
                 host,
                 target,
-                limit,
+                timeout,
                 Body::SteeringRequest(uri),
                 Purpose::SteeringPoll { client },
             );
@@ -161,7 +161,7 @@
         request.is_stale = is_stale;
         request.connecting = !is_open && !is_there && !is_stale;
         let is_last = request.next_candidate >= request.candidates.len().min(MAX_ATTEMPTS);
-        let limit = if request.connecting { Duration::from_secs(1) } else { CALL_TIMEOUT };
+        let timeout = if request.connecting { Duration::from_secs(1) } else { CALL_TIMEOUT };
         let may_leave = !request.is_once && !is_last && !request.connecting;
         self.world.clients[client].steering.sent(now, address);
         self.world.requests[number].proxies_tried.push(target);
@@ -172,7 +172,7 @@
             return;
         }
         let purpose = Purpose::Forward { request: number };
-        let call = self.net.send(host, target, limit, Body::Forward(number), purpose);
+        let call = self.net.send(host, target, timeout, Body::Forward(number), purpose);
         if may_leave {
             let timer = Timer::SwitchProxy { request: number, target, call };
             self.net.set_timer(host, ATTEMPT_TIMEOUT, timer);
