--- a/registry/src/api/stores.rs
+++ b/registry/src/api/stores.rs
@@ -5,7 +5,8 @@
 use crate::state::{Counter, Registry};
 use crate::store_client;
 use std::time::Duration;
-use vanepath_store::protocol::{Change, Outcome, Request, Value};
+use vanepath_store::protocol::{Change, Outcome, Request};
+use vanepath_store::value::Value;
 
 /// Submits a change under one key until its outcome is known or its time is up. `received_at`: when the
 /// client's request came.
--- a/registry/src/api/submissions.rs
+++ b/registry/src/api/submissions.rs
@@ -85,7 +85,7 @@
     };
     let outcome = Outcome::Accepted {
         revision: write.revision,
-        config_revision: write.setup_revision,
+        config_revision: write.config_revision,
         is_repeat: true,
     };
     outcome_response(registry, key, outcome)
--- a/testbed/src/commands/simulate.rs
+++ b/testbed/src/commands/simulate.rs
@@ -1,16 +1,140 @@
-//! Simulated days over a range of seeds.
+//! Simulated scenarios over a range of seeds.
 
 use super::{matches, seeds};
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::time::Duration;
 use strum::IntoEnumIterator;
-use vanepath_testbed::sim::invariants;
+use vanepath_testbed::sim::invariants::{Report, check};
 use vanepath_testbed::sim::scenario::{self, Deployment, Fault, Plan};
 use vanepath_testbed::sim::{Random, cores, on_threads};
 
-/// Runs days over a range of seeds and prints what the judges found.
+/// Mixed into a seed for the choice of faults, so that it does not follow the scenario's own draws.
+const MIX_SEED: u64 = 0x6d69_7865;
+/// Violations of one scenario that are printed.
+const MAX_SHOWN_VIOLATIONS: usize = 6;
+const DEFAULT_OPERATOR_INTERVAL_MS: u64 = 900;
+
+/// Runs scenarios over a range of seeds and prints the violations of their invariants and a table of totals.
+///
+/// # Errors
+/// If the arguments are not understood, or an invariant was violated.
 pub fn run(arguments: &[String]) -> miette::Result<()> {
+    let Some(options) = Options::parse(arguments)? else {
+        return Ok(());
+    };
+    let scenarios = options.scenarios();
+    let totals = Mutex::new(BTreeMap::<String, Totals>::new());
+    on_threads(options.threads, scenarios.len(), |index| {
+        run_scenario(&scenarios[index], &options, &totals);
+    });
+    let mut totals = totals.into_inner().expect("no panic under this lock");
+    print_results(&totals);
+    print_costs(&mut totals);
+    let failed: usize = totals.values().map(|totals| totals.failed).sum();
+    if failed > 0 {
+        miette::bail!("{failed} days with faults");
+    }
+    Ok(())
+}
+
+/// Which faults a scenario has.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Selection {
+    /// One of the given kinds, each in a scenario of its own.
+    Each,
+    /// Several random kinds, one after the other.
+    Mixed,
+    /// Several random kinds at one time.
+    Overlapping,
+    /// The given kinds, one after the other in one scenario.
+    Sequence,
+}
+
+/// The options of the command line.
+struct Options {
+    first_seed: u64,
+    last_seed: u64,
+    selection: Selection,
+    faults: Vec<Fault>,
+    deployments: Vec<Deployment>,
+    /// Share of the deployment's traffic.
+    rate: f64,
+    /// Whether the history of each failed scenario is printed.
+    traces: bool,
+    operator_interval: Duration,
+    threads: usize,
+}
+
+/// One scenario to run.
+struct Scenario {
+    seed: u64,
+    deployment: Deployment,
+    faults: Vec<Fault>,
+}
+
+impl Options {
+    /// `None` if help was requested, which was then printed.
+    fn parse(arguments: &[String]) -> miette::Result<Option<Options>> {
+        let kinds: Vec<String> = Fault::iter().map(|fault| fault.to_string()).collect();
+        let more = &format!("Kinds of fault: {}", kinds.join(", "));
+        let usage = "vanepath-testbed simulate [options]";
+        let Some(matches) = matches(accepted_options(), arguments, usage, more)? else {
+            return Ok(None);
+        };
+        let (first_seed, last_seed) = seeds(matches.opt_str("seeds"), "1-20")?;
+        let kind = matches.opt_str("fault").unwrap_or("each".to_string());
+        let (selection, faults) = parse_faults(&kind)?;
+        let deployments = match matches.opt_str("deployment").as_deref() {
+            None | Some("both") => vec![Deployment::Raiocerto, Deployment::Guild],
+            Some("raiocerto") => vec![Deployment::Raiocerto],
+            Some("guild") => vec![Deployment::Guild],
+            Some(other) => miette::bail!("--deployment: there is no '{other}'"),
+        };
+        let operator_ms = matches.opt_str("operator-ms").and_then(|text| text.parse().ok());
+        Ok(Some(Options {
+            first_seed,
+            last_seed,
+            selection,
+            faults,
+            deployments,
+            rate: matches.opt_str("rate").and_then(|text| text.parse().ok()).unwrap_or(1.0),
+            traces: matches.opt_present("trace"),
+            operator_interval: Duration::from_millis(
+                operator_ms.unwrap_or(DEFAULT_OPERATOR_INTERVAL_MS),
+            ),
+            threads: matches
+                .opt_str("threads")
+                .and_then(|text| text.parse().ok())
+                .unwrap_or(cores()),
+        }))
+    }
+
+    fn scenarios(&self) -> Vec<Scenario> {
+        let mut scenarios = Vec::new();
+        for seed in self.first_seed..=self.last_seed {
+            for deployment in self.deployments.iter().copied() {
+                let faults = match self.selection {
+                    Selection::Each => self.faults.iter().map(|fault| vec![*fault]).collect(),
+                    Selection::Mixed => vec![self.random_faults(seed)],
+                    Selection::Overlapping => vec![scenario::overlapping(seed)],
+                    Selection::Sequence => vec![self.faults.clone()],
+                };
+                let faults = faults.into_iter();
+                scenarios.extend(faults.map(|faults| Scenario { seed, deployment, faults }));
+            }
+        }
+        scenarios
+    }
+
+    fn random_faults(&self, seed: u64) -> Vec<Fault> {
+        let mut random = Random::new(seed ^ MIX_SEED);
+        let count = 2 + random.below(3);
+        (0..count).map(|_| self.faults[random.below(self.faults.len())]).collect()
+    }
+}
+
+fn accepted_options() -> getopts::Options {
     let mut options = getopts::Options::new();
     options.optopt("", "seeds", "first and last seed, as in 1-100 (default 1-20)", "A-B");
     options.optopt(
@@ -24,65 +148,122 @@
     options.optopt("", "operator-ms", "an operator does something about so often (900)", "N");
     options.optopt("", "threads", "seeds run at one time (default: all cores)", "N");
     options.optflag("", "trace", "print the history of each day that a judge finds fault with");
-    let kinds: Vec<String> = Fault::iter().map(|fault| fault.to_string()).collect();
-    let more = &format!("Kinds of fault: {}", kinds.join(", "));
-    let Some(matches) = matches(options, arguments, "vanepath-testbed simulate [options]", more)?
-    else {
-        return Ok(());
+    options
+}
+
+/// Reads `each`, `mixed`, `overlap`, a kind of fault, or several kinds joined by `+`.
+fn parse_faults(text: &str) -> miette::Result<(Selection, Vec<Fault>)> {
+    let all: Vec<Fault> = Fault::iter().collect();
+    let selection = match text {
+        "each" => return Ok((Selection::Each, all)),
+        "mixed" => return Ok((Selection::Mixed, all)),
+        "overlap" => return Ok((Selection::Overlapping, all)),
+        names if names.contains('+') => Selection::Sequence,
+        _ => Selection::Each,
     };
-    let (first, last) = seeds(matches.opt_str("seeds"), "1-20")?;
-    let kind = matches.opt_str("fault").unwrap_or("each".to_string());
-    let faults: Vec<Fault> = Fault::iter().collect();
-    let chosen: Vec<Fault> = match kind.as_str() {
-        "each" | "mixed" | "overlap" => faults.clone(),
-        // Several, one after the other on one day.
-        names => names
-            .split('+')
-            .map(|name| {
-                let found = faults.iter().copied().find(|fault| fault.to_string() == name);
-                found.ok_or_else(|| miette::miette!("--fault: there is no '{name}'; see --help"))
-            })
-            .collect::<miette::Result<Vec<Fault>>>()?,
+    let faults = text
+        .split('+')
+        .map(|name| {
+            let found = all.iter().copied().find(|fault| fault.to_string() == name);
+            found.ok_or_else(|| miette::miette!("--fault: there is no '{name}'; see --help"))
+        })
+        .collect::<miette::Result<Vec<Fault>>>()?;
+    Ok((selection, faults))
+}
+
+/// Runs one scenario, adds its results to the totals and prints its violations.
+fn run_scenario(scenario: &Scenario, options: &Options, totals: &Mutex<BTreeMap<String, Totals>>) {
+    let plan = Plan {
+        rate: options.rate,
+        is_traced: options.traces,
+        operator_every: options.operator_interval,
+        overlap: options.selection == Selection::Overlapping,
+        ..Plan::new(scenario.deployment, &scenario.faults)
     };
-    let deployments = match matches.opt_str("deployment").as_deref() {
-        None | Some("both") => vec![Deployment::Raiocerto, Deployment::Guild],
-        Some("raiocerto") => vec![Deployment::Raiocerto],
-        Some("guild") => vec![Deployment::Guild],
-        Some(other) => miette::bail!("--deployment: there is no '{other}'"),
+    let run = scenario::run(scenario.seed, &plan);
+    let report = check(&run);
+    let names: Vec<String> = scenario.faults.iter().map(|fault| fault.to_string()).collect();
+    let names = names.join("+");
+    let row = match options.selection {
+        Selection::Overlapping => "overlap".to_string(),
+        Selection::Mixed => "mixed".to_string(),
+        Selection::Each | Selection::Sequence => names.clone(),
     };
-    let rate: f64 = matches.opt_str("rate").and_then(|text| text.parse().ok()).unwrap_or(1.0);
-    let is_traced = matches.opt_present("trace");
-    let operator_ms: u64 =
-        matches.opt_str("operator-ms").and_then(|text| text.parse().ok()).unwrap_or(900);
-    let operator_interval = Duration::from_millis(operator_ms);
-    let threads = matches.opt_str("threads").and_then(|text| text.parse().ok()).unwrap_or(cores());
-
-    let mut work: Vec<(u64, Deployment, Vec<Fault>)> = Vec::new();
-    for seed in first..=last {
-        for deployment in &deployments {
-            if kind == "overlap" {
-                work.push((seed, *deployment, scenario::overlapping(seed)));
-            } else if kind == "mixed" {
-                let mut random = Random::new(seed ^ 0x6d69_7865);
-                let count = 2 + random.below(3);
-                let mix = (0..count).map(|_| faults[random.below(faults.len())]).collect();
-                work.push((seed, *deployment, mix));
-            } else if kind.contains('+') {
-                work.push((seed, *deployment, chosen.clone()));
-            } else {
-                work.extend(chosen.iter().map(|fault| (seed, *deployment, vec![*fault])));
+    let mut totals = totals.lock().expect("no panic under this lock");
+    let world = &run.sim.world;
+    let other_zone_share = world.cross_zone_attempts as f64 / world.attempts.max(1) as f64;
+    totals.entry(row).or_default().add(&report, other_zone_share);
+    // The lock is held, so that the lines of one scenario stay together.
+    if !report.violations.is_empty() {
+        println!("seed {} {:?} {names}", scenario.seed, scenario.deployment);
+        for violation in report.violations.iter().take(MAX_SHOWN_VIOLATIONS) {
+            println!("    {violation}");
+        }
+        if options.traces {
+            for line in &run.sim.trace {
+                println!("        {line}");
             }
         }
     }
-    let sums = Mutex::new(BTreeMap::<String, Sum>::new());
-    on_threads(threads, work.len(), |index| {
-        let (seed, deployment, faults) = &work[index];
-        let overlap = kind == "overlap";
-        let plan =
-            Plan { rate, is_traced, operator_interval, overlap, ..Plan::new(*deployment, faults) };
-        one(*seed, &plan, ["mixed", "overlap"].contains(&kind.as_str()), &sums);
-    });
-    let mut sums = sums.into_inner().expect("no panic under this lock");
+}
+
+/// Totals over all scenarios of one row of the table.
+#[derive(Default)]
+struct Totals {
+    scenarios: usize,
+    /// Scenarios in which an invariant was violated.
+    failed: usize,
+    lookups: usize,
+    lookups_lost: usize,
+    filings: usize,
+    filings_may_have_run: usize,
+    /// Shares of retries, summed over the scenarios; so are the figures below that are not maxima.
+    retries: f64,
+    max_config_time: Duration,
+    max_drain_time: Duration,
+    max_resume_time: Duration,
+    cluster_bytes_per_second: f64,
+    cluster_bytes_per_second_other_zone: f64,
+    probes_per_second: f64,
+    saves_per_change: f64,
+    /// The time until each configuration was active.
+    config_times: Vec<Duration>,
+    other_zone_share: f64,
+    client_retries: f64,
+    max_repeats: f64,
+    max_warming_up_rate: f64,
+    pathway_switches: f64,
+    max_server_load: f64,
+}
+
+impl Totals {
+    fn add(&mut self, report: &Report, other_zone_share: f64) {
+        self.scenarios += 1;
+        self.failed += usize::from(!report.violations.is_empty());
+        self.lookups += report.lookups;
+        self.lookups_lost += report.lookups_lost;
+        self.filings += report.filings;
+        self.filings_may_have_run += report.filings_may_have_run;
+        self.retries += report.proxy_retry_ratio;
+        self.cluster_bytes_per_second += report.cluster_bytes;
+        self.cluster_bytes_per_second_other_zone += report.cross_zone_cluster_bytes;
+        self.probes_per_second += report.probes;
+        self.client_retries += report.client_retry_ratio;
+        self.pathway_switches += report.zone_switches;
+        self.max_server_load = self.max_server_load.max(report.worst_load);
+        self.max_repeats = self.max_repeats.max(report.worst_retry_excess);
+        self.max_warming_up_rate = self.max_warming_up_rate.max(report.worst_slow_start);
+        self.saves_per_change += report.syncs_per_change;
+        self.config_times.extend(&report.config_delays);
+        self.other_zone_share += other_zone_share;
+        self.max_config_time = self.max_config_time.max(report.worst_config_delay);
+        self.max_drain_time = self.max_drain_time.max(report.worst_drain_delay);
+        let resume_time = report.resumed_after.unwrap_or_default();
+        self.max_resume_time = self.max_resume_time.max(resume_time);
+    }
+}
+
+fn print_results(totals: &BTreeMap<String, Totals>) {
     println!(
         "{:28} {:>5} {:>6} {:>8} {:>6} {:>8} {:>6} {:>7} {:>8} {:>8} {:>8}",
         "faults",
@@ -97,121 +278,46 @@
         "drain s",
         "resume s"
     );
-    let mut faulty = 0;
-    for (name, sum) in &sums {
-        faulty += sum.faulty;
+    for (name, totals) in totals {
         println!(
             "{name:28} {:5} {:6} {:8} {:6} {:8} {:6} {:7.4} {:8.2} {:8.2} {:8.2}",
-            sum.days,
-            sum.faulty,
-            sum.lookups,
-            sum.lookups_lost,
-            sum.filings,
-            sum.may_have_run,
-            sum.retries / sum.days as f64,
-            sum.worst_config_delay.as_secs_f64(),
-            sum.worst_drain_delay.as_secs_f64(),
-            sum.worst_resume.as_secs_f64()
+            totals.scenarios,
+            totals.failed,
+            totals.lookups,
+            totals.lookups_lost,
+            totals.filings,
+            totals.filings_may_have_run,
+            totals.retries / totals.scenarios as f64,
+            totals.max_config_time.as_secs_f64(),
+            totals.max_drain_time.as_secs_f64(),
+            totals.max_resume_time.as_secs_f64()
         );
     }
-    for (name, sum) in &mut sums {
-        let days = sum.days as f64;
-        sum.config_delays.sort_unstable();
-        let median =
-            sum.config_delays.get(sum.config_delays.len() / 2).copied().unwrap_or_default();
+}
+
+fn print_costs(totals: &mut BTreeMap<String, Totals>) {
+    for (name, totals) in totals {
+        let scenarios = totals.scenarios as f64;
+        totals.config_times.sort_unstable();
+        let median = totals.config_times.get(totals.config_times.len() / 2);
+        let median = median.copied().unwrap_or_default();
         println!(
             "{name:28} siblings {:.1} kB/s, {:.1} kB/s to other zones; {:.0} probes/s; \
              {:.1} saves for each change; setups in force after {:.3} s (median); {:.1} % of goes \
              to other zones; callers' further tries {:.4}, repeats in 10 s a fifth and {:.0} at most; \
              cold servers {:.1} times their rate at most; {:.2} changes of place for each caller; \
              server under {:.1} times its work at most",
-            sum.cluster_bytes / days / 1000.0,
-            sum.cross_zone_cluster_bytes / days / 1000.0,
-            sum.probes / days,
-            sum.syncs / days,
+            totals.cluster_bytes_per_second / scenarios / 1000.0,
+            totals.cluster_bytes_per_second_other_zone / scenarios / 1000.0,
+            totals.probes_per_second / scenarios,
+            totals.saves_per_change / scenarios,
             median.as_secs_f64(),
-            100.0 * sum.other_zone / days,
-            sum.client_retries / days,
-            sum.worst_retry_excess,
-            sum.worst_slow_start,
-            sum.zone_switches / days,
-            sum.worst_load
+            100.0 * totals.other_zone_share / scenarios,
+            totals.client_retries / scenarios,
+            totals.max_repeats,
+            totals.max_warming_up_rate,
+            totals.pathway_switches / scenarios,
+            totals.max_server_load
         );
     }
-    if faulty > 0 {
-        miette::bail!("{faulty} days with faults");
-    }
-    Ok(())
-}
-
-#[derive(Default)]
-struct Sum {
-    days: usize,
-    faulty: usize,
-    lookups: usize,
-    lookups_lost: usize,
-    filings: usize,
-    may_have_run: usize,
-    retries: f64,
-    worst_config_delay: Duration,
-    worst_drain_delay: Duration,
-    worst_resume: Duration,
-    cluster_bytes: f64,
-    cross_zone_cluster_bytes: f64,
-    probes: f64,
-    syncs: f64,
-    config_delays: Vec<Duration>,
-    other_zone: f64,
-    client_retries: f64,
-    worst_retry_excess: f64,
-    worst_slow_start: f64,
-    zone_switches: f64,
-    worst_load: f64,
-}
-
-fn one(seed: u64, plan: &Plan, is_mixed: bool, sums: &Mutex<BTreeMap<String, Sum>>) {
-    let (deployment, faults, is_traced) = (plan.deployment, &plan.faults, plan.is_traced);
-    let run = scenario::run(seed, plan);
-    let report = invariants::check(&run);
-    let names: Vec<String> = faults.iter().map(|fault| fault.to_string()).collect();
-    let name = match (is_mixed, plan.overlap) {
-        (true, true) => "overlap".to_string(),
-        (true, false) => "mixed".to_string(),
-        _ => names.join("+"),
-    };
-    let mut sums = sums.lock().expect("no panic under this lock");
-    let sum = sums.entry(name).or_default();
-    sum.days += 1;
-    sum.lookups += report.lookups;
-    sum.lookups_lost += report.lookups_lost;
-    sum.filings += report.filings;
-    sum.may_have_run += report.filings_may_have_run;
-    sum.retries += report.proxy_retry_ratio;
-    sum.cluster_bytes += report.cluster_bytes;
-    sum.cross_zone_cluster_bytes += report.cross_zone_cluster_bytes;
-    sum.probes += report.probes;
-    sum.client_retries += report.client_retry_ratio;
-    sum.zone_switches += report.zone_switches;
-    sum.worst_load = sum.worst_load.max(report.worst_load);
-    sum.worst_retry_excess = sum.worst_retry_excess.max(report.worst_retry_excess);
-    sum.worst_slow_start = sum.worst_slow_start.max(report.worst_slow_start);
-    sum.syncs += report.syncs_per_change;
-    sum.config_delays.extend(&report.config_delays);
-    sum.other_zone +=
-        run.sim.world.cross_zone_attempts as f64 / run.sim.world.attempts.max(1) as f64;
-    sum.worst_config_delay = sum.worst_config_delay.max(report.worst_config_delay);
-    sum.worst_drain_delay = sum.worst_drain_delay.max(report.worst_drain_delay);
-    sum.worst_resume = sum.worst_resume.max(report.resumed_after.unwrap_or_default());
-    if !report.violations.is_empty() {
-        sum.faulty += 1;
-        println!("seed {seed} {deployment:?} {}", names.join("+"));
-        for fault in report.violations.iter().take(6) {
-            println!("    {fault}");
-        }
-        if is_traced {
-            for line in &run.sim.trace {
-                println!("        {line}");
-            }
-        }
-    }
 }
--- a/testbed/src/sim/control/stores.rs
+++ b/testbed/src/sim/control/stores.rs
@@ -9,8 +9,9 @@
 use std::time::Duration;
 use vanepath_cluster::{gossip, wire};
 use vanepath_store::consensus;
-use vanepath_store::protocol::{Digest, Request};
+use vanepath_store::protocol::Request;
 use vanepath_store::shell::StoreDirectory;
+use vanepath_store::value::VersionId;
 
 /// How long a store waits for another store's response.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
@@ -208,14 +209,15 @@
         &mut self,
         index: usize,
         ticket: u64,
-        versions: &[(u64, Digest)],
+        versions: &[VersionId],
         as_outcome: bool,
     ) {
         let RoleState::Store(store) = &mut self.nodes[index].role_state else { return };
-        let load = |at: &(u64, Digest)| store.disk.versions.get(at).map(|value| (**value).clone());
-        let (response, damaged) = consensus::response_from_disk(versions, as_outcome, load);
-        if let Some((revision, digest)) = damaged {
-            store.inbox.push_back(consensus::Event::VersionDamaged { revision, digest });
+        let load = |id: &VersionId| store.disk.versions.get(id).map(|value| (**value).clone());
+        let consensus::DiskResponse { response, damaged } =
+            consensus::response_from_disk(versions, as_outcome, load);
+        if let Some(id) = damaged {
+            store.inbox.push_back(consensus::Event::VersionDamaged(id));
         }
         self.net.reply(ticket, Body::StoreResponse(response));
     }
--- a/testbed/src/sim/scenario/fleet.rs
+++ b/testbed/src/sim/scenario/fleet.rs
@@ -3,26 +3,26 @@
 use super::operators::replace_config;
 use super::platform::publish;
 use super::{Deployment, Fault, Plan};
-use crate::shape::Shape;
 use crate::sim::network::{Delays, Timer};
 use crate::sim::state::Sim;
+use crate::topology::Topology;
 use std::net::SocketAddr;
 use std::time::Duration;
 use vanepath_cluster::wire::Role;
 
 /// Sets up the fleet of a plan and runs it until clients and operators have begun.
 pub fn open(seed: u64, plan: &Plan) -> Sim {
-    let shape = plan.deployment.shape();
+    let topology = plan.deployment.topology();
     let mut sim = Sim::new(seed, delays(plan.deployment));
     sim.has_unversioned_lists = plan.unversioned_lists;
     sim.is_traced = plan.is_traced;
     sim.mutation = plan.mutation;
     sim.planned_crash = plan.planned_crash;
     sim.stores = plan.stores;
-    sim.world.config_text = config_text(&shape, plan);
-    add_nodes(&mut sim, &shape, plan);
-    add_servers(&mut sim, &shape, plan);
-    add_clients(&mut sim, &shape, plan);
+    sim.world.config_text = config_text(&topology, plan);
+    add_nodes(&mut sim, &topology, plan);
+    add_servers(&mut sim, &topology, plan);
+    add_clients(&mut sim, &topology, plan);
     start(&mut sim, plan);
     sim
 }
@@ -43,8 +43,8 @@
 }
 
 /// The deployment's configuration; with small concurrency limits for a flood of downloads.
-fn config_text(shape: &Shape, plan: &Plan) -> String {
-    let text = shape.setup.clone();
+fn config_text(topology: &Topology, plan: &Plan) -> String {
+    let text = topology.config.clone();
     if !plan.faults.contains(&Fault::Downloads) {
         return text;
     }
@@ -53,17 +53,17 @@
     text.replacen("\"kind\": \"repeatable\"", "\"kind\": \"repeatable\", \"room\": 32", 1)
 }
 
-fn add_nodes(sim: &mut Sim, shape: &Shape, plan: &Plan) {
-    for (slot, (zone, region)) in shape.zones[..plan.stores].iter().enumerate() {
+fn add_nodes(sim: &mut Sim, topology: &Topology, plan: &Plan) {
+    for (slot, (zone, region)) in topology.zones[..plan.stores].iter().enumerate() {
         sim.add_node(Role::Store, &format!("store-{slot}"), zone, region, plan.stores);
         sim.add_node(Role::Registry, &format!("registry-{slot}"), zone, region, 0);
     }
     for spare in 0..plan.spares {
-        let (zone, region) = shape.zones[(plan.stores + spare) % shape.zones.len()];
+        let (zone, region) = topology.zones[(plan.stores + spare) % topology.zones.len()];
         sim.add_node(Role::Store, &format!("spare-{spare}"), zone, region, 0);
     }
-    for index in 0..shape.proxies {
-        let (zone, region) = shape.zones[index % shape.zones.len()];
+    for index in 0..topology.proxies {
+        let (zone, region) = topology.zones[index % topology.zones.len()];
         sim.add_node(Role::Proxy, &format!("proxy-{index:02}"), zone, region, 0);
     }
     let registries: Vec<SocketAddr> = sim
@@ -79,18 +79,18 @@
     }
 }
 
-fn add_servers(sim: &mut Sim, shape: &Shape, plan: &Plan) {
-    for (app, count) in &shape.servers {
+fn add_servers(sim: &mut Sim, topology: &Topology, plan: &Plan) {
+    for (app, count) in &topology.servers {
         for index in 0..*count {
-            let (zone, region) = shape.zones[index % shape.zones.len()];
+            let (zone, region) = topology.zones[index % topology.zones.len()];
             sim.add_server(&format!("{app}-{index}"), app, zone, region);
         }
     }
     publish(sim, |_| {});
-    sim.world.rate = shape.rate * plan.rate;
+    sim.world.rate = topology.requests_per_second * plan.rate;
     if plan.faults.contains(&Fault::Surge) {
         // At the ordinary rate the servers are 45 % busy.
-        let first = shape.servers[0];
+        let first = topology.servers[0];
         let per_second = sim.world.rate * 0.85 / f64::from(first.1 as u32);
         for server in sim.world.servers.iter_mut() {
             server.workers = 1;
@@ -99,7 +99,7 @@
     }
 }
 
-fn add_clients(sim: &mut Sim, shape: &Shape, plan: &Plan) {
+fn add_clients(sim: &mut Sim, topology: &Topology, plan: &Plan) {
     match plan.deployment {
         Deployment::Raiocerto => {
             sim.world.mix = [60, 25, 0, 15];
@@ -112,7 +112,7 @@
     }
     // Traffic shifts move whole clients: a few would move in leaps.
     let per_zone = if plan.faults.contains(&Fault::Surge) { 20 } else { 3 };
-    for (zone, region) in &shape.zones {
+    for (zone, region) in &topology.zones {
         for index in 0..per_zone {
             sim.add_client(&format!("{zone}-c{index}"), zone, region);
         }
--- a/testbed/src/sim/scenario/plan.rs
+++ b/testbed/src/sim/scenario/plan.rs
@@ -1,9 +1,9 @@
 //! What a scenario is made of.
 
 use super::Fault;
-use crate::shape::{self, Shape};
 use crate::sim::crash_points::PlannedCrash;
 use crate::sim::mutations::Mutation;
+use crate::topology::{self, Topology};
 use std::time::Duration;
 
 /// The users' deployments.
@@ -17,10 +17,10 @@
 
 impl Deployment {
     /// Its zones, proxies, servers and configuration.
-    pub(super) fn shape(self) -> Shape {
+    pub(super) fn topology(self) -> Topology {
         match self {
-            Deployment::Raiocerto => shape::raiocerto(),
-            Deployment::Guild => shape::guild(),
+            Deployment::Raiocerto => topology::raiocerto(),
+            Deployment::Guild => topology::guild(),
         }
     }
 }
--- a/testbed/src/sim/scenario/schedule/mod.rs
+++ b/testbed/src/sim/scenario/schedule/mod.rs
@@ -48,7 +48,7 @@
         let slot = sim.net.random.below(registries.len());
         let steps =
             if registries.len() < 5 { vec![0] } else { vec![0, 1 + sim.net.random.below(4)] };
-        let zones = crate::shape::raiocerto().zones.to_vec();
+        let zones = crate::topology::raiocerto().zones.to_vec();
         Context { start, end, registries, stores, proxies, core, all, servers, zones, slot, steps }
     }
 
--- a/testbed/src/sim/state/disk.rs
+++ b/testbed/src/sim/state/disk.rs
@@ -5,7 +5,7 @@
 use vanepath_cluster::wire;
 use vanepath_store::consensus;
 use vanepath_store::hints::Hints;
-use vanepath_store::protocol::{Digest, Value};
+use vanepath_store::value::{Value, VersionId};
 
 /// A store's disk: what was synced stays; of the writes in flight any first part may stay.
 #[derive(Default)]
@@ -13,7 +13,7 @@
     /// The replica's hard state; `None` on an empty disk.
     pub state: Option<consensus::HardState>,
     /// All stored versions.
-    pub versions: BTreeMap<(u64, Digest), Arc<Value>>,
+    pub versions: BTreeMap<VersionId, Arc<Value>>,
     pub(in crate::sim) in_flight_writes: Vec<consensus::DiskWrite>,
     /// Writes that a disk reported and did not sync.
     pub(in crate::sim) unsynced: Vec<consensus::DiskWrite>,
@@ -29,51 +29,30 @@
     /// Completes a write.
     pub(in crate::sim) fn apply(&mut self, write: consensus::DiskWrite) {
         match write {
-            consensus::DiskWrite::Version { revision, digest, bytes } => {
+            consensus::DiskWrite::Version { id, bytes } => {
                 let value: Value = wire::decode(&bytes).expect("the replica encoded this value");
-                self.versions.insert((revision, digest), Arc::new(value));
+                self.versions.insert(id, Arc::new(value));
             }
             consensus::DiskWrite::State(state) => self.state = Some(state),
-            consensus::DiskWrite::Remove { revision, digest } => {
-                self.versions.remove(&(revision, digest));
+            consensus::DiskWrite::Remove(id) => {
+                self.versions.remove(&id);
             }
         }
     }
 
     /// What a store that starts reads; an empty disk gets a new incarnation from `random`.
     pub(in crate::sim) fn recover(&mut self, random: u64) -> consensus::RecoveredState {
-        let state = self.state.clone().unwrap_or_else(|| {
-            let state = consensus::HardState {
-                incarnation: random,
-                promised: Default::default(),
-                accepted: None,
-            };
-            self.state = Some(state.clone());
-            state
-        });
-        let accepted = state.accepted.map(|accepted| (accepted.revision, accepted.digest));
-        let value = accepted.and_then(|at| self.versions.get(&at).cloned());
-        let stored = self
+        let state = self.state.get_or_insert_with(|| consensus::HardState::empty(random)).clone();
+        let accepted = state.accepted.map(|accepted| accepted.version());
+        let value = accepted.and_then(|id| self.versions.get(&id).cloned());
+        let versions = self
             .versions
             .iter()
-            .map(|((revision, digest), value)| {
-                let (parent_revision, parent) = (value.parent_revision, value.parent);
-                let bytes = value.encode().len();
-                (
-                    *revision,
-                    consensus::StoredVersion { digest: *digest, parent_revision, parent, bytes },
-                )
-            })
+            .map(|(id, value)| consensus::StoredVersion::new(*id, value, value.encode().len()))
             .collect();
-        let mut batch = Vec::new();
-        if let Some(value) = &value {
-            let mut at = (value.parent_revision, value.parent);
-            for _ in 0..value.batched_before {
-                let Some(one) = self.versions.get(&at) else { break };
-                at = (one.parent_revision, one.parent);
-                batch.insert(0, one.clone());
-            }
-        }
-        consensus::RecoveredState { state, value, batch, versions: stored }
+        let batch = value.as_ref().map(|value| {
+            consensus::RecoveredState::load_batch(value, |id| self.versions.get(&id).cloned())
+        });
+        consensus::RecoveredState { state, value, batch: batch.unwrap_or_default(), versions }
     }
 }
--- a/testbed/src/sim/traffic/clients.rs
+++ b/testbed/src/sim/traffic/clients.rs
@@ -7,9 +7,9 @@
 use std::collections::HashSet;
 use std::time::Duration;
 use vanepath_client::client::{
-    ATTEMPT_TIMEOUT, CONNECT_TIMEOUT, MAX_ATTEMPTS, MAX_DROPPED, POLL_TIMEOUT,
+    CONNECT_TIMEOUT, MAX_ATTEMPTS, MAX_REJECTIONS, POLL_TIMEOUT, SUSPICION_CHECK_INTERVAL,
 };
-use vanepath_client::steering::{Steering, parse};
+use vanepath_client::steering::{Steering, parse_response};
 use vanepath_config::ExecutionStatus;
 
 impl Sim {
@@ -58,7 +58,7 @@
                 Purpose::SteeringPoll { client },
             );
         }
-        let pause = self.world.clients[client].steering.poll_at().saturating_sub(now);
+        let pause = self.world.clients[client].steering.next_poll_at().saturating_sub(now);
         let pause = pause.clamp(Duration::from_millis(20), Duration::from_millis(200));
         self.net.set_timer(host, pause, Timer::SteeringPoll(client));
     }
@@ -73,7 +73,7 @@
         let mean = self.world.clients.len() as f64 / self.world.rate / weight;
         let pause = -(1.0 - self.net.random.part()).ln() * mean;
         self.net.set_timer(host, Duration::from_secs_f64(pause), Timer::NextRequest(client));
-        if self.world.clients[client].steering.receipt().is_none() {
+        if self.world.clients[client].steering.response().is_none() {
             return;
         }
         let sum: u32 = self.world.mix.iter().sum();
@@ -94,8 +94,8 @@
         let now = self.net.now;
         let path = self.world.paths[kind as usize];
         let steering = &mut self.world.clients[client].steering;
-        let candidates = steering.order(now, method(kind), "h", path);
-        let is_once = steering.is_once(method(kind), "h", path);
+        let candidates = steering.attempt_order(now, method(kind), "h", path);
+        let is_once = steering.is_at_most_once(method(kind), "h", path);
         self.world.requests.push(Request {
             kind,
             client,
@@ -142,7 +142,8 @@
         let incarnation = self.net.hosts[target].incarnation;
         let now = self.net.now;
         let is_once = self.world.requests[number].is_once;
-        let may_use_open = self.world.clients[client].steering.may_use_open(now, &address, is_once);
+        let may_use_open =
+            self.world.clients[client].steering.may_reuse_connection(now, &address, is_once);
         let open = &mut self.world.clients[client].open;
         let is_open = may_use_open && open.contains(&(target, incarnation));
         // A connection that the other machine forgot when it lost power, without notice to this side: a
@@ -163,7 +164,7 @@
         let is_last = request.next_candidate >= request.candidates.len().min(MAX_ATTEMPTS);
         let timeout = if request.connecting { Duration::from_secs(1) } else { CALL_TIMEOUT };
         let may_leave = !request.is_once && !is_last && !request.connecting;
-        self.world.clients[client].steering.sent(now, address);
+        self.world.clients[client].steering.request_started(now, address);
         self.world.requests[number].proxies_tried.push(target);
         if is_stale && is_there {
             let delay = 2 * self.net.delays.client;
@@ -175,7 +176,7 @@
         let call = self.net.send(host, target, timeout, Body::Forward(number), purpose);
         if may_leave {
             let timer = Timer::SwitchProxy { request: number, target, call };
-            self.net.set_timer(host, ATTEMPT_TIMEOUT, timer);
+            self.net.set_timer(host, SUSPICION_CHECK_INTERVAL, timer);
         }
     }
 
@@ -202,7 +203,7 @@
         let request = &mut self.world.requests[number];
         let client = &mut self.world.clients[request.client];
         let address = Network::address_of(target);
-        client.steering.heard(now, address, body.is_some());
+        client.steering.request_finished(now, address, body.is_some());
         match body {
             Some(Body::Forwarded { execution, status, eligible }) => {
                 client.open.insert((target, incarnation));
@@ -211,13 +212,13 @@
                 request.may_have_run |= execution != ExecutionStatus::NotRun;
                 request.rejections += u32::from(status == 503);
                 let may_go_on = !(request.is_once && request.may_have_run)
-                    && request.rejections < MAX_DROPPED
+                    && request.rejections < MAX_REJECTIONS
                     && self.mutation != Some(Mutation::NeverRetriesLookups);
-                if !may_go_on || !client.steering.goes_on(now, status, execution) {
+                if !may_go_on || !client.steering.should_retry(now, status, execution) {
                     return self.end_request(number);
                 }
                 if status == 421 {
-                    client.steering.misplaced(
+                    client.steering.redirect(
                         now,
                         &mut request.candidates,
                         request.next_candidate,
@@ -241,7 +242,7 @@
                 };
                 request.may_have_run |= was_connected;
                 request.status = 0;
-                client.steering.penalise(now, address);
+                client.steering.penalize(now, address);
                 if request.is_once && request.may_have_run {
                     return self.end_request(number);
                 }
@@ -261,7 +262,7 @@
     ) {
         let client = self.world.requests[request].client;
         let (now, address) = (self.net.now, Network::address_of(target));
-        if self.world.clients[client].steering.is_doubted(now, &address) {
+        if self.world.clients[client].steering.is_suspect(now, &address) {
             let is_there = self.net.hosts[target].powered && !self.net.is_cut(host, target);
             let pause = match is_there {
                 true => 2 * self.net.delays.client,
@@ -271,7 +272,7 @@
             self.net.set_timer(host, pause, timer);
         } else {
             let timer = Timer::SwitchProxy { request, target, call };
-            self.net.set_timer(host, ATTEMPT_TIMEOUT, timer);
+            self.net.set_timer(host, SUSPICION_CHECK_INTERVAL, timer);
         }
     }
 
@@ -286,12 +287,12 @@
     ) {
         let client = self.world.requests[request].client;
         let (now, address) = (self.net.now, Network::address_of(target));
-        if self.world.clients[client].steering.may_leave(now, &address, is_there) {
+        if self.world.clients[client].steering.may_abandon(now, &address, is_there) {
             self.net.cancel(call);
             self.proxy_replied(request, target, None, false);
         } else {
             let timer = Timer::SwitchProxy { request, target, call };
-            self.net.set_timer(host, ATTEMPT_TIMEOUT, timer);
+            self.net.set_timer(host, SUSPICION_CHECK_INTERVAL, timer);
         }
     }
 
@@ -304,7 +305,7 @@
                 if let Some(ttl) = ttl {
                     self.world.longest_steering_ttl = self.world.longest_steering_ttl.max(ttl);
                 }
-                parse(&text)
+                parse_response(&text).ok()
             }
             _ => None,
         };
@@ -314,6 +315,6 @@
         if let Some(response) = &response {
             client.steering_revisions.push(response.revision);
         }
-        client.steering.polled(now, response);
+        client.steering.finish_poll(now, response);
     }
 }
