--- a/testbed/src/commands/simulate.rs
+++ b/testbed/src/commands/simulate.rs
@@ -176,7 +176,7 @@
     let plan = Plan {
         rate: options.rate,
         is_traced: options.traces,
-        operator_every: options.operator_interval,
+        operator_interval: options.operator_interval,
         overlap: options.selection == Selection::Overlapping,
         ..Plan::new(scenario.deployment, &scenario.faults)
     };
