--- a/testbed/src/commands/simulate.rs
+++ b/testbed/src/commands/simulate.rs
@@ -5,8 +5,8 @@
 use std::sync::Mutex;
 use std::time::Duration;
 use strum::IntoEnumIterator;
-use vanepath_testbed::sim::day::{self, Deployment, Fault, Plan};
-use vanepath_testbed::sim::judge::{Judgement, judge};
+use vanepath_testbed::sim::invariants::{Report, check};
+use vanepath_testbed::sim::scenario::{self, Deployment, Fault, Plan};
 use vanepath_testbed::sim::{Random, cores, on_threads};
 
 /// Mixed into a seed for the choice of faults, so that it does not follow the scenario's own draws.
@@ -117,7 +117,7 @@
                 let faults = match self.selection {
                     Selection::Each => self.faults.iter().map(|fault| vec![*fault]).collect(),
                     Selection::Mixed => vec![self.random_faults(seed)],
-                    Selection::Overlapping => vec![day::overlapping(seed)],
+                    Selection::Overlapping => vec![scenario::overlapping(seed)],
                     Selection::Sequence => vec![self.faults.clone()],
                 };
                 let faults = faults.into_iter();
@@ -175,13 +175,13 @@
 fn run_scenario(scenario: &Scenario, options: &Options, totals: &Mutex<BTreeMap<String, Totals>>) {
     let plan = Plan {
         rate: options.rate,
-        traces: options.traces,
-        operator_every: options.operator_interval,
+        is_traced: options.traces,
+        operator_interval: options.operator_interval,
         overlap: options.selection == Selection::Overlapping,
         ..Plan::new(scenario.deployment, &scenario.faults)
     };
-    let run = day::run(scenario.seed, &plan);
-    let judgement = judge(&run);
+    let run = scenario::run(scenario.seed, &plan);
+    let report = check(&run);
     let names: Vec<String> = scenario.faults.iter().map(|fault| fault.to_string()).collect();
     let names = names.join("+");
     let row = match options.selection {
@@ -191,12 +191,12 @@
     };
     let mut totals = totals.lock().expect("no panic under this lock");
     let world = &run.sim.world;
-    let other_zone_share = world.goes_other_zone as f64 / world.goes.max(1) as f64;
-    totals.entry(row).or_default().add(&judgement, other_zone_share);
+    let other_zone_share = world.cross_zone_attempts as f64 / world.attempts.max(1) as f64;
+    totals.entry(row).or_default().add(&report, other_zone_share);
     // The lock is held, so that the lines of one scenario stay together.
-    if !judgement.faults.is_empty() {
+    if !report.violations.is_empty() {
         println!("seed {} {:?} {names}", scenario.seed, scenario.deployment);
-        for violation in judgement.faults.iter().take(MAX_SHOWN_VIOLATIONS) {
+        for violation in report.violations.iter().take(MAX_SHOWN_VIOLATIONS) {
             println!("    {violation}");
         }
         if options.traces {
@@ -237,28 +237,28 @@
 }
 
 impl Totals {
-    fn add(&mut self, judgement: &Judgement, other_zone_share: f64) {
+    fn add(&mut self, report: &Report, other_zone_share: f64) {
         self.scenarios += 1;
-        self.failed += usize::from(!judgement.faults.is_empty());
-        self.lookups += judgement.lookups;
-        self.lookups_lost += judgement.lookups_lost;
-        self.filings += judgement.filings;
-        self.filings_may_have_run += judgement.filings_may_have_run;
-        self.retries += judgement.further_goes_part;
-        self.cluster_bytes_per_second += judgement.sibling_bytes;
-        self.cluster_bytes_per_second_other_zone += judgement.sibling_bytes_other_zone;
-        self.probes_per_second += judgement.probes;
-        self.client_retries += judgement.doors_part;
-        self.pathway_switches += judgement.switches;
-        self.max_server_load = self.max_server_load.max(judgement.worst_load);
-        self.max_repeats = self.max_repeats.max(judgement.worst_repeats);
-        self.max_warming_up_rate = self.max_warming_up_rate.max(judgement.worst_cold);
-        self.saves_per_change += judgement.saves_per_change;
-        self.config_times.extend(&judgement.setups);
+        self.failed += usize::from(!report.violations.is_empty());
+        self.lookups += report.lookups;
+        self.lookups_lost += report.lookups_lost;
+        self.filings += report.filings;
+        self.filings_may_have_run += report.filings_may_have_run;
+        self.retries += report.proxy_retry_ratio;
+        self.cluster_bytes_per_second += report.cluster_bytes;
+        self.cluster_bytes_per_second_other_zone += report.cross_zone_cluster_bytes;
+        self.probes_per_second += report.probes;
+        self.client_retries += report.client_retry_ratio;
+        self.pathway_switches += report.zone_switches;
+        self.max_server_load = self.max_server_load.max(report.worst_load);
+        self.max_repeats = self.max_repeats.max(report.worst_retry_excess);
+        self.max_warming_up_rate = self.max_warming_up_rate.max(report.worst_slow_start);
+        self.saves_per_change += report.syncs_per_change;
+        self.config_times.extend(&report.config_delays);
         self.other_zone_share += other_zone_share;
-        self.max_config_time = self.max_config_time.max(judgement.worst_setup);
-        self.max_drain_time = self.max_drain_time.max(judgement.worst_drain);
-        let resume_time = judgement.resumed_after.unwrap_or_default();
+        self.max_config_time = self.max_config_time.max(report.worst_config_delay);
+        self.max_drain_time = self.max_drain_time.max(report.worst_drain_delay);
+        let resume_time = report.resumed_after.unwrap_or_default();
         self.max_resume_time = self.max_resume_time.max(resume_time);
     }
 }
--- a/testbed/src/commands/starts.rs
+++ b/testbed/src/commands/starts.rs
@@ -5,15 +5,15 @@
 use std::sync::Mutex;
 use std::time::Duration;
 use strum::IntoEnumIterator;
-use vanepath_testbed::sim::breaks::Break;
-use vanepath_testbed::sim::day::{Deployment, Plan};
-use vanepath_testbed::sim::{cores, on_threads, starts};
+use vanepath_testbed::sim::mutations::Mutation;
+use vanepath_testbed::sim::scenario::{Deployment, Plan};
+use vanepath_testbed::sim::{cores, on_threads, startup};
 
 /// Threads that run simulations at one time, at most.
 const MAX_THREADS: usize = 3;
 
 /// Start-up times by deployment, scene and role; `None` for a daemon that was never ready.
-type Rows = BTreeMap<(String, starts::Scene, String), Vec<Option<Duration>>>;
+type Rows = BTreeMap<(String, startup::Scene, String), Vec<Option<Duration>>>;
 
 /// Measures how long daemons take from their start until they accept work (design 5.8), and prints a table.
 ///
@@ -31,10 +31,10 @@
     };
     let (first, last) = seeds(matches.opt_str("seeds"), "1-8")?;
     let stores = matches.opt_str("stores").and_then(|text| text.parse().ok()).unwrap_or(3);
-    let breaks = matches.opt_present("without-floor").then_some(Break::NoFloor);
+    let mutation = matches.opt_present("without-floor").then_some(Mutation::SkipsReadIndex);
     let mut work = Vec::new();
     for deployment in [Deployment::Raiocerto, Deployment::Guild] {
-        for scene in starts::Scene::iter() {
+        for scene in startup::Scene::iter() {
             work.extend((first..=last).map(|seed| (deployment, scene, seed)));
         }
     }
@@ -42,8 +42,8 @@
     let threads = cores().min(MAX_THREADS);
     on_threads(threads, work.len(), |index| {
         let (deployment, scene, seed) = work[index];
-        let plan = Plan { breaks, stores, ..Plan::new(deployment, &[]) };
-        let all = starts::measure(seed, scene, &plan);
+        let plan = Plan { mutation, stores, ..Plan::new(deployment, &[]) };
+        let all = startup::measure(seed, scene, &plan);
         let mut rows = rows.lock().expect("no panic under this lock");
         for start in all {
             let key = (format!("{deployment:?}"), scene, start.role.to_string());
--- a/testbed/tests/losses.rs
+++ b/testbed/tests/losses.rs
@@ -5,7 +5,7 @@
 use vanepath_config::ExecutionStatus;
 use vanepath_testbed::harness::{Fleet, wait_until};
 use vanepath_testbed::http::call;
-use vanepath_testbed::sim::day::tagged;
+use vanepath_testbed::sim::scenario::tagged;
 use vanepath_testbed::stub::pattern;
 use vanepath_testbed::topology;
 use vanepath_testbed::traffic::{RequestKind, RequestRecord, Traffic, check_filings};
