--- a/store/src/disk.rs
+++ b/store/src/disk.rs
@@ -1,5 +1,5 @@
-//! The data folder: a file for each version and one for the state, each written under a temporary name,
-//! synced and renamed, and the folder synced after it (design 6.1).
+//! The data folder: one file for each version and one for the hard state. A file is written under a temporary
+//! name, synced and renamed; then the folder is synced (design 6.1).
 
 mod error;
 mod frame;
@@ -24,7 +24,7 @@
 const LOCK_FILE: &str = "lock";
 const TEMPORARY_SUFFIX: &str = ".aside";
 
-fn version_name(revision: u64, digest: &Digest) -> String {
+fn version_file_name(revision: u64, digest: &Digest) -> String {
     let short: String = digest[..8].iter().map(|byte| format!("{byte:02x}")).collect();
     format!("version-{revision:020}-{short}.cbor")
 }
@@ -32,17 +32,17 @@
 /// The data folder, locked for this process.
 pub struct Disk {
     folder: PathBuf,
-    /// Unlocked when it is dropped.
+    /// Holds the folder's lock until it is dropped.
     _lock: File,
-    /// Which of `spare::SPARE_NAMES` exists and is empty.
+    /// Index into `spare::SPARE_NAMES` of the empty spare file; `None`: not prepared yet.
     spare: Mutex<Option<usize>>,
 }
 
 impl Disk {
-    /// Opens the folder for this process alone; creates it where it is missing.
+    /// Opens the folder and locks it for this process; creates it if it is missing.
     ///
     /// # Errors
-    /// It cannot be created or opened, or another process has it open.
+    /// The folder cannot be created or opened, or another process holds its lock.
     pub fn open(folder: &Path) -> Result<Disk, DiskError> {
         let open_error = |cause: io::Error| DiskError::Open { folder: folder.to_path_buf(), cause };
         std::fs::create_dir_all(folder).map_err(open_error)?;
@@ -58,25 +58,25 @@
         Ok(Disk { folder: folder.to_path_buf(), _lock: lock, spare: Mutex::default() })
     }
 
-    /// The hints; empty ones where their file is missing or damaged.
+    /// Reads the hints; empty ones if their file is missing or damaged.
     pub fn hints(&self) -> Hints {
-        let read = std::fs::read(self.folder.join(HINTS_FILE)).ok();
-        let body = read.and_then(|bytes| unframe(&bytes));
+        let contents = std::fs::read(self.folder.join(HINTS_FILE)).ok();
+        let body = contents.and_then(|bytes| unframe(&bytes));
         body.and_then(|body| wire::decode(&body).ok()).unwrap_or_default()
     }
 
     /// Replaces the hints.
     ///
     /// # Errors
-    /// The disk refused a write or a sync.
+    /// A write or a sync failed.
     pub fn save_hints(&self, hints: &Hints) -> io::Result<()> {
         self.write_file(HINTS_FILE, &wire::encode(hints))?;
         self.sync_folder()
     }
 
-    /// Reads a version; `None` where its file is missing or damaged.
+    /// Reads a version; `None` if its file is missing or damaged.
     pub fn version(&self, id: &VersionId) -> Option<Value> {
-        let path = self.folder.join(version_name(id.revision, &id.digest));
+        let path = self.folder.join(version_file_name(id.revision, &id.digest));
         let (value, digest) = self.read_version(&path)?;
         (digest == id.digest && value.revision == id.revision).then_some(value)
     }
@@ -87,34 +87,35 @@
         Some((value, digest_of(&body)))
     }
 
-    /// Carries out all writes and syncs them; gives the number of syncs that it took. The state is renamed
-    /// last, and one sync of the folder is enough for all names: a single version is written through the
-    /// spare file, where it is found until its own name is durable (design 6.1).
+    /// Performs and syncs all writes; returns the number of syncs. The state file is renamed last, and one
+    /// sync of the folder makes all names durable: a single version is written through a spare file, under
+    /// whose name it is found after a crash until its own name is durable (design 6.1).
     ///
     /// # Errors
-    /// The disk refused something; nobody knows what of the writes is durable.
+    /// A write or a sync failed; it is unknown which of the writes are durable.
     pub fn save(&self, writes: &[DiskWrite]) -> io::Result<u64> {
         let mut syncs = 0;
-        let mut spare = self.spare.lock().expect("no panic under this lock");
+        let mut spare = self.spare.lock().expect("no panic while the lock is held");
         let has_state = writes.iter().any(|write| matches!(write, DiskWrite::State(_)));
-        let versions =
+        let version_count =
             writes.iter().filter(|write| matches!(write, DiskWrite::Version { .. })).count();
-        // Several versions are written under their own names, which must be durable before the state is.
-        let mut usable_spare = spare.filter(|_| has_state && versions == 1);
+        // Several versions are written under their own names, which must be durable before the state
+        // file is renamed.
+        let mut usable_spare = spare.filter(|_| has_state && version_count == 1);
         for write in writes {
             match write {
                 DiskWrite::Version { id, bytes } => {
-                    let name = version_name(id.revision, &id.digest);
+                    let file_name = version_file_name(id.revision, &id.digest);
                     match usable_spare {
-                        Some(number) => {
-                            *spare = Some(self.write_through_spare(number, &name, bytes)?);
+                        Some(index) => {
+                            *spare = Some(self.write_through_spare(index, &file_name, bytes)?);
                         }
-                        None => self.write_file(&name, bytes)?,
+                        None => self.write_file(&file_name, bytes)?,
                     }
                     syncs += 1;
                 }
                 DiskWrite::State(state) => {
-                    if versions > 0 && usable_spare.take().is_none() {
+                    if version_count > 0 && usable_spare.take().is_none() {
                         self.sync_folder()?;
                         syncs += 1;
                     }
@@ -133,7 +134,7 @@
     }
 
     fn remove_version(&self, id: &VersionId) -> io::Result<()> {
-        match std::fs::remove_file(self.folder.join(version_name(id.revision, &id.digest))) {
+        match std::fs::remove_file(self.folder.join(version_file_name(id.revision, &id.digest))) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error),
             _ => Ok(()),
         }
--- a/store/src/disk/error.rs
+++ b/store/src/disk/error.rs
@@ -2,14 +2,15 @@
 
 use std::path::PathBuf;
 
-/// Why the data folder cannot be used. The messages contain the cause, which is therefore no `source`.
+/// Why the data folder cannot be used. The messages contain the cause, so that `source` does not return it
+/// again.
 #[derive(Debug)]
 pub enum DiskError {
     /// The folder or its lock file cannot be opened or created.
     Open {
         /// The data folder.
         folder: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         cause: std::io::Error,
     },
     /// Another process holds the folder's lock.
@@ -17,16 +18,16 @@
         /// The data folder.
         folder: PathBuf,
     },
-    /// Something in the folder cannot be read, or its first files cannot be written.
+    /// The folder or a file in it cannot be read, or the initial files cannot be written.
     Read {
         /// The data folder.
         folder: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         cause: std::io::Error,
     },
-    /// A write or a sync was refused.
+    /// A write or a sync failed.
     Write {
-        /// What the system said.
+        /// The error of the operating system.
         cause: std::io::Error,
     },
 }
--- a/store/src/disk/frame.rs
+++ b/store/src/disk/frame.rs
@@ -1,4 +1,4 @@
-//! The frame of a file: its body with the body's digest, so that a damaged file is recognized. The field
+//! File framing: a file holds a body and the body's digest, by which a damaged file is recognized. The field
 //! names are serialized.
 
 use vanepath_cluster::wire;
@@ -15,12 +15,12 @@
     vanepath_config::digest(&[b"vanepath file", body])
 }
 
-/// The file's bytes for this body.
+/// Encodes a body as the contents of a file.
 pub(super) fn frame(body: &[u8]) -> Vec<u8> {
     wire::encode(&Framed { digest: digest(body).to_vec(), body: body.to_vec() })
 }
 
-/// The body of a file, if it is intact.
+/// Decodes the contents of a file; `None` if they are damaged.
 pub(super) fn unframe(bytes: &[u8]) -> Option<Vec<u8>> {
     let framed: Framed = wire::decode(bytes).ok()?;
     (framed.digest == digest(&framed.body)).then_some(framed.body)
--- a/store/src/disk/recovery.rs
+++ b/store/src/disk/recovery.rs
@@ -1,7 +1,7 @@
-//! Reading the data folder at the start and after a failure, and making it an empty one.
+//! Loads the data folder at start-up and after a disk failure, and resets it to an empty one.
 
 use super::frame::unframe;
-use super::{Disk, DiskError, PROBE_FILE, STATE_FILE, TEMPORARY_SUFFIX, version_name};
+use super::{Disk, DiskError, PROBE_FILE, STATE_FILE, TEMPORARY_SUFFIX, version_file_name};
 use crate::consensus::{DiskWrite, HardState, RecoveredState, StoredVersion};
 use crate::value::VersionId;
 use std::io;
@@ -10,12 +10,12 @@
 use vanepath_cluster::wire;
 
 impl Disk {
-    /// Reads what is there. A state file that is missing or damaged makes the disk an empty one with
-    /// `new_incarnation`: it has forgotten its promises and must not vote on them. Damaged version files count
-    /// as absent.
+    /// Loads the contents of the folder. If the state file is missing or damaged, the disk becomes an empty
+    /// one under `new_incarnation`: its promises are lost, so that it must not vote under its former
+    /// incarnation. Damaged version files count as absent.
     ///
     /// # Errors
-    /// The folder cannot be read, or its first files cannot be written.
+    /// The folder cannot be read, or its initial files cannot be written.
     pub fn load(&self, new_incarnation: u64) -> Result<RecoveredState, DiskError> {
         self.read_all(new_incarnation)
             .map_err(|cause| DiskError::Read { folder: self.folder.clone(), cause })
@@ -40,7 +40,7 @@
         Ok(RecoveredState { state, value, batch: batch.unwrap_or_default(), versions })
     }
 
-    /// The intact version files. Temporary files that a crash left are removed.
+    /// Reads the intact version files, and removes temporary files left by a crash.
     fn read_versions(&self) -> io::Result<Vec<StoredVersion>> {
         let mut versions = Vec::new();
         let mut damaged = 0;
@@ -51,7 +51,7 @@
                 std::fs::remove_file(&path)?;
             } else if name.starts_with("version-") {
                 match self.read_version(&path) {
-                    Some((value, digest)) if name == version_name(value.revision, &digest) => {
+                    Some((value, digest)) if name == version_file_name(value.revision, &digest) => {
                         let id = VersionId { revision: value.revision, digest };
                         let bytes = value.encode().len();
                         versions.push(StoredVersion::new(id, &value, bytes));
@@ -64,13 +64,15 @@
             }
         }
         if damaged > 0 {
-            log::warn!("{damaged} damaged files; their versions are fetched again");
+            log::warn!(
+                "{damaged} damaged version files; these versions are fetched from other stores"
+            );
         }
         Ok(versions)
     }
 
-    /// The state file; `None` where it is missing or damaged. One that cannot be read now is an error, since
-    /// it may be readable later.
+    /// Reads the state file; `None` if it is missing or damaged. A failed read is an error instead, since the
+    /// file may be readable later.
     fn read_state(&self) -> io::Result<Option<HardState>> {
         let bytes = match std::fs::read(self.folder.join(STATE_FILE)) {
             Ok(bytes) => bytes,
@@ -80,19 +82,19 @@
         let state = unframe(&bytes).and_then(|body| wire::decode(&body).ok());
         if state.is_none() {
             log::error!(
-                "{STATE_FILE} is damaged: this disk counts as empty and asks for admission"
+                "{STATE_FILE} is damaged: this disk counts as empty and waits for a member slot"
             );
         }
         Ok(state)
     }
 
-    /// After a failed write or sync: writes and syncs once more what can be read, because nobody knows what of
-    /// it is durable. What is read then is what a restart would find.
+    /// Loads the disk after a failed write or sync, then writes and syncs the loaded files again, because it
+    /// is unknown which of them are durable. Returns what a restart would load.
     ///
     /// # Errors
-    /// The disk still refuses something.
+    /// The disk still fails.
     pub fn recover(&self, new_incarnation: u64) -> Result<RecoveredState, DiskError> {
-        // Whether it accepts anything, before all of it is read.
+        // Checks that the disk accepts writes before all of it is read.
         self.probe().map_err(DiskError::write)?;
         let recovered = self.load(new_incarnation)?;
         self.rewrite(&recovered).map_err(DiskError::write)?;
@@ -109,17 +111,18 @@
         for value in recovered.batch.iter().chain(&recovered.value) {
             let bytes = value.encode();
             let digest = crate::value::digest_of(&bytes);
-            self.write_file(&version_name(value.revision, &digest), &bytes)?;
+            self.write_file(&version_file_name(value.revision, &digest), &bytes)?;
         }
         self.sync_folder()?;
         self.save(&[DiskWrite::State(recovered.state.clone())])?;
         Ok(())
     }
 
-    /// Makes this an empty disk under a new incarnation: its state first, then the versions are removed.
+    /// Resets the disk to an empty one under a new incarnation: writes the state file first, then removes the
+    /// version files.
     ///
     /// # Errors
-    /// The disk refused a write, a sync or a removal.
+    /// A write, a sync or a removal failed.
     pub fn reset(&self, new_incarnation: u64) -> io::Result<RecoveredState> {
         let recovered = RecoveredState::empty(new_incarnation);
         self.save(&[DiskWrite::State(recovered.state.clone())])?;
--- a/store/src/hints/tests.rs
+++ b/store/src/hints/tests.rs
@@ -25,12 +25,13 @@
     ClusterView { live, plan: Arc::new(plan), is_fresh: true, ..ClusterView::default() }
 }
 
-/// Written when something has changed, never more often than the bound, and not forgotten when no other
-/// node is live.
+/// Hints are written only after a change, at most `MAX_WRITES_PER_MINUTE` times a minute, and keep the known
+/// addresses while no other node is live.
 #[test]
-fn hints_are_written_seldom_and_never_forgotten() {
+fn hint_writes_are_rate_limited_and_keep_known_addresses() {
     let mut hint_writer = HintWriter::new(Hints::default());
-    let first = hint_writer.step(Duration::ZERO, &view(1, "s1")).expect("all of it is new");
+    let first =
+        hint_writer.step(Duration::ZERO, &view(1, "s1")).expect("the first hints are written");
     assert_eq!(first.nodes.len(), 2);
     assert_eq!(hint_writer.step(Duration::from_secs(1), &view(1, "s1")), None);
     let mut written = 0;
@@ -39,9 +40,11 @@
         written +=
             usize::from(hint_writer.step(now, &view(2 + step, &format!("s{step}"))).is_some());
     }
-    assert!((10..=12).contains(&written), "{written} files in a minute");
-    let mut alone = view(9000, "s9");
-    alone.live.truncate(1);
-    let last = hint_writer.step(Duration::from_secs(200), &alone).expect("another plan");
+    assert!((10..=12).contains(&written), "{written} writes in a minute");
+    let mut isolated_view = view(9000, "s9");
+    isolated_view.live.truncate(1);
+    let last = hint_writer
+        .step(Duration::from_secs(200), &isolated_view)
+        .expect("a changed plan is written");
     assert_eq!((last.nodes.len(), last.plan.counter), (2, 9000));
 }
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -1,11 +1,12 @@
-//! The store: the operator's configuration, drained zones and member table, replicated on a few disks without
-//! a leader and without a log (design 6).
+//! The store: replicates the operator's configuration, the drained zones and the member table to the disks of
+//! a few nodes, without a leader and without a log (design 6).
 //!
-//! - `consensus`: the replica of one store, a pure state machine (Paxos over one register, as CASPaxos).
-//! - `value`, `protocol`: what is agreed on, and the messages.
-//! - `idempotency`, `retransmission`: recognition of writes that are sent again.
+//! - `consensus`: the replica of one store as a pure state machine: Paxos over a single register, as in
+//!   CASPaxos.
+//! - `value`, `protocol`: the values that are agreed on, and the messages.
+//! - `idempotency`, `retransmission`: recognition of writes that are sent more than once.
 //! - `disk`: the data folder. `hints`: soft state for a restart of all nodes.
-//! - `shell`: the program round the state machine.
+//! - `shell`: the daemon around the state machine: I/O, timers and HTTP.
 
 #![warn(missing_docs)]
 
--- a/store/src/main.rs
+++ b/store/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `vanepath-store`: keeps the operator's configuration on disk.
+//! The `vanepath-store` daemon: stores the operator's configuration on disk.
 
 use vanepath_cluster::node;
 use vanepath_config::settings::{self, Invocation, Role};
@@ -9,8 +9,8 @@
         Invocation::Print(text) => println!("{text}"),
         Invocation::Run(settings) => {
             node::init_logging();
-            let grace = settings.shutdown_grace;
-            node::run_on_runtime(grace, vanepath_store::shell::run(*settings))?;
+            let shutdown_grace = settings.shutdown_grace;
+            node::run_on_runtime(shutdown_grace, vanepath_store::shell::run(*settings))?;
         }
     }
     Ok(())
--- a/store/src/shell.rs
+++ b/store/src/shell.rs
@@ -1,5 +1,5 @@
-//! The program round the replica: an actor that carries out its effects in order, the node's membership and
-//! transport, and the HTTP pages (design 6.7).
+//! The daemon around the replica: an actor that carries out the replica's effects in order, the node's
+//! cluster membership and transport, and the HTTP pages (design 6.7).
 
 mod actor;
 mod directory;
@@ -12,7 +12,7 @@
 use crate::consensus::{Identity, Replica};
 use crate::disk::Disk;
 use crate::protocol::{Request, Response};
-use actor::{Incoming, StoreActor};
+use actor::{IncomingRequest, StoreActor};
 use arc_swap::ArcSwap;
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
@@ -21,11 +21,11 @@
 use vanepath_cluster::{gossip, node, wire};
 use vanepath_config::settings::Settings;
 
-/// Time for the announcement that this store leaves; what was accepted is on disk already.
+/// Time allowed for gossip to announce that this store is leaving. Accepted proposals are already on disk.
 const LEAVE_GRACE: Duration = Duration::from_millis(200);
 
 vanepath_cluster::counters! {
-    /// What a store counts. The variants' names are the names of the metrics.
+    /// Counters of a store. The names of the metrics are derived from the names of the variants.
     #[allow(missing_docs)]
     pub enum Counter {
         StoreAsks,
@@ -44,15 +44,16 @@
 /// The counters of a store.
 pub type Counters = vanepath_cluster::counters::Counters<Counter>;
 
-/// The address of the actor, known once it runs: the transport starts first.
-type ActorSlot = Arc<OnceLock<xtra::Address<StoreActor>>>;
+/// The address of the actor. Set once the actor runs: the transport, which forwards requests to it, starts
+/// first.
+type ActorCell = Arc<OnceLock<xtra::Address<StoreActor>>>;
 
 /// Runs a store until the node is stopped.
 ///
 /// # Errors
 /// The data folder or a port cannot be used.
 pub async fn run(settings: Settings) -> Result<(), miette::Report> {
-    let folder = settings.data_folder.clone().expect("checked with the settings");
+    let folder = settings.data_folder.clone().expect("the settings check requires a data folder");
     let bootstrap_size = if settings.may_bootstrap { settings.bootstrap_size } else { 0 };
     let identity = Identity { name: settings.name.clone(), bootstrap_size };
     let disk = Arc::new(Disk::open(&folder)?);
@@ -61,11 +62,11 @@
         return rescue::run(&disk, &recovered, &settings.name);
     }
     let listener = node::bind("listen", settings.listen).await?;
-    let slot = ActorSlot::default();
+    let actor_cell = ActorCell::default();
     let hints = disk.hints();
-    let mut started = settings.clone();
-    started.seeds.extend(&hints.nodes);
-    let node = node::Node::start(started, Some(request_handler(slot.clone()))).await?;
+    let mut node_settings = settings.clone();
+    node_settings.seeds.extend(&hints.nodes);
+    let node = node::Node::start(node_settings, Some(request_handler(actor_cell.clone()))).await?;
     let plan = Arc::new(hints.plan.clone());
     let _ = node.gossip.send(node::HandleEvent(gossip::Event::PlanReceived(plan))).await;
 
@@ -82,7 +83,7 @@
         directory: directory.clone(),
     });
     let actor = xtra::spawn_tokio(actor, xtra::Mailbox::unbounded());
-    let _ = slot.set(actor.clone());
+    let _ = actor_cell.set(actor.clone());
     let ticker = Ticker {
         actor,
         disk,
@@ -113,25 +114,25 @@
     node::serve_http(listener, node.stop.clone(), node::HttpSettings::default(), handler).await;
 }
 
-/// Passes requests of the transport to the actor.
-fn request_handler(slot: ActorSlot) -> node::StoreHandler {
+/// Forwards requests from the transport to the actor.
+fn request_handler(actor_cell: ActorCell) -> node::StoreHandler {
     Arc::new(move |request: wire::Request| {
-        let slot = slot.clone();
-        Box::pin(async move { handle_request(&slot, request).await })
+        let actor_cell = actor_cell.clone();
+        Box::pin(async move { handle_request(&actor_cell, request).await })
     })
 }
 
-async fn handle_request(slot: &ActorSlot, request: wire::Request) -> wire::Reply {
+async fn handle_request(actor_cell: &ActorCell, request: wire::Request) -> wire::Reply {
     let request = match request {
         wire::Request::Store(bytes) => wire::decode::<Request>(&bytes).ok(),
         wire::Request::ReadIndex => Some(Request::ReadIndex),
         wire::Request::Pull(_) => None,
     };
-    let (Some(request), Some(actor)) = (request, slot.get()) else {
+    let (Some(request), Some(actor)) = (request, actor_cell.get()) else {
         return wire::Reply::Unsupported;
     };
     let (sender, receiver) = oneshot::channel();
-    let _ = actor.send(Incoming { request, reply: sender }).await;
+    let _ = actor.send(IncomingRequest { request, reply: sender }).await;
     match receiver.await {
         Ok(Response::ReadIndex(revision)) => wire::Reply::ReadIndex(revision),
         Ok(response) => wire::Reply::Store(wire::encode(&response).into()),
--- a/store/src/shell/actor.rs
+++ b/store/src/shell/actor.rs
@@ -1,5 +1,5 @@
-//! The actor that owns the replica and carries out its effects strictly in order: nothing leaves before what
-//! it rests on is durable.
+//! The actor that owns the replica and carries out its effects strictly in order: no message is sent before
+//! the state that it depends on is durable.
 
 use super::{Counter, Counters, StoreDirectory};
 use crate::consensus::{
@@ -16,12 +16,12 @@
 use tokio::task::spawn_blocking;
 use vanepath_cluster::{gossip, node, wire};
 
-/// Interval at which a disk that refused something is tried again.
+/// Delay before the next attempt to recover a failed disk.
 const DISK_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// Timeout of a call to another store.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What the actor works with.
+/// Dependencies of the actor.
 pub(super) struct Resources {
     pub replica: Replica,
     pub disk: Arc<Disk>,
@@ -34,28 +34,28 @@
 #[derive(xtra::Actor)]
 pub(super) struct StoreActor {
     resources: Resources,
-    /// Requests that wait for a response, by ticket.
+    /// Reply channels of pending requests, by ticket.
     pending: HashMap<u64, oneshot::Sender<Response>>,
     next_ticket: u64,
-    /// The disk refused something, and is to be tried again.
+    /// Whether a `RetryDisk` message is scheduled.
     is_disk_retry_scheduled: bool,
 }
 
-/// An event for the replica.
+/// Passes an event to the replica.
 pub(super) struct Deliver(pub Event);
-/// The disk is to be tried again.
+/// Attempts to recover the failed disk.
 struct RetryDisk;
-/// A request of another store or of a registry.
-pub(super) struct Incoming {
+/// A request from another store or from a registry.
+pub(super) struct IncomingRequest {
     pub request: Request,
     pub reply: oneshot::Sender<Response>,
 }
 
-/// Whether the effects after one may be carried out.
+/// Whether the effects that follow an effect may be carried out.
 #[derive(PartialEq, Eq)]
 enum Continuation {
     Proceed,
-    /// A write failed: what follows rests on it and must not happen.
+    /// A write failed; the effects that follow depend on it and must not be carried out.
     Abort,
 }
 
@@ -69,16 +69,17 @@
         }
     }
 
-    async fn step(&mut self, event: Event, own: &xtra::Address<StoreActor>) {
+    /// Steps the replica with an event and the events that follow from it, and carries out the effects.
+    async fn step(&mut self, event: Event, own_address: &xtra::Address<StoreActor>) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             if matches!(event, Event::DiskFailed) {
-                self.schedule_disk_retry(own);
+                self.schedule_disk_retry(own_address);
             }
             let now = self.resources.node.clock.now();
             let effects = self.resources.replica.step(now, event);
             for effect in effects {
-                if self.perform(effect, own, &mut events).await == Continuation::Abort {
+                if self.perform(effect, own_address, &mut events).await == Continuation::Abort {
                     break;
                 }
             }
@@ -87,18 +88,18 @@
         self.resources.summary.store(Arc::new(summary));
     }
 
-    /// Carries out one effect; events that follow from it are appended.
+    /// Carries out one effect; appends the events that follow from it to `events`.
     async fn perform(
         &mut self,
         effect: Effect,
-        own: &xtra::Address<StoreActor>,
+        own_address: &xtra::Address<StoreActor>,
         events: &mut VecDeque<Event>,
     ) -> Continuation {
         match effect {
             Effect::Persist(writes) => return self.persist(writes, events).await,
             Effect::Reset => return self.reset(events).await,
             Effect::Send { call, incarnation, request } => {
-                self.send(call, incarnation, &request, own)
+                self.send(call, incarnation, &request, own_address)
             }
             Effect::Reply { ticket, response } => self.reply(ticket, response),
             Effect::ReplyFromDisk { ticket, versions, as_outcome } => {
@@ -151,17 +152,18 @@
         Continuation::Proceed
     }
 
-    /// Sends a request without waiting; its response, or that there is none, comes back as an event.
+    /// Sends a request without waiting for the response. `Event::ResponseReceived` follows in either case,
+    /// with or without a response.
     fn send(
         &self,
         call: u64,
         incarnation: u64,
         request: &Request,
-        own: &xtra::Address<StoreActor>,
+        own_address: &xtra::Address<StoreActor>,
     ) {
         self.resources.counters.increment(Counter::StoreCalls);
         let address = self.resources.directory.load().address_of(incarnation, request);
-        let own = own.clone();
+        let own_address = own_address.clone();
         let transport = self.resources.node.transport.clone();
         let counters = self.resources.counters.clone();
         let body = wire::Request::Store(wire::encode(request).into());
@@ -176,7 +178,7 @@
             if response.is_none() {
                 counters.increment(Counter::StoreCallsFailed);
             }
-            let _ = own.send(Deliver(Event::ResponseReceived { call, response })).await;
+            let _ = own_address.send(Deliver(Event::ResponseReceived { call, response })).await;
         });
     }
 
@@ -205,14 +207,14 @@
         self.reply(ticket, response);
     }
 
-    fn schedule_disk_retry(&mut self, own: &xtra::Address<StoreActor>) {
+    fn schedule_disk_retry(&mut self, own_address: &xtra::Address<StoreActor>) {
         if std::mem::replace(&mut self.is_disk_retry_scheduled, true) {
             return;
         }
-        let own = own.clone();
+        let own_address = own_address.clone();
         tokio::spawn(async move {
             tokio::time::sleep(DISK_RETRY_INTERVAL).await;
-            let _ = own.send(RetryDisk).await;
+            let _ = own_address.send(RetryDisk).await;
         });
     }
 }
@@ -221,8 +223,8 @@
     type Return = ();
 
     async fn handle(&mut self, Deliver(event): Deliver, context: &mut xtra::Context<Self>) {
-        if let Some(own) = context.mailbox().address().try_upgrade() {
-            self.step(event, &own).await;
+        if let Some(own_address) = context.mailbox().address().try_upgrade() {
+            self.step(event, &own_address).await;
         }
     }
 }
@@ -231,30 +233,30 @@
     type Return = ();
 
     async fn handle(&mut self, _: RetryDisk, context: &mut xtra::Context<Self>) {
-        let Some(own) = context.mailbox().address().try_upgrade() else { return };
+        let Some(own_address) = context.mailbox().address().try_upgrade() else { return };
         self.is_disk_retry_scheduled = false;
         let disk = self.resources.disk.clone();
         match spawn_blocking(move || disk.recover(node::random())).await {
             Ok(Ok(recovered)) => {
                 self.resources.counters.increment(Counter::StoreDisksRecovered);
-                self.step(Event::DiskRecovered(recovered), &own).await;
+                self.step(Event::DiskRecovered(recovered), &own_address).await;
             }
-            _ => self.schedule_disk_retry(&own),
+            _ => self.schedule_disk_retry(&own_address),
         }
     }
 }
 
-impl xtra::Handler<Incoming> for StoreActor {
+impl xtra::Handler<IncomingRequest> for StoreActor {
     type Return = ();
 
-    async fn handle(&mut self, incoming: Incoming, context: &mut xtra::Context<Self>) {
-        let Some(own) = context.mailbox().address().try_upgrade() else {
+    async fn handle(&mut self, incoming: IncomingRequest, context: &mut xtra::Context<Self>) {
+        let Some(own_address) = context.mailbox().address().try_upgrade() else {
             return;
         };
         self.resources.counters.increment(Counter::StoreAsks);
         self.next_ticket += 1;
         let ticket = self.next_ticket;
         self.pending.insert(ticket, incoming.reply);
-        self.step(Event::RequestReceived { ticket, request: incoming.request }, &own).await;
+        self.step(Event::RequestReceived { ticket, request: incoming.request }, &own_address).await;
     }
 }
--- a/store/src/shell/directory.rs
+++ b/store/src/shell/directory.rs
@@ -1,4 +1,4 @@
-//! The live stores by gossip, and the addresses of their disks.
+//! The live stores according to gossip, and the addresses at which their disks are reached.
 
 use crate::consensus::LiveStore;
 use crate::protocol::Request;
@@ -6,18 +6,18 @@
 use std::net::SocketAddr;
 use vanepath_cluster::node::ClusterView;
 
-/// Live stores and where each disk, by its incarnation, is reached.
+/// The live stores, and the address of each store's disk by the disk's incarnation.
 #[derive(Clone, Debug, Default)]
 pub struct StoreDirectory {
     /// The live stores, in the order of the cluster view.
     pub live: Vec<LiveStore>,
     addresses: BTreeMap<u64, SocketAddr>,
-    /// The last addresses of stores that are not heard of any more.
+    /// Last known addresses of unreachable stores.
     unreachable: BTreeMap<u64, SocketAddr>,
 }
 
 impl StoreDirectory {
-    /// The stores of a cluster view.
+    /// Builds the directory of the stores in a cluster view.
     pub fn of(view: &ClusterView) -> StoreDirectory {
         let mut directory = StoreDirectory::default();
         for (info, status) in &view.live {
@@ -38,7 +38,7 @@
         directory
     }
 
-    /// Where to send a request; a store that is not heard of gets nothing but pings.
+    /// The address to which a request is sent. Unreachable stores are sent only pings.
     pub fn address_of(&self, incarnation: u64, request: &Request) -> Option<SocketAddr> {
         let is_ping = matches!(request, Request::Ping);
         let unreachable = self.unreachable.get(&incarnation).filter(|_| is_ping);
--- a/store/src/shell/http.rs
+++ b/store/src/shell/http.rs
@@ -1,11 +1,12 @@
-//! The HTTP pages of a store (design 9.1, 9.2). The JSON keys are those of the operators' pages.
+//! The HTTP pages of a store (design 9.1, 9.2). The JSON keys are part of the operators' interface and must
+//! stay.
 
 use super::Counters;
 use crate::consensus::Summary;
 use crate::value::Member;
 use vanepath_cluster::node;
 
-/// Answers a request for a page.
+/// Responds to an HTTP request.
 pub(super) fn respond(
     node: &node::Node,
     summary: &Summary,
@@ -14,7 +15,7 @@
 ) -> hyper::Response<node::Body> {
     let path = request.uri().path();
     let is_ready = summary.is_voting && !node.is_shutting_down();
-    let write_counters = |all: &mut _| counters.write_json(all);
+    let write_counters = |json: &mut _| counters.write_json(json);
     if let Some(response) = node::common_pages(node, path, is_ready, write_counters) {
         return response;
     }
--- a/store/src/shell/rescue.rs
+++ b/store/src/shell/rescue.rs
@@ -1,13 +1,14 @@
-//! `--rescue`: after a majority of the disks is lost for good, lets this store go on alone (design 6.6).
+//! `--rescue`: after a permanent loss of a majority of the disks, makes this store the only member
+//! (design 6.6).
 
 use crate::consensus::{DiskWrite, RecoveredState, rescued};
 use crate::disk::Disk;
 use crate::value::{VersionId, digest_of};
 
-/// Writes the rescued state and tells the operator its revision.
+/// Writes the rescued state to the disk and prints its revision.
 ///
 /// # Errors
-/// The disk holds no readable value, or refuses the write.
+/// The disk holds no readable value, or the write failed.
 pub(super) fn run(
     disk: &Disk,
     recovered: &RecoveredState,
@@ -19,16 +20,18 @@
     });
     let Some((held_revision, state, next)) = rescue else {
         miette::bail!(
-            "this disk does not hold the operator's word: there is nothing to go on from"
+            "this disk holds no readable configuration version: there is nothing to rescue"
         );
     };
     let bytes = next.encode();
     let revision = next.revision;
     let id = VersionId { revision, digest: digest_of(&bytes) };
     let writes = [DiskWrite::Version { id, bytes }, DiskWrite::State(state)];
-    disk.save(&writes).map_err(|error| miette::miette!("cannot save: {error}"))?;
+    disk.save(&writes)
+        .map_err(|error| miette::miette!("cannot save to the data folder: {error}"))?;
     println!(
-        "goes on alone from revision {held_revision} as revision {revision}; start it again without --rescue"
+        "revision {held_revision} is rescued as revision {revision}, with this store as the only member; \
+         start it again without --rescue"
     );
     Ok(())
 }
--- a/store/src/shell/ticker.rs
+++ b/store/src/shell/ticker.rs
@@ -26,7 +26,7 @@
 }
 
 impl Ticker {
-    /// Ticks until the actor is gone.
+    /// Runs until the actor has stopped.
     pub async fn run(self, hints: Hints) {
         let mut hint_writer = HintWriter::new(hints);
         let mut interval = tokio::time::interval(TICK_INTERVAL);
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Beside the votes, which wait for no hints.
+    /// Writes the hints on a blocking thread, so that votes do not wait for them.
     fn save_hints(&self, hints: Hints) {
         let disk = self.disk.clone();
         let counters = self.counters.clone();
