--- a/store/src/protocol.rs
+++ b/store/src/protocol.rs
@@ -1,11 +1,11 @@
 //! Messages between stores and from registries to stores (design 6.2). The names in
-//! `#[serde(rename = "...")]` are the wire names of earlier versions: programs of two versions talk to each
-//! other while they are replaced one by one.
+//! `#[serde(rename = "...")]` are the wire names of earlier versions and must stay: during a rolling upgrade,
+//! programs of two versions exchange messages.
 
 use crate::value::{AcceptedProposal, Ballot, Digest, MemberTable, Value};
 use std::time::Duration;
 
-/// A write that an operator asks for.
+/// A write requested by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Change {
     /// Replace the configuration document.
@@ -14,9 +14,10 @@
         /// The new document.
         #[serde(with = "serde_bytes")]
         bytes: Vec<u8>,
-        /// Compare-and-set: only if the committed configuration is still of this revision.
+        /// Compare-and-set: the write applies only if the committed configuration still has this revision.
         if_revision: Option<u64>,
-        /// Only if it is above the highest version accepted so far; else this is a repeat.
+        /// Version given by the operator. The document replaces the configuration only if this version is
+        /// above the highest one accepted so far.
         version: Option<u64>,
     },
     /// Add a drain order for a zone.
@@ -25,7 +26,7 @@
         /// The zone's name.
         zone: String,
     },
-    /// Withdraw a drain order of a zone.
+    /// Withdraw one drain order of a zone.
     #[serde(rename = "Return")]
     RestoreZone {
         /// The zone's name.
@@ -34,36 +35,36 @@
 }
 
 impl Change {
-    /// Hash of what is asked for, without the conditions.
+    /// Hash of the requested change, without its conditions (`if_revision` and `version`).
     pub fn content_hash(&self) -> u64 {
         let digest = match self {
             Change::ReplaceConfig { bytes, .. } => vanepath_config::digest(&[b"setup", bytes]),
             Change::DrainZone { zone } => vanepath_config::digest(&[b"empty", zone.as_bytes()]),
             Change::RestoreZone { zone } => vanepath_config::digest(&[b"return", zone.as_bytes()]),
         };
-        u64::from_be_bytes(digest[..8].try_into().expect("eight bytes"))
+        u64::from_be_bytes(digest[..8].try_into().expect("a slice of eight bytes"))
     }
 }
 
-/// A replica's state as it answers a membership request: the member table, and for a requester in that
-/// table the accepted value too.
+/// A replica's state as sent in response to a membership request. The accepted value and its batch are
+/// included only if the requester asked for them and is in the member table.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct MembershipSnapshot {
     /// The highest ballot that the replica promised.
     pub promised: Ballot,
-    /// The proposal that it accepted last.
+    /// The proposal that the replica accepted last.
     pub accepted: AcceptedProposal,
     /// The member table of the accepted value.
     #[serde(rename = "seats")]
     pub members: MemberTable,
     /// The accepted value.
     pub value: Option<Value>,
-    /// The versions that were proposed with it in one round, the oldest first.
+    /// The earlier versions that were proposed with it in the same round, oldest first.
     #[serde(rename = "before")]
     pub batch: Vec<Value>,
 }
 
-/// A request to a store. `from` is the incarnation of the requester's disk.
+/// A request to a store. `from` is the incarnation number of the requester's disk.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub enum Request {
     /// Phase 1a of Paxos: asks for a promise.
@@ -72,7 +73,7 @@
         from: u64,
         /// The ballot to promise.
         ballot: Ballot,
-        /// Digest of the value that the proposer holds, which need not be sent back.
+        /// Digest of the value that the proposer already holds; the response omits a value with this digest.
         #[serde(rename = "has")]
         known_digest: Option<Digest>,
     },
@@ -84,11 +85,11 @@
         ballot: Ballot,
         /// The proposed value.
         value: Value,
-        /// The versions that were proposed with it in one round, the oldest first.
+        /// The earlier versions that were proposed with it in the same round, oldest first.
         #[serde(rename = "before")]
         batch: Vec<Value>,
     },
-    /// Asks for the accepted proposal, without a ballot.
+    /// Asks for the accepted proposal without proposing a ballot.
     #[serde(rename = "Query")]
     QueryStatus,
     /// Liveness check of a member before its slot is given to another disk.
@@ -96,16 +97,16 @@
     Ping,
     /// Asks for a version and the chain of its ancestors.
     Fetch {
-        /// Revision of the first version.
+        /// Revision of the requested version.
         revision: u64,
-        /// Digest of the first version.
+        /// Digest of the requested version.
         digest: Digest,
     },
     /// Asks for the member table.
     Membership {
         /// The requester.
         from: u64,
-        /// Whether the accepted value is wanted too.
+        /// Whether the response is to include the accepted value.
         wants_value: bool,
     },
     /// An operator's write.
@@ -114,8 +115,8 @@
         key: String,
         /// What to write.
         change: Change,
-        /// For a change whose client gave no key, so that the registry generated this one: how long the
-        /// registry has had the call (design 6.10). `None`: the key is the client's.
+        /// Set if the client gave no key and the registry generated one: the time since the registry received
+        /// the call (design 6.10). `None`: the client gave the key.
         #[serde(default)]
         #[serde(rename = "unnamed_for")]
         keyless_for: Option<Duration>,
@@ -124,10 +125,11 @@
     Read,
     /// Reads an earlier version.
     History {
-        /// Its revision.
+        /// Revision of the version.
         revision: u64,
     },
-    /// The client of the change that made this revision has surely received its response.
+    /// The client of the change that made this revision received its response in time, and will not
+    /// retransmit the change (design 6.10).
     #[serde(rename = "Answered")]
     Acknowledge {
         /// `Change::content_hash` of the change.
@@ -136,36 +138,36 @@
         /// The revision that it made.
         revision: u64,
     },
-    /// Asks for the highest committed revision, by a round that begins after this request
-    /// (read index, design 5.8).
+    /// Asks for the highest committed revision, established by a round that starts after this request
+    /// arrived (read index, design 5.8).
     #[serde(rename = "Floor")]
     ReadIndex,
 }
 
-/// Why a replica does not promise or accept.
+/// Why a replica rejects a request.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize, strum::Display,
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum Rejection {
-    /// A higher ballot was promised.
+    /// The replica promised a higher ballot.
     #[serde(rename = "Outbid")]
     Preempted,
-    /// This replica is empty, or its disk failed: it does not vote.
+    /// The replica does not vote, for example because it is empty or its disk failed.
     #[serde(rename = "NoVote")]
     NotVoting,
-    /// The requester's disk is not in the member table (any more).
+    /// The requester's disk is not, or no longer, in the member table.
     #[serde(rename = "Unseated")]
     NotAMember,
 }
 
-/// A recent write whose client may retransmit it without a key; a pair on the wire.
+/// A recent write whose client may retransmit it without a key. Serialized as a pair.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(from = "(String, u32)", into = "(String, u32)")]
 pub struct UnacknowledgedWrite {
-    /// Its idempotency key.
+    /// Idempotency key of the write.
     pub key: String,
-    /// Time since it was first received, in milliseconds.
+    /// Time since the write was first received, in milliseconds.
     pub age_ms: u32,
 }
 
@@ -181,18 +183,18 @@
     }
 }
 
-/// A store's response. `from` is the incarnation of the responder's disk.
+/// A store's response. `from` is the incarnation number of the responder's disk.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum Response {
-    /// Phase 1b of Paxos: a promise with the proposal accepted last.
+    /// Phase 1b of Paxos: a promise, with the proposal that the acceptor accepted last.
     Promise {
         /// The acceptor.
         from: u64,
-        /// The proposal that it accepted last.
+        /// The proposal that the acceptor accepted last.
         accepted: AcceptedProposal,
-        /// The accepted value, unless the proposer holds it.
+        /// The accepted value, unless the proposer already holds it.
         value: Option<Value>,
-        /// The versions that were proposed with it in one round, the oldest first.
+        /// The earlier versions that were proposed with it in the same round, oldest first.
         #[serde(rename = "before")]
         batch: Vec<Value>,
         /// Recent writes of that value whose clients may retransmit them without a key (design 6.10);
@@ -206,57 +208,58 @@
         /// The acceptor.
         from: u64,
     },
-    /// No promise or acceptance.
+    /// The request was rejected.
     #[serde(rename = "Refused")]
     Rejected {
-        /// Why.
+        /// Why the request was rejected.
         #[serde(rename = "why")]
         reason: Rejection,
         /// The highest ballot that the replica promised.
         promised: Ballot,
     },
-    /// Answer to `QueryStatus`.
+    /// Response to `QueryStatus`.
     #[serde(rename = "State")]
     Status {
         /// The responder.
         from: u64,
-        /// Its disk holds no value.
+        /// Whether the responder's disk holds no value.
         #[serde(rename = "blank")]
         is_empty: bool,
-        /// Number of empty stores with which it bootstraps; 0: it takes no part in that.
+        /// Number of empty stores that bootstrap together; 0: the responder takes no part in a bootstrap.
         #[serde(rename = "founders")]
         bootstrap_size: usize,
-        /// Whether it votes.
+        /// Whether the responder votes.
         #[serde(rename = "votes")]
         is_voting: bool,
-        /// The proposal that it accepted last.
+        /// The proposal that the responder accepted last.
         accepted: Option<AcceptedProposal>,
     },
-    /// Answer to `Ping`.
+    /// Response to `Ping`.
     #[serde(rename = "Alive")]
     Pong {
         /// The responder.
         from: u64,
-        /// Whether its disk works.
+        /// Whether the responder's disk works.
         #[serde(rename = "is_sound")]
         is_healthy: bool,
     },
-    /// Answer to `Fetch`: the version and its ancestors, as far as they are there and fit.
+    /// Response to `Fetch`: the version and its ancestors, latest first, as far as they are stored and fit
+    /// into one response.
     Fetched(Vec<Value>),
-    /// Answer to `Membership`.
+    /// Response to `Membership`.
     Membership {
         /// The responder.
         from: u64,
-        /// Its state.
+        /// The responder's state.
         #[serde(rename = "shown")]
         snapshot: Box<MembershipSnapshot>,
     },
-    /// Answer to an operator's request.
+    /// Response to an operator's request.
     Outcome(Outcome),
-    /// Answer to `Acknowledge`.
+    /// Response to `Acknowledge`.
     #[serde(rename = "Noted")]
     Acknowledged,
-    /// Answer to `ReadIndex`; `None`: no quorum confirmed it.
+    /// Response to `ReadIndex`; `None`: no quorum confirmed a revision.
     #[serde(rename = "Floor")]
     ReadIndex(Option<u64>),
 }
@@ -264,18 +267,18 @@
 /// The outcome of an operator's request.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum Outcome {
-    /// Committed, now or by an earlier write under the same key.
+    /// Committed by this request or by an earlier one that it repeats.
     Accepted {
         /// The revision that the write made.
         revision: u64,
         /// The configuration revision at that revision.
         #[serde(rename = "setup_revision")]
         config_revision: u64,
-        /// Nothing new was made by this request.
+        /// The request itself changed nothing, for example because it repeats an earlier write.
         #[serde(rename = "repeat")]
         is_repeat: bool,
     },
-    /// The configuration in force is of another revision than the condition names. Nothing was done.
+    /// The committed configuration has another revision than the condition names. Nothing was changed.
     Conflict {
         /// The current revision.
         revision: u64,
@@ -283,34 +286,34 @@
         #[serde(rename = "setup_revision")]
         config_revision: u64,
     },
-    /// The key was used for another content. Nothing was done.
+    /// The idempotency key was already used for a write with other content. Nothing was changed.
     KeyReused {
         /// The revision that was made under the key.
         revision: u64,
     },
-    /// A configuration of another content was accepted under this version. Nothing was done.
+    /// A configuration with other content was accepted under this version. Nothing was changed.
     VersionTaken {
-        /// The version asked for.
+        /// The requested version.
         version: u64,
         /// The highest version accepted so far.
         #[serde(rename = "held")]
         highest: u64,
     },
-    /// Nothing was done, and nothing will be.
+    /// The request was not applied and will not be applied later.
     #[serde(rename = "NothingDone")]
     NotApplied {
-        /// Why, for the operator.
+        /// The reason, for the operator.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// The proposal may or may not be committed later; ask again under the same key.
+    /// The proposal may or may not be committed later; the request must be retried under the same key.
     Unknown,
-    /// A version that was read.
+    /// The version that was read.
     Value {
         /// The version.
         value: Value,
     },
-    /// There is no such revision (any more).
+    /// The revision does not exist, or is no longer stored.
     NoSuchRevision {
         /// The highest committed revision.
         latest: u64,
--- a/store/src/value.rs
+++ b/store/src/value.rs
@@ -1,6 +1,6 @@
 //! Domain values of the replicated register: ballots, member table, versions of the register's value
-//! (design 6.2). All of them are stored and sent: the names in `#[serde(rename = "...")]` are the wire
-//! names of earlier versions and must stay.
+//! (design 6.2). They are stored on disk and sent between nodes: the names in `#[serde(rename = "...")]` are
+//! the wire names of earlier versions and must stay.
 
 use crate::idempotency::{IdempotencyRecord, KnownWrite, OlderWrites};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -10,7 +10,7 @@
 pub type Digest = [u8; 32];
 
 /// A proposal number (Lamport, Paxos Made Simple, 2001, section 2.2): totally ordered and never used twice,
-/// because the proposer's own disk promises it before anyone else is asked.
+/// because the proposer's own disk promises it before any other replica is asked.
 #[derive(
     Clone,
     Copy,
@@ -24,13 +24,13 @@
     serde::Deserialize,
 )]
 pub struct Ballot {
-    /// Compared first.
+    /// Sequence number; compared before the incarnation.
     pub number: u64,
     /// Incarnation of the proposer's disk.
     pub incarnation: u64,
 }
 
-/// The ballot of the bootstrap value, whoever makes it: no proposer ever uses it (design 6.4).
+/// The ballot of the bootstrap value, whichever store creates that value. No proposer uses it (design 6.4).
 pub const BOOTSTRAP_BALLOT: Ballot = Ballot { number: 1, incarnation: 0 };
 
 /// A store whose disk holds a slot of the member table.
@@ -40,12 +40,12 @@
     pub name: String,
     /// The incarnation of the disk that holds the slot.
     pub incarnation: u64,
-    /// Joined after the bootstrap: it votes only once it has caught up from the others.
+    /// The store joined after the bootstrap, and votes only once it has caught up from other members.
     #[serde(rename = "admitted")]
     pub joined_later: bool,
 }
 
-/// The member slots in the order in which their stores propose; `None`: vacant since a rescue
+/// The member slots, in the order of precedence in which their stores propose; `None`: vacant since a rescue
 /// (design 6.6).
 pub type MemberTable = Vec<Option<Member>>;
 
@@ -73,57 +73,57 @@
     /// The highest operator-given version under which a configuration was accepted; 0: none.
     #[serde(rename = "setup_version")]
     pub config_version: u64,
-    /// The configuration document as the operator sent it.
+    /// The configuration document, byte for byte as the operator sent it.
     #[serde(with = "serde_bytes")]
     #[serde(rename = "setup")]
     pub document: Vec<u8>,
     /// Zones with at least one drain order.
     #[serde(rename = "emptied")]
     pub drained_zones: BTreeSet<String>,
-    /// Drain orders of a zone beside its first one (design 6.10); left out where there are none, so that
-    /// values written before orders were counted keep their encoding and digest.
+    /// Number of drain orders of a zone beyond its first one (design 6.10). Left out if there are none, so
+    /// that values written before orders were counted keep their encoding and digest.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     #[serde(rename = "further_orders")]
     pub extra_drain_orders: BTreeMap<String, u32>,
     /// The member table.
     #[serde(rename = "seats")]
     pub members: MemberTable,
-    /// Number of versions before this one that were proposed in the same round.
+    /// Number of earlier versions that were proposed in the same round as this one.
     #[serde(rename = "together")]
     pub batched_before: u32,
-    /// The last writes in full, so that a retransmission is recognized.
+    /// Full records of the most recent writes, by which retransmissions are recognized.
     #[serde(rename = "keys")]
     pub recent_writes: VecDeque<IdempotencyRecord>,
-    /// Earlier writes under client-given keys in compact form; left out where there are none.
+    /// Compact records of earlier writes under client-given keys; left out if there are none.
     #[serde(default, skip_serializing_if = "OlderWrites::is_empty")]
     #[serde(rename = "older_keys")]
     pub older_writes: OlderWrites,
     /// Content hashes (`Change::content_hash`) of the highest acknowledged configuration versions; left out
-    /// where there are none.
+    /// if there are none.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     #[serde(rename = "versions")]
     pub version_hashes: BTreeMap<u64, u64>,
 }
 
-/// Number of recent writes kept in full. A retransmission under a key that a registry generated comes within
-/// that registry's call to the stores, which lasts a few seconds.
+/// Number of recent writes with a full record. Writes under registry-generated keys have no other record:
+/// they are retransmitted only within the registry's call to the stores, which lasts a few seconds.
 pub const MAX_RECENT_WRITES: usize = 256;
-/// Number of configuration versions, the highest ones, whose content hash is kept.
+/// Number of configuration versions whose content hash is kept; the highest versions are kept.
 pub const MAX_VERSION_HASHES: usize = 1024;
-/// Drain orders that one zone may have at one time.
+/// Maximum number of drain orders of one zone.
 pub const MAX_DRAIN_ORDERS: u32 = 1000;
 /// Number of revisions that stay readable, as far as they fit into `MAX_HISTORY_BYTES`.
 pub const HISTORY_LENGTH: usize = 1024;
-/// Bytes of versions on a disk above which old ones are removed.
+/// Total size of the version files on a disk, in bytes, above which old versions are removed.
 pub const MAX_HISTORY_BYTES: usize = 64 << 20;
 
 impl Value {
-    /// The encoding that is stored, sent and digested.
+    /// The encoding that is stored, sent and hashed.
     pub fn encode(&self) -> Vec<u8> {
         vanepath_cluster::wire::encode(self)
     }
 
-    /// This version's identity; encodes the value.
+    /// The identity of this version. Encodes the value to compute its digest.
     pub fn id(&self) -> VersionId {
         VersionId { revision: self.revision, digest: digest_of(&self.encode()) }
     }
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Moves writes beyond the recent ones to the compact records; those under generated keys are dropped.
+    /// Moves records beyond `MAX_RECENT_WRITES` to the compact records, and drops those under generated keys.
     pub(crate) fn compact_older_writes(&mut self) {
         while self.recent_writes.len() > MAX_RECENT_WRITES {
             let Some(oldest) = self.recent_writes.pop_front() else { return };
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Whether this version lies below all recorded ones, so that its content hash may have been dropped.
+    /// Whether this version is below all recorded ones, so that its content hash may have been dropped.
     pub(crate) fn is_version_hash_dropped(&self, version: u64) -> bool {
         let lowest = self.version_hashes.first_key_value();
         self.version_hashes.len() >= MAX_VERSION_HASHES
@@ -184,7 +184,7 @@
         recent.map(KnownWrite::of).or_else(|| self.older_writes.find(key))
     }
 
-    /// What is announced to all nodes once this version is committed.
+    /// The part of this version that is gossiped to all nodes once it is committed.
     pub fn committed_config(&self) -> CommittedConfig {
         CommittedConfig {
             revision: self.revision,
@@ -202,7 +202,7 @@
     vanepath_config::digest(&[b"vanepath value", encoded])
 }
 
-/// The proposal that an acceptor accepted last; the value's bytes are stored apart.
+/// The proposal that an acceptor accepted last; its value is stored separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct AcceptedProposal {
     /// The ballot under which it was accepted.
@@ -214,13 +214,13 @@
 }
 
 impl AcceptedProposal {
-    /// Order of proposals: by ballot, and within one ballot by revision, since a proposer may extend its
-    /// own value without a new prepare round.
+    /// Order of proposals: by ballot, and within one ballot by revision, since a proposer may propose further
+    /// versions under its ballot without a new prepare phase.
     pub fn rank(&self) -> (Ballot, u64) {
         (self.ballot, self.revision)
     }
 
-    /// The accepted version.
+    /// The identity of the accepted version.
     pub fn version(&self) -> VersionId {
         VersionId { revision: self.revision, digest: self.digest }
     }
