--- a/store/src/consensus.rs
+++ b/store/src/consensus.rs
@@ -1,13 +1,13 @@
-//! The replicated register: one value, agreed on by a few stores without a leader and without a log, as in
-//! CASPaxos (Rystsov 2018), which runs single-decree Paxos (Lamport, Paxos Made Simple, 2001) again and again
-//! over one register. Each store is acceptor, proposer and reader at the same time (design 6.2 to 6.6).
+//! The replicated register: one value on which a few stores agree, without a leader and without a log, as in
+//! CASPaxos (Rystsov 2018), which runs single-decree Paxos (Lamport, Paxos Made Simple, 2001) repeatedly over
+//! one register. Each store is an acceptor, a proposer and a reader (design 6.2 to 6.6).
 //!
-//! The core is pure: `Replica::step` takes the time and one event and returns effects, which the shell
-//! carries out strictly in order. A reply that stands behind an `Effect::Persist` leaves only once that write
-//! is durable.
+//! The core performs no I/O: `Replica::step` takes the time and one event and returns effects, which the
+//! shell carries out strictly in order. A reply that follows an `Effect::Persist` is sent only once that
+//! write is durable.
 //!
-//! Terms: a value is *accepted* by a replica, and *committed* (chosen, in Paxos' terms) once a majority of the
-//! members has accepted it under one ballot.
+//! Terms: a value is *accepted* by a replica, and *committed* (chosen, in Paxos' terms) once a majority of
+//! the members has accepted it under one ballot.
 
 mod acceptor;
 mod batch;
--- a/store/src/consensus/acceptor.rs
+++ b/store/src/consensus/acceptor.rs
@@ -1,6 +1,6 @@
 //! The acceptor (Paxos Made Simple, section 2.5; design 6.2): promises and acceptances, and the dispatch of
-//! requests. Invariant: whatever a reply says rests on what was persisted before it, because effects are
-//! carried out in order.
+//! requests. Invariant: the state on which a reply is based is durable before the reply is sent, because
+//! effects are carried out in order.
 
 use super::event::{DiskWrite, Effect};
 use super::quorum::{is_member, slot_of};
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 impl Replica {
-    /// Dispatches a request of another store or of a registry.
+    /// Dispatches a request from another store or from a registry.
     pub(super) fn on_request(
         &mut self,
         now: Duration,
@@ -30,14 +30,14 @@
             }
             Request::QueryStatus => Ok(Response::Status {
                 from: self.own_incarnation(),
-                is_empty: self.is_empty() && !self.has_lost_disk(),
+                is_empty: self.is_empty() && !self.is_disk_unusable(),
                 bootstrap_size: self.identity.bootstrap_size,
-                is_voting: !self.has_lost_disk() && self.accepted_value().is_some(),
+                is_voting: !self.is_disk_unusable() && self.accepted_value().is_some(),
                 accepted: self.state.accepted,
             }),
             Request::Ping => Ok(Response::Pong {
                 from: self.own_incarnation(),
-                is_healthy: !self.has_lost_disk(),
+                is_healthy: !self.is_disk_unusable(),
             }),
             Request::Membership { from, wants_value } => self.on_membership(from, wants_value),
             Request::Acknowledge { content_hash, revision } => {
@@ -71,7 +71,7 @@
         effects.push(Effect::Reply { ticket, response });
     }
 
-    /// Phase 1: promises a ballot, unless a higher one was promised.
+    /// Phase 1: promises a ballot, unless this replica has promised a higher one.
     fn on_prepare(
         &mut self,
         now: Duration,
@@ -80,7 +80,8 @@
         known_digest: Option<Digest>,
         effects: &mut Vec<Effect>,
     ) -> Result<Response, Rejection> {
-        let (Some((accepted, value)), false) = (self.accepted_value(), self.has_lost_disk()) else {
+        let (Some((accepted, value)), false) = (self.accepted_value(), self.is_disk_unusable())
+        else {
             return Err(Rejection::NotVoting);
         };
         let accepted = *accepted;
@@ -103,7 +104,7 @@
         Ok(Response::Promise { from, accepted, value, batch, unacknowledged })
     }
 
-    /// Phase 2: accepts a proposal, unless a higher ballot was promised.
+    /// Phase 2: accepts a proposal, unless this replica has promised a higher ballot.
     fn on_accept(
         &mut self,
         from: u64,
@@ -112,11 +113,11 @@
         batch: Vec<Value>,
         effects: &mut Vec<Effect>,
     ) -> Result<Response, Rejection> {
-        if self.has_lost_disk() || !self.may_accept(ballot, &value) {
+        if self.is_disk_unusable() || !self.may_accept(ballot, &value) {
             return Err(Rejection::NotVoting);
         }
-        let known = self.value.as_ref().map_or(&value.members, |own| &own.members);
-        if !is_member(known, from) && !is_member(&value.members, from) {
+        let known_members = self.value.as_ref().map_or(&value.members, |own| &own.members);
+        if !is_member(known_members, from) && !is_member(&value.members, from) {
             return Err(Rejection::NotAMember);
         }
         if ballot < self.state.promised {
@@ -129,31 +130,32 @@
         }
     }
 
-    /// Whether this disk is a member by the proposed value, and may vote on it.
+    /// Whether this disk is a member according to the proposed value, and may vote on that value.
     fn may_accept(&self, ballot: Ballot, value: &Value) -> bool {
         let slot = slot_of(&value.members, self.own_incarnation());
         let Some(member) = slot.and_then(|slot| value.members[slot].as_ref()) else {
             return false;
         };
         if ballot == BOOTSTRAP_BALLOT {
-            // An empty disk has promised nothing to anyone; one that holds a bootstrap value takes no other.
+            // An empty disk has made no promises. A disk that holds a bootstrap value accepts no other one.
             let may_bootstrap = value.revision == 0
                 && !member.joined_later
                 && self.identity.bootstrap_size == value.members.len();
             let digest = digest_of(&value.encode());
-            let has_it = self.state.accepted.is_some_and(|accepted| accepted.digest == digest);
-            has_it || (self.is_empty() && may_bootstrap)
+            let holds_value = self.state.accepted.is_some_and(|accepted| accepted.digest == digest);
+            holds_value || (self.is_empty() && may_bootstrap)
         } else {
-            // An empty disk that joins later must catch up first (design 6.5).
+            // An empty disk that joins after the bootstrap must catch up first (design 6.5).
             !self.is_empty()
         }
     }
 
-    /// A replica that was told that it is not a member any more answers all the same: a new disk may need
-    /// what it accepted, and counts by the table that all show (incident 0013).
+    /// Responds with the membership snapshot. A replica that was told that it is no longer a member responds
+    /// as well: a new disk may need its accepted value, and counts the response only if the responder is in
+    /// the member table that the snapshots show (incident 0013).
     fn on_membership(&self, from: u64, wants_value: bool) -> Result<Response, Rejection> {
-        let may_show = !self.has_lost_disk() && !self.is_bootstrapping();
-        let Some((accepted, value)) = self.accepted_value().filter(|_| may_show) else {
+        let may_respond = !self.is_disk_unusable() && !self.is_bootstrapping();
+        let Some((accepted, value)) = self.accepted_value().filter(|_| may_respond) else {
             return Err(Rejection::NotVoting);
         };
         let includes_value = wants_value && is_member(&value.members, from);
@@ -167,7 +169,7 @@
         Ok(Response::Membership { from: self.own_incarnation(), snapshot })
     }
 
-    /// Accepts a value with its batch; false where a higher proposal was accepted.
+    /// Accepts a value with its batch; returns false if a higher proposal was accepted before.
     pub(super) fn accept(
         &mut self,
         ballot: Ballot,
@@ -187,7 +189,9 @@
                 return true;
             }
             if accepted.rank() == proposal.rank() && accepted.digest != digest {
-                effects.push(Effect::log("two values under one ballot: this must never happen"));
+                effects.push(Effect::log(
+                    "two different values proposed under one ballot: this must never happen",
+                ));
                 return false;
             }
         }
@@ -204,18 +208,18 @@
         true
     }
 
-    /// Stores the batch of an accepted value, from the latest version back, as far as each one is the parent
-    /// of the next.
+    /// Stores the batch of an accepted value, from the latest version backwards, up to the first one that is
+    /// not the parent of the version stored before.
     fn store_batch(&mut self, value: &Value, batch: Vec<Arc<Value>>, writes: &mut Vec<DiskWrite>) {
-        let mut wanted = value.parent_id();
+        let mut expected = value.parent_id();
         self.batch.clear();
         for ancestor in batch.into_iter().rev().take(value.batched_before as usize) {
             let bytes = ancestor.encode();
-            if ancestor.revision != wanted.revision || digest_of(&bytes) != wanted.digest {
+            if ancestor.revision != expected.revision || digest_of(&bytes) != expected.digest {
                 break;
             }
-            self.store_version(&ancestor, wanted.digest, bytes, writes);
-            wanted = ancestor.parent_id();
+            self.store_version(&ancestor, expected.digest, bytes, writes);
+            expected = ancestor.parent_id();
             self.batch.insert(0, ancestor);
         }
     }
--- a/store/src/consensus/batch.rs
+++ b/store/src/consensus/batch.rs
@@ -1,5 +1,5 @@
-//! What is made of a committed value: the round's own operation, and the queued changes, which are proposed
-//! in one batch under the same ballot (design 6.2).
+//! Continuation from a committed value: applies the round's operation and the queued changes, which are
+//! proposed in one batch under the same ballot (design 6.2).
 
 use super::event::Effect;
 use super::queue::MAX_QUEUED_OPERATIONS;
@@ -10,32 +10,32 @@
 };
 use super::transitions::{KeyedChange, apply_change, apply_replacement, cloned_values};
 use crate::protocol::{Change, Outcome, Request, Response};
-use crate::retransmission::Judgement;
+use crate::retransmission::Classification;
 use crate::value::{AcceptedProposal, Ballot, Value, digest_of};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Changes in one batch.
+/// Maximum number of changes in one batch.
 const MAX_BATCH_CHANGES: usize = 64;
-/// Encoded bytes of one batch.
+/// Maximum encoded size of one batch, in bytes.
 const MAX_BATCH_BYTES: usize = vanepath_cluster::wire::MAX_FRAME_BYTES / 2;
 
-/// Versions to propose in one round, the oldest first, and the answers once they are committed.
+/// Versions to propose in one round, oldest first, and the replies to send once they are committed.
 struct Batch {
     versions: Vec<Arc<Value>>,
     replies: Vec<PlannedReply>,
 }
 
-/// The version that a batch is extended from, and what it has come to.
+/// A batch under construction, and the latest version, from which the next one is derived.
 struct BatchBuilder {
     latest: Arc<Value>,
     latest_accepted: AcceptedProposal,
     versions: Vec<Arc<Value>>,
     replies: Vec<PlannedReply>,
     bytes: usize,
-    /// Changes that make no version, and whose answer rests on what is committed with the batch.
-    unproven: Vec<Operation>,
+    /// Changes that make no version and may be answered only once the batch is committed.
+    unconfirmed: Vec<Operation>,
 }
 
 impl BatchBuilder {
@@ -46,7 +46,7 @@
         self.latest_accepted.revision = version.revision;
         self.latest_accepted.digest = digest_of(&encoded);
         let (revision, config_revision) = (version.revision, version.config_revision);
-        // A configuration version that was superseded is only recorded; the one in force stays.
+        // A superseded configuration version is only recorded; the configuration in force stays.
         let is_repeat =
             matches!(pending.change, Change::ReplaceConfig { .. }) && config_revision != revision;
         let outcome = Outcome::Accepted { revision, config_revision, is_repeat };
@@ -55,29 +55,29 @@
         self.versions.push(self.latest.clone());
     }
 
-    /// Whether another change fits, if it is as large as those so far on average.
+    /// Whether another change fits, if its version is as large as the average so far.
     fn has_room(&self) -> bool {
         let mean = self.bytes / self.versions.len().max(1);
-        self.unproven.len() < MAX_QUEUED_OPERATIONS
+        self.unconfirmed.len() < MAX_QUEUED_OPERATIONS
             && self.versions.len() < MAX_BATCH_CHANGES
             && self.bytes + mean <= MAX_BATCH_BYTES
     }
 }
 
 impl Replica {
-    /// The accepted value was just seen as committed. The round's operation is applied to it now, under the
-    /// ballot if there is one; and so are the queued operations.
+    /// Called when the accepted value is known to be committed. Applies the round's operation to it, and then
+    /// the queued operations that may be carried out under `ballot`. `None`: no ballot is held.
     pub(super) fn continue_from_committed(
         &mut self,
         now: Duration,
         ballot: Option<Ballot>,
         effects: &mut Vec<Effect>,
     ) {
-        // Whether the round began after its operation was asked for.
-        let mut is_own_round = true;
+        // Whether the round began after its operation was requested.
+        let mut began_after_request = true;
         loop {
             let round = self.round.take().or_else(|| {
-                is_own_round = false;
+                began_after_request = false;
                 self.next_round_under(ballot, now)
             });
             let Some(mut round) = round else { return };
@@ -87,15 +87,16 @@
             let (accepted, value) = (*accepted, value.clone());
             let mut versions = match round.operation {
                 Operation::Change(pending) if ballot.is_some() => {
-                    let batch = self.build_batch(pending, &value, &accepted, is_own_round, effects);
+                    let batch =
+                        self.build_batch(pending, &value, &accepted, began_after_request, effects);
                     if batch.versions.is_empty() {
-                        // What is left in the queue takes a round of its own.
+                        // The operations left in the queue need a round of their own.
                         return;
                     }
                     round.operation = Operation::Batch { replies: batch.replies };
                     batch.versions
                 }
-                // A write that came here by a query still needs a ballot.
+                // The round was a query; a write still needs a ballot.
                 Operation::Change(_) => Vec::new(),
                 Operation::Replace(ref replacement) => {
                     replacement_version(&round, replacement, &value, &accepted)
@@ -119,13 +120,14 @@
         }
     }
 
-    /// The next queued operation, if it may be carried out under this ballot. A replacement asks whoever has
-    /// to accept it for a promise first: a member table that too few can accept would block all that comes
-    /// after it. A read takes a round that began after it was asked for: under this ballot another store may
-    /// have committed more by then (incident 0011).
+    /// The next queued operation, if it may be carried out under this ballot. A replacement needs a prepare
+    /// phase of its own, which shows that enough members can accept it: a member table that too few members
+    /// can accept would block all later operations. A read needs a round that began after the read was
+    /// requested: since this ballot was promised, another store may have committed later versions
+    /// (incident 0011).
     fn next_round_under(&mut self, ballot: Option<Ballot>, now: Duration) -> Option<Round> {
         let ballot = ballot?;
-        // This replica may have promised a higher ballot since.
+        // This replica may have promised a higher ballot in the meantime.
         if self.state.promised != ballot {
             return None;
         }
@@ -141,18 +143,20 @@
         }
     }
 
-    /// Applies a change and all other queued ones, one version after the other, to be proposed in one round.
+    /// Applies a change and the other queued changes, each deriving a version from the one before, to be
+    /// proposed in one round.
     ///
-    /// A change that makes no version rests on what was seen as committed: it is answered at once if it is
-    /// the first and the round began after it was asked for (`is_own_round`), else when a version of the
-    /// batch is committed. If none is made, it goes back to the queue, for a round of its own: another store
-    /// may have committed more since this one began (incident 0011).
+    /// The answer to a change that makes no version depends on the value known as committed. The change is
+    /// answered at once if it is the first one and the round began after it was requested
+    /// (`began_after_request`), else once a version of the batch is committed. If the batch has no version,
+    /// the change goes back to the queue for a round of its own: another store may have committed later
+    /// versions since this round began (incident 0011).
     fn build_batch(
         &mut self,
         first: PendingChange,
         value: &Arc<Value>,
         accepted: &AcceptedProposal,
-        is_own_round: bool,
+        began_after_request: bool,
         effects: &mut Vec<Effect>,
     ) -> Batch {
         let mut builder = BatchBuilder {
@@ -161,21 +165,21 @@
             versions: Vec::new(),
             replies: Vec::new(),
             bytes: 0,
-            unproven: Vec::new(),
+            unconfirmed: Vec::new(),
         };
-        let mut is_proven = is_own_round;
+        let mut is_confirmed = began_after_request;
         let mut next = Some(first);
         while let Some(pending) = next.take() {
             let latest = &builder.latest;
-            let judgement = self.retransmissions.judge(
+            let classification = self.retransmissions.classify(
                 latest,
                 &pending.change,
                 pending.keyless_since,
                 self.now,
             );
             let is_known = latest.known_write(&pending.key).is_some();
-            if judgement == Judgement::Undecided && !is_known {
-                // The change that it may repeat is in the same batch.
+            if classification == Classification::Undecided && !is_known {
+                // The change of which it may be a retransmission is in the same batch.
                 self.undecided.push_back(Operation::Change(pending));
                 next = self.next_queued_change();
                 continue;
@@ -184,31 +188,31 @@
                 key: &pending.key,
                 is_generated: pending.keyless_since.is_some(),
                 change: &pending.change,
-                judgement,
+                classification,
             };
             match apply_change(latest, &builder.latest_accepted, &request) {
-                Err(outcome) if is_proven => {
+                Err(outcome) if is_confirmed => {
                     let response = Response::Outcome(outcome);
                     effects.push(Effect::Reply { ticket: pending.ticket, response });
                 }
                 Err(outcome) => {
                     builder.replies.push(PlannedReply { ticket: pending.ticket, outcome });
-                    builder.unproven.push(Operation::Change(pending));
+                    builder.unconfirmed.push(Operation::Change(pending));
                 }
                 Ok(version) => {
                     self.retransmissions.record(&pending.key, pending.keyless_since, self.now);
                     builder.push(&pending, version);
                 }
             }
-            is_proven = false;
+            is_confirmed = false;
             if builder.has_room() {
                 next = self.next_queued_change();
             }
         }
-        let BatchBuilder { versions, mut replies, unproven, .. } = builder;
+        let BatchBuilder { versions, mut replies, unconfirmed, .. } = builder;
         if versions.is_empty() {
             replies.clear();
-            for operation in unproven.into_iter().rev() {
+            for operation in unconfirmed.into_iter().rev() {
                 self.queue.push_front(operation);
             }
         }
@@ -224,7 +228,8 @@
         }
     }
 
-    /// Sends the committed version, under its own ballot, to the replicas that a repair found behind.
+    /// Sends the committed version, under the ballot of its proposal, to the replicas that a repair found
+    /// behind.
     pub(super) fn repair_replicas(
         &mut self,
         committed: AcceptedProposal,
@@ -238,7 +243,7 @@
         for (incarnation, status) in statuses {
             if *incarnation != from
                 && is_member(&value.members, *incarnation)
-                && status.accepted.is_none_or(|theirs| theirs.rank() < committed.rank())
+                && status.accepted.is_none_or(|accepted| accepted.rank() < committed.rank())
             {
                 let (value, batch) = ((*value).clone(), cloned_values(&self.batch));
                 let request = Request::Accept { from, ballot: committed.ballot, value, batch };
@@ -249,7 +254,8 @@
     }
 }
 
-/// The version that a replacement makes; none where the member is back: it has promised this round's ballot.
+/// The version that a replacement makes. None if the member to be replaced has promised this round's ballot,
+/// which shows that it is back.
 fn replacement_version(
     round: &Round,
     replacement: &Replacement,
--- a/store/src/consensus/bootstrap.rs
+++ b/store/src/consensus/bootstrap.rs
@@ -1,5 +1,6 @@
-//! The bootstrap: how a configured number of empty stores agree on the first value (design 6.4). It counts
-//! only once all of them hold it, so that a store that lost its disk can never start a second history.
+//! The bootstrap: a configured number of empty stores agree on the first value (design 6.4). That value
+//! counts as committed only once all of them hold it, so that a store that lost its disk can never start a
+//! second history.
 
 use super::event::Effect;
 use super::quorum::member_incarnations;
@@ -12,26 +13,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Interval at which an empty store looks whether it may bootstrap.
+/// Interval at which an empty store checks whether it may bootstrap.
 pub(super) const BOOTSTRAP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Replica {
-    /// An empty store bootstraps only where exactly as many empty stores as the settings say are live, none
-    /// that holds a value is, and no node has heard of a committed revision. The first of them by name does
-    /// it.
+    /// Queues a bootstrap if exactly the configured number of empty stores is live, no live store holds a
+    /// value, and no committed revision is known from gossip. Only the first of the empty stores by name
+    /// starts it.
     pub(super) fn enqueue_bootstrap(&mut self) {
-        let is_any_value =
+        let is_value_known =
             self.heard_revision > 0 || self.live_stores.iter().any(|store| !store.is_empty);
-        if self.identity.bootstrap_size == 0 || is_any_value {
+        if self.identity.bootstrap_size == 0 || is_value_known {
             return;
         }
         let candidates = self.live_stores.iter().filter(|store| store.may_bootstrap);
         let by_name: BTreeMap<&str, u64> =
             candidates.clone().map(|store| (store.name.as_str(), store.incarnation)).collect();
-        let is_exact = candidates.count() == self.identity.bootstrap_size
+        let may_start = candidates.count() == self.identity.bootstrap_size
             && by_name.len() == self.identity.bootstrap_size
             && by_name.values().next() == Some(&self.own_incarnation());
-        if !is_exact {
+        if !may_start {
             return;
         }
         let member = |(name, incarnation): (&&str, &u64)| {
@@ -41,8 +42,8 @@
         self.queue.push_back(Operation::Bootstrap { members });
     }
 
-    /// Makes the bootstrap value, or brings it to all members: only once all of them replied, and each is
-    /// empty or holds this very value.
+    /// Creates the bootstrap value, or sends it to the members that do not hold it yet. Does so only once all
+    /// members replied and each of them is empty or holds this same value.
     pub(super) fn bootstrap(
         &mut self,
         mut round: Round,
@@ -50,30 +51,33 @@
         effects: &mut Vec<Effect>,
     ) {
         let Operation::Bootstrap { members } = &round.operation else { return };
-        if !member_incarnations(members).all(|one| statuses.contains_key(&one)) {
+        if !member_incarnations(members).all(|incarnation| statuses.contains_key(&incarnation)) {
             return;
         }
         if self.is_empty() {
             if self.heard_revision > 0 {
                 return;
             }
-            let agrees =
+            let can_join =
                 |status: &ReplicaStatus| status.is_empty && status.bootstrap_size == members.len();
-            if !statuses.values().all(agrees) || self.identity.bootstrap_size != members.len() {
+            if !statuses.values().all(can_join) || self.identity.bootstrap_size != members.len() {
                 return;
             }
             effects.push(Effect::Log(format!("bootstrap with {} empty stores", members.len())));
             let value = Arc::new(bootstrap_value(members.clone()));
             self.accept(BOOTSTRAP_BALLOT, value, Vec::new(), effects);
         }
-        let (Some((own, value)), true) = (self.accepted_value(), self.is_bootstrapping()) else {
+        let (Some((own_accepted, value)), true) = (self.accepted_value(), self.is_bootstrapping())
+        else {
             return;
         };
-        let (own, value) = (*own, value.clone());
+        let (own_accepted, value) = (*own_accepted, value.clone());
         let from = self.own_incarnation();
         let mut accepts = BTreeSet::from([from]);
-        for (incarnation, status) in statuses.iter().filter(|(one, _)| **one != from) {
-            if status.accepted == Some(own) {
+        for (incarnation, status) in
+            statuses.iter().filter(|(incarnation, _)| **incarnation != from)
+        {
+            if status.accepted == Some(own_accepted) {
                 accepts.insert(*incarnation);
             } else if status.is_empty {
                 let (value, batch) = ((*value).clone(), Vec::new());
@@ -81,7 +85,7 @@
                 let call = self.send(*incarnation, request, effects);
                 round.in_flight.insert(call, *incarnation);
             } else {
-                // It holds a later value already, or another one.
+                // The member already holds a later value, or a different one.
                 return;
             }
         }
--- a/store/src/consensus/event.rs
+++ b/store/src/consensus/event.rs
@@ -1,17 +1,18 @@
-//! Inputs and outputs of the state machine, and what it keeps on disk.
+//! Inputs and outputs of the state machine, and the state that it keeps on disk.
 
 use crate::protocol::{Request, Response};
 use crate::value::{AcceptedProposal, Ballot, Value, VersionId};
 use std::sync::Arc;
 
-/// What an acceptor must not forget, in the state file. The field names are serialized.
+/// The state that an acceptor must keep across restarts, stored in the state file. The field names are
+/// serialized.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct HardState {
-    /// Random number of this disk; a new one whenever its contents are lost.
+    /// Random number that identifies this disk; replaced whenever the disk's contents are lost.
     pub incarnation: u64,
-    /// The highest ballot that was promised.
+    /// The highest promised ballot.
     pub promised: Ballot,
-    /// The proposal that was accepted last.
+    /// The proposal accepted last.
     pub accepted: Option<AcceptedProposal>,
 }
 
@@ -22,7 +23,7 @@
     }
 }
 
-/// One readable version file.
+/// An intact version file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoredVersion {
     /// The version.
@@ -34,33 +35,34 @@
 }
 
 impl StoredVersion {
-    /// The entry of a value with this encoding.
+    /// The entry for a value whose encoding has this size.
     pub fn new(id: VersionId, value: &Value, bytes: usize) -> StoredVersion {
         StoredVersion { id, parent: value.parent_id(), bytes }
     }
 }
 
-/// What was read from the disk at the start.
+/// State loaded from the disk at start-up, after a disk failure or after a reset.
 pub struct RecoveredState {
-    /// The state file.
+    /// The hard state.
     pub state: HardState,
     /// The accepted value, if its file is intact.
     pub value: Option<Arc<Value>>,
-    /// The versions that were proposed with it in one round, as far as their files are intact.
+    /// The earlier versions that were proposed with it in the same round, oldest first, as far as their files
+    /// are intact.
     pub batch: Vec<Arc<Value>>,
     /// All version files that are intact.
     pub versions: Vec<StoredVersion>,
 }
 
 impl RecoveredState {
-    /// What an empty disk holds.
+    /// The state of an empty disk.
     pub fn empty(incarnation: u64) -> RecoveredState {
         let state = HardState::empty(incarnation);
         RecoveredState { state, value: None, batch: Vec::new(), versions: Vec::new() }
     }
 
-    /// Reads a value's batch through `load`: the ancestors that were proposed with it in one round, the
-    /// oldest first, as far as `load` finds them.
+    /// Loads a value's batch with `load`: the ancestors that were proposed with it in the same round, oldest
+    /// first, as far as `load` finds them.
     pub fn load_batch(
         value: &Value,
         load: impl Fn(VersionId) -> Option<Arc<Value>>,
@@ -76,67 +78,67 @@
     }
 }
 
-/// A store's own settings as the state machine needs them.
+/// The settings of a store that the state machine uses.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Identity {
     /// The store's configured name.
     pub name: String,
-    /// Number of empty stores that bootstrap together; 0: this one takes no part in that.
+    /// Number of empty stores that bootstrap together; 0: this store takes no part in a bootstrap.
     pub bootstrap_size: usize,
 }
 
-/// A live store as gossip reports it; its slot is found in the member table.
+/// A live store as reported by gossip. Its slot is looked up in the member table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LiveStore {
     /// The store's configured name.
     pub name: String,
-    /// Incarnation of its disk.
+    /// Incarnation of the store's disk.
     pub incarnation: u64,
-    /// Its disk holds no value.
+    /// Whether the disk holds no value.
     pub is_empty: bool,
-    /// It is empty and may take part in the bootstrap.
+    /// Whether the store is empty and may take part in a bootstrap.
     pub may_bootstrap: bool,
 }
 
 /// An input of the state machine.
 pub enum Event {
-    /// Time has passed; sent every 50 ms.
+    /// Time has passed; delivered every 50 ms.
     Tick,
-    /// Another store or a registry asks something; answered by an effect with the same ticket.
+    /// A request from another store or from a registry; answered by an effect with the same ticket.
     RequestReceived {
-        /// Identifies the request to the shell.
+        /// Number by which the shell identifies the request.
         ticket: u64,
         /// The request.
         request: Request,
     },
-    /// The call that `Effect::Send` began has ended.
+    /// A call started by `Effect::Send` has ended.
     ResponseReceived {
         /// The call's number.
         call: u64,
-        /// `None`: no response.
+        /// `None`: no response arrived.
         response: Option<Response>,
     },
-    /// Live stores by gossip, this one included.
+    /// The live stores according to gossip, including this one.
     LiveStores(Vec<LiveStore>),
-    /// The highest committed revision that gossip has heard of.
+    /// The highest committed revision known from gossip.
     RevisionHeard {
         /// The revision.
         revision: u64,
     },
-    /// The disk refused a write or a sync: this replica must not vote any more.
+    /// A write or a sync failed: this replica must stop voting.
     DiskFailed,
-    /// The disk works again and holds this: the replica goes on as after a restart (design 6.7).
+    /// The disk works again, with this state: the replica continues as after a restart (design 6.7).
     DiskRecovered(RecoveredState),
-    /// The disk is empty under a new incarnation, as `Effect::Reset` asked.
+    /// The disk was reset to an empty one under a new incarnation, as requested by `Effect::Reset`.
     Reset(RecoveredState),
-    /// A version file turned out damaged.
+    /// A version file was found damaged.
     VersionDamaged(VersionId),
 }
 
 /// An output of the state machine, to be carried out in order.
 #[derive(Debug)]
 pub enum Effect {
-    /// Write and sync; later effects must wait until it is durable.
+    /// Write and sync; later effects must wait until the writes are durable.
     Persist(Vec<DiskWrite>),
     /// Send a request to the store whose disk has this incarnation.
     Send {
@@ -147,28 +149,28 @@
         /// The request.
         request: Request,
     },
-    /// Answer a request.
+    /// Reply to a request.
     Reply {
         /// The request's ticket.
         ticket: u64,
         /// The response.
         response: Response,
     },
-    /// Answer a request from version files: with `Fetched` or, for an operator, with an outcome.
+    /// Reply to a request from version files: with `Response::Fetched` or, for an operator, with an outcome.
     ReplyFromDisk {
         /// The request's ticket.
         ticket: u64,
         /// The versions to read.
         versions: Vec<VersionId>,
-        /// Whether an operator asked.
+        /// Whether the reply is an outcome for an operator.
         as_outcome: bool,
     },
-    /// This version is committed (chosen, in Paxos' terms): announce it.
+    /// This version is committed (chosen, in Paxos' terms): announce it to the other nodes.
     Committed(Arc<Value>),
-    /// This disk's slot was given to another disk: take a new incarnation and remove the old files;
-    /// `Event::Reset` follows once that is durable (design 6.5).
+    /// This disk's slot was given to another disk: assign a new incarnation and remove the old files.
+    /// `Event::Reset` must follow once that is durable (design 6.5).
     Reset,
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
 
--- a/store/src/consensus/history.rs
+++ b/store/src/consensus/history.rs
@@ -1,5 +1,5 @@
-//! The versions on disk: the chain of ancestors that stays readable, its pruning, and the fetching of what is
-//! missing (design 6.1).
+//! The versions on disk: the chain of ancestors that stays readable, pruning, and fetching of missing
+//! versions (design 6.1).
 
 use super::event::{DiskWrite, Effect, StoredVersion};
 use super::replica::{BackgroundCall, Replica};
@@ -9,33 +9,35 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Ancestors beyond so many bytes are removed once the disk holds `MAX_HISTORY_BYTES`.
+/// Total size of a version and its ancestors, in bytes, beyond which older ancestors are removed once the
+/// disk holds more than `MAX_HISTORY_BYTES`.
 const MAX_CHAIN_BYTES: usize = MAX_HISTORY_BYTES / 4 * 3;
-/// Versions beyond `HISTORY_LENGTH` that may be there before pruning begins.
+/// Number of versions beyond `HISTORY_LENGTH` above which pruning starts.
 const PRUNE_SLACK: usize = 64;
-/// Versions in one answer to `Request::Fetch`.
+/// Maximum number of versions in one response to `Request::Fetch`.
 const MAX_FETCH_VERSIONS: usize = 64;
-/// Bytes of versions above which an answer to `Request::Fetch` ends.
+/// Estimated size of versions, in bytes, above which no further version is added to a response to
+/// `Request::Fetch`.
 const MAX_FETCH_BYTES: usize = 1 << 20;
-/// Estimated encoded size of an idempotency record.
+/// Estimated encoded size of an idempotency record, in bytes.
 const RECORD_BYTES: usize = 20;
 
-/// What `Effect::ReplyFromDisk` comes to.
+/// The result of `Effect::ReplyFromDisk`.
 pub struct DiskResponse {
     /// The response to send.
     pub response: Response,
-    /// The version whose file turned out damaged.
+    /// The version whose file was found damaged.
     pub damaged: Option<VersionId>,
 }
 
-/// Builds the response to `Effect::ReplyFromDisk`. `load` reads a version file and gives `None` where it is
+/// Builds the response for `Effect::ReplyFromDisk`. `load` reads a version file and returns `None` if it is
 /// damaged.
 pub fn response_from_disk(
     versions: &[VersionId],
     as_outcome: bool,
     load: impl Fn(&VersionId) -> Option<Value>,
 ) -> DiskResponse {
-    let mut read = Vec::new();
+    let mut values = Vec::new();
     let mut bytes = 0;
     let mut damaged = None;
     for id in versions {
@@ -44,15 +46,15 @@
             break;
         };
         bytes += value.document.len() + RECORD_BYTES * value.recent_writes.len();
-        read.push(value);
+        values.push(value);
         if bytes > MAX_FETCH_BYTES {
             break;
         }
     }
-    let response = match (as_outcome, read.pop()) {
+    let response = match (as_outcome, values.pop()) {
         (false, last) => {
-            read.extend(last);
-            Response::Fetched(read)
+            values.extend(last);
+            Response::Fetched(values)
         }
         (true, Some(value)) => Response::Outcome(Outcome::Value { value }),
         (true, None) => Response::Outcome(Outcome::NotApplied {
@@ -62,15 +64,15 @@
     DiskResponse { response, damaged }
 }
 
-/// A version and its ancestors, the latest first.
+/// A version and its ancestors, latest first.
 pub(super) struct VersionChain {
     pub versions: Vec<VersionId>,
-    /// The first ancestor that should be here and is not.
+    /// The first version of the chain that should be stored and is not.
     pub missing: Option<VersionId>,
 }
 
 impl Replica {
-    /// Answers with a version and its ancestors, as far as they are here and fit.
+    /// Replies with a version and its ancestors, as far as they are stored and fit into one response.
     pub(super) fn on_fetch(
         &mut self,
         ticket: u64,
@@ -83,7 +85,7 @@
         effects.push(Effect::ReplyFromDisk { ticket, versions, as_outcome: false });
     }
 
-    /// Writes a version file, unless it is there.
+    /// Writes a version file, unless it exists.
     pub(super) fn store_version(
         &mut self,
         value: &Value,
@@ -92,14 +94,14 @@
         writes: &mut Vec<DiskWrite>,
     ) {
         let id = VersionId { revision: value.revision, digest };
-        let list = self.stored_versions.entry(value.revision).or_default();
-        if !list.iter().any(|version| version.id == id) {
-            list.push(StoredVersion::new(id, value, bytes.len()));
+        let stored = self.stored_versions.entry(value.revision).or_default();
+        if !stored.iter().any(|version| version.id == id) {
+            stored.push(StoredVersion::new(id, value, bytes.len()));
             writes.push(DiskWrite::Version { id, bytes });
         }
     }
 
-    /// The committed version and its ancestors.
+    /// The committed version and its stored ancestors.
     pub(super) fn committed_chain(&self) -> VersionChain {
         match self.committed {
             Some(committed) => self.chain_from(committed.version()),
@@ -107,13 +109,15 @@
         }
     }
 
-    /// A version and its ancestors, as far as they are here, up to the bounds of the history.
+    /// A version and its ancestors, as far as they are stored, up to the limits of the history.
     pub(super) fn chain_from(&self, mut id: VersionId) -> VersionChain {
         let mut versions = Vec::new();
         let mut bytes = 0;
         loop {
-            let list = self.stored_versions.get(&id.revision);
-            let Some(version) = list.and_then(|list| list.iter().find(|one| one.id == id)) else {
+            let stored = self.stored_versions.get(&id.revision);
+            let Some(version) =
+                stored.and_then(|stored| stored.iter().find(|version| version.id == id))
+            else {
                 return VersionChain { versions, missing: Some(id) };
             };
             versions.push(id);
@@ -126,11 +130,12 @@
         }
     }
 
-    /// Removes versions that are not ancestors of the committed version, and those that are too old; where
-    /// the disk holds too many bytes, whatever is not in the chain of this replica's own accepted version.
+    /// Removes versions that are not ancestors of the committed version, and those that are too old. If the
+    /// disk holds too many bytes, removes all versions outside the chain of this replica's accepted version.
     pub(super) fn prune_versions(&mut self, writes: &mut Vec<DiskWrite>) {
         let total: usize = self.stored_versions.values().map(Vec::len).sum();
-        let bytes: usize = self.stored_versions.values().flatten().map(|one| one.bytes).sum();
+        let bytes: usize =
+            self.stored_versions.values().flatten().map(|version| version.bytes).sum();
         let is_too_large = bytes > MAX_HISTORY_BYTES;
         if total <= HISTORY_LENGTH + PRUNE_SLACK && !is_too_large {
             return;
@@ -149,8 +154,8 @@
         let committed = self.committed_revision();
         let chain: BTreeSet<VersionId> = chain.into_iter().collect();
         let batch: Vec<u64> = self.batch.iter().map(|value| value.revision).collect();
-        for (revision, list) in &mut self.stored_versions {
-            list.retain(|version| {
+        for (revision, stored) in &mut self.stored_versions {
+            stored.retain(|version| {
                 let is_retained = chain.contains(&version.id)
                     || accepted == Some(version.id)
                     || batch.contains(revision)
@@ -162,10 +167,10 @@
                 is_retained
             });
         }
-        self.stored_versions.retain(|_, list| !list.is_empty());
+        self.stored_versions.retain(|_, stored| !stored.is_empty());
     }
 
-    /// Handles the response to a call beside the round.
+    /// Handles the response to a call outside the round.
     pub(super) fn on_background_response(
         &mut self,
         call: BackgroundCall,
@@ -184,17 +189,17 @@
         }
     }
 
-    /// Stores fetched versions as far as each one is the parent of the one before.
+    /// Stores fetched versions up to the first one that is not the parent of the version before it.
     fn store_fetched(&mut self, first: VersionId, values: Vec<Value>, effects: &mut Vec<Effect>) {
-        let mut wanted = first;
+        let mut expected = first;
         let mut writes = Vec::new();
         for value in values {
             let bytes = value.encode();
             let digest = digest_of(&bytes);
-            if digest != wanted.digest {
+            if digest != expected.digest {
                 break;
             }
-            wanted = value.parent_id();
+            expected = value.parent_id();
             self.store_version(&value, digest, bytes, &mut writes);
             if self.value.is_none()
                 && self.state.accepted.is_some_and(|accepted| accepted.digest == digest)
@@ -204,7 +209,7 @@
         }
         if !writes.is_empty() {
             effects.push(Effect::Persist(writes));
-            // Fetch the next ancestors at once.
+            // Fetches the next ancestors without delay.
             self.fetch_at = Duration::ZERO;
         }
     }
--- a/store/src/consensus/liveness.rs
+++ b/store/src/consensus/liveness.rs
@@ -1,4 +1,4 @@
-//! Liveness of members: gossip and, while an empty disk waits for a slot, pings (design 6.3, 6.5).
+//! Liveness of members, by gossip and, while an empty disk waits for a slot, by pings (design 6.3, 6.5).
 
 use super::event::Effect;
 use super::quorum::slot_of;
@@ -7,32 +7,32 @@
 use crate::value::Member;
 use std::time::Duration;
 
-/// Interval of pings while an empty disk waits and some member is not known to be alive.
+/// Interval of pings while an empty disk waits for a slot and some member is not known to be alive.
 const PING_INTERVAL: Duration = Duration::from_millis(250);
-/// Interval of pings while an empty disk waits and all members are alive.
-const CALM_PING_INTERVAL: Duration = Duration::from_secs(1);
-/// A member that has left pings unanswered for so long is lost even if gossip still has it as live.
+/// Interval of pings while an empty disk waits for a slot and all members are known to be alive.
+const ALL_ALIVE_PING_INTERVAL: Duration = Duration::from_secs(1);
+/// A member that has not answered pings for this long counts as lost even if gossip still reports it as live.
 const PING_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// What is known of a member's liveness.
+/// What is known about a member's liveness.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct MemberLiveness {
-    /// When gossip or a ping last showed it alive.
+    /// When gossip or a response to a ping last showed that the member is alive.
     pub last_heard_at: Duration,
-    /// When the first ping was sent that it has left unanswered.
+    /// When the first ping was sent that has been left unanswered since.
     pub unanswered_since: Option<Duration>,
 }
 
 /// A ping in flight.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct OpenPing {
+pub(super) struct PendingPing {
     pub incarnation: u64,
     pub sent_at: Duration,
 }
 
 impl Replica {
-    /// Whether no store before this one in the member table is alive: the first live member proposes, the
-    /// others leave it to that one (design 6.3). Safety does not rest on it.
+    /// Whether no member before this one in the member table is alive: the first live member proposes, and
+    /// the others leave proposals to it (design 6.3). Safety does not depend on this.
     pub(super) fn is_preferred_proposer(&self, now: Duration) -> bool {
         let is_alive = |member: &Member| {
             self.live_stores.iter().any(|store| {
@@ -41,12 +41,12 @@
         };
         let own = self.own_incarnation();
         let members = self.value.as_ref().map(|value| value.members.as_slice()).unwrap_or_default();
-        let mut before = members.iter().flatten().take_while(|member| member.incarnation != own);
-        !before.any(is_alive)
+        let mut preceding = members.iter().flatten().take_while(|member| member.incarnation != own);
+        !preceding.any(is_alive)
     }
 
-    /// Whether a member is lost: not live by gossip and silent when pinged, or silent for long whatever
-    /// gossip says.
+    /// Whether a member is lost: it left a ping unanswered and is not live according to gossip, or it has
+    /// left pings unanswered for `PING_TIMEOUT`, whatever gossip reports.
     pub(super) fn is_lost(&self, now: Duration, incarnation: u64) -> bool {
         let liveness = self.liveness.get(&incarnation);
         let Some(since) = liveness.and_then(|liveness| liveness.unanswered_since) else {
@@ -60,16 +60,16 @@
     }
 
     pub(super) fn forget_unanswered_pings(&mut self) {
-        self.open_pings.clear();
+        self.pending_pings.clear();
         self.liveness.values_mut().for_each(|liveness| liveness.unanswered_since = None);
     }
 
-    /// While an empty disk waits, the preferred proposer pings all members, and each other store those that
-    /// come before it in the member table.
+    /// While an empty disk waits for a slot, the preferred proposer pings all other members, and each other
+    /// store pings the members that precede it in the member table.
     pub(super) fn ping_members(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         if !self.is_voting() {
             self.liveness.clear();
-            self.open_pings.clear();
+            self.pending_pings.clear();
             return;
         }
         let others = self.other_members();
@@ -81,20 +81,23 @@
         if now < self.ping_at {
             return;
         }
-        let is_calm = others.iter().all(|incarnation| {
+        let are_all_alive = others.iter().all(|incarnation| {
             self.is_live_by_gossip(*incarnation)
-                && self.liveness.get(incarnation).is_some_and(|one| one.unanswered_since.is_none())
+                && self
+                    .liveness
+                    .get(incarnation)
+                    .is_some_and(|liveness| liveness.unanswered_since.is_none())
         });
-        self.ping_at = now + if is_calm { CALM_PING_INTERVAL } else { PING_INTERVAL };
+        self.ping_at = now + if are_all_alive { ALL_ALIVE_PING_INTERVAL } else { PING_INTERVAL };
         let is_preferred = self.is_preferred_proposer(now);
         let members = self.members();
         let own_slot = self.own_slot().unwrap_or_default();
         for incarnation in others {
-            let is_open = self.open_pings.values().any(|ping| ping.incarnation == incarnation);
-            let is_before = slot_of(&members, incarnation).is_some_and(|slot| slot < own_slot);
-            if !is_open && (is_preferred || is_before) {
+            let is_pinged = self.pending_pings.values().any(|ping| ping.incarnation == incarnation);
+            let precedes_own = slot_of(&members, incarnation).is_some_and(|slot| slot < own_slot);
+            if !is_pinged && (is_preferred || precedes_own) {
                 let call = self.send(incarnation, Request::Ping, effects);
-                self.open_pings.insert(call, OpenPing { incarnation, sent_at: now });
+                self.pending_pings.insert(call, PendingPing { incarnation, sent_at: now });
             }
         }
     }
--- a/store/src/consensus/membership.rs
+++ b/store/src/consensus/membership.rs
@@ -1,6 +1,6 @@
-//! Admission of a new disk and removal of an old one, by what the members show of the member table
+//! Admission of a new disk and removal of an old one, based on the membership snapshots of other members
 //! (design 6.5). Invariant: a new disk votes only once a majority of the other members has shown it one
-//! value, under one ballot, whose member table has its incarnation.
+//! value, under one ballot, whose member table contains the disk's incarnation.
 
 use super::event::Effect;
 use super::quorum::{is_member, member_incarnations, quorum_size};
@@ -11,23 +11,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Interval at which an empty disk, or one that may not be a member any more, asks for the member table.
+/// Interval at which a replica whose disk is empty or may no longer be a member asks for the member table.
 const MEMBERSHIP_QUERY_INTERVAL: Duration = Duration::from_millis(375);
-/// A replica that is behind the committed revision for so long asks whether it is still a member.
+/// A replica that has been behind the committed revision for this long asks whether it is still a member.
 const BEHIND_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the snapshots under one ballot prove.
+/// What membership snapshots under one ballot prove.
 enum MembershipProof {
-    /// This empty disk is a member, and this is the value to start from.
+    /// This empty disk is a member; the snapshot holds the value to start from.
     Admitted(Box<MembershipSnapshot>),
-    /// This disk is still a member; its value is old.
+    /// This disk is still a member; its value may be outdated.
     StillMember,
-    /// This disk is not a member any more.
+    /// This disk is no longer a member.
     Removed,
 }
 
 impl Replica {
-    /// An empty disk, and one that may not be a member any more, asks all stores that hold a value for the
+    /// If this disk is empty or may no longer be a member, asks all live stores that hold a value for the
     /// member table.
     pub(super) fn query_membership(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         if self.is_empty() || self.heard_revision <= self.accepted_revision() {
@@ -60,8 +60,9 @@
         }
     }
 
-    /// Acts on what others showed under one ballot, where that proves a value as committed: its member table
-    /// holds. A table with this disk in it admits an empty disk; one without it removes an old one for good.
+    /// Acts on the snapshots of other stores once those under one ballot prove that a value is committed, so
+    /// that its member table is in force. A table that contains this disk admits it if it is empty; a table
+    /// without this disk removes it permanently.
     pub(super) fn evaluate_snapshots(&mut self, effects: &mut Vec<Effect>) {
         match self.membership_proof() {
             Some(MembershipProof::Admitted(best)) => self.admit(*best, effects),
@@ -78,37 +79,37 @@
         let ballots: BTreeSet<Ballot> =
             self.snapshots.values().map(|snapshot| snapshot.accepted.ballot).collect();
         let mut cases = ballots.into_iter().flat_map(|ballot| [(ballot, true), (ballot, false)]);
-        cases.find_map(|(ballot, with_own)| self.proof_under(ballot, with_own))
+        cases.find_map(|(ballot, includes_own)| self.proof_under(ballot, includes_own))
     }
 
-    /// What the snapshots under this ballot prove whose member tables have this disk (`with_own`), or do not
-    /// have it.
-    fn proof_under(&self, ballot: Ballot, with_own: bool) -> Option<MembershipProof> {
+    /// What is proved by the snapshots under this ballot, limited to those whose member tables contain this
+    /// disk (`includes_own`) or to those whose tables do not.
+    fn proof_under(&self, ballot: Ballot, includes_own: bool) -> Option<MembershipProof> {
         let own = self.own_incarnation();
         let snapshots: Vec<(&u64, &MembershipSnapshot)> = self
             .snapshots
             .iter()
             .filter(|(_, snapshot)| snapshot.accepted.ballot == ballot)
-            .filter(|(_, snapshot)| is_member(&snapshot.members, own) == with_own)
+            .filter(|(_, snapshot)| is_member(&snapshot.members, own) == includes_own)
             .collect();
-        let (_, best) = snapshots.iter().max_by_key(|(_, one)| one.accepted.revision)?;
+        let (_, best) = snapshots.iter().max_by_key(|(_, snapshot)| snapshot.accepted.revision)?;
         let members = &best.members;
-        let others = member_incarnations(members).filter(|one| *one != own).count();
+        let others = member_incarnations(members).filter(|incarnation| *incarnation != own).count();
         let is_own_ballot = self.state.accepted.is_some_and(|accepted| accepted.ballot == ballot);
-        let needed = match (with_own, is_own_ballot) {
-            // With this replica's own acceptance they are a majority of all.
+        let needed = match (includes_own, is_own_ballot) {
+            // Together with this replica's own acceptance they are a majority of all members.
             (true, true) => quorum_size(members) - 1,
             (true, false) => others / 2 + 1,
             (false, _) => quorum_size(members),
         };
         let counted = snapshots.iter().filter(|(from, _)| is_member(members, **from)).count();
-        let least = snapshots.iter().map(|(_, one)| one.accepted.rank()).min();
+        let lowest_rank = snapshots.iter().map(|(_, snapshot)| snapshot.accepted.rank()).min();
         let own_rank = self.state.accepted.map(|accepted| accepted.rank());
-        let is_old = least < own_rank || (least == own_rank && !with_own);
-        if counted < needed || is_old {
+        let is_outdated = lowest_rank < own_rank || (lowest_rank == own_rank && !includes_own);
+        if counted < needed || is_outdated {
             return None;
         }
-        match (with_own, self.is_empty()) {
+        match (includes_own, self.is_empty()) {
             (true, true) => {
                 let value = best.value.as_ref()?;
                 let is_intact = digest_of(&value.encode()) == best.accepted.digest;
@@ -120,7 +121,7 @@
         }
     }
 
-    /// From here on this disk votes.
+    /// Accepts the proved value as the start; from then on this disk votes.
     fn admit(&mut self, best: MembershipSnapshot, effects: &mut Vec<Effect>) {
         let Some(value) = best.value else { return };
         let promised = self.snapshots.values().map(|snapshot| snapshot.promised).max();
@@ -130,10 +131,11 @@
         self.snapshots.clear();
         self.repair_at = Duration::ZERO;
         self.fetch_at = Duration::ZERO;
-        effects.push(Effect::log("admitted to its seat; this store votes"));
+        effects.push(Effect::log("admitted to its seat in the member table; this store votes now"));
     }
 
-    /// This disk never votes under this incarnation again.
+    /// Resets the disk to an empty one under a new incarnation; the disk never votes under its present one
+    /// again.
     fn reset(&mut self, effects: &mut Vec<Effect>) {
         let reason = "its seat went to another disk";
         self.is_resetting = true;
--- a/store/src/consensus/progress.rs
+++ b/store/src/consensus/progress.rs
@@ -1,4 +1,4 @@
-//! The progress of a round from phase to phase (design 6.2).
+//! The progress of a round through its phases (design 6.2).
 
 use super::event::Effect;
 use super::quorum::{is_member, member_incarnations, quorum_size};
@@ -9,20 +9,20 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What became of a phase.
+/// The result of advancing a phase.
 enum Progress {
-    /// Another phase has begun, and may be over already.
+    /// Another phase has begun, which may already be complete.
     NextPhase,
-    /// The round waits for responses, or is over.
+    /// The round is waiting or has ended.
     Stop,
 }
 
 impl Replica {
-    /// Goes on with the round as far as the responses allow.
+    /// Advances the round as far as the responses so far allow.
     pub(super) fn advance(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         while let Some(round) = self.round.take() {
             let progress = match &round.phase {
-                Phase::BackingOff { .. } => self.wait(round),
+                Phase::BackingOff { .. } => self.keep_waiting(round),
                 Phase::Querying { .. } => self.advance_query(now, round, effects),
                 Phase::Bootstrapping { .. } => self.advance_bootstrap(now, round, effects),
                 Phase::Preparing { .. } => self.advance_prepare(now, round, effects),
@@ -35,23 +35,24 @@
         }
     }
 
-    fn wait(&mut self, round: Round) -> Progress {
+    fn keep_waiting(&mut self, round: Round) -> Progress {
         self.round = Some(round);
         Progress::Stop
     }
 
-    /// A query is over once a majority holds the same proposal as this replica: then that is committed.
+    /// A query ends once a majority of the members holds the same proposal as this replica, which is then
+    /// committed.
     fn advance_query(
         &mut self,
         now: Duration,
         round: Round,
         effects: &mut Vec<Effect>,
     ) -> Progress {
-        let is_over = round.in_flight.is_empty();
-        let Phase::Querying { statuses } = &round.phase else { return self.wait(round) };
+        let all_calls_ended = round.in_flight.is_empty();
+        let Phase::Querying { statuses } = &round.phase else { return self.keep_waiting(round) };
         if matches!(round.operation, Operation::Bootstrap { .. }) {
-            if !is_over {
-                return self.wait(round);
+            if !all_calls_ended {
+                return self.keep_waiting(round);
             }
             let statuses = statuses.clone();
             self.bootstrap(round, &statuses, effects);
@@ -63,8 +64,8 @@
         };
         let is_repair = matches!(round.operation, Operation::Repair);
         if let Some(committed) = self.agreed_proposal(&value.members, statuses) {
-            if is_repair && !is_over {
-                return self.wait(round);
+            if is_repair && !all_calls_ended {
+                return self.keep_waiting(round);
             }
             self.commit(committed, effects);
             if is_repair {
@@ -74,8 +75,8 @@
             self.continue_from_committed(now, None, effects);
             return Progress::Stop;
         }
-        if !is_over {
-            return self.wait(round);
+        if !all_calls_ended {
+            return self.keep_waiting(round);
         }
         if statuses.len() < quorum_size(&value.members) {
             self.fail_round(round, "no majority of stores replies", effects);
@@ -84,8 +85,8 @@
         self.resolve_disagreement(now, round, effects)
     }
 
-    /// The highest accepted proposal, if this replica and a majority of the members hold it. The bootstrap
-    /// value does not count here: it is committed only once all members hold it.
+    /// The highest accepted proposal, if this replica and a majority of the members hold it. Not the
+    /// bootstrap value, which is committed only once all members hold it.
     fn agreed_proposal(
         &self,
         members: &MemberTable,
@@ -102,8 +103,9 @@
         is_agreed.then_some(best)
     }
 
-    /// Where replicas hold different proposals, a prepare round decides which value counts. For repairs and
-    /// read indexes only the preferred proposer begins one: two would only preempt each other.
+    /// Starts a prepare phase, which decides which value counts if replicas hold different proposals. For
+    /// repairs and read indexes only the preferred proposer does so: two proposers would only preempt each
+    /// other.
     fn resolve_disagreement(
         &mut self,
         now: Duration,
@@ -123,8 +125,9 @@
         Progress::NextPhase
     }
 
-    /// Once all members hold the bootstrap value it counts, and a ballot above its own records that on the
-    /// disks. Else the preferred proposer tries again later.
+    /// Once all members hold the bootstrap value, it is committed, and the preferred proposer starts a
+    /// prepare phase with a higher ballot to record that on the disks. Otherwise the bootstrap is retried
+    /// later.
     fn advance_bootstrap(
         &mut self,
         now: Duration,
@@ -134,11 +137,12 @@
         let (Phase::Bootstrapping { accepts }, Operation::Bootstrap { members }) =
             (&round.phase, &round.operation)
         else {
-            return self.wait(round);
+            return self.keep_waiting(round);
         };
-        let is_complete = member_incarnations(members).all(|one| accepts.contains(&one));
+        let is_complete =
+            member_incarnations(members).all(|incarnation| accepts.contains(&incarnation));
         if !is_complete && !round.in_flight.is_empty() {
-            return self.wait(round);
+            return self.keep_waiting(round);
         }
         if !is_complete || !self.is_preferred_proposer(now) {
             return Progress::Stop;
@@ -149,8 +153,8 @@
         Progress::NextPhase
     }
 
-    /// With promises of a majority, the highest accepted value among them is either committed already, or is
-    /// proposed again under the new ballot.
+    /// Once a majority has promised the ballot, the highest accepted value among the promises is either
+    /// already committed, or is proposed again under the new ballot.
     fn advance_prepare(
         &mut self,
         now: Duration,
@@ -158,7 +162,7 @@
         effects: &mut Vec<Effect>,
     ) -> Progress {
         let Phase::Preparing { ballot, promises, best, .. } = &round.phase else {
-            return self.wait(round);
+            return self.keep_waiting(round);
         };
         let ballot = *ballot;
         let members = &best.value.members;
@@ -166,16 +170,16 @@
         let counted = promises.iter().filter(|(from, _)| is_member(members, **from));
         if counted.clone().count() < majority || self.state.promised != ballot {
             if !round.in_flight.is_empty() {
-                return self.wait(round);
+                return self.keep_waiting(round);
             }
             self.back_off(now, round, effects);
             return Progress::Stop;
         }
         let AcceptedValue { accepted, value, batch } = best.clone();
-        let same = counted.filter(|(_, theirs)| **theirs == accepted).count();
+        let holders = counted.filter(|(_, reported)| **reported == accepted).count();
         round.promised_by = promises.keys().copied().collect();
         let is_accepted_here = self.state.accepted == Some(accepted);
-        if same >= majority && is_accepted_here && accepted.ballot > BOOTSTRAP_BALLOT {
+        if holders >= majority && is_accepted_here && accepted.ballot > BOOTSTRAP_BALLOT {
             self.commit(accepted, effects);
             self.round = Some(round);
             self.continue_from_committed(now, Some(ballot), effects);
@@ -187,15 +191,16 @@
         Progress::NextPhase
     }
 
-    /// Once the earlier value is committed, the operation goes on from it. Not where this replica itself has
-    /// gone on to another proposer's ballot meanwhile: what it holds now is not what was just committed.
+    /// Once the earlier value is committed, the operation continues from it, unless this replica has
+    /// meanwhile promised or accepted under another proposer's ballot: it may then hold another value than
+    /// the one just committed.
     fn advance_repair(
         &mut self,
         now: Duration,
         mut round: Round,
         effects: &mut Vec<Effect>,
     ) -> Progress {
-        let Phase::Repairing(proposal) = &round.phase else { return self.wait(round) };
+        let Phase::Repairing(proposal) = &round.phase else { return self.keep_waiting(round) };
         let accepted = proposal.accepted;
         let is_committed = round.is_accepted(proposal);
         let is_accepted_here =
@@ -209,21 +214,21 @@
             return Progress::Stop;
         }
         if !round.in_flight.is_empty() && !is_committed {
-            return self.wait(round);
+            return self.keep_waiting(round);
         }
         round.preempted_by = round.preempted_by.max(self.state.promised);
         self.back_off(now, round, effects);
         Progress::Stop
     }
 
-    /// Once the operation's value is committed its requests are answered.
+    /// Once the operation's value is committed, replies to the operation's requests.
     fn advance_proposal(
         &mut self,
         now: Duration,
         round: Round,
         effects: &mut Vec<Effect>,
     ) -> Progress {
-        let Phase::Proposing(proposal) = &round.phase else { return self.wait(round) };
+        let Phase::Proposing(proposal) = &round.phase else { return self.keep_waiting(round) };
         if round.is_accepted(proposal) {
             let accepted = proposal.accepted;
             self.commit(accepted, effects);
@@ -232,9 +237,9 @@
             return Progress::Stop;
         }
         if !round.in_flight.is_empty() {
-            return self.wait(round);
+            return self.keep_waiting(round);
         }
-        // Some replica may have accepted it, and its value may be committed later.
+        // A replica may have accepted the proposal, so that its value may be committed later.
         self.reply_outcome(&round.operation, Outcome::Unknown, effects);
         Progress::Stop
     }
@@ -243,7 +248,7 @@
         match operation {
             Operation::Replace(replacement) => {
                 let (slot, name) = (replacement.slot, replacement.name);
-                let text = format!("member slot {slot} is given to the empty disk of {name}");
+                let text = format!("member slot {slot} was given to the empty disk of {name}");
                 effects.push(Effect::Log(text));
             }
             Operation::Batch { replies } => {
--- a/store/src/consensus/proposer.rs
+++ b/store/src/consensus/proposer.rs
@@ -1,6 +1,6 @@
 //! The proposer (Paxos Made Simple, section 2.2; design 6.2, 6.3): prepare and accept requests, their
 //! responses, and the backoff after a preempted round. Invariant: a new version is derived only from a value
-//! that the round itself showed as committed.
+//! that the same round has shown to be committed.
 
 use super::event::{DiskWrite, Effect};
 use super::liveness::MemberLiveness;
@@ -14,15 +14,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Prepare rounds after which an operation is given up.
+/// Number of prepare phases after which an operation fails.
 const MAX_ATTEMPTS: u32 = 5;
-/// Backoff after the first attempt, in milliseconds: the base and what each slot further down the member
-/// table adds, so that two proposers do not preempt each other again and again.
+/// Backoff after the first attempt, in milliseconds: a base, plus an amount for each slot that precedes the
+/// proposer's slot in the member table, so that two proposers do not preempt each other repeatedly.
 const BACKOFF_BASE_MS: u64 = 20;
 const BACKOFF_PER_SLOT_MS: u64 = 60;
 
 impl Replica {
-    /// Starts rounds from the queue until one is waiting for responses.
+    /// Starts rounds for queued operations until one is in progress.
     pub(super) fn start_next_round(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         while self.may_start_round() {
             let Some(operation) = self.queue.pop_front() else {
@@ -42,7 +42,7 @@
                 | Operation::ReadIndex { .. }
                 | Operation::Repair
                 | Operation::Bootstrap { .. } => self.query(&mut round, effects),
-                // The member may be back since, or another empty disk waits for the slot.
+                // The replacement is obsolete: the member is back, or the slot now goes to another disk.
                 Operation::Replace(replacement)
                     if !self.replacements(now).contains(replacement) =>
                 {
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Begins phase 1 with a ballot above all that are known. The replica's own disk promises it first, so
-    /// that no ballot is used twice.
+    /// Starts phase 1 with a ballot above all known ones. The replica's own disk promises the ballot first,
+    /// so that no ballot is used twice.
     pub(super) fn prepare(&mut self, round: &mut Round, effects: &mut Vec<Effect>) {
         round.in_flight.clear();
         round.attempts += 1;
@@ -76,13 +76,14 @@
         self.send_prepares(round, effects);
     }
 
-    /// Asks the members by the best value so far for a promise, unless they were asked.
+    /// Asks the members for a promise, according to the highest accepted value so far; skips those already
+    /// asked.
     fn send_prepares(&mut self, round: &mut Round, effects: &mut Vec<Effect>) {
         let from = self.own_incarnation();
         let Phase::Preparing { ballot, asked, best, .. } = &mut round.phase else { return };
         let (ballot, known_digest) = (*ballot, Some(best.accepted.digest));
         let targets = member_incarnations(&best.value.members)
-            .filter(|one| *one != from && asked.insert(*one));
+            .filter(|incarnation| *incarnation != from && asked.insert(*incarnation));
         for incarnation in targets.collect::<Vec<u64>>() {
             let request = Request::Prepare { from, ballot, known_digest };
             let call = self.send(incarnation, request, effects);
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Handles the end of a call: a ping, a call beside the round, or one of the round.
+    /// Handles the end of a call: a ping, a call outside the round, or a call of the round.
     pub(super) fn on_response(
         &mut self,
         now: Duration,
@@ -98,7 +99,7 @@
         response: Option<Response>,
         effects: &mut Vec<Effect>,
     ) {
-        if let Some(ping) = self.open_pings.remove(&call) {
+        if let Some(ping) = self.pending_pings.remove(&call) {
             let liveness = self.liveness.entry(ping.incarnation).or_default();
             match response {
                 Some(Response::Pong { from, is_healthy: true }) if from == ping.incarnation => {
@@ -128,7 +129,7 @@
         self.advance(now, effects);
     }
 
-    /// Records a response of the round's current phase. A response of another disk than the one asked does
+    /// Records a response for the round's current phase. A response from another disk than the one asked does
     /// not count.
     fn on_round_response(
         &mut self,
@@ -151,12 +152,12 @@
                 Phase::Preparing { .. },
                 Response::Promise { from, accepted, value, batch, unacknowledged },
             ) => {
-                let sent = self.promised_value(accepted, value, batch);
-                if let (Some(sent), Some(unacknowledged)) = (&sent, &unacknowledged) {
-                    self.retransmissions.merge(&sent.value, unacknowledged, self.now);
+                let reported = self.promised_value(accepted, value, batch);
+                if let (Some(reported), Some(unacknowledged)) = (&reported, &unacknowledged) {
+                    self.retransmissions.merge(&reported.value, unacknowledged, self.now);
                 }
                 if from == target {
-                    self.record_promise(round, from, accepted, sent, effects);
+                    self.record_promise(round, from, accepted, reported, effects);
                 }
             }
             (
@@ -176,8 +177,8 @@
         }
     }
 
-    /// The value that a promise names: sent along, or left out because this replica holds it. `None`: it does
-    /// not fit its digest, or is not here any more.
+    /// The accepted value of a promise, either included in it, or omitted because this replica holds it.
+    /// `None`: the included value does not match its digest, or this replica no longer holds the omitted one.
     fn promised_value(
         &self,
         accepted: AcceptedProposal,
@@ -191,21 +192,22 @@
                 is_intact.then(|| AcceptedValue { accepted, value: Arc::new(value), batch })
             }
             None => {
-                let has_it = self.state.accepted.is_some_and(|own| own.digest == accepted.digest);
-                let own = self.value.clone().filter(|_| has_it);
+                let holds_value =
+                    self.state.accepted.is_some_and(|own| own.digest == accepted.digest);
+                let own = self.value.clone().filter(|_| holds_value);
                 own.map(|value| AcceptedValue { accepted, value, batch: self.batch.clone() })
             }
         }
     }
 
-    /// Counts a promise, and goes on with its value where that is the highest accepted one. Where this
-    /// replica itself has promised another proposer since, the ballot is lost.
+    /// Counts a promise, and adopts its accepted value if that is the highest so far. Ignores the promise if
+    /// this replica has meanwhile promised another proposer's ballot.
     fn record_promise(
         &mut self,
         round: &mut Round,
         from: u64,
         accepted: AcceptedProposal,
-        sent: Option<AcceptedValue>,
+        reported: Option<AcceptedValue>,
         effects: &mut Vec<Effect>,
     ) {
         let Phase::Preparing { ballot, promises, best, .. } = &mut round.phase else { return };
@@ -214,16 +216,16 @@
         }
         if accepted.rank() <= best.accepted.rank() {
             promises.insert(from, accepted);
-        } else if let Some(sent) = sent {
-            // Not accepted here under its old ballot: a replica that promised a higher one must not, or a
-            // later read would count a majority that never was.
-            *best = sent;
+        } else if let Some(reported) = reported {
+            // This replica does not accept the value under its old ballot: it has promised a higher one, and
+            // a later read would count a majority that never existed.
+            *best = reported;
             promises.insert(from, accepted);
             self.send_prepares(round, effects);
         }
     }
 
-    /// Begins phase 2: asks the members of the proposed value to accept it, this replica included.
+    /// Starts phase 2: asks the members of the proposed value, including this replica, to accept it.
     pub(super) fn propose(
         &mut self,
         round: &mut Round,
@@ -234,7 +236,9 @@
     ) -> Proposal {
         round.in_flight.clear();
         let from = self.own_incarnation();
-        for incarnation in member_incarnations(&value.members).filter(|one| *one != from) {
+        for incarnation in
+            member_incarnations(&value.members).filter(|incarnation| *incarnation != from)
+        {
             let (value, batch) = ((*value).clone(), cloned_values(&batch));
             let request = Request::Accept { from, ballot, value, batch };
             let call = self.send(incarnation, request, effects);
@@ -252,7 +256,7 @@
         Proposal { value, accepted, accepts }
     }
 
-    /// Notes a proposal as committed, if it is newer than the last one and its value is here.
+    /// Records a proposal as committed, if it is newer than the last one and this replica holds its value.
     pub(super) fn commit(&mut self, proposal: AcceptedProposal, effects: &mut Vec<Effect>) {
         let is_new = self.committed.is_none_or(|last| last.revision < proposal.revision);
         let is_accepted = self.state.accepted.is_some_and(|own| own.digest == proposal.digest);
@@ -264,7 +268,8 @@
         }
     }
 
-    /// Ends a round without success. Unless the operation's own value was proposed, nothing of it was done.
+    /// Fails a round. Its operation was not applied, unless the value that it makes was already proposed:
+    /// then the outcome is unknown.
     pub(super) fn fail_round(&mut self, round: Round, reason: &str, effects: &mut Vec<Effect>) {
         let outcome = match round.phase {
             Phase::Proposing(_) => Outcome::Unknown,
@@ -273,16 +278,16 @@
         self.reply_outcome(&round.operation, outcome, effects);
     }
 
-    /// After a preempted round: tries again a little later, the later the further down the member table this
-    /// store is, or gives up.
+    /// Schedules another attempt after a preempted round, with a longer delay the further down the member
+    /// table this store is; fails the round if it was not preempted or has no attempts left.
     pub(super) fn back_off(&mut self, now: Duration, mut round: Round, effects: &mut Vec<Effect>) {
         let is_preempted = round.preempted_by >= self.state.promised;
         if round.attempts >= MAX_ATTEMPTS || !is_preempted || self.is_removed {
             return self.fail_round(round, "no majority of stores replies", effects);
         }
         let slot = self.own_slot().unwrap_or(0) as u64;
-        let step = Duration::from_millis(BACKOFF_BASE_MS + BACKOFF_PER_SLOT_MS * slot);
-        round.phase = Phase::BackingOff { until: now + step * round.attempts };
+        let delay = Duration::from_millis(BACKOFF_BASE_MS + BACKOFF_PER_SLOT_MS * slot);
+        round.phase = Phase::BackingOff { until: now + delay * round.attempts };
         self.round = Some(round);
     }
 }
--- a/store/src/consensus/queue.rs
+++ b/store/src/consensus/queue.rs
@@ -1,44 +1,45 @@
-//! The queue of operations that wait for their round (design 6.2), and the changes of which it is undecided
-//! whether they are retransmissions (design 6.10).
+//! The queue of operations that wait for a round (design 6.2), and the changes that are not yet classified as
+//! new or as retransmissions (design 6.10).
 
 use super::event::Effect;
 use super::replica::Replica;
 use super::round::{Operation, PendingChange};
 use crate::protocol::Outcome;
-use crate::retransmission::Judgement;
+use crate::retransmission::Classification;
 
-/// Operations that wait at one time.
+/// Maximum number of waiting operations.
 pub(super) const MAX_QUEUED_OPERATIONS: usize = 256;
 
 impl Replica {
-    /// Queues a change, unless it is undecided yet whether it is a retransmission.
+    /// Queues a change, or sets it aside while it is undecided whether it is a retransmission.
     pub(super) fn on_change(&mut self, operation: Operation, effects: &mut Vec<Effect>) {
-        match self.judge_retransmission(&operation) {
-            Judgement::Undecided if self.undecided.len() < MAX_QUEUED_OPERATIONS => {
+        match self.classify_change(&operation) {
+            Classification::Undecided if self.undecided.len() < MAX_QUEUED_OPERATIONS => {
                 self.undecided.push_back(operation)
             }
             _ => self.enqueue(operation, effects),
         }
     }
 
-    fn judge_retransmission(&mut self, operation: &Operation) -> Judgement {
+    fn classify_change(&mut self, operation: &Operation) -> Classification {
         match (operation, &self.value) {
             (Operation::Change(pending), Some(value)) if self.is_voting() => {
                 let PendingChange { change, keyless_since, .. } = pending;
-                self.retransmissions.judge(value, change, *keyless_since, self.now)
+                self.retransmissions.classify(value, change, *keyless_since, self.now)
             }
-            _ => Judgement::New,
+            _ => Classification::New,
         }
     }
 
-    /// Judges undecided changes once more. One that turns out not to be a retransmission has to be sent
-    /// again: where its registry died the client has done so already, and that may have been the one before.
+    /// Classifies undecided changes again. A change that turns out to be new is rejected and has to be sent
+    /// again: if its registry died, the client has already retransmitted it, and the earlier change may have
+    /// been that retransmission.
     pub(super) fn recheck_undecided(&mut self, effects: &mut Vec<Effect>) {
         for operation in std::mem::take(&mut self.undecided) {
-            match self.judge_retransmission(&operation) {
-                Judgement::Undecided => self.undecided.push_back(operation),
-                Judgement::Retransmission { .. } => self.enqueue(operation, effects),
-                Judgement::New => {
+            match self.classify_change(&operation) {
+                Classification::Undecided => self.undecided.push_back(operation),
+                Classification::Retransmission { .. } => self.enqueue(operation, effects),
+                Classification::New => {
                     let reason = "it waited for the answer to one like it".to_string();
                     self.reply_outcome(&operation, Outcome::NotApplied { reason }, effects);
                 }
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Queues an operation, or answers at once where it cannot be carried out.
+    /// Queues an operation, or rejects it if it cannot be carried out.
     pub(super) fn enqueue(&mut self, operation: Operation, effects: &mut Vec<Effect>) {
         if !self.is_voting() {
             let reason = self.summary().reason.to_string();
@@ -59,13 +60,17 @@
         }
     }
 
-    /// One round answers all requests for the same: a request joins those whose round has not begun.
+    /// Queues a read or a read index. If one of the same kind is already queued, the request joins it, so
+    /// that one round answers both.
     pub(super) fn enqueue_shared(&mut self, operation: Operation, effects: &mut Vec<Effect>) {
         for queued in &mut self.queue {
             match (queued, &operation) {
-                (Operation::Read { tickets }, Operation::Read { tickets: more })
-                | (Operation::ReadIndex { tickets }, Operation::ReadIndex { tickets: more }) => {
-                    return tickets.extend(more);
+                (Operation::Read { tickets }, Operation::Read { tickets: new_tickets })
+                | (
+                    Operation::ReadIndex { tickets },
+                    Operation::ReadIndex { tickets: new_tickets },
+                ) => {
+                    return tickets.extend(new_tickets);
                 }
                 _ => {}
             }
--- a/store/src/consensus/quorum.rs
+++ b/store/src/consensus/quorum.rs
@@ -1,4 +1,4 @@
-//! The member table as an electorate: slots, members and majorities.
+//! Functions over the member table: slots, members and majorities.
 
 use crate::value::{MemberTable, Value};
 use std::collections::BTreeSet;
@@ -20,21 +20,23 @@
     members.iter().flatten().map(|member| member.incarnation)
 }
 
-/// Number of members that are a majority.
+/// The number of members that form a majority.
 pub fn quorum_size(members: &MemberTable) -> usize {
     member_incarnations(members).count() / 2 + 1
 }
 
-/// Whether a majority of a value's members accepted it.
+/// Whether a majority of a value's members has accepted it.
 pub fn is_accepted_by_quorum(value: &Value, accepts: &BTreeSet<u64>) -> bool {
-    let counted = member_incarnations(&value.members).filter(|one| accepts.contains(one));
-    counted.count() >= quorum_size(&value.members)
+    let accepting =
+        member_incarnations(&value.members).filter(|incarnation| accepts.contains(incarnation));
+    accepting.count() >= quorum_size(&value.members)
 }
 
-/// Whether a replacement is accepted: the new disk cannot vote yet, so a majority of the other members has
-/// to accept it (design 6.5).
+/// Whether a replacement is accepted: the new member's disk cannot vote yet, so a majority of the other
+/// members has to accept it (design 6.5).
 pub fn is_accepted_without(value: &Value, accepts: &BTreeSet<u64>, new_member: u64) -> bool {
-    let others = member_incarnations(&value.members).filter(|one| *one != new_member);
-    let counted = others.clone().filter(|one| accepts.contains(one));
-    counted.count() > others.count() / 2
+    let others =
+        member_incarnations(&value.members).filter(|incarnation| *incarnation != new_member);
+    let accepting = others.clone().filter(|incarnation| accepts.contains(incarnation));
+    accepting.count() > others.count() / 2
 }
--- a/store/src/consensus/reader.rs
+++ b/store/src/consensus/reader.rs
@@ -1,6 +1,6 @@
-//! Reads (design 6.2, 5.8): queries of what is committed, and the answers to operators' requests. A read is
-//! linearizable because it is answered by a round that began after the request came, as Raft's read index
-//! (Ongaro 2014, section 6.4).
+//! Reads (design 6.2, 5.8): queries for the committed value, and the replies to operators' requests. A read
+//! is linearizable because it is answered by a round that began after the request arrived, as with Raft's
+//! read index (Ongaro 2014, section 6.4).
 
 use super::event::Effect;
 use super::quorum::member_incarnations;
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 impl Replica {
-    /// Begins a round by asking all members for their accepted proposals.
+    /// Starts a round by asking all members for their accepted proposals.
     pub(super) fn query(&mut self, round: &mut Round, effects: &mut Vec<Effect>) {
         round.in_flight.clear();
         let own = ReplicaStatus {
@@ -23,7 +23,7 @@
         let others = match &round.operation {
             Operation::Bootstrap { members } => {
                 let others = member_incarnations(members);
-                others.filter(|one| *one != self.own_incarnation()).collect()
+                others.filter(|incarnation| *incarnation != self.own_incarnation()).collect()
             }
             _ => self.other_members(),
         };
@@ -34,7 +34,7 @@
         round.phase = Phase::Querying { statuses };
     }
 
-    /// Answers the reads of a round that has shown the accepted value as committed.
+    /// Replies to the reads of a round that has shown that the accepted value is committed.
     pub(super) fn finish_read(&mut self, round: Round, effects: &mut Vec<Effect>) {
         match round.operation {
             Operation::Read { tickets } => {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Answers a request for an earlier version from its file.
+    /// Replies to a request for an earlier version from the version's file.
     pub(super) fn reply_history(&mut self, ticket: u64, revision: u64, effects: &mut Vec<Effect>) {
         let chain = self.committed_chain();
         let latest = self.committed_revision();
@@ -77,7 +77,7 @@
         effects.push(Effect::Reply { ticket, response: Response::Outcome(outcome) });
     }
 
-    /// Answers all requests of an operation with this outcome.
+    /// Replies to all requests of an operation with this outcome.
     pub(super) fn reply_outcome(
         &self,
         operation: &Operation,
@@ -112,8 +112,8 @@
     }
 }
 
-/// The outcome for one change of a batch that was not committed. Of a change that was proposed nobody knows;
-/// one that was to be rejected made no change.
+/// The outcome for one change of a batch that was not committed. The outcome of a proposed change is unknown;
+/// a change that was to be rejected was not applied.
 fn batch_outcome(planned: &PlannedReply, outcome: &Outcome) -> Outcome {
     let is_rejected = matches!(
         planned.outcome,
--- a/store/src/consensus/replica.rs
+++ b/store/src/consensus/replica.rs
@@ -1,7 +1,7 @@
 //! The replica of one store: its state and the dispatch of events.
 
 use super::event::{Effect, Event, HardState, Identity, LiveStore, RecoveredState, StoredVersion};
-use super::liveness::{MemberLiveness, OpenPing};
+use super::liveness::{MemberLiveness, PendingPing};
 use super::quorum::{member_incarnations, slot_of};
 use super::round::{Operation, Round};
 use crate::protocol::{MembershipSnapshot, Outcome, Request};
@@ -16,29 +16,29 @@
 #[derive(Clone, Debug)]
 pub struct Replica {
     pub(super) identity: Identity,
-    /// What is on disk, or in an effect before the next reply.
+    /// The hard state, which is on disk or in an `Effect::Persist` that precedes the next reply.
     pub(super) state: HardState,
-    /// The accepted value; `None` where its file is damaged.
+    /// The accepted value; `None` if there is none or its file is damaged.
     pub(super) value: Option<Arc<Value>>,
-    /// The versions that were proposed with the accepted value in one round, the oldest first.
+    /// The earlier versions that were proposed with the accepted value in the same round, oldest first.
     pub(super) batch: Vec<Arc<Value>>,
     /// The version files, by revision.
     pub(super) stored_versions: BTreeMap<u64, Vec<StoredVersion>>,
-    /// The highest proposal known as committed whose value this replica holds.
+    /// The highest proposal that is known to be committed and whose value this replica holds.
     pub(super) committed: Option<AcceptedProposal>,
-    /// The highest committed revision that gossip has heard of.
+    /// The highest committed revision known from gossip.
     pub(super) heard_revision: u64,
     pub(super) live_stores: Vec<LiveStore>,
     pub(super) round: Option<Round>,
     pub(super) queue: VecDeque<Operation>,
     next_call: u64,
-    /// Calls beside the round, by number.
+    /// Calls outside the round, by call number.
     pub(super) background_calls: BTreeMap<u64, BackgroundCall>,
-    /// The last membership snapshots of others, by incarnation.
+    /// The last membership snapshots of other stores, by incarnation.
     pub(super) snapshots: BTreeMap<u64, MembershipSnapshot>,
-    pub(super) open_pings: BTreeMap<u64, OpenPing>,
+    pub(super) pending_pings: BTreeMap<u64, PendingPing>,
     pub(super) liveness: BTreeMap<u64, MemberLiveness>,
-    /// Due times of the timers.
+    /// Times at which the timers are due.
     pub(super) repair_at: Duration,
     pub(super) fetch_at: Duration,
     pub(super) membership_query_at: Duration,
@@ -48,20 +48,20 @@
     /// The time of the current step.
     pub(super) now: Duration,
     pub(super) retransmissions: RetransmissionFilter,
-    /// Changes of which it is not decided yet whether they are retransmissions (design 6.10).
+    /// Changes that are not yet classified as new or as retransmissions (design 6.10).
     pub(super) undecided: VecDeque<Operation>,
-    /// Since when others are known to hold a higher revision.
+    /// Since when a higher revision than the accepted one is known to be committed.
     pub(super) behind_since: Option<Duration>,
-    /// Which member is asked next for a missing version.
+    /// Counter by which members are asked in turn for missing versions.
     pub(super) fetch_turn: usize,
     pub(super) disk_failed: bool,
-    /// Another replica said that this disk is not a member (any more).
+    /// Another replica has reported that this disk is not, or no longer, a member.
     pub(super) is_removed: bool,
-    /// A quorum showed that this disk is not a member: it is being reset.
+    /// A quorum has shown that this disk is not a member; it is being reset.
     pub(super) is_resetting: bool,
 }
 
-/// A call beside the round.
+/// A call outside the round.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum BackgroundCall {
     Fetch(VersionId),
@@ -69,28 +69,28 @@
     Repair,
 }
 
-/// A replica's state for status pages and gossip.
+/// Summary of a replica's state for status pages and gossip.
 #[derive(Clone, Debug)]
 pub struct Summary {
     /// The member slot that this disk holds.
     pub slot: Option<usize>,
-    /// Incarnation of its disk.
+    /// Incarnation of the disk.
     pub incarnation: u64,
-    /// Whether its settings let it take part in the bootstrap.
+    /// Whether the settings allow the store to take part in a bootstrap.
     pub may_bootstrap: bool,
-    /// Whether it votes and takes requests.
+    /// Whether the replica votes and takes requests.
     pub is_voting: bool,
-    /// Whether its disk holds no value.
+    /// Whether the disk holds no value.
     pub is_empty: bool,
-    /// Why it votes or does not, for the operator.
+    /// Why the replica votes or does not vote, for the operator.
     pub reason: &'static str,
-    /// Number of the highest ballot promised.
+    /// Number of the highest promised ballot.
     pub promised: u64,
-    /// Revision accepted last.
+    /// Revision of the accepted value; 0: none.
     pub accepted: u64,
-    /// Highest revision known as committed.
+    /// Highest revision known to be committed; 0: none.
     pub committed: u64,
-    /// A quorum was asked since the start, so that the committed revision is known.
+    /// Whether a quorum has been asked since the start, so that a committed revision is known.
     pub synced: bool,
     /// Number of version files.
     pub versions: usize,
@@ -99,7 +99,7 @@
 }
 
 impl Summary {
-    /// The part of the summary that gossip announces.
+    /// The part of the summary that is announced by gossip.
     pub fn disk(&self) -> DiskStatus {
         DiskStatus {
             incarnation: self.incarnation,
@@ -110,7 +110,7 @@
 }
 
 impl Replica {
-    /// A replica that has just started, with what its disk holds.
+    /// Creates a replica that starts from the state of its disk.
     pub fn new(identity: Identity, recovered: RecoveredState, now: Duration) -> Replica {
         let mut stored_versions: BTreeMap<u64, Vec<StoredVersion>> = BTreeMap::new();
         for version in recovered.versions {
@@ -134,7 +134,7 @@
             next_call: 0,
             background_calls: BTreeMap::new(),
             snapshots: BTreeMap::new(),
-            open_pings: BTreeMap::new(),
+            pending_pings: BTreeMap::new(),
             liveness: BTreeMap::new(),
             repair_at: now,
             fetch_at: now,
@@ -158,8 +158,8 @@
         self.state.accepted.is_none()
     }
 
-    /// Whether it holds the bootstrap value without knowing that all members do: whoever finds out that they
-    /// do asks for a higher ballot (design 6.4).
+    /// Whether this replica holds the bootstrap value and has not yet promised a higher ballot. Such a ballot
+    /// is proposed by whichever store finds that all members hold the bootstrap value (design 6.4).
     pub(super) fn is_bootstrapping(&self) -> bool {
         let has_bootstrap_value =
             self.state.accepted.is_some_and(|accepted| accepted.ballot == BOOTSTRAP_BALLOT);
@@ -186,20 +186,21 @@
         self.committed.map_or(0, |committed| committed.revision)
     }
 
-    /// Whether this disk must not vote any more, or not until it is reset.
-    pub(super) fn has_lost_disk(&self) -> bool {
+    /// Whether this disk must not vote until it is recovered or reset.
+    pub(super) fn is_disk_unusable(&self) -> bool {
         self.disk_failed || self.is_resetting
     }
 
-    /// Whether it takes operators' requests, and is known to be a member.
+    /// Whether this replica takes operators' requests: its disk is usable and its value readable, the
+    /// bootstrap is complete, and no other store has reported that this disk lost its slot.
     pub(super) fn is_voting(&self) -> bool {
-        !self.has_lost_disk()
+        !self.is_disk_unusable()
             && !self.is_removed
             && !self.is_bootstrapping()
             && self.accepted_value().is_some()
     }
 
-    /// The accepted proposal, where its value is readable too.
+    /// The accepted proposal and its value, if the value is readable.
     pub(super) fn accepted_value(&self) -> Option<(&AcceptedProposal, &Arc<Value>)> {
         self.state.accepted.as_ref().zip(self.value.as_ref())
     }
@@ -220,7 +221,7 @@
         }
     }
 
-    /// What this replica holds and whether it votes.
+    /// Summarizes the replica's state.
     pub fn summary(&self) -> Summary {
         Summary {
             slot: self.own_slot(),
@@ -238,8 +239,8 @@
         }
     }
 
-    /// Handles one event. `now` is the time since some fixed moment and never goes back. The effects must be
-    /// carried out in order.
+    /// Handles one event. `now` is the time since an arbitrary fixed moment and must not decrease. The
+    /// effects must be carried out in order.
     pub fn step(&mut self, now: Duration, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.now = now;
@@ -255,17 +256,17 @@
             Event::RevisionHeard { revision } => {
                 self.heard_revision = self.heard_revision.max(revision)
             }
-            Event::Reset(recovered) => self.start_over(recovered, now),
+            Event::Reset(recovered) => self.reinitialize(recovered, now),
             Event::DiskFailed => self.on_disk_failed(&mut effects),
             Event::DiskRecovered(recovered) => {
                 if self.disk_failed {
-                    self.start_over(recovered, now);
+                    self.reinitialize(recovered, now);
                     effects.push(Effect::log("the disk works again"));
                 }
             }
             Event::VersionDamaged(id) => {
-                if let Some(list) = self.stored_versions.get_mut(&id.revision) {
-                    list.retain(|version| version.id.digest != id.digest);
+                if let Some(stored) = self.stored_versions.get_mut(&id.revision) {
+                    stored.retain(|version| version.id.digest != id.digest);
                 }
                 let text = format!("the file of revision {} is damaged", id.revision);
                 effects.push(Effect::Log(text));
@@ -287,9 +288,9 @@
         self.round.is_none() && !self.disk_failed
     }
 
-    /// As after a restart, with what the disk holds; call numbers go on, so that responses to earlier calls
-    /// are ignored.
-    fn start_over(&mut self, recovered: RecoveredState, now: Duration) {
+    /// Reinitializes the replica from the state of the disk, as after a restart. Call numbers continue, so
+    /// that responses to earlier calls are ignored.
+    fn reinitialize(&mut self, recovered: RecoveredState, now: Duration) {
         let mut next = Replica::new(self.identity.clone(), recovered, now);
         next.next_call = self.next_call;
         next.heard_revision = self.heard_revision;
@@ -297,7 +298,7 @@
         *self = next;
     }
 
-    /// Answers all pending requests that nothing was done.
+    /// Fails the round and all waiting operations.
     pub(super) fn fail_all_operations(&mut self, reason: &str, effects: &mut Vec<Effect>) {
         if let Some(round) = self.round.take() {
             self.fail_round(round, reason, effects);
@@ -309,19 +310,24 @@
         }
     }
 
-    /// The other members, or, where the member table is not readable, all live stores that hold a value.
+    /// The other members, or all other live stores that hold a value if the member table is not readable.
     pub(super) fn other_members(&self) -> Vec<u64> {
         let own = self.own_incarnation();
         match &self.value {
-            Some(value) => member_incarnations(&value.members).filter(|one| *one != own).collect(),
+            Some(value) => member_incarnations(&value.members)
+                .filter(|incarnation| *incarnation != own)
+                .collect(),
             None => {
                 let holders = self.live_stores.iter().filter(|store| !store.is_empty);
-                holders.map(|store| store.incarnation).filter(|one| *one != own).collect()
+                holders
+                    .map(|store| store.incarnation)
+                    .filter(|incarnation| *incarnation != own)
+                    .collect()
             }
         }
     }
 
-    /// Sends a request; gives the number of the call.
+    /// Sends a request; returns the number of the call.
     pub(super) fn send(
         &mut self,
         incarnation: u64,
--- a/store/src/consensus/round.rs
+++ b/store/src/consensus/round.rs
@@ -1,4 +1,4 @@
-//! Rounds: the operation that a replica carries out at one time, and the phase that it is in.
+//! Rounds: the operation that a replica is carrying out, and the phase that it is in.
 
 use super::quorum;
 use crate::protocol::{Change, Outcome};
@@ -7,56 +7,57 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a round is for.
+/// The operation that a round carries out.
 #[derive(Clone, Debug)]
 pub(super) enum Operation {
     /// An operator's write.
     Change(PendingChange),
-    /// Read the committed value, for all requests that came before the round began.
+    /// Read the committed value, for all requests that arrived before the round began.
     Read { tickets: Vec<u64> },
-    /// Read the committed revision, likewise (design 5.8).
+    /// Read the committed revision, for all requests that arrived before the round began (design 5.8).
     ReadIndex { tickets: Vec<u64> },
     /// Read an earlier version.
     History { ticket: u64, revision: u64 },
-    /// Repair (anti-entropy): find replicas that are behind, and complete proposals that are half accepted.
+    /// Repair (anti-entropy): find replicas that are behind, and complete proposals that only some have
+    /// accepted.
     Repair,
-    /// Give a lost member's slot, or a vacant one, to an empty disk.
+    /// Assign a lost member's slot, or a vacant one, to an empty disk.
     Replace(Replacement),
-    /// Bootstrap with these members, or find out whether all of them hold the bootstrap value.
+    /// Bootstrap with these members, or check whether all of them hold the bootstrap value.
     Bootstrap { members: MemberTable },
-    /// Changes that were proposed, with what to answer once they are committed.
+    /// Proposed changes, with the replies to send once they are committed.
     Batch { replies: Vec<PlannedReply> },
 }
 
-/// An operator's write that waits for its round.
+/// An operator's write that waits for a round.
 #[derive(Clone, Debug)]
 pub(super) struct PendingChange {
     pub ticket: u64,
     pub key: String,
     pub change: Change,
-    /// For a change whose client gave no key: when the registry got the call.
+    /// When the registry received the call, if its client gave no key.
     pub keyless_since: Option<Duration>,
 }
 
-/// The answer to a request once the round's value is committed.
+/// The reply to a request once the round's value is committed.
 #[derive(Clone, Debug)]
 pub(super) struct PlannedReply {
     pub ticket: u64,
     pub outcome: Outcome,
 }
 
-/// A member slot to be given to an empty disk.
+/// A member slot to be assigned to an empty disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Replacement {
     pub slot: usize,
-    /// The disk that is lost; `None`: the slot is vacant.
+    /// Incarnation of the lost disk; `None`: the slot is vacant.
     pub replaced: Option<u64>,
-    /// The store that gets the slot, and its disk.
+    /// The store that gets the slot, and the incarnation of its disk.
     pub name: String,
     pub incarnation: u64,
 }
 
-/// What a replica answered to a query.
+/// A replica's response to a query.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReplicaStatus {
     pub accepted: Option<AcceptedProposal>,
@@ -78,7 +79,7 @@
 pub(super) struct Proposal {
     pub value: Arc<Value>,
     pub accepted: AcceptedProposal,
-    /// Who has accepted it.
+    /// Incarnations of the members that have accepted it.
     pub accepts: BTreeSet<u64>,
 }
 
@@ -86,20 +87,21 @@
 pub(super) enum Phase {
     /// Asking for the accepted proposals, without a ballot.
     Querying { statuses: BTreeMap<u64, ReplicaStatus> },
-    /// Asking all members to accept the bootstrap value; these have.
+    /// Asking all members to accept the bootstrap value; `accepts` are those that hold it.
     Bootstrapping { accepts: BTreeSet<u64> },
-    /// Paxos phase 1. `best` is the highest accepted proposal among the promises, which has to be built on.
+    /// Paxos phase 1. `best` is the highest accepted proposal among the promises; new versions derive from
+    /// it.
     Preparing {
         ballot: Ballot,
         asked: BTreeSet<u64>,
         promises: BTreeMap<u64, AcceptedProposal>,
         best: AcceptedValue,
     },
-    /// Paxos phase 2 with a value that was accepted by some replica before.
+    /// Paxos phase 2 with a value that some replica accepted earlier.
     Repairing(Proposal),
-    /// Paxos phase 2 with the value that the operation makes.
+    /// Paxos phase 2 with the value made by the operation.
     Proposing(Proposal),
-    /// Preempted; tries again at this time.
+    /// Waiting for the next attempt after preemption, or for the first one.
     BackingOff { until: Duration },
 }
 
@@ -107,12 +109,12 @@
 pub(super) struct Round {
     pub operation: Operation,
     pub phase: Phase,
-    /// Calls of the phase that are in flight: their targets by call number.
+    /// Targets of the phase's calls in flight, by call number.
     pub in_flight: BTreeMap<u64, u64>,
     pub attempts: u32,
-    /// The highest ballot by which this round was preempted.
+    /// The highest ballot that preempted this round.
     pub preempted_by: Ballot,
-    /// Who promised the last ballot.
+    /// Incarnations of the members that promised the last ballot.
     pub promised_by: BTreeSet<u64>,
 }
 
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Whether enough members have accepted a proposal of this round.
+    /// Whether enough members have accepted a proposal of this round to commit it.
     pub fn is_accepted(&self, proposal: &Proposal) -> bool {
         match &self.operation {
             Operation::Replace(replacement) => quorum::is_accepted_without(
--- a/store/src/consensus/timers.rs
+++ b/store/src/consensus/timers.rs
@@ -1,4 +1,4 @@
-//! The timers of a replica: what happens on a tick.
+//! The timers of a replica, which are checked on each tick.
 
 use super::bootstrap::BOOTSTRAP_CHECK_INTERVAL;
 use super::event::Effect;
@@ -9,25 +9,25 @@
 use crate::value::VersionId;
 use std::time::Duration;
 
-/// Interval of repair rounds at the proposing store; the others run half as many.
+/// Interval of repair rounds at the preferred proposer; twice as long at other stores.
 const REPAIR_INTERVAL: Duration = Duration::from_secs(3);
-/// Interval of repair rounds until the first one has shown what is committed.
+/// Interval of repair rounds until one has shown which version is committed.
 const FIRST_REPAIR_INTERVAL: Duration = Duration::from_millis(150);
 /// Interval at which missing versions are fetched.
 const FETCH_INTERVAL: Duration = Duration::from_millis(200);
-/// Without a tick for so long the process itself stood still.
-const FREEZE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time without a tick after which the process counts as having been paused.
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 
 impl Replica {
-    /// Runs what is due.
+    /// Runs the timers that are due.
     pub(super) fn on_tick(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         let last_tick_at = std::mem::replace(&mut self.last_tick_at, now);
-        if now.saturating_sub(last_tick_at) > FREEZE_TIMEOUT {
-            // This process stood still itself: unanswered pings say nothing about others.
+        if now.saturating_sub(last_tick_at) > PAUSE_THRESHOLD {
+            // This process was paused, so unanswered pings say nothing about the other stores.
             self.forget_unanswered_pings();
         }
         self.recheck_undecided(effects);
-        if self.has_lost_disk() {
+        if self.is_disk_unusable() {
             return;
         }
         self.retry_after_backoff(now, effects);
@@ -37,9 +37,9 @@
         self.query_membership(now, effects);
         self.ping_members(now, effects);
         if now >= self.replacement_check_at && self.is_voting() && self.is_preferred_proposer(now) {
-            let is_any_lost = self.enqueue_replacements(now);
+            let has_replacements = self.enqueue_replacements(now);
             self.replacement_check_at = now
-                + match is_any_lost {
+                + match has_replacements {
                     true => REPLACEMENT_RETRY_INTERVAL,
                     false => REPLACEMENT_CHECK_INTERVAL,
                 };
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Bootstrap or repair, as far as it is this store's turn.
+    /// Queues a bootstrap or a repair, if this store is to run one now.
     fn enqueue_periodic_operation(&mut self, now: Duration) {
         if self.is_empty() {
             self.enqueue_bootstrap();
@@ -76,7 +76,7 @@
             if is_preferred || self.committed.is_none() || is_behind {
                 self.queue.push_back(Operation::Repair);
                 let factor = if is_preferred { 1 } else { 2 };
-                // Until the committed version is known no node uses what this replica holds.
+                // Until the committed version is known, no node uses the value that this replica holds.
                 self.repair_at = now
                     + match self.committed {
                         Some(_) => REPAIR_INTERVAL * factor,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Asks one of the others, in turn, for the first version that is missing here.
+    /// Asks one of the other members, in turn, for the first missing version.
     fn fetch_missing_version(&mut self, effects: &mut Vec<Effect>) {
         let missing = match (&self.value, self.state.accepted) {
             (None, Some(accepted)) => Some(accepted.version()),
--- a/store/src/consensus/transitions.rs
+++ b/store/src/consensus/transitions.rs
@@ -1,5 +1,5 @@
-//! Transitions of the value, as pure functions: the bootstrap value, what follows from a change (the change
-//! function of CASPaxos, Rystsov 2018) or a replacement, and the value by which a single replica is rescued
+//! Transitions of the value, as pure functions: the bootstrap value, the value after a change (the change
+//! function of CASPaxos, Rystsov 2018) or a replacement, and the value with which a single replica is rescued
 //! (design 6.2 to 6.6).
 
 use super::event::HardState;
@@ -7,19 +7,19 @@
 use super::round::Replacement;
 use crate::idempotency::IdempotencyRecord;
 use crate::protocol::{Change, Outcome};
-use crate::retransmission::Judgement;
+use crate::retransmission::Classification;
 use crate::value::{
     AcceptedProposal, Ballot, Digest, MAX_DRAIN_ORDERS, Member, MemberTable, Value, digest_of,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// How far a rescue raises the revision above the one held.
+/// Amount by which a rescue raises the revision above that of the stored value.
 const RESCUE_REVISION_STEP: u64 = 1000;
-/// How far a rescue raises the ballot above the one promised.
+/// Amount by which a rescue raises the ballot number above that of the promised ballot.
 const RESCUE_BALLOT_STEP: u64 = 1_000_000;
 
-/// The first value: the same whoever makes it, for the same members.
+/// The first value. It is the same whichever of the members creates it.
 pub(super) fn bootstrap_value(members: MemberTable) -> Value {
     Value {
         revision: 0,
@@ -45,27 +45,27 @@
 /// A change with its idempotency key.
 pub(super) struct KeyedChange<'a> {
     pub key: &'a str,
-    /// The registry generated the key.
+    /// Whether the registry generated the key.
     pub is_generated: bool,
     pub change: &'a Change,
-    pub judgement: Judgement,
+    pub classification: Classification,
 }
 
 /// The value after a change.
 ///
 /// # Errors
-/// The outcome to answer with where the change makes no new version.
+/// The outcome to reply with if the change makes no new version.
 pub(super) fn apply_change(
     value: &Value,
     accepted: &AcceptedProposal,
     request: &KeyedChange,
 ) -> Result<Value, Outcome> {
     let change = request.change;
-    if let Some(outcome) = known_outcome(value, request) {
+    if let Some(outcome) = recorded_outcome(value, request) {
         return Err(outcome);
     }
-    let mut next = child(value, accepted);
-    let is_same = match change {
+    let mut next = derived_version(value, accepted);
+    let is_no_op = match change {
         Change::ReplaceConfig { version: Some(version), .. }
             if *version <= value.config_version =>
         {
@@ -99,8 +99,8 @@
             value.drain_orders(zone) == 0
         }
     };
-    if is_same {
-        return Err(repeated(value.revision, value.config_revision));
+    if is_no_op {
+        return Err(repeat_outcome(value.revision, value.config_revision));
     }
     next.recent_writes.push_back(IdempotencyRecord {
         key: request.key.to_string(),
@@ -113,29 +113,31 @@
     Ok(next)
 }
 
-fn repeated(revision: u64, config_revision: u64) -> Outcome {
+fn repeat_outcome(revision: u64, config_revision: u64) -> Outcome {
     Outcome::Accepted { revision, config_revision, is_repeat: true }
 }
 
-/// The outcome of a change that was made before, by its key or as a retransmission without one.
-fn known_outcome(value: &Value, request: &KeyedChange) -> Option<Outcome> {
+/// The outcome of a change that was already made, found by its key or recognized as a retransmission without
+/// one.
+fn recorded_outcome(value: &Value, request: &KeyedChange) -> Option<Outcome> {
     if let Some(known) = value.known_write(request.key) {
         return Some(match known.has_content(request.change.content_hash()) {
-            true => repeated(known.revision, known.config_revision),
+            true => repeat_outcome(known.revision, known.config_revision),
             false => Outcome::KeyReused { revision: known.revision },
         });
     }
-    match request.judgement {
-        Judgement::Retransmission { revision, config_revision } => {
-            Some(repeated(revision, config_revision))
+    match request.classification {
+        Classification::Retransmission { revision, config_revision } => {
+            Some(repeat_outcome(revision, config_revision))
         }
         _ => None,
     }
 }
 
-/// A configuration whose version is not above the highest one: its author knows what is newer, so it changes
-/// nothing, whatever came in between and however often it is sent; but one version has one content
-/// (incident 0012). Says whether it is a repeat; else the version's hash is recorded in `next`.
+/// Handles a configuration whose version is not above the highest one. Its author knows of a newer version,
+/// so it changes nothing, whatever was accepted in between and however often it is sent; but a version must
+/// have only one content (incident 0012). Returns whether it is a repeat; if not, the version's hash is
+/// recorded in `next`.
 fn is_repeated_version(
     value: &Value,
     next: &mut Value,
@@ -145,9 +147,10 @@
     match value.version_hashes.get(&version) {
         Some(recorded) if *recorded == content_hash => Ok(true),
         Some(_) => Err(Outcome::VersionTaken { version, highest: value.config_version }),
-        // Its hash may have been dropped: it cannot be checked any more.
+        // Its hash may have been dropped, so that the content can no longer be checked.
         None if value.is_version_hash_dropped(version) => Ok(true),
-        // Superseded before anyone sent it: acknowledged, and from now on no other content may have it.
+        // Superseded before it was first sent: acknowledged, and from now on no other content may have this
+        // version.
         None => {
             next.record_version_hash(version, content_hash);
             Ok(false)
@@ -161,7 +164,7 @@
     accepted: &AcceptedProposal,
     replacement: &Replacement,
 ) -> Option<Arc<Value>> {
-    let mut next = child(value, accepted);
+    let mut next = derived_version(value, accepted);
     let slot = next.members.get_mut(replacement.slot)?;
     if slot.as_ref().map(|member| member.incarnation) != replacement.replaced {
         return None;
@@ -171,7 +174,8 @@
     Some(Arc::new(next))
 }
 
-fn child(value: &Value, accepted: &AcceptedProposal) -> Value {
+/// A copy of a value as the next version, with the accepted proposal of that value as its parent.
+fn derived_version(value: &Value, accepted: &AcceptedProposal) -> Value {
     let mut next = value.clone();
     next.revision += 1;
     next.parent_revision = accepted.revision;
@@ -180,12 +184,12 @@
     next
 }
 
-/// After a majority of the disks is lost for good: the value and state with which this replica goes on
-/// alone. Its revision and ballot leap, so that nothing the lost disks may have accepted is ever taken for
-/// newer (design 6.6). `None`: this disk has accepted nothing.
+/// The state and value with which this replica continues as the only member after a majority of the disks is
+/// permanently lost. The revision and the ballot are raised by large steps, so that no proposal that the lost
+/// disks may have accepted is ever considered newer (design 6.6). `None`: this disk has accepted no proposal.
 pub fn rescued(state: &HardState, value: &Value, name: &str) -> Option<(HardState, Value)> {
     let accepted = state.accepted?;
-    let mut next = child(value, &accepted);
+    let mut next = derived_version(value, &accepted);
     next.revision = value.revision + RESCUE_REVISION_STEP;
     let incarnation = state.incarnation;
     let slot = slot_of(&value.members, incarnation).unwrap_or(0);
