--- a/store/src/idempotency.rs
+++ b/store/src/idempotency.rs
@@ -92,10 +92,9 @@
         let wanted = fingerprint(key);
         let record =
             self.0.chunks_exact(RECORD_BYTES).rfind(|record| record[..KEY_END] == wanted)?;
-        let hash = record[KEY_END..CONTENT_HASH_END].try_into().expect("a slice of eight bytes");
-        let revision_of = |bytes: &[u8]| {
-            u64::from(u32::from_be_bytes(bytes.try_into().expect("a slice of four bytes")))
-        };
+        let hash = record[KEY_END..CONTENT_HASH_END].try_into().expect("eight bytes");
+        let revision_of =
+            |bytes: &[u8]| u64::from(u32::from_be_bytes(bytes.try_into().expect("four bytes")));
         Some(KnownWrite {
             content_hash: u64::from_be_bytes(hash),
             revision: revision_of(&record[CONTENT_HASH_END..REVISION_END]),
--- a/store/src/protocol.rs
+++ b/store/src/protocol.rs
@@ -42,7 +42,7 @@
             Change::DrainZone { zone } => vanepath_config::digest(&[b"empty", zone.as_bytes()]),
             Change::RestoreZone { zone } => vanepath_config::digest(&[b"return", zone.as_bytes()]),
         };
-        u64::from_be_bytes(digest[..8].try_into().expect("a slice of eight bytes"))
+        u64::from_be_bytes(digest[..8].try_into().expect("eight bytes"))
     }
 }
 
