--- a/registry/src/store_client/request.rs
+++ b/registry/src/store_client/request.rs
@@ -82,7 +82,7 @@
         }
         let Outcome::Accepted { revision, .. } = outcome else { return None };
         let is_in_time =
-            *waited + now.saturating_sub(self.started_at) < retransmission::OVERTAKEN_AFTER;
+            *waited + now.saturating_sub(self.started_at) < retransmission::RESPONSE_DEADLINE;
         let (content_hash, revision) = (change.content_hash(), *revision);
         is_in_time.then_some(Request::Acknowledge { content_hash, revision })
     }
--- a/store/src/retransmission.rs
+++ b/store/src/retransmission.rs
@@ -13,10 +13,10 @@
 /// Longest gap between two retransmissions that reach a store. A client abandons each attempt after 1 s and
 /// may send the next one to any registry, so that up to three attempts in a row may reach no store.
 const MAX_RETRANSMISSION_GAP: Duration = Duration::from_secs(4);
-/// Time since a registry received an order by which the response has to leave the registry. The client waits
-/// 1 s for a response (docs/platform.md), so a response within this time reaches it, and the order is not
-/// retransmitted.
-pub const OVERTAKEN_AFTER: Duration = Duration::from_millis(800);
+/// Time, counted from the receipt of an order by a registry, within which the response has to leave the
+/// registry. The client waits 1 s for a response (docs/platform.md), so that a response sent within this time
+/// arrives before the client retransmits the order.
+pub const RESPONSE_DEADLINE: Duration = Duration::from_millis(800);
 /// Time after the receipt of an order by which its registry has acknowledged it, unless the registry died or
 /// was slow.
 const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_millis(450);
@@ -164,7 +164,7 @@
             let Some(write) = self.writes.get_mut(&record.key) else { continue };
             // The change was delayed for so long that its client may have retransmitted it, and the
             // retransmission arrived first.
-            let is_overtaken = now.saturating_sub(registry_received_at) >= OVERTAKEN_AFTER
+            let is_overtaken = now.saturating_sub(registry_received_at) >= RESPONSE_DEADLINE
                 && write.last_heard_at >= registry_received_at;
             let is_retransmittable =
                 is_in_force && write.may_be_retransmitted(registry_received_at);
