--- a/registry/src/api/steering.rs
+++ b/registry/src/api/steering.rs
@@ -36,9 +36,9 @@
         .map_err(|error| rejected(registry, error))?;
     let counter = match answer.source {
         AddressSource::OwnRegion => None,
-        AddressSource::OtherHomes => Some(Counter::AddressesOfOtherHomes),
+        AddressSource::OtherAllowedRegion => Some(Counter::AddressesOfOtherHomes),
         AddressSource::Restarting => Some(Counter::AddressesOfRestarting),
-        AddressSource::Elsewhere => Some(Counter::AddressesElsewhere),
+        AddressSource::OtherRegion => Some(Counter::AddressesElsewhere),
     };
     if let Some(counter) = counter {
         registry.counters.increment(counter);
--- a/registry/src/steering/addresses.rs
+++ b/registry/src/steering/addresses.rs
@@ -27,12 +27,12 @@
     /// bound to regions.
     OwnRegion,
     /// Those of another region to which the rules are bound.
-    OtherHomes,
+    OtherAllowedRegion,
     /// Those of the client's own region, or of one to which the rules are bound, that are being
     /// restarted: they still serve, or soon will.
     Restarting,
     /// Those of a region to which the rules are not bound.
-    Elsewhere,
+    OtherRegion,
 }
 
 /// The answer to a request for addresses.
@@ -124,7 +124,7 @@
         if self.bound_rules.is_empty() {
             let addresses = self.take(&own, MIN_ADDRESSES, |region| region != self.region);
             let source =
-                if own.is_empty() { AddressSource::Elsewhere } else { AddressSource::OwnRegion };
+                if own.is_empty() { AddressSource::OtherRegion } else { AddressSource::OwnRegion };
             return Addresses { addresses, source };
         }
         if !own.is_empty() {
@@ -132,14 +132,14 @@
         }
         let homes = self.take(&[], MIN_ADDRESSES, |region| self.is_home(region));
         if !homes.is_empty() {
-            return Addresses { addresses: homes, source: AddressSource::OtherHomes };
+            return Addresses { addresses: homes, source: AddressSource::OtherAllowedRegion };
         }
         let restarting = self.restarting();
         if !restarting.is_empty() {
             return Addresses { addresses: restarting, source: AddressSource::Restarting };
         }
         let elsewhere = self.take(&[], 1, |region| region != self.region);
-        Addresses { addresses: elsewhere, source: AddressSource::Elsewhere }
+        Addresses { addresses: elsewhere, source: AddressSource::OtherRegion }
     }
 
     /// Whether all rules of the host may be served from this region.
