--- a/registry/src/discovery/mod.rs
+++ b/registry/src/discovery/mod.rs
@@ -1,8 +1,9 @@
-//! Endpoint discovery (design 4): the registry reads the platform's endpoint list and spreads it by
+//! Endpoint discovery (design 4): the registries read the platform's endpoint list and distribute it by
 //! gossip.
 //!
-//! A platform may number its lists, or not. Numbered lists are polled by conditional requests; lists
-//! without a number are read by one registry at a time, which numbers them.
+//! Lists that carry a revision of the platform (numbered lists) are polled by every registry with
+//! conditional requests. Lists without a revision (unnumbered lists) are read by one registry at a time,
+//! which assigns the revision.
 
 mod outcome;
 pub mod poller;
--- a/registry/src/discovery/outcome.rs
+++ b/registry/src/discovery/outcome.rs
@@ -1,23 +1,23 @@
-//! How reads of the platform's list end, as operators see it.
+//! The outcomes of reads of the platform's endpoint list, as shown to operators.
 
 use crate::discovery::source::FetchError;
 
-/// How a read of the platform's list ended. The status page shows the name in kebab case.
+/// The outcome of a read of the platform's endpoint list. The status page shows the name in kebab case.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum PollOutcome {
-    /// No read has ended yet.
+    /// No read has completed yet.
     NotYetRead,
     /// The list was read, or is unchanged.
     Good,
     /// The platform did not answer in time, or with an error status.
     Unreachable,
-    /// The answer is no valid list.
+    /// The response is not a valid list.
     Malformed,
-    /// The list names no server and is not believed: a platform that has just started may not know its
-    /// servers yet.
+    /// The list has no servers and is rejected: a platform that has just started may not know its servers
+    /// yet.
     Empty,
-    /// The list's revision is lower than one that was read before.
+    /// The list's revision is lower than that of the last valid list.
     Older,
 }
 
--- a/registry/src/discovery/poller.rs
+++ b/registry/src/discovery/poller.rs
@@ -1,4 +1,5 @@
-//! Polling of the platform's endpoint list (design 4). Whatever goes wrong, the last good list stays.
+//! Polling of the platform's endpoint list (design 4). After a failed read the last valid list stays in
+//! use.
 
 use crate::discovery::outcome::PollOutcome;
 use crate::discovery::sequencer::{Effect, ListSequencer, READ_TIMEOUT};
@@ -12,12 +13,12 @@
 use vanepath_config::endpoint_list::{self, EndpointList};
 use vanepath_config::settings;
 
-/// Every registry polls a platform that numbers its lists this often.
+/// Interval at which every registry polls a platform whose lists carry a revision.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// How often the poller checks whether a read is due.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Whether a list that was read may replace the last good one.
+/// Decides whether a list that was read may replace the last valid one.
 pub fn evaluate(last: &EndpointList, read: &EndpointList) -> PollOutcome {
     if read.revision < last.revision {
         PollOutcome::Older
@@ -28,7 +29,8 @@
     }
 }
 
-/// Parses a response of the platform and evaluates it; gives the list only where it is good.
+/// Parses a response of the platform and evaluates it; returns the list only if the outcome is
+/// [`PollOutcome::Good`].
 pub fn parse_response(last: &EndpointList, bytes: &[u8]) -> (PollOutcome, Option<EndpointList>) {
     match endpoint_list::parse(bytes) {
         Err(_) => (PollOutcome::Malformed, None),
@@ -39,18 +41,20 @@
     }
 }
 
-/// Polls the platform's list for as long as the process runs; writes the outcome of each read to
+/// Polls the platform's endpoint list until the process ends; stores the outcome of each read in
 /// `last_outcome`.
 ///
 /// # Panics
-/// Where the settings have no valid URL of the list, which their check excludes.
+/// Panics if the settings contain no valid URL of the list; the validation of the settings excludes that.
 pub(crate) async fn run(
     node: Arc<Node>,
     counters: Arc<Counters>,
     last_outcome: Arc<Mutex<PollOutcome>>,
 ) {
-    let url = node.settings.endpoint_list_url.clone().expect("checked with the settings");
-    let (address, path) = settings::split_url(&url).expect("checked likewise");
+    let url =
+        node.settings.endpoint_list_url.clone().expect("the settings require an endpoint list URL");
+    let (address, path) =
+        settings::split_url(&url).expect("the URL was validated with the settings");
     let mut source = EndpointListSource::new(
         address,
         path,
@@ -85,7 +89,8 @@
             source.disconnect();
         }
         let outcome = poller.complete(started_at, read).await;
-        let mut last_outcome = last_outcome.lock().expect("no panic under this lock");
+        let mut last_outcome =
+            last_outcome.lock().expect("the poll outcome lock is never poisoned");
         if *last_outcome != outcome {
             log::info!("endpoint list: {outcome}");
             *last_outcome = outcome;
@@ -97,13 +102,13 @@
 struct EndpointPoller<'n> {
     node: &'n Node,
     counters: &'n Counters,
-    /// Decides on reads of a platform that does not number its lists.
+    /// Decides when to read the lists of a platform that does not number them.
     sequencer: ListSequencer,
-    /// The validator of the last good list (RFC 9110 section 8.8.3).
+    /// The entity tag of the last valid list (RFC 9110 section 8.8.3).
     etag: Option<HeaderValue>,
-    /// The platform has shown a list with a number of its own.
+    /// Whether the platform has returned a list with a revision of its own.
     is_numbered: bool,
-    /// When the last read began.
+    /// Start of the last read.
     started_at: Option<Duration>,
 }
 
@@ -115,7 +120,7 @@
         }
     }
 
-    /// Takes the outcome of the read that began at `began_at`, and hands a list over to gossip.
+    /// Processes the result of the read that began at `began_at`, and passes a valid list on to gossip.
     async fn complete(
         &mut self,
         began_at: Duration,
@@ -138,7 +143,7 @@
         outcome
     }
 
-    /// What a read amounts to, and the list to publish, if there is one.
+    /// The outcome of a read, and the list to publish, if there is one.
     fn evaluate_read(
         &mut self,
         view: &ClusterView,
@@ -146,7 +151,7 @@
     ) -> (PollOutcome, Option<Arc<EndpointList>>) {
         match read {
             Err(error) => {
-                log::debug!("endpoint list not read: {error}");
+                log::debug!("reading the endpoint list failed: {error}");
                 let _ = self.sequencer.on_read_completed(self.node.clock.now(), view, None);
                 (PollOutcome::from(&error), None)
             }
--- a/registry/src/discovery/poller/tests.rs
+++ b/registry/src/discovery/poller/tests.rs
@@ -2,7 +2,7 @@
 use vanepath_config::endpoint_list;
 
 #[test]
-fn only_a_good_list_replaces_the_last_one() {
+fn only_a_valid_nonempty_list_that_is_not_older_replaces_the_last_one() {
     let list = |revision: u64, is_empty: bool| {
         let server = r#"{"id": "s", "address": "127.0.0.1:9", "region": "a", "zone": "a1",
                          "state": "ready"}"#;
@@ -14,7 +14,7 @@
     assert_eq!(evaluate(&last, &list(6, false)), PollOutcome::Good);
     assert_eq!(evaluate(&last, &list(4, false)), PollOutcome::Older);
     assert_eq!(evaluate(&last, &list(6, true)), PollOutcome::Empty);
-    // A registry that knows no list yet may be the only one: the list of the others has servers.
+    // A registry without a list rejects an empty one too: other registries may have one with servers.
     assert_eq!(evaluate(&list(0, true), &list(1, true)), PollOutcome::Empty);
     assert_eq!(evaluate(&list(0, true), &list(0, false)), PollOutcome::Good);
 }
--- a/registry/src/discovery/sequencer.rs
+++ b/registry/src/discovery/sequencer.rs
@@ -1,12 +1,14 @@
-//! Sequencing of endpoint lists that the platform does not number: which registry reads the list, when,
-//! and which revision the list gets (design 4). Pure: it takes the time and a view, and gives effects.
+//! Sequencing of endpoint lists that the platform does not number: decides which registry reads the list
+//! and when, and assigns the revision (design 4). A pure state machine: it takes the time and a cluster
+//! view, and returns effects.
 //!
 //! Invariants:
-//! - A list gets a revision above every one that this registry had heard of when its read began, and is
-//!   published only if no higher one was heard of meanwhile: every list known before a read began is older
-//!   than what was read.
-//! - No two registries, and no two incarnations of one, give the same revision.
-//! - A registry reads because it knows of no newer read, and not because of which peers it takes for live.
+//! - A list gets a revision above every revision that this registry knew when its read began, and is
+//!   published only if no higher one has become known by the end of the read: every list known before a
+//!   read began is older than what was read.
+//! - No two registries, and no two incarnations of one registry, assign the same revision.
+//! - A registry takes over the reading because it knows of no recent read, whichever peers it considers
+//!   live.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,35 +16,35 @@
 use vanepath_cluster::wire::Role;
 use vanepath_config::endpoint_list::{EndpointList, Server};
 
-/// The first live registry begins a read this long after its last one began.
+/// The first live registry begins a read this long after the beginning of its last one.
 const FIRST_READ_INTERVAL: Duration = Duration::from_millis(600);
-/// The second registry reads once the newest read that it knows of began this long ago,
+/// The second registry reads once the newest read that it knows of began this long ago.
 const TAKEOVER_DELAY: Duration = Duration::from_millis(1200);
-/// and each further one so much later.
+/// The additional takeover delay of each further registry.
 const TAKEOVER_STEP: Duration = Duration::from_millis(300);
-/// Between its own reads, a registry that is not the first pauses for this many times its takeover delay:
-/// the registries together do not overload a platform that does not answer.
-const PAUSE_FACTOR: u32 = 2;
-/// A read that took longer is discarded: its contents may be long out of date, since the process may have
-/// been suspended meanwhile.
+/// The minimum interval between the reads of a registry that is not the first, as a multiple of its takeover
+/// delay. It keeps the registries together from overloading a platform that does not answer.
+const TAKEOVER_PAUSE_FACTOR: u32 = 2;
+/// A read that took longer is discarded: its contents may be far out of date, since the process may have
+/// been suspended during the read.
 pub const READ_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The low bits of a revision are the reader's number.
+/// The number of low bits of a revision that hold the reader number.
 const READER_BITS: u32 = 16;
 
-/// What the caller has to do now.
+/// An action for the caller to perform.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
-    /// Read the complete list and report the end of it with [`ListSequencer::on_read_completed`].
+    /// Read the complete list and report its end with [`ListSequencer::on_read_completed`].
     Read,
     /// Publish the list that was read.
     Publish {
         /// The list with its revision.
         list: Arc<EndpointList>,
-        /// When the read began: the list is at least as new as that.
+        /// Start of the read: the list is at least as new as that.
         began_at: Duration,
     },
-    /// The list that was read may be older than one that others know by now and is dropped; the first
-    /// registry reads again at once.
+    /// The list that was read is dropped, since other nodes may know a newer one by now. The first registry
+    /// reads again at once.
     Superseded,
 }
 
@@ -54,12 +56,12 @@
     known_revision: u64,
 }
 
-/// One registry's part in reading the list.
+/// Schedules one registry's reads of the list and assigns revisions to the lists that it reads.
 #[derive(Debug)]
 pub struct ListSequencer {
     name: String,
-    /// Distinguishes this incarnation's revisions from those of all other readers.
-    reader: u16,
+    /// Distinguishes the revisions of this incarnation from those of all other readers.
+    reader_number: u16,
     pending: Option<PendingRead>,
     last_began_at: Option<Duration>,
     /// The last read was dropped as superseded.
@@ -67,19 +69,19 @@
 }
 
 impl ListSequencer {
-    /// A sequencer for the registry `name`. The high bits of the random `draw` become the reader's
-    /// number, so that two incarnations have the same one only by chance.
-    pub fn new(name: &str, draw: u64) -> ListSequencer {
+    /// A sequencer for the registry `name`. The high bits of `random` become the reader number, so that two
+    /// incarnations have the same one only by chance.
+    pub fn new(name: &str, random: u64) -> ListSequencer {
         ListSequencer {
             name: name.to_string(),
-            reader: (draw >> (u64::BITS - READER_BITS)) as u16,
+            reader_number: (random >> (u64::BITS - READER_BITS)) as u16,
             pending: None,
             last_began_at: None,
             is_superseded: false,
         }
     }
 
-    /// Begins a read if one is due: [`Effect::Read`], or nothing to do.
+    /// Begins a read and returns [`Effect::Read`] if one is due; otherwise returns `None`.
     pub fn on_tick(&mut self, now: Duration, view: &ClusterView) -> Option<Effect> {
         if self.pending.is_some() || !self.is_due(now, view) {
             return None;
@@ -91,7 +93,7 @@
         Some(Effect::Read)
     }
 
-    /// Ends the read in progress; `servers` is `None` where it gave no list that can be believed.
+    /// Ends the read in progress; `servers` is `None` if the read failed or its list is not valid.
     pub fn on_read_completed(
         &mut self,
         now: Duration,
@@ -117,7 +119,7 @@
     }
 
     fn revision_after(&self, known_revision: u64) -> u64 {
-        ((known_revision >> READER_BITS) + 1) << READER_BITS | u64::from(self.reader)
+        ((known_revision >> READER_BITS) + 1) << READER_BITS | u64::from(self.reader_number)
     }
 
     fn is_due(&self, now: Duration, view: &ClusterView) -> bool {
@@ -130,12 +132,13 @@
             rank => {
                 let delay = TAKEOVER_DELAY + TAKEOVER_STEP * rank.saturating_sub(1) as u32;
                 view.endpoint_list_read_at.is_none_or(|at| has_elapsed(at, delay))
-                    && has_elapsed(last_began_at, delay * PAUSE_FACTOR)
+                    && has_elapsed(last_began_at, delay * TAKEOVER_PAUSE_FACTOR)
             }
         }
     }
 
-    /// The position among the live registries, in the order of their names.
+    /// The position of this registry, in the order of names, among the live registries that are not
+    /// draining.
     fn rank(&self, view: &ClusterView) -> usize {
         let registries = view.live.iter().filter(|(info, status)| {
             info.role == Role::Registry && !status.draining && info.name < self.name
@@ -144,22 +147,22 @@
     }
 }
 
-/// The highest revision that this registry has heard of.
+/// The highest list revision that this registry knows of.
 fn highest_known_revision(view: &ClusterView) -> u64 {
     view.highest_endpoint_list_revision.max(view.endpoints.revision)
 }
 
-/// The servers in the order of their ids. A server that moved from one page to the next during the read is
-/// on both pages: the later page is newer and counts.
+/// Sorts the servers by id and removes duplicates. A server that moved from one page to the next during the
+/// read is on both pages; the entry of the later page is newer and is kept.
 fn sorted_by_id(mut servers: Vec<Server>) -> Vec<Server> {
-    // The sort is stable: of two entries with one id the later page's stays behind the other.
+    // The sort is stable: of two entries with the same id, that of the later page comes second.
     servers.sort_by(|left, right| left.id.cmp(&right.id));
     servers.dedup_by(|later, earlier| {
-        let is_same = later.id == earlier.id;
-        if is_same {
+        let is_duplicate = later.id == earlier.id;
+        if is_duplicate {
             std::mem::swap(later, earlier);
         }
-        is_same
+        is_duplicate
     });
     servers
 }
--- a/registry/src/discovery/sequencer/tests.rs
+++ b/registry/src/discovery/sequencer/tests.rs
@@ -43,7 +43,7 @@
     ClusterView { live: live.collect(), ..Default::default() }
 }
 
-/// Takes a published list into the view, as gossip would.
+/// Applies a published list to the view, as gossip would.
 fn apply(view: &mut ClusterView, effect: &Option<Effect>) {
     if let Some(Effect::Publish { list, began_at }) = effect {
         view.highest_endpoint_list_revision =
@@ -54,20 +54,20 @@
 }
 
 fn ids(list: &EndpointList) -> Vec<&str> {
-    list.servers.iter().map(|one| one.id.as_str()).collect()
+    list.servers.iter().map(|server| server.id.as_str()).collect()
 }
 
-/// Of lists without a number a changed one gets the next revision, and one that has the same servers, in
-/// whatever order, keeps its own.
+/// An unnumbered list that has changed gets the next revision. A list with the same servers, in any order,
+/// keeps its revision.
 #[test]
 fn a_changed_list_gets_the_next_revision() {
     let mut view = view(&[("r1", false)]);
     let mut sequencer = ListSequencer::new("r1", 7 << 48);
     let mut now = ms(0);
-    let mut read = |view: &mut ClusterView, found: Vec<Server>| -> Arc<EndpointList> {
+    let mut read = |view: &mut ClusterView, listed: Vec<Server>| -> Arc<EndpointList> {
         now += ms(600);
         assert_eq!(sequencer.on_tick(now, view), Some(Effect::Read));
-        let effect = sequencer.on_read_completed(now + ms(20), view, Some(found));
+        let effect = sequencer.on_read_completed(now + ms(20), view, Some(listed));
         apply(view, &effect);
         view.endpoints.clone()
     };
@@ -84,36 +84,37 @@
     assert_eq!((back.revision >> 16, &back.servers), (4, &first.servers));
 }
 
-/// A server that moved from one page to the next during the read is on both, and the later page counts.
+/// A server that moves from one page to the next during the read is on both; the later page is newer.
 #[test]
-fn of_a_server_on_two_pages_the_later_one_counts() {
+fn the_later_entry_of_a_server_on_two_pages_is_kept() {
     let view = view(&[("r1", false)]);
     let mut sequencer = ListSequencer::new("r1", 0);
     sequencer.on_tick(ms(0), &view);
-    let mut found = servers(&["a", "b", "b", "c"]);
-    found[2].draining = true;
-    let Some(Effect::Publish { list, .. }) = sequencer.on_read_completed(ms(5), &view, Some(found))
+    let mut listed = servers(&["a", "b", "b", "c"]);
+    listed[2].draining = true;
+    let Some(Effect::Publish { list, .. }) =
+        sequencer.on_read_completed(ms(5), &view, Some(listed))
     else {
-        panic!("it is published");
+        panic!("the list was not published");
     };
     assert_eq!(ids(&list), ["a", "b", "c"]);
     assert!(list.servers[1].draining);
 }
 
-/// A list that another registry published meanwhile is newer than a read that began before, and a read that
-/// took long may be out of date.
+/// A list that another registry published during a read may be newer than what was read, and a read that
+/// exceeded the time-out may be out of date.
 #[test]
-fn a_superseded_read_is_not_published_and_begins_again() {
+fn a_superseded_read_is_not_published_and_is_repeated() {
     let mut view = view(&[("r1", false), ("r2", false)]);
     let mut sequencer = ListSequencer::new("r1", 0);
     assert_eq!(sequencer.on_tick(ms(0), &view), Some(Effect::Read));
-    // Known by its revision only so far, from a proxy that has the list.
+    // Only the revision of the newer list is known so far, reported by a proxy that has the list.
     view.highest_endpoint_list_revision = 9 << 16 | 3;
     assert_eq!(
         sequencer.on_read_completed(ms(90), &view, Some(servers(&["a"]))),
         Some(Effect::Superseded)
     );
-    assert_eq!(sequencer.on_tick(ms(100), &view), Some(Effect::Read), "at once");
+    assert_eq!(sequencer.on_tick(ms(100), &view), Some(Effect::Read), "reads again at once");
     let effect = sequencer.on_read_completed(ms(120), &view, Some(servers(&["a"])));
     let Some(Effect::Publish { list, began_at }) = &effect else { panic!("{effect:?}") };
     assert_eq!((list.revision, *began_at), (10 << 16, ms(100)));
@@ -126,10 +127,11 @@
     );
 }
 
-/// A registry that has restarted knows no list, while others have one with a revision that it cannot know: the
-/// first read after it heard of that gets a higher one, whether or not the list has changed.
+/// A restarted registry knows no list, while other nodes have one with a revision that it does not know yet.
+/// Its first read after it has learned of that revision gets a higher one, whether or not the list has
+/// changed.
 #[test]
-fn a_list_that_others_know_under_a_higher_revision_gets_one_above_it() {
+fn a_read_gets_a_revision_above_the_highest_one_known() {
     let mut view = view(&[("r1", false)]);
     let mut sequencer = ListSequencer::new("r1", 5 << 48);
     sequencer.on_tick(ms(0), &view);
@@ -143,15 +145,15 @@
     assert_eq!(view.endpoints.revision, 41 << 16 | 5);
 }
 
-/// Two registries that read at the same moment never give one revision to two lists.
+/// Two registries that read concurrently assign different revisions to their lists.
 #[test]
-fn no_two_readers_give_the_same_revision() {
+fn no_two_readers_assign_the_same_revision() {
     let view = view(&[("r1", false), ("r2", false)]);
     let mut effects = Vec::new();
-    for (name, draw, found) in [("r1", 1 << 48, ["a"]), ("r2", 2 << 48, ["b"])] {
-        let mut sequencer = ListSequencer::new(name, draw);
+    for (name, random, listed) in [("r1", 1 << 48, ["a"]), ("r2", 2 << 48, ["b"])] {
+        let mut sequencer = ListSequencer::new(name, random);
         sequencer.on_tick(ms(0), &view);
-        effects.push(sequencer.on_read_completed(ms(9), &view, Some(servers(&found))));
+        effects.push(sequencer.on_read_completed(ms(9), &view, Some(servers(&listed))));
     }
     let [Some(Effect::Publish { list: one, .. }), Some(Effect::Publish { list: other, .. })] =
         &effects[..]
@@ -162,34 +164,34 @@
     assert_ne!(one.revision, other.revision);
 }
 
-/// The first registry reads often. The others read where no read was heard of for a while, one after the
-/// other, whether or not they take the first for live.
+/// The first registry reads at the short interval. The others read only if they have learned of no read for
+/// their takeover delay, one after the other, whether or not they consider the first one live.
 #[test]
 fn the_first_registry_reads_the_list_often_and_the_next_takes_over_after_a_timeout() {
-    let mut all = view(&[("p0", false), ("r2", false), ("r1", false), ("r3", false)]);
-    all.endpoint_list_read_at = Some(ms(5000));
+    let mut full_view = view(&[("p0", false), ("r2", false), ("r1", false), ("r3", false)]);
+    full_view.endpoint_list_read_at = Some(ms(5000));
     let is_due = |name: &str, view: &ClusterView, last_began: u64, now: u64| {
         let mut sequencer = ListSequencer::new(name, 0);
         assert_eq!(
             sequencer.on_tick(ms(last_began), view),
             Some(Effect::Read),
-            "a registry that has read nothing yet"
+            "a registry that has not read yet reads at once"
         );
         sequencer.on_read_completed(ms(last_began), view, None);
         sequencer.on_tick(ms(now), view) == Some(Effect::Read)
     };
-    assert!(is_due("r1", &all, 5000, 5600) && !is_due("r1", &all, 5000, 5599));
-    assert!(is_due("r2", &all, 1, 6200) && !is_due("r2", &all, 1, 6199));
-    assert!(is_due("r3", &all, 1, 6500) && !is_due("r3", &all, 1, 6499));
+    assert!(is_due("r1", &full_view, 5000, 5600) && !is_due("r1", &full_view, 5000, 5599));
+    assert!(is_due("r2", &full_view, 1, 6200) && !is_due("r2", &full_view, 1, 6199));
+    assert!(is_due("r3", &full_view, 1, 6500) && !is_due("r3", &full_view, 1, 6499));
     assert!(
-        !is_due("r2", &all, 5500, 7899) && is_due("r2", &all, 5500, 7900),
-        "no faster than that"
+        !is_due("r2", &full_view, 5500, 7899) && is_due("r2", &full_view, 5500, 7900),
+        "its reads are at least two takeover delays apart"
     );
     let mut first_drains = view(&[("r2", false), ("r1", true), ("r3", false)]);
     first_drains.endpoint_list_read_at = Some(ms(5000));
     assert!(
         is_due("r2", &first_drains, 5000, 5600),
-        "the first is draining: the next one is the first"
+        "while the first registry drains, the next one takes its place"
     );
     assert!(!is_due("r3", &first_drains, 5000, 5600));
     let mut isolated = view(&[("r1", false)]);
@@ -197,39 +199,45 @@
     isolated.endpoint_list_read_at = Some(ms(5000));
     assert!(
         !is_due("r1", &isolated, 1, 5600) && is_due("r1", &isolated, 1, 6200),
-        "others may read as well"
+        "an isolated registry waits for the takeover delay, since others may be reading"
     );
 }
 
-/// Five registries, each by what it knows: together they keep within the platform's rate limit, whether it
-/// answers them or not.
+/// Five registries, each deciding by what it knows, together keep within the platform's rate limit, whether
+/// or not the platform answers.
 #[test]
 fn all_registries_together_keep_within_the_rate_limit() {
-    for answers in [true, false] {
-        let reads = reads_in_a_minute(answers);
+    for platform_answers in [true, false] {
+        let reads = reads_in_a_minute(platform_answers);
         let per_second = reads.len() as f64 / 60.0;
-        assert!(per_second < 4.0, "{per_second}");
+        assert!(per_second < 4.0, "{per_second} reads per second");
         let longest = reads.windows(2).map(|pair| pair[1] - pair[0]).max();
         assert!(longest <= Some(600), "{longest:?} ms without a read");
-        if answers {
-            assert!(per_second < 1.8, "{per_second}: the first one alone");
+        if platform_answers {
+            assert!(
+                per_second < 1.8,
+                "{per_second} reads per second, though the first registry should read alone"
+            );
         }
     }
 }
 
-/// The times (ms) at which five registries read in a minute.
-fn reads_in_a_minute(answers: bool) -> Vec<u64> {
+/// The times (ms) of the reads of five registries within one minute.
+fn reads_in_a_minute(platform_answers: bool) -> Vec<u64> {
     let names = ["r1", "r2", "r3", "r4", "r5"];
-    let mut all = view(&names.map(|name| (name, false)));
+    let mut full_view = view(&names.map(|name| (name, false)));
     let mut sequencers: Vec<ListSequencer> =
         names.iter().map(|name| ListSequencer::new(name, 0)).collect();
     let mut reads = Vec::new();
     for now_ms in (0..60_000).step_by(50) {
         for sequencer in &mut sequencers {
-            if sequencer.on_tick(ms(now_ms), &all) == Some(Effect::Read) {
-                let effect =
-                    sequencer.on_read_completed(ms(now_ms), &all, answers.then(|| servers(&["a"])));
-                apply(&mut all, &effect);
+            if sequencer.on_tick(ms(now_ms), &full_view) == Some(Effect::Read) {
+                let effect = sequencer.on_read_completed(
+                    ms(now_ms),
+                    &full_view,
+                    platform_answers.then(|| servers(&["a"])),
+                );
+                apply(&mut full_view, &effect);
                 reads.push(now_ms);
             }
         }
--- a/registry/src/discovery/source.rs
+++ b/registry/src/discovery/source.rs
@@ -1,5 +1,5 @@
-//! Reads of the platform's endpoint list over HTTP: conditional requests (RFC 9110 section 13), page by
-//! page, over one connection that is kept open.
+//! Reads the platform's endpoint list over HTTP, page by page and with conditional requests (RFC 9110
+//! section 13), over one persistent connection.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
@@ -16,25 +16,25 @@
 use vanepath_config::endpoint_list::{self, EndpointList, Server};
 use vanepath_config::wire_format::{EndpointListPage, SelectedFormat};
 
-/// A list of more pages is not believed: its links may form a cycle.
+/// A list of more pages is rejected, since its links may form a cycle.
 const MAX_PAGES: usize = 1024;
 
 /// Why a read of the list failed.
 #[derive(Debug)]
 pub enum FetchError {
-    /// The whole read took too long.
+    /// The read was not complete within its time-out.
     Timeout,
-    /// No connection to the platform.
+    /// The connection to the platform could not be established.
     Connect(std::io::Error),
-    /// The path of the next page makes no request.
+    /// The path of a page is not a valid request path.
     Request(hyper::http::Error),
-    /// The exchange broke off.
+    /// The HTTP exchange failed or was aborted.
     Exchange(hyper::Error),
-    /// The body broke off, or is larger than a list may be.
+    /// The body was truncated, or is larger than the maximum for a list.
     Body(Box<dyn Error + Send + Sync>),
-    /// Neither 200 nor 304.
+    /// The status is neither 200 nor 304.
     Status(StatusCode),
-    /// So many faults were found in a page.
+    /// A page is not valid; the number of validation errors.
     InvalidPage(usize),
     /// The list has more than [`MAX_PAGES`] pages.
     TooManyPages,
@@ -43,13 +43,13 @@
 impl fmt::Display for FetchError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FetchError::Timeout => formatter.write_str("no complete list in time"),
-            FetchError::Connect(error) => write!(formatter, "cannot connect: {error}"),
-            FetchError::Request(error) => write!(formatter, "invalid path: {error}"),
-            FetchError::Exchange(error) => write!(formatter, "exchange failed: {error}"),
-            FetchError::Body(error) => write!(formatter, "body not read: {error}"),
-            FetchError::Status(status) => write!(formatter, "status {status}"),
-            FetchError::InvalidPage(faults) => write!(formatter, "{faults} faults in a page"),
+            FetchError::Timeout => formatter.write_str("timed out before the list was complete"),
+            FetchError::Connect(error) => write!(formatter, "connection failed: {error}"),
+            FetchError::Request(error) => write!(formatter, "invalid request path: {error}"),
+            FetchError::Exchange(error) => write!(formatter, "HTTP exchange failed: {error}"),
+            FetchError::Body(error) => write!(formatter, "reading the body failed: {error}"),
+            FetchError::Status(status) => write!(formatter, "unexpected status {status}"),
+            FetchError::InvalidPage(errors) => write!(formatter, "invalid page: {errors} errors"),
             FetchError::TooManyPages => write!(formatter, "more than {MAX_PAGES} pages"),
         }
     }
@@ -57,22 +57,22 @@
 
 impl Error for FetchError {}
 
-/// What a read of the list gave.
+/// The result of a read of the list.
 pub enum ListRead {
-    /// Nothing changed since the list with the given entity tag.
+    /// The list has not changed since the one with the given entity tag.
     NotModified,
-    /// A list with the platform's own revision.
+    /// A list with a revision of the platform.
     Numbered {
         /// The complete list.
         list: EndpointList,
         /// The entity tag of its first page.
         etag: Option<HeaderValue>,
     },
-    /// The servers of a list that has no revision.
+    /// The servers of a list without a revision.
     Unnumbered(Vec<Server>),
 }
 
-/// The platform's list at one address, with the connection to it.
+/// The platform's list at one address, and the connection that it is read over.
 pub struct EndpointListSource<'s> {
     address: SocketAddr,
     path: &'s str,
@@ -82,8 +82,8 @@
 }
 
 impl<'s> EndpointListSource<'s> {
-    /// The list at `path` of `address`; `zone_regions` gives the regions of zones where the list
-    /// itself does not.
+    /// The list at `path` of `address`. `zone_regions` maps zones to regions, for lists that do not state
+    /// the regions themselves.
     pub fn new(
         address: SocketAddr,
         path: &'s str,
@@ -93,22 +93,22 @@
         EndpointListSource { address, path, format, zone_regions, connection: None }
     }
 
-    /// Drops the connection; the next read opens another one.
+    /// Drops the connection; the next read opens a new one.
     pub fn disconnect(&mut self) {
         self.connection = None;
     }
 
-    /// The complete list, page by page. The first request is conditional on `etag`.
+    /// Reads the complete list, page by page. The first request is conditional on `etag`.
     ///
     /// # Errors
-    /// Where any page cannot be fetched or is not valid: part of a list is none.
+    /// Returns an error if any page cannot be fetched or is not valid; an incomplete list is discarded.
     pub async fn read(&mut self, etag: Option<&HeaderValue>) -> Result<ListRead, FetchError> {
         let mut servers = Vec::new();
         let mut revision = None;
         let mut list_etag = None;
-        let mut next = Some(self.path.to_string());
+        let mut next_path = Some(self.path.to_string());
         let mut pages = 0;
-        while let Some(path) = next {
+        while let Some(path) = next_path {
             pages += 1;
             if pages > MAX_PAGES {
                 return Err(FetchError::TooManyPages);
@@ -121,7 +121,7 @@
             let page = self.parse(&bytes)?;
             revision = page.revision;
             servers.extend(page.servers);
-            next = page.next;
+            next_path = page.next;
             if is_first {
                 list_etag = page_etag;
             }
@@ -136,10 +136,10 @@
 
     fn parse(&self, bytes: &[u8]) -> Result<EndpointListPage, FetchError> {
         let page = self.format.page(bytes, self.path, self.zone_regions);
-        page.map_err(|faults| FetchError::InvalidPage(faults.len()))
+        page.map_err(|errors| FetchError::InvalidPage(errors.len()))
     }
 
-    /// A conditional GET: `None` where the platform answers 304 (Not Modified).
+    /// Fetches one page with a conditional GET; `None` if the platform answers 304 (Not Modified).
     async fn fetch(
         &mut self,
         path: &str,
@@ -167,10 +167,10 @@
         }
     }
 
-    /// The open connection, or a new one where that cannot take a request.
+    /// Returns the open connection, or a new one if there is none that can take a request.
     async fn connect(&mut self) -> Result<&mut SendRequest<Body>, FetchError> {
-        let open = self.connection.take().filter(SendRequest::is_ready);
-        let sender = match open {
+        let open_connection = self.connection.take().filter(SendRequest::is_ready);
+        let sender = match open_connection {
             Some(sender) => sender,
             None => {
                 let stream = TcpStream::connect(self.address).await.map_err(FetchError::Connect)?;
--- a/registry/tests/cluster_model/mod.rs
+++ b/registry/tests/cluster_model/mod.rs
@@ -1,5 +1,6 @@
-//! A deterministic simulation of registries that read an endpoint list without numbers, and of proxies that
-//! get it by gossip. It runs the real gossip and sequencer cores on simulated time and an unreliable network.
+//! A deterministic simulation of registries that read an unnumbered endpoint list, and of proxies that
+//! receive it by gossip. It runs the real gossip and sequencer state machines with simulated time and an
+//! unreliable network.
 
 mod checks;
 mod network;
@@ -23,14 +24,14 @@
     pub seed: u64,
     pub registries: usize,
     pub proxies: usize,
-    /// The fraction of pages that come late.
-    pub slow_pages: f64,
-    /// The longest delay of such a page.
+    /// The fraction of pages that are delayed.
+    pub slow_page_fraction: f64,
+    /// The maximum delay of such a page.
     pub max_page_delay: Duration,
-    /// During this time messages of the other registries to the first one are lost; those that it sends are
+    /// During this time messages from the other registries to the first one are lost; its own messages are
     /// not.
     pub one_way_partition: Option<Range<Duration>>,
-    pub length: Duration,
+    pub duration: Duration,
 }
 
 impl Scenario {
@@ -39,10 +40,10 @@
             seed,
             registries: 5,
             proxies: 6,
-            slow_pages: 0.0,
+            slow_page_fraction: 0.0,
             max_page_delay: Duration::from_millis(1800),
             one_way_partition: None,
-            length: Duration::from_secs(40),
+            duration: Duration::from_secs(40),
         }
     }
 }
@@ -51,7 +52,7 @@
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 const PAGES: usize = 6;
 const SERVERS: usize = 36;
-/// By then all nodes know each other and the first list.
+/// The start of the changes to the list; by then all nodes know each other and the first list.
 const CHANGES_BEGIN_AT: Duration = Duration::from_secs(6);
 
 struct Node {
@@ -59,26 +60,26 @@
     view: ClusterView,
     one_way_delay: Duration,
     sequencer: ListSequencer,
-    read: Option<PendingRead>,
+    pending_read: Option<PendingRead>,
     tick_at: Duration,
     poll_at: Duration,
-    /// Servers that the node has known as draining, and since when.
+    /// The servers that the node has known to be draining, and since when.
     known_draining: BTreeMap<String, Duration>,
-    /// The list that was checked last.
-    checked: Arc<EndpointList>,
+    /// The list at the last check.
+    last_checked: Arc<EndpointList>,
 }
 
 pub struct ClusterModel {
     now: Duration,
-    random: u64,
+    random_state: u64,
     nodes: Vec<Node>,
-    /// Messages in flight, by time of arrival and number.
+    /// Messages in flight, by arrival time and message number.
     messages: BTreeMap<(Duration, u64), (usize, Message)>,
     message_count: u64,
-    /// The node that waits for the response under a ticket.
+    /// The node that waits for the response, by responder and ticket.
     tickets: BTreeMap<(usize, u64), usize>,
     pending_pulls: BTreeMap<(usize, usize), PendingPull>,
-    /// Open connections, by client and server.
+    /// Open connections, by requester and responder.
     connected: BTreeSet<(usize, usize)>,
     registries: usize,
     one_way_partition: Option<Range<Duration>>,
@@ -106,17 +107,17 @@
 }
 
 impl ClusterModel {
-    /// Runs a scenario and gives the violations: servers that are known as draining too late, lists that go
-    /// back, and nodes that do not end with the list as it is.
-    pub fn run(scenario: &Scenario, bound: Duration) -> Vec<String> {
+    /// Runs a scenario and returns the violations: draining servers that a node learns of too late, nodes
+    /// that return to an older list, and nodes whose final list differs from the platform's.
+    pub fn run(scenario: &Scenario, propagation_limit: Duration) -> Vec<String> {
         let mut model = ClusterModel::new(scenario);
         let mut change_at = CHANGES_BEGIN_AT;
-        let mut number = SERVERS;
-        while model.now < scenario.length {
+        let mut next_server = SERVERS;
+        while model.now < scenario.duration {
             model.now += TIME_STEP;
-            // Series of changes, and pauses in which the last one has to become known.
-            if model.now >= change_at && model.now + 3 * bound < scenario.length {
-                model.change(&mut number);
+            // Series of changes, separated by pauses in which the last change has to reach all nodes.
+            if model.now >= change_at && model.now + 3 * propagation_limit < scenario.duration {
+                model.change_platform_list(&mut next_server);
                 let is_pause = model.random_fraction() < 0.15;
                 let pause_ms =
                     if is_pause { 4000.0 } else { 150.0 + 700.0 * model.random_fraction() };
@@ -130,9 +131,9 @@
                     model.step_read(index, scenario);
                 }
             }
-            model.check(bound);
+            model.check_lists(propagation_limit);
         }
-        model.check_end();
+        model.check_final_lists();
         model.violations
     }
 
@@ -140,7 +141,7 @@
         let seeds: Vec<SocketAddr> = (0..scenario.registries.min(3)).map(address_of_node).collect();
         let mut model = ClusterModel {
             now: Duration::ZERO,
-            random: scenario.seed,
+            random_state: scenario.seed,
             nodes: Vec::new(),
             messages: BTreeMap::new(),
             message_count: 0,
@@ -171,8 +172,8 @@
             address: address_of_node(index),
             cluster_address: address_of_node(index),
         };
-        let draw = (self.random_fraction() * u64::MAX as f64) as u64;
-        let sequencer = ListSequencer::new(&info.name, draw);
+        let random = (self.random_fraction() * u64::MAX as f64) as u64;
+        let sequencer = ListSequencer::new(&info.name, random);
         let gossip = Gossip::new(info, seeds, scenario.seed * 100 + index as u64, Duration::ZERO);
         let jitter = Duration::from_millis((self.random_fraction() * 250.0) as u64);
         Node {
@@ -180,33 +181,34 @@
             view: ClusterView::default(),
             one_way_delay: Duration::from_millis([1, 6, 12][location]),
             sequencer,
-            read: None,
+            pending_read: None,
             tick_at: jitter,
             poll_at: jitter,
             known_draining: BTreeMap::new(),
-            checked: Arc::default(),
+            last_checked: Arc::default(),
         }
     }
 
     fn random_fraction(&mut self) -> f64 {
-        self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut mixed = self.random;
+        self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut mixed = self.random_state;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         mixed ^= mixed >> 31;
         (mixed >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    /// A server begins to drain, the draining ones are removed, or a new one is added.
-    fn change(&mut self, number: &mut usize) {
+    /// Changes the platform's list: a server begins to drain, the draining ones are removed, or a new one is
+    /// added.
+    fn change_platform_list(&mut self, next_server: &mut usize) {
         let index = (self.random_fraction() * self.platform_list.len() as f64) as usize;
         match (self.random_fraction() * 3.0) as u32 {
-            0 if self.platform_list.iter().any(|one| one.draining) => {
-                self.platform_list.retain(|one| !one.draining)
+            0 if self.platform_list.iter().any(|server| server.draining) => {
+                self.platform_list.retain(|server| !server.draining)
             }
             1 => {
-                self.platform_list.push(Server { warming_up: true, ..server(*number) });
-                *number += 1;
+                self.platform_list.push(Server { warming_up: true, ..server(*next_server) });
+                *next_server += 1;
             }
             _ => {
                 self.platform_list[index].draining = true;
@@ -221,18 +223,18 @@
             match effect {
                 Effect::Pull { address, request: pull } => {
                     let to = (0..self.nodes.len()).find(|to| address_of_node(*to) == address);
-                    let to = to.expect("an address of this model");
+                    let to = to.expect("the address belongs to a node of the model");
                     self.pull(index, to, pull);
                 }
-                Effect::Respond { ticket, response: news } => {
+                Effect::Respond { ticket, response: pull_response } => {
                     let requester = self.tickets.remove(&(index, ticket));
                     let is_awaited = |to: &usize| {
                         self.pending_pulls
                             .get(&(*to, index))
-                            .is_some_and(|one| one.number == ticket)
+                            .is_some_and(|pull| pull.number == ticket)
                     };
                     if let Some(to) = requester.filter(is_awaited) {
-                        let response = Box::new(news);
+                        let response = Box::new(pull_response);
                         self.send(index, to, Message::Response { responder: index, response });
                     }
                 }
--- a/registry/tests/cluster_model/network.rs
+++ b/registry/tests/cluster_model/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network: messages in flight, delays, lost messages and pulls that time out.
+//! The simulated network: messages in flight, delays, message loss and pull time-outs.
 
 use super::{ClusterModel, address_of_node};
 use std::time::Duration;
@@ -10,7 +10,7 @@
     Response { responder: usize, response: Box<PullResponse> },
 }
 
-/// A pull in flight, and when it times out.
+/// A pull in flight and its time-out.
 #[derive(Clone, Copy)]
 pub(super) struct PendingPull {
     pub(super) number: u64,
@@ -40,12 +40,12 @@
         }
     }
 
-    /// Ends pulls that had no response in their time, and their connections with them.
+    /// Ends pulls whose time-out has expired, and closes their connections.
     pub(super) fn time_out_pulls(&mut self) {
         let now = self.now;
-        let late = self.pending_pulls.iter().filter(|(_, pull)| pull.deadline <= now);
-        let late: Vec<(usize, usize)> = late.map(|(pair, _)| *pair).collect();
-        for (requester, responder) in late {
+        let expired = self.pending_pulls.iter().filter(|(_, pull)| pull.deadline <= now);
+        let expired: Vec<(usize, usize)> = expired.map(|(pair, _)| *pair).collect();
+        for (requester, responder) in expired {
             self.pending_pulls.remove(&(requester, responder));
             self.connected.remove(&(requester, responder));
             let address = address_of_node(responder);
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Whether messages from one node to the other arrive.
-    fn is_connected(&self, from: usize, to: usize) -> bool {
+    /// Whether messages from one node currently reach the other.
+    fn is_reachable(&self, from: usize, to: usize) -> bool {
         let is_partitioned =
             self.one_way_partition.as_ref().is_some_and(|time| time.contains(&self.now));
         !(is_partitioned && to == 0 && from < self.registries)
@@ -62,7 +62,7 @@
 
     pub(super) fn send(&mut self, from: usize, to: usize, message: Message) {
         self.message_count += 1;
-        if !self.is_connected(from, to) {
+        if !self.is_reachable(from, to) {
             return;
         }
         let delay = self.nodes[from].one_way_delay + self.nodes[to].one_way_delay;
@@ -74,8 +74,8 @@
         let wait = Duration::from_millis(u64::from(pull.wait_ms) + 1000);
         let number = self.message_count + 1;
         self.pending_pulls.insert((from, to), PendingPull { number, deadline: self.now + wait });
-        // A new connection needs both directions.
-        if self.connected.contains(&(from, to)) || self.is_connected(to, from) {
+        // Opening a connection requires both directions.
+        if self.connected.contains(&(from, to)) || self.is_reachable(to, from) {
             self.send(from, to, Message::Request { from, pull: Box::new(pull) });
         }
     }
--- a/registry/tests/cluster_model/reads.rs
+++ b/registry/tests/cluster_model/reads.rs
@@ -1,4 +1,4 @@
-//! The registries' reads of the platform's list, page by page.
+//! The registries' page-by-page reads of the platform's list.
 
 use super::{ClusterModel, PAGES, Scenario, TICK_INTERVAL};
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 /// A read of the list that is in progress.
 pub(super) struct PendingRead {
-    /// The servers of the pages that were read so far.
+    /// The servers of the pages read so far.
     servers: Vec<Server>,
     pages: usize,
     next_page_at: Duration,
@@ -16,15 +16,15 @@
 }
 
 impl ClusterModel {
-    /// What the endpoint poller does (`discovery::poller`).
+    /// Does one step of the work of the endpoint poller (`discovery::poller`).
     pub(super) fn step_read(&mut self, index: usize, scenario: &Scenario) {
         let now = self.now;
-        if self.nodes[index].read.is_none() && now >= self.nodes[index].poll_at {
+        if self.nodes[index].pending_read.is_none() && now >= self.nodes[index].poll_at {
             self.nodes[index].poll_at = now + TICK_INTERVAL;
             let node = &mut self.nodes[index];
             if node.sequencer.on_tick(now, &node.view) == Some(Effect::Read) {
-                let next_page_at = self.page_at(index, scenario);
-                self.nodes[index].read = Some(PendingRead {
+                let next_page_at = self.next_page_time(index, scenario);
+                self.nodes[index].pending_read = Some(PendingRead {
                     servers: Vec::new(),
                     pages: 0,
                     next_page_at,
@@ -32,7 +32,7 @@
                 });
             }
         }
-        let Some(read) = &self.nodes[index].read else { return };
+        let Some(read) = &self.nodes[index].pending_read else { return };
         if now.saturating_sub(read.began_at) > READ_TIMEOUT {
             self.end_read(index, false);
             return;
@@ -40,12 +40,12 @@
         if now < read.next_page_at {
             return;
         }
-        // The platform answers half a round trip before the page is here; the difference does not matter.
+        // The platform answers half a round trip before the page arrives; this difference is negligible here.
         let size = self.platform_list.len().div_ceil(PAGES);
         let page = self.platform_list.iter().skip(read.pages * size).take(size).cloned();
         let page: Vec<Server> = page.collect();
-        let next_page_at = self.page_at(index, scenario);
-        let read = self.nodes[index].read.as_mut().expect("looked at above");
+        let next_page_at = self.next_page_time(index, scenario);
+        let read = self.nodes[index].pending_read.as_mut().expect("a read is in progress");
         read.servers.extend(page);
         read.pages += 1;
         read.next_page_at = next_page_at;
@@ -57,7 +57,7 @@
     fn end_read(&mut self, index: usize, is_complete: bool) {
         let now = self.now;
         let node = &mut self.nodes[index];
-        let servers = node.read.take().map(|read| read.servers).filter(|_| is_complete);
+        let servers = node.pending_read.take().map(|read| read.servers).filter(|_| is_complete);
         if let Some(Effect::Publish { list, began_at }) =
             node.sequencer.on_read_completed(now, &node.view, servers)
         {
@@ -65,10 +65,10 @@
         }
     }
 
-    fn page_at(&mut self, index: usize, scenario: &Scenario) -> Duration {
+    fn next_page_time(&mut self, index: usize, scenario: &Scenario) -> Duration {
         let delay = 2 * self.nodes[index].one_way_delay
             + Duration::from_micros((self.random_fraction() * 4000.0) as u64);
-        let is_slow = self.random_fraction() < scenario.slow_pages;
+        let is_slow = self.random_fraction() < scenario.slow_page_fraction;
         let page_delay = if is_slow {
             scenario.max_page_delay.mul_f64(self.random_fraction())
         } else {
