--- a/registry/src/control_loop.rs
+++ b/registry/src/control_loop.rs
@@ -12,15 +12,15 @@
 
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The effect of a step of the plan shows after this long: the TTL of a steering response, the gossip
-/// delay and one second of measured load.
+/// Minimum time between two steps of the plan. After it the load reports show the effect of a step: it
+/// covers the TTL of a steering response, the gossip delay and one second of load measurement.
 const PLAN_STEP_INTERVAL: Duration = Duration::from_millis(4000);
 
-/// The larger the cluster, the longer one evaluation of all proxies' observations takes. Between two
-/// evaluations the loop pauses for this many times as long, which bounds the plan's share of a core.
-const PAUSE_FACTOR: u32 = 25;
+/// The pause between two evaluations of the proxies' observations, as a multiple of the duration of the
+/// last evaluation. An evaluation takes longer in a larger cluster; the pause bounds its share of a core.
+const EVALUATION_PAUSE_FACTOR: u32 = 25;
 
-/// Starts the loop as a task of its own.
+/// Starts the control loop in a task of its own.
 pub fn spawn(registry: Arc<Registry>) {
     let control_loop = ControlLoop {
         registry,
@@ -44,9 +44,9 @@
 #[derive(xtra::Actor)]
 struct ControlLoop {
     registry: Arc<Registry>,
-    /// The plan's shares may change again from this time on.
+    /// Earliest time of the next change of the plan's shares.
     next_step_at: Duration,
-    /// The observations are evaluated again from this time on.
+    /// Earliest time of the next evaluation of the observations.
     next_evaluation_at: Duration,
     readiness: LeadershipReadiness,
 }
@@ -66,10 +66,10 @@
 }
 
 impl ControlLoop {
-    /// Publishes this node's status; returns whether it may act as the leader.
+    /// Publishes this node's status; returns whether this node may act as the leader.
     async fn publish_status(&mut self, view: &ClusterView) -> bool {
         let node = &self.registry.node;
-        // With a configuration, and with time enough to have heard of the proxies.
+        // Ready once a configuration is known and the view has had time to include the proxies.
         let ready = view.committed.revision > 0 && view.is_fresh && !node.is_shutting_down();
         if self.registry.is_ready.swap(ready, Ordering::Relaxed) != ready {
             log::info!("{}", if ready { "ready" } else { "not ready" });
@@ -91,7 +91,7 @@
         view.leader(Role::Registry).is_some_and(|info| info.name == self.registry.node.info.name)
     }
 
-    /// Evaluates the proxies' observations, if that is due, and publishes a plan that changed.
+    /// Evaluates the proxies' observations if an evaluation is due, and publishes the plan if it changed.
     async fn publish_plan(&mut self, view: &ClusterView) {
         let node = &self.registry.node;
         let started_at = node.clock.now();
@@ -108,11 +108,14 @@
         }
         let plan = leader::next_plan(view, &node.info.name, &peers, may_shift);
         let ended_at = node.clock.now();
-        let pause = ((ended_at - started_at) * PAUSE_FACTOR).min(PLAN_STEP_INTERVAL);
+        let pause = ((ended_at - started_at) * EVALUATION_PAUSE_FACTOR).min(PLAN_STEP_INTERVAL);
         self.next_evaluation_at = ended_at + pause;
         let Some(plan) = plan else { return };
         if plan.epoch != view.plan.epoch {
-            log::info!("leader of the traffic-shift plan from epoch {} on", plan.epoch);
+            log::info!(
+                "became the leader; publishing the traffic-shift plan under epoch {}",
+                plan.epoch
+            );
         }
         self.registry.counters.increment(Counter::PlansMade);
         let _ = node.gossip.send(HandleEvent(Event::PlanReceived(Arc::new(plan)))).await;
--- a/registry/src/leader/mod.rs
+++ b/registry/src/leader/mod.rs
@@ -1,4 +1,5 @@
-//! The registry that leads: it publishes the traffic-shift plan under an epoch (design 5.6, 7.4). Pure.
+//! The duty of the leader among the registries: computes the traffic-shift plan, which is published under
+//! an epoch (design 5.6, 7.4). Pure functions without I/O.
 
 mod server_status;
 mod zone_loads;
@@ -10,18 +11,20 @@
 use vanepath_cluster::node::ClusterView;
 use vanepath_cluster::wire::{NodeInfo, NodeStatus, Role, TrafficShiftPlan, ZoneShares};
 
-/// Twice what a proxy takes to report all its observations.
+/// Time for which the view has to be fresh before a registry may lead: twice the time in which a proxy
+/// reports all its observations.
 const SETTLING_TIME: Duration = Duration::from_millis(4000);
 
-/// Whether this registry may lead already. One that has just started, or resumed after a pause of its
-/// process, has heard of too little: it leads only after a while, and the last plan stays meanwhile.
+/// Tracks whether this registry may lead. After a start, or after a pause of the process, it knows too
+/// little of the cluster: it may lead only after `SETTLING_TIME`, and the last plan stays in force until
+/// then.
 #[derive(Debug, Default)]
 pub struct LeadershipReadiness {
     fresh_since: Option<Duration>,
 }
 
 impl LeadershipReadiness {
-    /// Whether the view has been fresh for long enough at `now`.
+    /// Whether at `now` the view has been fresh for long enough; `is_fresh` is its current state.
     pub fn may_lead(&mut self, now: Duration, is_fresh: bool) -> bool {
         if !is_fresh {
             self.fresh_since = None;
@@ -31,8 +34,8 @@
     }
 }
 
-/// Whether this registry hears from more than half of all registries, itself included. One that does not
-/// may be partitioned, and nodes prefer others to pull from (design 5.3).
+/// Whether this registry receives gossip from more than half of all registries, itself included. A registry
+/// that does not may be partitioned, and nodes prefer to pull from others (design 5.3).
 pub fn hears_majority(view: &ClusterView) -> bool {
     let is_registry = |node: &&(NodeInfo, NodeStatus)| node.0.role == Role::Registry;
     let live = view.live.iter().filter(is_registry).count();
@@ -40,37 +43,38 @@
     2 * live > live + unreachable
 }
 
-/// The next plan, if the registry `own` is the leader and something changed. `may_shift`: since the last
-/// step enough time has passed for its effect to show (the TTL of a steering response and the gossip
-/// delay).
+/// The next plan, if the registry `own_name` is the leader and the plan has changed. `may_shift` states that
+/// enough time has passed since the last step for its effect to show in the load reports (the TTL of a
+/// steering response and the gossip delay); otherwise the shares stay as they are.
 pub fn next_plan(
     view: &ClusterView,
-    own: &str,
+    own_name: &str,
     peers: &[Peer],
     may_shift: bool,
 ) -> Option<TrafficShiftPlan> {
     let leader = view.leader(Role::Registry)?;
-    // The last plan stays until this registry has the observations of all proxies.
-    if leader.name != own || !view.is_fresh || !view.has_observations {
+    // The last plan stays in force until this registry has the observations of all proxies.
+    if leader.name != own_name || !view.is_fresh || !view.has_observations {
         return None;
     }
-    let before = &view.plan;
-    let is_own_term = before.leader == own;
+    let current = &view.plan;
+    let is_own_term = current.leader == own_name;
     let proxies = live_proxies(view, peers);
     let ServerSummary { warming_up, unreachable } = summarize_servers(&proxies);
-    let shifted = if may_shift { shifted(view, &proxies) } else { before.shifted.clone() };
+    let shifted =
+        if may_shift { next_shares_by_service(view, &proxies) } else { current.shifted.clone() };
     let is_unchanged = is_own_term
-        && before.shifted == shifted
-        && before.revision == view.committed.config_revision
-        && before.warming_up.keys().eq(warming_up.keys())
-        && before.unreachable == unreachable;
+        && current.shifted == shifted
+        && current.revision == view.committed.config_revision
+        && current.warming_up.keys().eq(warming_up.keys())
+        && current.unreachable == unreachable;
     if is_unchanged {
         return None;
     }
     Some(TrafficShiftPlan {
-        epoch: if is_own_term { before.epoch } else { before.epoch + 1 },
-        counter: if is_own_term { before.counter + 1 } else { 1 },
-        leader: own.to_string(),
+        epoch: if is_own_term { current.epoch } else { current.epoch + 1 },
+        counter: if is_own_term { current.counter + 1 } else { 1 },
+        leader: own_name.to_string(),
         revision: view.committed.config_revision,
         shifted,
         warming_up,
@@ -78,7 +82,7 @@
     })
 }
 
-/// The proxies whose observations count: the last ones of a dead proxy are out of date.
+/// The live proxies. The observations of a dead proxy are out of date and are ignored.
 fn live_proxies<'p>(view: &ClusterView, peers: &'p [Peer]) -> Vec<&'p Peer> {
     let live: HashSet<&str> = view.live.iter().map(|(info, _)| info.name.as_str()).collect();
     peers
@@ -88,19 +92,19 @@
         .collect()
 }
 
-/// The next shares of each service that shifts any clients.
-fn shifted(view: &ClusterView, proxies: &[&Peer]) -> BTreeMap<String, ZoneShares> {
-    let mut shifted = BTreeMap::new();
+/// The next shares of each service from which any clients are shifted.
+fn next_shares_by_service(view: &ClusterView, proxies: &[&Peer]) -> BTreeMap<String, ZoneShares> {
+    let mut shares_by_service = BTreeMap::new();
     let server_loads = zone_loads::server_loads(proxies);
     for (index, service) in view.config.services.iter().enumerate() {
-        let before = view.plan.shifted.get(&service.name).cloned().unwrap_or_default();
+        let current = view.plan.shifted.get(&service.name).cloned().unwrap_or_default();
         let zones = zone_loads::zone_loads(view, proxies, &server_loads, index);
-        let shares = crate::traffic_shift::next_shares(&zones, &before);
+        let shares = crate::traffic_shift::next_shares(&zones, &current);
         if !shares.is_empty() {
-            shifted.insert(service.name.clone(), shares);
+            shares_by_service.insert(service.name.clone(), shares);
         }
     }
-    shifted
+    shares_by_service
 }
 
 #[cfg(test)]
--- a/registry/src/leader/server_status.rs
+++ b/registry/src/leader/server_status.rs
@@ -1,38 +1,38 @@
-//! What the proxies' observations say together about servers that are unreachable or warming up.
+//! Combines the proxies' observations into the sets of servers that are unreachable or warming up.
 
 use std::collections::{BTreeMap, BTreeSet};
 use vanepath_cluster::gossip::Peer;
 use vanepath_cluster::wire::{ServerObservation, ServerPhase, WarmUp};
 
-/// A proxy that has been in contact for this much longer than a server has been back, in milliseconds,
-/// contradicts that the server was ever away.
+/// A proxy whose contact with a server has lasted longer than the server's warm-up by more than this, in
+/// milliseconds, shows that the server was never unreachable.
 const CONTACT_TOLERANCE_MS: u32 = 1500;
 
-/// Servers in other than the usual state, by id.
+/// The servers that are warming up or unreachable, by id.
 #[derive(Debug, Default, PartialEq)]
 pub struct ServerSummary {
-    /// Servers that have just come back.
+    /// Servers that have just become reachable again.
     pub warming_up: BTreeMap<String, WarmUp>,
-    /// Servers that get no requests.
+    /// Servers that receive no requests.
     pub unreachable: BTreeSet<String>,
 }
 
-/// All proxies' observations of one server.
+/// The observations of one server by all proxies.
 #[derive(Default)]
-struct Evidence {
-    /// Proxies that suspect the server after a time-out,
+struct AggregatedObservations {
+    /// The number of proxies that suspect the server after a time-out.
     suspecting: u32,
-    /// and those that suspect it after a refused connection.
+    /// The number of proxies that suspect the server after a refused connection.
     suspecting_refused: u32,
-    /// For how long (ms) proxies have seen it warming up after a time-out,
+    /// How long (ms) each proxy has seen the server warming up after a time-out.
     warm_up_ages_ms: Vec<u32>,
-    /// and after a refused connection.
+    /// How long (ms) each proxy has seen the server warming up after a refused connection.
     refused_warm_up_ages_ms: Vec<u32>,
-    /// The longest contact (ms) that any proxy has had without a break.
+    /// The longest uninterrupted contact (ms) of any proxy with the server.
     longest_contact_ms: u32,
 }
 
-impl Evidence {
+impl AggregatedObservations {
     fn add(&mut self, observation: &ServerObservation) {
         self.longest_contact_ms = self.longest_contact_ms.max(observation.in_contact_ms);
         match (observation.phase, observation.connection_refused) {
@@ -46,13 +46,13 @@
         }
     }
 
-    /// Whether, and since when, the server is warming up.
+    /// The state of the server's warm-up, or `None` if it is not warming up.
     fn warm_up(&self) -> Option<WarmUp> {
-        // The oldest age counts: proxies that saw the return later count from the first one.
+        // The highest age is used: some proxies notice the server's return later than others.
         let refused_ms = self.refused_warm_up_ages_ms.iter().max().copied();
         let age_ms = self.warm_up_ages_ms.iter().max().copied();
-        // A proxy in contact contradicts time-outs of others. It does not contradict a refused connection,
-        // since a short restart falls between two of its health checks.
+        // Unbroken contact of one proxy contradicts time-outs of others. It does not contradict a refused
+        // connection, since a short restart can fall between two health checks.
         let is_confirmed = self.warm_up_ages_ms.len() >= 2
             && self.longest_contact_ms <= age_ms.unwrap_or_default() + CONTACT_TOLERANCE_MS;
         let age_ms = refused_ms.or(age_ms.filter(|_| is_confirmed))?;
@@ -64,22 +64,23 @@
     }
 }
 
-/// A server is unreachable where its machine refused a connection, or where two proxies cannot reach it and
-/// none is in contact with it. It is warming up where one proxy saw it come back after a refused connection,
-/// or two did after time-outs and none has been in contact since before: proxies that were partitioned
-/// themselves see servers come back that never were away.
+/// Summarizes the proxies' observations. A server is unreachable if its machine refused a connection, or if
+/// at least two proxies cannot reach it and none is in contact with it. It is warming up if one proxy saw it
+/// return after a refused connection, or if at least two did after time-outs and no proxy has been in contact
+/// with it since before its return: proxies that were partitioned themselves see servers return that were
+/// never unreachable.
 pub fn summarize_servers(proxies: &[&Peer]) -> ServerSummary {
-    let mut evidence: BTreeMap<&str, Evidence> = BTreeMap::new();
+    let mut by_server: BTreeMap<&str, AggregatedObservations> = BTreeMap::new();
     for proxy in proxies {
         for observation in &proxy.observations.servers {
-            evidence.entry(&observation.server).or_default().add(observation);
+            by_server.entry(&observation.server).or_default().add(observation);
         }
     }
     let mut summary = ServerSummary::default();
-    for (server, evidence) in evidence {
-        if let Some(warm_up) = evidence.warm_up() {
+    for (server, observed) in by_server {
+        if let Some(warm_up) = observed.warm_up() {
             summary.warming_up.insert(server.to_string(), warm_up);
-        } else if evidence.is_unreachable() {
+        } else if observed.is_unreachable() {
             summary.unreachable.insert(server.to_string());
         }
     }
--- a/registry/src/leader/tests.rs
+++ b/registry/src/leader/tests.rs
@@ -32,10 +32,10 @@
     ServerObservation { server, phase, age_ms: 500, in_contact_ms, load_milli, connection_refused }
 }
 
-/// What a proxy of this name and zone observes.
+/// The name, zone and observations of one proxy.
 type ProxyReport<'r> = (&'r str, &'r str, Vec<ServerObservation>);
 
-/// A registry that got these observations from its proxies.
+/// A registry that has received these observations from its proxies.
 fn registry_with(reports: &[ProxyReport<'_>]) -> (Gossip, ClusterView) {
     let now = Duration::from_secs(100);
     let mut gossip = Gossip::new(node_info("r0", Role::Registry, "a1", 1), vec![], 1, now);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_refused_connection_is_proof_and_a_timeout_needs_two_proxies_and_none_in_contact() {
+fn one_refused_connection_suffices_and_timeouts_need_two_proxies_and_none_in_contact() {
     let summary = |reports: &[ProxyReport<'_>]| -> (bool, bool) {
         let plan = plan(reports, TrafficShiftPlan::default()).unwrap();
         (plan.unreachable.contains("s1"), plan.warming_up.contains_key("s1"))
@@ -100,12 +100,12 @@
     assert_eq!(
         summary(&partitioned),
         (false, false),
-        "proxies that are partitioned do not speak for all"
+        "partitioned proxies do not outvote one that is in contact"
     );
     assert_eq!(summary(&[("p0", "a1", warming_up()), ("p1", "b1", warming_up())]), (false, true));
     let healed =
         [("p0", "a1", warming_up()), ("p1", "a1", warming_up()), ("p2", "b1", in_contact())];
-    assert_eq!(summary(&healed), (false, false), "it was there all the time");
+    assert_eq!(summary(&healed), (false, false), "the server was never unreachable");
     let refused = [
         ("p0", "a1", vec![observation("s1", ServerPhase::WarmingUp, 0, 0, true)]),
         ("p2", "b1", in_contact()),
@@ -113,13 +113,13 @@
     assert_eq!(summary(&refused), (false, true));
 }
 
-/// Clients are shifted from an overloaded zone to one with spare capacity, and come back. Load that is not
-/// reported, or not to be believed, shifts no clients or few.
+/// Clients are shifted from an overloaded zone to one with spare capacity, and return once the load has
+/// dropped. Without load reports, or with an implausibly high one, few or no clients are shifted.
 #[test]
-fn clients_are_shifted_from_an_overloaded_zone_and_come_back() {
+fn clients_are_shifted_from_an_overloaded_zone_and_return() {
     let mut last = TrafficShiftPlan::default();
-    let mut shown = String::new();
-    // The request rates of the zones' proxies, and the loads that their servers report.
+    let mut transcript = String::new();
+    // The request rates of the two zones' proxies, and the loads that the zones' servers report.
     for (rates, loads) in [
         ([10, 10], [500, 500]),
         ([24, 4], [1200, 200]),
@@ -145,7 +145,7 @@
         if let Some(plan) = next_plan(&view, "r0", &gossip.peers, true) {
             last = plan;
         }
-        shown += &format!("{rates:?} {loads:?}: {:?}\n", last.shifted.get("s"));
+        transcript += &format!("{rates:?} {loads:?}: {:?}\n", last.shifted.get("s"));
     }
     expect_test::expect![[r#"
         [10, 10] [500, 500]: None
@@ -160,13 +160,13 @@
         [24, 4] [0, 0]: None
         [10, 10] [60000, 500]: None
     "#]]
-    .assert_eq(&shown);
+    .assert_eq(&transcript);
 }
 
 #[test]
-fn leadership_is_taken_under_the_next_epoch_and_not_at_once() {
+fn leadership_starts_a_new_epoch_and_only_after_the_settling_time() {
     let reports = [("p0", "a1", vec![])];
-    // A registry that would come first and has not settled yet leaves the leadership where it is.
+    // A registry that is first in order, but has not settled yet, does not become the leader.
     let (gossip, mut view) = registry_with(&reports);
     let mut unsettled = (node_info("a0", Role::Registry, "a1", 77), NodeStatus::default());
     view.live.push(unsettled.clone());
@@ -178,11 +178,11 @@
         TrafficShiftPlan { epoch: 7, counter: 3, leader: "r9".into(), ..Default::default() };
     let taken_over = plan(&reports, previous).unwrap();
     assert_eq!((taken_over.epoch, taken_over.counter, taken_over.leader.as_str()), (8, 1, "r0"));
-    assert_eq!(plan(&reports, taken_over), None, "nothing new, nothing published");
+    assert_eq!(plan(&reports, taken_over), None, "an unchanged plan is not published again");
     let mut readiness = LeadershipReadiness::default();
     let second = Duration::from_secs;
     assert!(!readiness.may_lead(second(1), true));
     assert!(readiness.may_lead(second(5), true));
-    assert!(!readiness.may_lead(second(6), false), "it froze");
+    assert!(!readiness.may_lead(second(6), false), "after a pause of the process");
     assert!(!readiness.may_lead(second(7), true));
 }
--- a/registry/src/leader/zone_loads.rs
+++ b/registry/src/leader/zone_loads.rs
@@ -7,11 +7,11 @@
 use vanepath_config::endpoint_list::Server;
 use vanepath_config::selector::ClientLocation;
 
-/// A server's load counts up to its full capacity, in thousandths: what is above that waits there, and is
-/// load that another server could take.
+/// The load at which a server is fully busy, in thousandths. Reported load above it is not counted: it is
+/// work that waits in a queue there and that another server could take.
 const MAX_SERVER_LOAD_MILLI: u32 = 1000;
 
-/// The reports of one server's load by the proxies that have heard of it.
+/// The load of one server as reported by the proxies that have received load reports from it.
 #[derive(Default)]
 pub struct ReportedLoad {
     sum_milli: u32,
@@ -28,7 +28,7 @@
 /// Reported loads by server id.
 pub type ServerLoads<'p> = HashMap<&'p str, ReportedLoad>;
 
-/// The load of each server, as the proxies heard of it last.
+/// The load of each server according to the last reports that the proxies received.
 pub fn server_loads<'p>(proxies: &[&'p Peer]) -> ServerLoads<'p> {
     let mut loads = ServerLoads::new();
     for proxy in proxies {
@@ -41,19 +41,21 @@
     loads
 }
 
-/// The zones as one service sees them. The load of the service's servers is divided among the zones in
-/// proportion to the requests that their proxies take.
+/// The load and capacity of each zone for one service. The load of the service's servers is attributed to
+/// the zones in proportion to the request rates of their proxies.
 pub fn zone_loads(
     view: &ClusterView,
     proxies: &[&Peer],
     server_loads: &ServerLoads<'_>,
-    service: usize,
+    service_index: usize,
 ) -> BTreeMap<String, ZoneLoad> {
     let mut zones: BTreeMap<String, ZoneLoad> = BTreeMap::new();
-    let total_rate = add_request_rates(&mut zones, view, proxies, service);
+    let total_rate = add_request_rates(&mut zones, view, proxies, service_index);
     let mut reported = Vec::new();
     let mut unreported = 0.0;
-    for server in view.endpoints.servers.iter().filter(|one| is_available(view, one, service)) {
+    for server in
+        view.endpoints.servers.iter().filter(|server| is_available(view, server, service_index))
+    {
         match server_loads.get(server.id.as_str()) {
             Some(load) => reported.push(load.mean()),
             None => unreported += 1.0,
@@ -62,7 +64,7 @@
         zone.region = server.region.clone();
         zone.servers += 1.0;
     }
-    // Servers without a report count with the mean of the others.
+    // Servers without a report are assumed to have the mean load of the others.
     let reported_sum: f64 = reported.iter().sum();
     let total_load = reported_sum * (1.0 + unreported / (reported.len() as f64).max(1.0));
     let load_per_rate = if total_rate > 0.0 { total_load / total_rate } else { 0.0 };
@@ -72,13 +74,13 @@
     zones
 }
 
-/// Adds each proxy to its zone, with the rate of its requests for the service in place of the load, and
-/// gives the sum of all rates.
+/// Adds each proxy to its zone, with its request rate for the service in place of the load. Returns the sum
+/// of all rates.
 fn add_request_rates(
     zones: &mut BTreeMap<String, ZoneLoad>,
     view: &ClusterView,
     proxies: &[&Peer],
-    service: usize,
+    service_index: usize,
 ) -> f64 {
     let mut total = 0.0;
     for proxy in proxies {
@@ -86,7 +88,7 @@
         zone.region = proxy.info.region.clone();
         zone.has_proxies |=
             proxy.status.is_available() && !view.committed.drained_zones.contains(&proxy.info.zone);
-        let rate = proxy.observations.request_rates.get(&view.config.services[service].name);
+        let rate = proxy.observations.request_rates.get(&view.config.services[service_index].name);
         let rate = f64::from(rate.copied().unwrap_or(0));
         zone.load += rate;
         total += rate;
@@ -94,10 +96,10 @@
     total
 }
 
-/// Whether a server takes requests of the service.
-fn is_available(view: &ClusterView, server: &Server, service: usize) -> bool {
+/// Whether a server accepts requests of the service.
+fn is_available(view: &ClusterView, server: &Server, service_index: usize) -> bool {
     !server.draining
         && !view.plan.unreachable.contains(&server.id)
         && !view.committed.drained_zones.contains(&server.zone)
-        && view.config.services[service].selector.matches(server, ClientLocation::default())
+        && view.config.services[service_index].selector.matches(server, ClientLocation::default())
 }
--- a/registry/src/lib.rs
+++ b/registry/src/lib.rs
@@ -1,9 +1,9 @@
 //! The registry, vanepath's control plane (design 2.1, 7): it serves the operators' HTTP API,
-//! discovers endpoints by reading the platform's list, answers the steering requests of clients,
-//! and, as the leader of its singleton role, publishes the traffic-shift plan.
+//! discovers endpoints by reading the platform's list, answers the steering requests of clients and,
+//! while it is the leader, publishes the traffic-shift plan.
 //!
 //! It keeps nothing on disk: the configuration is in the stores, everything else is soft state that
-//! gossip rebuilds after a restart.
+//! is rebuilt by gossip after a restart.
 
 #![warn(missing_docs)]
 
--- a/registry/src/main.rs
+++ b/registry/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `vanepath-registry`: reads its settings and runs the control plane.
+//! The `vanepath-registry` binary: reads the settings and runs the control plane.
 
 use vanepath_cluster::node;
 use vanepath_config::settings::{self, Invocation, Role};
--- a/registry/src/shell.rs
+++ b/registry/src/shell.rs
@@ -1,4 +1,4 @@
-//! The registry as a process (design 7.5): starts its tasks and listeners, and stops them in order.
+//! The registry process (design 7.5): starts the tasks and listeners, and shuts down gracefully.
 
 use crate::control_loop;
 use crate::discovery::{PollOutcome, poller};
@@ -9,13 +9,14 @@
 use vanepath_cluster::node::{self, HttpSettings, Node};
 use vanepath_config::settings::Settings;
 
-/// Before the process ends, peers get so long to hear that this registry is draining.
+/// Time between the end of request handling and the end of the process, in which the peers learn by gossip
+/// that this registry is draining.
 const LEAVE_DELAY: Duration = Duration::from_millis(200);
 
 /// Runs a registry until it is asked to shut down.
 ///
 /// # Errors
-/// Where a listener cannot be bound or the node cannot start.
+/// Returns an error if a listener cannot be bound or the node cannot start.
 pub async fn run(settings: Settings) -> Result<(), miette::Report> {
     let listener = node::bind("listen", settings.listen).await?;
     let grace = settings.shutdown_grace;
@@ -33,11 +34,11 @@
     let handler = move |request: hyper::Request<hyper::body::Incoming>| {
         crate::api::handle(registry.clone(), request)
     };
-    let http = HttpSettings::default();
+    let http_settings = HttpSettings::default();
     if let Some(address) = node.settings.steering_listen {
         let listener = node::bind("directoryListen", address).await?;
         let stop = node.stop.clone();
-        tokio::spawn(node::serve_http(listener, stop, http, handler.clone()));
+        tokio::spawn(node::serve_http(listener, stop, http_settings, handler.clone()));
     }
     let mut stop = node.stop.clone();
     let grace_expired = async {
@@ -45,7 +46,7 @@
         tokio::time::sleep(grace).await;
     };
     tokio::select! {
-        _ = node::serve_http(listener, node.stop.clone(), http, handler) => {}
+        _ = node::serve_http(listener, node.stop.clone(), http_settings, handler) => {}
         _ = grace_expired => {}
     }
     tokio::time::sleep(LEAVE_DELAY).await;
--- a/registry/src/state.rs
+++ b/registry/src/state.rs
@@ -1,4 +1,4 @@
-//! The state that the registry's tasks share: the HTTP API, the endpoint poller and the control loop.
+//! State shared by the registry's tasks: the HTTP API, the endpoint poller and the control loop.
 
 use crate::discovery::PollOutcome;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -6,8 +6,8 @@
 use vanepath_cluster::node::Node;
 
 vanepath_cluster::counters! {
-    /// The registry's metrics. The variants' names, in camel case, are the names on `/v1/metrics`
-    /// and therefore stay as earlier versions had them.
+    /// The registry's metrics. The variant names in camel case are the metric names on `/v1/metrics`
+    /// and must not change between versions.
     pub enum Counter {
         SteerPolls,
         SteerPollsFirst,
@@ -37,15 +37,16 @@
 /// The values of the registry's metrics.
 pub type Counters = vanepath_cluster::counters::Counters<Counter>;
 
-/// What all tasks of one registry share.
+/// The state shared by all tasks of one registry.
 pub struct Registry {
     /// The node: settings, clock, gossip and transport.
     pub node: Arc<Node>,
     /// The registry's metrics.
     pub counters: Arc<Counters>,
-    /// How the last read of the platform's endpoint list ended, for the status page.
+    /// The outcome of the last read of the platform's endpoint list, for the status page.
     pub poll_outcome: Arc<Mutex<PollOutcome>>,
-    /// Whether this registry has a configuration and a fresh view; set by the control loop.
+    /// Whether this registry has a configuration and a fresh view, and is not shutting down; set by the
+    /// control loop.
     pub is_ready: AtomicBool,
 }
 
@@ -55,7 +56,7 @@
         self.is_ready.load(Ordering::Relaxed)
     }
 
-    /// This registry's own zone and region, for clients that do not name theirs.
+    /// This registry's own zone and region, the default for clients that do not state theirs.
     pub fn own_location(&self) -> (&str, &str) {
         (&self.node.settings.zone, &self.node.settings.region)
     }
