--- a/registry/src/api/stores.rs
+++ b/registry/src/api/stores.rs
@@ -1,4 +1,4 @@
-//! Reads and writes at the stores on behalf of API calls.
+//! Reads from and writes to the stores on behalf of API requests.
 
 use super::errors::ApiError;
 use super::idempotency_key::IdempotencyKey;
@@ -8,24 +8,24 @@
 use vanepath_store::protocol::{Change, Outcome, Request};
 use vanepath_store::value::Value;
 
-/// Submits a change under one key until its outcome is known or its time is up. `received_at`: when the
-/// client's request came.
+/// Submits a change under one key until its outcome is known or the time-out expires. `received_at` is the
+/// time at which the client's request was received.
 pub async fn submit(
     registry: &Registry,
     key: &IdempotencyKey,
     change: Change,
     received_at: Duration,
 ) -> Outcome {
-    let waited = registry.node.clock.now().saturating_sub(received_at);
-    let keyless_for = key.is_generated.then_some(waited);
+    let waiting_time = registry.node.clock.now().saturating_sub(received_at);
+    let keyless_for = key.is_generated.then_some(waiting_time);
     let request = Request::Change { key: key.text.clone(), change, keyless_for };
     store_client::execute(registry, request).await
 }
 
-/// The stores' newest value.
+/// Reads the latest committed value from the stores.
 ///
 /// # Errors
-/// [`ApiError::StoresUnavailable`] where no store could answer.
+/// [`ApiError::StoresUnavailable`] if no store could answer.
 pub async fn read_value(registry: &Registry) -> Result<Value, ApiError> {
     match read(registry, Request::Read).await? {
         Outcome::Value { value } => Ok(value),
@@ -33,10 +33,10 @@
     }
 }
 
-/// The outcome of a read.
+/// Sends a read to the stores and returns its outcome.
 ///
 /// # Errors
-/// [`ApiError::StoresUnavailable`] where no store could answer.
+/// [`ApiError::StoresUnavailable`] if no store could answer.
 pub async fn read(registry: &Registry, request: Request) -> Result<Outcome, ApiError> {
     registry.counters.increment(Counter::Reads);
     match store_client::execute(registry, request).await {
--- a/registry/src/store_client/execute.rs
+++ b/registry/src/store_client/execute.rs
@@ -1,11 +1,11 @@
-//! Drives a request to the stores over the transport.
+//! Executes a request to the stores over the transport.
 
 use crate::state::{Counter, Registry};
 use crate::store_client::request::{ATTEMPT_TIMEOUT, NextAction, StoreRequest, stores};
 use vanepath_cluster::wire::{self, NodeInfo};
 use vanepath_store::protocol::{Outcome, Request, Response};
 
-/// Sends a request to one store after the other until its outcome is known or its time is up.
+/// Sends a request to one store after the other until its outcome is known or its time-out expires.
 pub async fn execute(registry: &Registry, request: Request) -> Outcome {
     let now = || registry.node.clock.now();
     let mut store_request = StoreRequest::new(request, now());
@@ -29,7 +29,7 @@
     }
 }
 
-/// One attempt at one store; `None` where it gave no response that can be read.
+/// One attempt at one store; `None` if there was no response or it could not be decoded.
 async fn send(registry: &Registry, store: &NodeInfo, request: &Request) -> Option<Response> {
     let request = wire::Request::Store(wire::encode(request).into());
     let is_other_zone = store.zone != registry.node.settings.zone;
@@ -41,7 +41,7 @@
     }
 }
 
-/// Sends a request that needs no response to all stores.
+/// Sends a request to all stores without waiting for responses.
 fn broadcast(registry: &Registry, request: &Request) {
     let request = wire::Request::Store(wire::encode(request).into());
     for store in stores(&registry.node.table.load()) {
--- a/registry/src/store_client/mod.rs
+++ b/registry/src/store_client/mod.rs
@@ -1,5 +1,5 @@
-//! Requests to the stores (design 7.5): one request is sent to one store after the other until one of
-//! them can answer it. [`StoreRequest`] is pure; `execute` drives it over the transport.
+//! Requests to the stores (design 7.5): a request is sent to one store after the other until one of them
+//! answers it definitely. [`StoreRequest`] is a pure state machine; `execute` drives it over the transport.
 
 mod execute;
 mod request;
--- a/registry/src/store_client/request.rs
+++ b/registry/src/store_client/request.rs
@@ -1,4 +1,5 @@
-//! One request to the stores, with its attempts: which store is next, and what the outcome is.
+//! The state machine of one request to the stores: selects the store of each attempt and determines the
+//! outcome.
 
 use std::time::Duration;
 use vanepath_cluster::node::ClusterView;
@@ -6,41 +7,41 @@
 use vanepath_store::protocol::{Change, Outcome, Request, Response};
 use vanepath_store::retransmission;
 
-/// A request is repeated for this long.
+/// The time-out of a request with all its attempts.
 pub const TIMEOUT: Duration = Duration::from_millis(4000);
-/// One store has this long to answer: four one-way delays of a slow network. Two stores that have just
-/// failed leave time for the third.
+/// The time-out of one attempt: four one-way delays of a slow network. After two attempts at stores that
+/// have just failed there is time left for a third one.
 pub const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1500);
 /// The pause between two rounds over all stores.
 const ROUND_PAUSE: Duration = Duration::from_millis(100);
 
-/// What the caller of [`StoreRequest::next`] has to do.
+/// An action for the caller of [`StoreRequest::next`] to perform.
 #[derive(Debug)]
 pub enum NextAction {
     /// Send the request to this store and report its response.
     Send(Box<NodeInfo>),
     /// Wait this long, and then call [`StoreRequest::next`] again.
     Pause(Duration),
-    /// The request has ended.
+    /// End the request with this outcome.
     End(Outcome),
 }
 
-/// One request to the stores, with its attempts. For a write it keeps track of whether an earlier attempt
-/// may have been applied.
+/// One request to the stores, with its attempts. For a write it tracks whether an earlier attempt may have
+/// been applied.
 pub struct StoreRequest {
     request: Request,
     started_at: Duration,
     deadline: Duration,
-    /// Stores still to be tried in this round, the next one last.
+    /// Stores that have yet to be tried in this round, in reverse order.
     round: Vec<NodeInfo>,
-    /// Names of stores that did not answer an earlier attempt: they are tried after all others.
+    /// Names of stores that did not answer an earlier attempt; they are tried after all others.
     unresponsive: Vec<String>,
     /// The store of the attempt in flight.
-    current: String,
+    current_store: String,
     has_started: bool,
-    /// An attempt of a write had no definite outcome: it may have been applied.
+    /// Whether an attempt of a write ended without a definite outcome, so that it may have been applied.
     may_be_applied: bool,
-    /// Why the last definite attempt was not applied.
+    /// The reason that the last store gave for not applying the request.
     reason: String,
 }
 
@@ -53,28 +54,29 @@
             deadline: now + TIMEOUT,
             round: Vec::new(),
             unresponsive: Vec::new(),
-            current: String::new(),
+            current_store: String::new(),
             has_started: false,
             may_be_applied: false,
             reason: "no store is in reach".to_string(),
         }
     }
 
-    /// The request as it is to be sent at `now`: it tells a store how long a drain order without the
-    /// client's idempotency key has been waiting (design 6.10).
+    /// The request as sent at `now`. For a change without an idempotency key of the client it states how
+    /// long the change has been waiting (design 6.10).
     pub fn request_at(&self, now: Duration) -> Request {
         let mut request = self.request.clone();
-        if let Request::Change { keyless_for: Some(waited), .. } = &mut request {
-            *waited += now.saturating_sub(self.started_at);
+        if let Request::Change { keyless_for: Some(waiting_time), .. } = &mut request {
+            *waiting_time += now.saturating_sub(self.started_at);
         }
         request
     }
 
-    /// The acknowledgement for all stores once the client of a drain order is answered, if the response
-    /// surely reaches it in time: the client does not retransmit the order then, and the next one like
-    /// it is another order (design 6.10).
+    /// The acknowledgement to send to all stores once the client of a drain order without an idempotency key
+    /// is answered, if the response is certain to arrive within the client's time-out. The client does not
+    /// retransmit the order then, so that the stores treat an identical one that follows as a new order
+    /// (design 6.10).
     pub fn acknowledgement(&self, now: Duration, outcome: &Outcome) -> Option<Request> {
-        let Request::Change { change, keyless_for: Some(waited), .. } = &self.request else {
+        let Request::Change { change, keyless_for: Some(waiting_time), .. } = &self.request else {
             return None;
         };
         if matches!(change, Change::ReplaceConfig { .. }) {
@@ -82,7 +84,7 @@
         }
         let Outcome::Accepted { revision, .. } = outcome else { return None };
         let is_in_time =
-            *waited + now.saturating_sub(self.started_at) < retransmission::OVERTAKEN_AFTER;
+            *waiting_time + now.saturating_sub(self.started_at) < retransmission::OVERTAKEN_AFTER;
         let (content_hash, revision) = (change.content_hash(), *revision);
         is_in_time.then_some(Request::Acknowledge { content_hash, revision })
     }
@@ -91,12 +93,12 @@
         matches!(self.request, Request::Change { .. })
     }
 
-    /// What to do at `now`; `stores` are the live members in the order of the member table.
+    /// The next action at `now`; `stores` are the live members in the order of the member table.
     pub fn next(&mut self, now: Duration, stores: Vec<NodeInfo>) -> NextAction {
         self.round.retain(|info| stores.iter().any(|store| store.name == info.name));
         if let Some(info) = self.round.pop() {
             if now < self.deadline {
-                self.current = info.name.clone();
+                self.current_store = info.name.clone();
                 return NextAction::Send(Box::new(info));
             }
             self.round.clear();
@@ -121,12 +123,12 @@
         }
     }
 
-    /// Takes the response of the attempt in flight, `None` where there was none, and gives the outcome if
-    /// it is final. Once an attempt of a write may have been applied, only a store's own definite outcome
-    /// ends the doubt.
+    /// Processes the response to the attempt in flight, or `None` if there was none, and returns the outcome
+    /// if it is final. Once an attempt of a write may have been applied, only a definite outcome from a
+    /// store resolves that uncertainty.
     pub fn on_response(&mut self, response: Option<Response>) -> Option<Outcome> {
         if response.is_none() {
-            self.unresponsive.push(self.current.clone());
+            self.unresponsive.push(self.current_store.clone());
         }
         match response {
             Some(Response::Outcome(Outcome::NotApplied { reason })) => self.reason = reason,
@@ -140,7 +142,8 @@
     }
 }
 
-/// The live stores that are members, in the order of the member table: the first of them proposes.
+/// The live stores that are available members, in the order of the member table; the first one is the
+/// proposer.
 pub fn stores(view: &ClusterView) -> Vec<NodeInfo> {
     let mut stores: Vec<(Option<u8>, &NodeInfo)> = view
         .live
--- a/registry/src/store_client/tests.rs
+++ b/registry/src/store_client/tests.rs
@@ -15,8 +15,8 @@
     }
 }
 
-/// The request to a store says how long an order without a client's key has waited. Only such an order is acknowledged,
-/// and only where its client was answered in time.
+/// The request to a store states how long an order without a client's key has waited. Only such an order is
+/// acknowledged, and only if its client was answered in time.
 #[test]
 fn a_keyless_order_carries_its_waiting_time_and_is_acknowledged_in_time() {
     let ms = Duration::from_millis;
@@ -27,7 +27,7 @@
     let outcome = Outcome::Accepted { revision: 3, config_revision: 2, is_repeat: false };
     let store_request = StoreRequest::new(change(Some(ms(40))), ms(5000));
     let Request::Change { keyless_for, .. } = store_request.request_at(ms(5100)) else {
-        panic!("a change")
+        panic!("the request is not a change")
     };
     assert_eq!(keyless_for, Some(ms(140)));
     let acknowledgement = store_request.acknowledgement(ms(5300), &outcome);
@@ -40,8 +40,8 @@
     assert!(StoreRequest::new(change(None), ms(0)).acknowledgement(ms(100), &outcome).is_none());
 }
 
-/// Core machines that are replaced one after the other: the first store has just failed, the second fails
-/// with the request in flight, and the third still has time to answer.
+/// While core machines are replaced one after the other, the first store has just failed and the second one
+/// fails with the request in flight. The time-outs must leave time for the third store to answer.
 #[test]
 fn two_unresponsive_stores_leave_time_for_the_third() {
     let change = Change::DrainZone { zone: "a1".to_string() };
@@ -66,7 +66,7 @@
                 }
             }
         }
-        // The store that responded is tried again before the unresponsive ones.
+        // The store that responded is tried again before the unresponsive stores.
         if attempted.len() == 4 {
             let outcome = Outcome::Accepted { revision: 3, config_revision: 2, is_repeat: false };
             break store_request
