--- a/registry/src/api/config.rs
+++ b/registry/src/api/config.rs
@@ -15,7 +15,7 @@
 use vanepath_store::protocol::{Change, Outcome, Request};
 use vanepath_store::value::Value;
 
-/// `PUT /v1/setup`: replaces the configuration. The document is checked here and committed by the stores.
+/// `PUT /v1/setup`: replaces the configuration. The document is validated here and committed by the stores.
 pub async fn write(
     registry: &Registry,
     request: hyper::Request<Incoming>,
@@ -40,7 +40,7 @@
     submissions::outcome_response(registry, &key.text, outcome)
 }
 
-/// The revision of the configuration that the header `If-Match` demands (RFC 9110 section 13.1.1).
+/// The configuration revision that the header `If-Match` requires (RFC 9110 section 13.1.1).
 fn if_match(headers: &HeaderMap) -> Result<Option<u64>, ApiError> {
     let Some(value) = headers.get(header::IF_MATCH) else { return Ok(None) };
     let text = value.to_str().map_err(|_| ApiError::UnreadableIfMatch)?;
@@ -68,7 +68,7 @@
     Ok(config_response(&value))
 }
 
-/// `GET /v1/setup/REVISION`: the configuration that was in force at a revision, byte for byte.
+/// `GET /v1/setup/REVISION`: the configuration that was in force at the revision, byte for byte.
 pub async fn read_revision(registry: &Registry, revision: &str) -> Result<ApiResponse, ApiError> {
     let revision = revision.parse::<u64>().map_err(|_| ApiError::InvalidRevision)?;
     match stores::read(registry, Request::History { revision }).await? {
@@ -78,7 +78,7 @@
     }
 }
 
-/// The document with its revision as the entity tag, for a later `If-Match`.
+/// A response with the document, and its revision as the entity tag for a later `If-Match`.
 fn config_response(value: &Value) -> ApiResponse {
     let mut response = Response::new(node::body(value.document.clone()));
     let headers = response.headers_mut();
--- a/registry/src/api/errors.rs
+++ b/registry/src/api/errors.rs
@@ -1,4 +1,4 @@
-//! The errors of the API, and the one place where they become HTTP responses (RFC 9110 section 15).
+//! The errors of the API and their conversion to HTTP responses (RFC 9110 section 15).
 
 use super::response::ApiResponse;
 use crate::steering::SteeringError;
@@ -9,54 +9,54 @@
 use vanepath_cluster::node;
 use vanepath_config::{ValidationError, json_reader};
 
-/// `Retry-After` of a steering request that another registry may answer, in seconds.
+/// `Retry-After` in seconds for a steering request that another registry may answer.
 const STEERING_RETRY_AFTER_S: u32 = 1;
-/// `Retry-After` of a request that no store could answer, in seconds.
+/// `Retry-After` in seconds for a request that no store could answer.
 const STORE_RETRY_AFTER_S: u32 = 2;
 
-/// Why a request gets no success response. The text of an error is part of the API.
+/// Why a request failed. The texts of the errors are part of the API.
 #[derive(Debug)]
 pub enum ApiError {
-    /// The path exists, but not with this method.
+    /// The path exists, but does not support the method.
     MethodNotAllowed,
-    /// There is no such path.
+    /// The path does not exist.
     NoSuchPath,
-    /// The header `Idempotency-Key` has other characters than it may, or too many.
+    /// The header `Idempotency-Key` is empty, too long, or contains a character that is not allowed.
     InvalidIdempotencyKey,
-    /// The header `If-Match` is no text.
+    /// The header `If-Match` is not valid text.
     UnreadableIfMatch,
-    /// The header `If-Match` does not name one revision.
+    /// The header `If-Match` does not contain exactly one revision.
     InvalidIfMatch,
-    /// The revision in the path is no number.
+    /// The revision in the path is not a number.
     InvalidRevision,
-    /// The request's body ended before its time.
+    /// The request body is incomplete.
     IncompleteBody,
-    /// The configuration has more than `max_bytes`.
+    /// The configuration is larger than `max_bytes`.
     ConfigTooLarge { max_bytes: usize },
     /// The configuration is not valid.
     InvalidConfig(Vec<ValidationError>),
-    /// Nothing that this registry knows of is in a zone of that name.
+    /// No node, server or configured zone that this registry knows belongs to a zone of that name.
     NoSuchZone,
     /// No configuration has been accepted yet.
     NoConfigYet,
     /// No configuration was in force at the revision.
     NoConfigAtRevision,
-    /// The revision is unknown; `latest` is the latest one.
+    /// The revision is not known; `latest` is the latest one.
     NoSuchRevision { latest: u64 },
-    /// No write under the key is among those that the stores know at `revision`.
+    /// The stores know no write under the key as of `revision`.
     NoSuchSubmission { revision: u64 },
-    /// A read got no answer from the stores, by the last one's `reason`; it can be repeated.
+    /// No store could answer a read; `reason` is that of the last store. The request can be retried.
     StoresUnavailable { reason: String },
-    /// A write was surely not applied, by the last store's `reason`; it can be repeated.
+    /// A write was certainly not applied; `reason` is that of the last store. The request can be retried.
     WriteNotApplied { reason: String },
-    /// A store's outcome does not belong to the request.
+    /// A store returned an outcome that does not belong to the kind of request.
     UnexpectedOutcome,
-    /// This registry gives no steering answer; another one may.
+    /// This registry rejected a steering request. Another one may be able to answer it.
     Steering(SteeringError),
 }
 
 impl ApiError {
-    /// The response that tells the client of the error.
+    /// Converts the error to the response for the client.
     pub fn into_response(self) -> ApiResponse {
         let mut response = node::json_response(self.status(), &self.body());
         if let Some(after_s) = self.retry_after_s() {
@@ -88,7 +88,8 @@
         }
     }
 
-    /// The header `Retry-After` (RFC 9110 section 10.2.3), where the same request may succeed later.
+    /// The value of the header `Retry-After` (RFC 9110 section 10.2.3), if the same request may succeed
+    /// later.
     fn retry_after_s(&self) -> Option<u32> {
         match self {
             ApiError::StoresUnavailable { .. } | ApiError::WriteNotApplied { .. } => {
@@ -99,7 +100,7 @@
         }
     }
 
-    /// The body: an `outcome` for writes and look-ups of writes, else an `error`.
+    /// The body: with an `outcome` for writes and look-ups of writes, otherwise with an `error`.
     fn body(&self) -> JsonValue {
         let text = self.to_string();
         match self {
--- a/registry/src/api/errors/tests.rs
+++ b/registry/src/api/errors/tests.rs
@@ -4,7 +4,7 @@
 use hyper::header;
 use vanepath_config::ValidationError;
 
-async fn shown(error: ApiError) -> String {
+async fn format_response(error: ApiError) -> String {
     let (head, body) = error.into_response().into_parts();
     let retry_after = head.headers.get(header::RETRY_AFTER).map(|value| value.to_str().unwrap());
     let retry_after = retry_after.map_or(String::new(), |after| format!(" retry-after {after}"));
@@ -15,9 +15,10 @@
 /// The status, `Retry-After` and body of every error are part of the API.
 #[tokio::test]
 async fn each_error_has_its_status_and_body() {
-    let fault = ValidationError { path: "$.rules".to_string(), message: "missing".to_string() };
+    let validation_error =
+        ValidationError { path: "$.rules".to_string(), message: "missing".to_string() };
     let reason = || "no store is in reach".to_string();
-    let mut all = String::new();
+    let mut responses = String::new();
     for error in [
         ApiError::MethodNotAllowed,
         ApiError::NoSuchPath,
@@ -27,7 +28,7 @@
         ApiError::InvalidRevision,
         ApiError::IncompleteBody,
         ApiError::ConfigTooLarge { max_bytes: 100 },
-        ApiError::InvalidConfig(vec![fault]),
+        ApiError::InvalidConfig(vec![validation_error]),
         ApiError::NoSuchZone,
         ApiError::NoConfigYet,
         ApiError::NoConfigAtRevision,
@@ -40,7 +41,7 @@
         ApiError::Steering(SteeringError::Partitioned),
         ApiError::Steering(SteeringError::NotReady),
     ] {
-        all += &shown(error).await;
+        responses += &format_response(error).await;
     }
     expect_test::expect![[r#"
         405 {"error":"not with this method"}
@@ -64,5 +65,5 @@
         503 retry-after 1 {"error":"this directory is cut off, and what you have may be newer"}
         503 retry-after 1 {"error":"this directory knows no setup or no place yet"}
     "#]]
-    .assert_eq(&all);
+    .assert_eq(&responses);
 }
--- a/registry/src/api/idempotency_key.rs
+++ b/registry/src/api/idempotency_key.rs
@@ -1,4 +1,4 @@
-//! The idempotency key of a write: the stores apply a write once under its key (design 6.10).
+//! The idempotency key of a write, under which the stores apply the write at most once (design 6.10).
 
 use super::errors::ApiError;
 use hyper::HeaderMap;
@@ -10,7 +10,7 @@
 pub struct IdempotencyKey {
     /// The key itself.
     pub text: String,
-    /// It was generated here, since the client gave none.
+    /// Whether this registry generated the key, because the client sent none.
     pub is_generated: bool,
 }
 
@@ -18,7 +18,8 @@
     /// The key in the header `Idempotency-Key`, or a generated one.
     ///
     /// # Errors
-    /// Where the header has other characters than letters, digits, `-` and `_`, or too many.
+    /// Returns an error if the header is empty or longer than 128 bytes, or contains characters other than
+    /// ASCII letters, digits, `-` and `_`.
     pub fn from_headers(headers: &HeaderMap) -> Result<IdempotencyKey, ApiError> {
         let Some(value) = headers.get("idempotency-key") else {
             let text = format!("{:016x}{:016x}", node::random(), node::random());
--- a/registry/src/api/mod.rs
+++ b/registry/src/api/mod.rs
@@ -1,6 +1,6 @@
-//! The HTTP API with JSON bodies, for operators and clients (design 7.5): the routing of paths to handlers.
+//! The HTTP API with JSON bodies for operators and clients (design 7.5): routes requests to handlers.
 //!
-//! Each handler returns `Result<ApiResponse, ApiError>`; errors become responses in [`errors`] alone.
+//! Each handler returns `Result<ApiResponse, ApiError>`; only [`errors`] converts errors to responses.
 
 mod config;
 mod errors;
@@ -24,13 +24,13 @@
 /// Answers one request.
 pub async fn handle(registry: Arc<Registry>, request: Request<Incoming>) -> ApiResponse {
     let path = request.uri().path().to_string();
-    // All programs serve their own paths under this prefix too.
+    // All vanepath programs also serve their paths under this prefix.
     let path = path.strip_prefix("/vanepath").unwrap_or(&path).to_string();
     let counters = &registry.counters;
-    let common = node::common_pages(&registry.node, &path, registry.is_ready(), |all| {
-        counters.write_json(all);
+    let common_page = node::common_pages(&registry.node, &path, registry.is_ready(), |metrics| {
+        counters.write_json(metrics);
     });
-    if let Some(response) = common {
+    if let Some(response) = common_page {
         return response;
     }
     let segments: Vec<&str> = path.trim_start_matches('/').split('/').collect();
--- a/registry/src/api/status.rs
+++ b/registry/src/api/status.rs
@@ -1,4 +1,5 @@
-//! `GET /v1/status`: what this registry knows of all nodes, routes and servers (design 9.1).
+//! `GET /v1/status`: the state of all nodes, routing rules and servers as this registry knows it (design
+//! 9.1).
 
 use super::response::ApiResponse;
 use super::zones::{drain_orders_json, drained_zones_json};
@@ -15,10 +16,10 @@
 use vanepath_config::endpoint_list::{self, Server};
 use vanepath_config::selector::ClientLocation;
 
-/// Registries that need the proxies' observations for the plan have them always. Another one requests them
-/// first and waits this long at the most.
+/// The maximum time that a status request waits for the proxies' observations of servers. A registry that
+/// needs them for the plan always has them; any other one has to request them first.
 const OBSERVATIONS_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How often a waiting request checks for the observations.
+/// Interval at which a waiting status request checks whether the observations have arrived.
 const OBSERVATIONS_INTERVAL: Duration = Duration::from_millis(50);
 
 /// `GET /v1/status`.
@@ -30,7 +31,8 @@
         view.live.iter().map(|(info, status)| node_json(registry, &view, info, status)).collect();
     let servers: Vec<JsonValue> =
         view.endpoints.servers.iter().map(|server| server_json(&view, &peers, server)).collect();
-    let outcome = registry.poll_outcome.lock().expect("no panic under this lock").to_string();
+    let outcome =
+        registry.poll_outcome.lock().expect("the poll outcome lock is never poisoned").to_string();
     let committed = &view.committed;
     let value = jzon::object! {
         "name": node.settings.name.as_str(),
@@ -52,7 +54,7 @@
     node::json_response(StatusCode::OK, &value)
 }
 
-/// The current view with the proxies' observations of servers, as far as they come in time.
+/// The current view, with the proxies' observations of servers if they arrive in time.
 async fn view_with_observations(registry: &Registry) -> Arc<ClusterView> {
     let node = &registry.node;
     let _ = node.gossip.send(HandleEvent(Event::ObservationsWanted)).await;
@@ -72,10 +74,11 @@
     info: &NodeInfo,
     status: &NodeStatus,
 ) -> JsonValue {
-    // The highest revision ever reported as active there, in any of its incarnations (design 5.8).
+    // The highest revision ever reported as active on the node, in any of its incarnations (design 5.8).
     let is_own = info.name == registry.node.info.name;
-    let own = is_own.then(|| view.active_revision());
-    let highest = own.or(view.highest_active_revisions.get(&info.name).copied()).unwrap_or(0);
+    let own_revision = is_own.then(|| view.active_revision());
+    let highest =
+        own_revision.or(view.highest_active_revisions.get(&info.name).copied()).unwrap_or(0);
     jzon::object! {
         "floor": highest,
         "behind": status.revision < highest,
@@ -98,7 +101,8 @@
     })
 }
 
-/// Live nodes whose active revision is lower than one that they have had before (design 5.8).
+/// The names of live nodes whose active revision is lower than one that was active on them before (design
+/// 5.8).
 fn names_behind(view: &ClusterView) -> Vec<JsonValue> {
     let is_behind = |info: &NodeInfo, revision: u64| {
         view.highest_active_revisions.get(&info.name).is_some_and(|highest| revision < *highest)
@@ -110,7 +114,7 @@
         .collect()
 }
 
-/// Peers that are known and not live.
+/// The names of peers that are known but not live.
 fn unreachable_names(view: &ClusterView, peers: &[Peer]) -> Vec<JsonValue> {
     peers
         .iter()
@@ -123,7 +127,7 @@
     view.live.iter().any(|(info, _)| info.name == peer.info.name)
 }
 
-/// For each rule the ranking that a client at this registry's own location gets.
+/// For each rule, the ranking of pathways for a client at this registry's own location.
 fn rankings_json(registry: &Registry, view: &ClusterView) -> Vec<JsonValue> {
     let settings = &registry.node.settings;
     let client = Client { zone: settings.zone.clone(), region: settings.region.clone(), bucket: 0 };
@@ -150,7 +154,7 @@
     jzon::object! { "rule": view.config.rules[rule].name.as_str(), "order": order }
 }
 
-/// A server, with the reason why it does or does not get requests, from all proxies' observations.
+/// A server, with the reason why it does or does not receive requests, from the observations of all proxies.
 fn server_json(view: &ClusterView, peers: &[Peer], server: &Server) -> JsonValue {
     let services: Vec<&str> = view
         .config
@@ -175,10 +179,10 @@
     }
 }
 
-/// What the live proxies observe of one server.
+/// The live proxies' observations of one server.
 #[derive(Default)]
 struct ObservedServer {
-    /// The number of proxies by the phase that the server has for them.
+    /// The number of proxies by the phase in which they see the server.
     phases: BTreeMap<&'static str, u32>,
     /// The highest reported load, in thousandths.
     load_milli: u32,
@@ -189,7 +193,7 @@
         let mut observed = ObservedServer::default();
         for peer in peers.iter().filter(|peer| is_live(view, peer)) {
             let observations = peer.observations.servers.iter();
-            for observation in observations.filter(|one| one.server == server.id) {
+            for observation in observations.filter(|entry| entry.server == server.id) {
                 *observed.phases.entry(observation.phase.into()).or_default() += 1;
                 observed.load_milli = observed.load_milli.max(observation.load_milli);
             }
@@ -197,7 +201,7 @@
         observed
     }
 
-    /// Whether any proxy that is in contact with the server finds it healthy.
+    /// Whether any proxy sees the server as healthy, in slow start or warming up.
     fn is_healthy(&self) -> bool {
         ["live", "ramping", "cold"].iter().any(|phase| self.phases.contains_key(phase))
     }
--- a/registry/src/api/steering.rs
+++ b/registry/src/api/steering.rs
@@ -12,28 +12,28 @@
     registry.counters.increment(Counter::SteerPolls);
     let view = registry.node.table.load();
     let is_ready = registry.is_ready() && registry.node.is_awake();
-    let steered = steering::steer(&view, is_ready, registry.own_location(), query, node::random());
-    if steered.is_first {
+    let outcome = steering::steer(&view, is_ready, registry.own_location(), query, node::random());
+    if outcome.is_first {
         registry.counters.increment(Counter::SteerPollsFirst);
     }
-    if steered.is_forged {
+    if outcome.is_forged {
         registry.counters.increment(Counter::SteerEchoesBad);
     }
-    match steered.response {
+    match outcome.response {
         Ok(response) => Ok(node::json_response(StatusCode::OK, &response)),
-        Err(error) => Err(rejected(registry, error)),
+        Err(error) => Err(count_rejection(registry, error)),
     }
 }
 
-/// `GET /v1/addresses`: proxies' addresses, for clients that choose among them by themselves.
+/// `GET /v1/addresses`: proxy addresses, for clients that balance load between them on their own.
 pub fn addresses(registry: &Registry, query: &str) -> Result<ApiResponse, ApiError> {
     registry.counters.increment(Counter::SteerPolls);
     let view = registry.node.table.load();
-    // Ready without a configuration too: addresses depend on the proxies alone.
+    // No configuration is required: without rules, addresses depend on the proxies alone.
     let is_ready = view.is_fresh && registry.node.is_awake() && !registry.node.is_shutting_down();
-    let own = registry.own_location();
-    let answer = steering::addresses(&view, is_ready, own, query, node::random())
-        .map_err(|error| rejected(registry, error))?;
+    let own_location = registry.own_location();
+    let answer = steering::addresses(&view, is_ready, own_location, query, node::random())
+        .map_err(|error| count_rejection(registry, error))?;
     let counter = match answer.source {
         AddressSource::OwnRegion => None,
         AddressSource::OtherAllowedRegion => Some(Counter::AddressesOfOtherHomes),
@@ -46,7 +46,7 @@
     Ok(node::json_response(StatusCode::OK, &answer.json()))
 }
 
-fn rejected(registry: &Registry, error: SteeringError) -> ApiError {
+fn count_rejection(registry: &Registry, error: SteeringError) -> ApiError {
     registry.counters.increment(match error {
         SteeringError::Behind => Counter::SteerRefusedBehind,
         SteeringError::Partitioned => Counter::SteerRefusedCutOff,
--- a/registry/src/api/submissions.rs
+++ b/registry/src/api/submissions.rs
@@ -1,5 +1,5 @@
-//! The outcomes of writes as responses, and `GET /v1/submissions/KEY`, which looks up what became of a write
-//! (design 6.10, 7.5).
+//! Converts the outcomes of writes to responses, and serves `GET /v1/submissions/KEY`, which looks up the
+//! outcome of an earlier write (design 6.10, 7.5).
 
 use super::errors::ApiError;
 use super::response::ApiResponse;
@@ -12,7 +12,7 @@
 /// The response to a write.
 ///
 /// # Errors
-/// Where the write was surely not applied.
+/// Returns an error if the write was certainly not applied, or if the outcome is not that of a write.
 pub fn outcome_response(
     registry: &Registry,
     key: &str,
--- a/registry/src/api/zones.rs
+++ b/registry/src/api/zones.rs
@@ -12,12 +12,12 @@
 use vanepath_cluster::node;
 use vanepath_store::protocol::Change;
 
-/// A registry that was started this long ago has heard of all that there is.
+/// Time after its start by which a registry is assumed to know all nodes and servers.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often a registry that has just started checks whether it has heard of a zone.
+/// Interval at which a registry that has just started checks whether a zone has become known.
 const DISCOVERY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Drains a zone or restores it, as `change` says.
+/// Drains or restores a zone, depending on `change`.
 pub async fn write(
     registry: &Registry,
     zone: &str,
@@ -26,7 +26,7 @@
 ) -> Result<ApiResponse, ApiError> {
     let received_at = registry.node.clock.now();
     let key = IdempotencyKey::from_headers(headers)?;
-    // A registry that has just started has heard of too little to say that there is no such zone.
+    // A registry that has just started knows too little to reject a zone as unknown.
     while !is_known_zone(registry, zone) {
         if has_discovered_all(registry) {
             return Err(ApiError::NoSuchZone);
@@ -38,7 +38,7 @@
     submissions::outcome_response(registry, &key.text, outcome)
 }
 
-/// Whether anything that this registry knows of is in a zone of that name.
+/// Whether any node, server, drain order or configured zone that this registry knows has this zone name.
 fn is_known_zone(registry: &Registry, zone: &str) -> bool {
     let view = registry.node.table.load_full();
     view.live.iter().any(|(info, _)| info.zone == zone)
@@ -48,15 +48,15 @@
         || registry.node.settings.zone_regions.contains_key(zone)
 }
 
-/// Whether this registry has heard from the others for long enough, or is isolated so that waiting longer
-/// gains nothing.
+/// Whether this registry has received gossip for long enough, or is isolated, so that waiting longer would
+/// not help.
 fn has_discovered_all(registry: &Registry) -> bool {
     let view = registry.node.table.load();
     let is_synced = view.live.first().is_some_and(|(_, status)| status.synced);
     is_synced || view.is_isolated || registry.node.clock.now() > DISCOVERY_TIMEOUT
 }
 
-/// `GET /v1/zones`: the drained zones, from the stores.
+/// `GET /v1/zones`: the drained zones, as read from the stores.
 pub async fn read(registry: &Registry) -> Result<ApiResponse, ApiError> {
     let value = stores::read_value(registry).await?;
     let body = jzon::object! {
@@ -72,7 +72,8 @@
     drained.iter().map(|zone| zone.as_str().into()).collect()
 }
 
-/// The number of drain orders in force for each drained zone; `extra` counts those after the first.
+/// The number of drain orders in force for each drained zone; `extra` is the number of those beyond the
+/// first.
 pub fn drain_orders_json(drained: &BTreeSet<String>, extra: &BTreeMap<String, u32>) -> JsonValue {
     let mut orders = JsonValue::new_object();
     for zone in drained {
--- a/registry/src/steering/addresses.rs
+++ b/registry/src/steering/addresses.rs
@@ -1,5 +1,5 @@
-//! The plain form of a steering answer: addresses of proxies, for clients that balance between them by
-//! themselves (design 7.3).
+//! The plain form of a steering answer: a list of proxy addresses, for clients that balance load between
+//! them on their own (design 7.3).
 
 use super::error::SteeringError;
 use super::pathways::{Pathway, pathways};
@@ -12,45 +12,46 @@
 use vanepath_config::model::Rule;
 use vanepath_config::stable_hash;
 
-/// For how long an answer holds that names proxies which are being restarted.
+/// The TTL of an answer with proxies that are being restarted.
 const RESTARTING_TTL: Duration = Duration::from_millis(500);
-/// An answer has this many addresses, where so many proxies are live at all: a client that finds one of
-/// them dead has another.
+/// The minimum number of addresses in an answer, if that many proxies are live: a client that finds one
+/// proxy dead can use another.
 const MIN_ADDRESSES: usize = 2;
-/// An answer has no more addresses than this.
+/// The maximum number of addresses in an answer.
 pub const MAX_ADDRESSES: usize = 64;
 
-/// Which proxies an answer names; a better source leaves the others out.
+/// Which proxies an answer contains. The sources are tried in this order, and only the first one that has
+/// any proxies is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AddressSource {
-    /// Those of the client's own region that take requests, filled up from other regions where no rule is
-    /// bound to regions.
+    /// Proxies of the client's own region that accept requests; if no rule is bound to regions, they are
+    /// supplemented with proxies of other regions.
     OwnRegion,
-    /// Those of another region to which the rules are bound.
+    /// Proxies of another region that the rules allow.
     OtherAllowedRegion,
-    /// Those of the client's own region, or of one to which the rules are bound, that are being
-    /// restarted: they still serve, or soon will.
+    /// Proxies of the client's own region, or of another one that the rules allow, that are being restarted:
+    /// they still serve requests, or will soon.
     Restarting,
-    /// Those of a region to which the rules are not bound.
+    /// Proxies of any other region.
     OtherRegion,
 }
 
 /// The answer to a request for addresses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Addresses {
-    /// Addresses of proxies, [`MAX_ADDRESSES`] at the most.
+    /// Addresses of proxies, at most [`MAX_ADDRESSES`].
     pub addresses: Vec<SocketAddr>,
-    /// Which proxies these are.
+    /// Which proxies the addresses belong to.
     pub source: AddressSource,
 }
 
 impl Addresses {
-    /// For how long the answer holds.
+    /// The TTL of the answer.
     pub fn ttl(&self) -> Duration {
         if self.source == AddressSource::Restarting { RESTARTING_TTL } else { TTL }
     }
 
-    /// The body of the response: `addresses`, and `ttlS` in seconds.
+    /// The body of the response: `addresses`, and the TTL in seconds as `ttlS`.
     pub fn json(&self) -> jzon::JsonValue {
         let addresses: Vec<jzon::JsonValue> =
             self.addresses.iter().map(|address| address.to_string().into()).collect();
@@ -58,29 +59,29 @@
     }
 }
 
-/// The addresses of the first pathways' proxies, as many as let a client bear the loss of one. `own` is the
-/// registry's zone and region, for clients that do not name theirs; where the query has a host under `name`
-/// that rules name, only these rules count.
+/// Addresses of proxies for one client, enough of them that it can tolerate the loss of one proxy.
+/// `own_location` is the registry's zone and region, the default for clients that do not state theirs. If
+/// the query has a host under `name` that any rule states, only the rules that apply to this host count.
 ///
 /// # Errors
-/// Where this registry knows too little; another one may know more.
+/// Returns an error if this registry knows too little to answer; another one may know more.
 pub fn addresses(
     view: &ClusterView,
     is_ready: bool,
-    own: (&str, &str),
+    own_location: (&str, &str),
     query: &str,
     random: u64,
 ) -> Result<Addresses, SteeringError> {
     let pathways = pathways(view);
-    let is_nothing_live = pathways.iter().all(|pathway| pathway.is_unreachable);
+    let none_live = pathways.iter().all(|pathway| pathway.is_unreachable);
     let search = AddressSearch {
         view,
         pathways: &pathways,
         bound_rules: bound_rules(view, query::value(query, "name").unwrap_or_default()),
-        zone: query::value(query, "zone").unwrap_or(own.0),
-        region: query::value(query, "region").unwrap_or(own.1),
+        zone: query::value(query, "zone").unwrap_or(own_location.0),
+        region: query::value(query, "region").unwrap_or(own_location.1),
     };
-    if !is_ready || (is_nothing_live && search.restarting().is_empty()) {
+    if !is_ready || (none_live && search.restarting().is_empty()) {
         return Err(SteeringError::NotReady);
     }
     if view.is_isolated {
@@ -88,7 +89,7 @@
     }
     let mut answer = search.run();
     if answer.addresses.len() > MAX_ADDRESSES {
-        // Each client gets another part of them.
+        // A random rotation gives each client a different part of the addresses.
         let offset = random as usize % answer.addresses.len();
         answer.addresses.rotate_left(offset);
         answer.addresses.truncate(MAX_ADDRESSES);
@@ -96,17 +97,19 @@
     Ok(answer)
 }
 
-/// The rules with regions for requests of this host; of all hosts where no rule names this one.
+/// The rules that are bound to regions and apply to requests for this host, or those for all hosts if no rule
+/// states this one.
 fn bound_rules<'v>(view: &'v ClusterView, host: &str) -> Vec<&'v Rule> {
-    let names_host =
-        |rule: &&Rule| rule.host.as_deref().is_some_and(|own| own.eq_ignore_ascii_case(host));
+    let matches_host = |rule: &&Rule| {
+        rule.host.as_deref().is_some_and(|rule_host| rule_host.eq_ignore_ascii_case(host))
+    };
     let rules = &view.config.rules;
-    let is_known = rules.iter().any(|rule| names_host(&rule));
-    let counts = |rule: &&Rule| !is_known || rule.host.is_none() || names_host(rule);
-    rules.iter().filter(counts).filter(|rule| !rule.regions.is_empty()).collect()
+    let is_known_host = rules.iter().any(|rule| matches_host(&rule));
+    let applies = |rule: &&Rule| !is_known_host || rule.host.is_none() || matches_host(rule);
+    rules.iter().filter(applies).filter(|rule| !rule.regions.is_empty()).collect()
 }
 
-/// The search for the proxies of one client.
+/// The search for the proxies that one client gets.
 struct AddressSearch<'a> {
     view: &'a ClusterView,
     pathways: &'a [Pathway],
@@ -116,54 +119,63 @@
 }
 
 impl AddressSearch<'_> {
-    /// The answer counts for all rules of the host alike: where one is bound to regions, no other region's
-    /// proxies fill up what the own one has (incident 0016), and where this has none, those of the
-    /// rules' other regions and those that are being restarted come first (incident 0020).
+    /// The client uses the answer for all rules of the host. If any of them is bound to regions, the proxies
+    /// of the client's own region are therefore not supplemented with those of other regions (incident
+    /// 0016). If the own region has none, proxies of the other regions that the rules allow, and then
+    /// proxies that are being restarted, take precedence over all others (incident 0020).
     fn run(&self) -> Addresses {
-        let own = self.take(&[], usize::MAX, |region| region == self.region);
+        let own_region = self.collect_addresses(&[], usize::MAX, |region| region == self.region);
         if self.bound_rules.is_empty() {
-            let addresses = self.take(&own, MIN_ADDRESSES, |region| region != self.region);
-            let source =
-                if own.is_empty() { AddressSource::OtherRegion } else { AddressSource::OwnRegion };
+            let addresses =
+                self.collect_addresses(&own_region, MIN_ADDRESSES, |region| region != self.region);
+            let source = if own_region.is_empty() {
+                AddressSource::OtherRegion
+            } else {
+                AddressSource::OwnRegion
+            };
             return Addresses { addresses, source };
         }
-        if !own.is_empty() {
-            return Addresses { addresses: own, source: AddressSource::OwnRegion };
+        if !own_region.is_empty() {
+            return Addresses { addresses: own_region, source: AddressSource::OwnRegion };
         }
-        let homes = self.take(&[], MIN_ADDRESSES, |region| self.is_home(region));
-        if !homes.is_empty() {
-            return Addresses { addresses: homes, source: AddressSource::OtherAllowedRegion };
+        let allowed =
+            self.collect_addresses(&[], MIN_ADDRESSES, |region| self.is_allowed_region(region));
+        if !allowed.is_empty() {
+            return Addresses { addresses: allowed, source: AddressSource::OtherAllowedRegion };
         }
         let restarting = self.restarting();
         if !restarting.is_empty() {
             return Addresses { addresses: restarting, source: AddressSource::Restarting };
         }
-        let elsewhere = self.take(&[], 1, |region| region != self.region);
-        Addresses { addresses: elsewhere, source: AddressSource::OtherRegion }
+        let other = self.collect_addresses(&[], 1, |region| region != self.region);
+        Addresses { addresses: other, source: AddressSource::OtherRegion }
     }
 
-    /// Whether all rules of the host may be served from this region.
-    fn is_home(&self, region: &str) -> bool {
+    /// Whether all region-bound rules of the host may be served from this region.
+    fn is_allowed_region(&self, region: &str) -> bool {
         self.bound_rules.iter().all(|rule| rule.allows_region(region))
     }
 
-    /// `first`, and then the live pathways of the regions that `admits`, in the order of the zone's own
-    /// rendezvous draw, until there are `wanted` addresses.
-    fn take(
+    /// Returns `initial`, followed by the addresses of live pathways in the regions that `includes_region`
+    /// accepts, until there are `min_count` addresses. A `min_count` of `usize::MAX` includes all of them, in
+    /// the order of `pathways`; otherwise they are in the order of a rendezvous hash of their zone and the
+    /// client's zone.
+    fn collect_addresses(
         &self,
-        first: &[SocketAddr],
-        wanted: usize,
-        admits: impl Fn(&str) -> bool,
+        initial: &[SocketAddr],
+        min_count: usize,
+        includes_region: impl Fn(&str) -> bool,
     ) -> Vec<SocketAddr> {
         let live = self.pathways.iter().filter(|pathway| !pathway.is_unreachable);
-        let mut admitted: Vec<&Pathway> = live.filter(|pathway| admits(&pathway.region)).collect();
-        if wanted < usize::MAX {
-            let draw = |pathway: &&Pathway| stable_hash(&["far", self.zone, &pathway.zone]);
-            admitted.sort_by_key(draw);
+        let mut included: Vec<&Pathway> =
+            live.filter(|pathway| includes_region(&pathway.region)).collect();
+        if min_count < usize::MAX {
+            let hash = |pathway: &&Pathway| stable_hash(&["far", self.zone, &pathway.zone]);
+            included.sort_by_key(hash);
         }
-        let mut addresses = first.to_vec();
-        for pathway in admitted {
-            if addresses.len() >= wanted {
+        let mut addresses = initial.to_vec();
+        for pathway in included {
+            if addresses.len() >= min_count {
                 break;
             }
             addresses.extend(&pathway.addresses);
@@ -171,8 +183,8 @@
         addresses
     }
 
-    /// Live proxies that are being restarted in the client's region and in the homes: those that drain and
-    /// still serve, or else those that are not ready yet.
+    /// Live proxies that are being restarted, in the client's region and the other regions that the rules
+    /// allow: those that drain and still serve requests, or if there are none, those that are not ready yet.
     fn restarting(&self) -> Vec<SocketAddr> {
         if self.bound_rules.is_empty() {
             return Vec::new();
@@ -184,11 +196,11 @@
         self.restarting_where(|status| !status.draining && !status.ready)
     }
 
-    fn restarting_where(&self, is_wanted: impl Fn(&NodeStatus) -> bool) -> Vec<SocketAddr> {
+    fn restarting_where(&self, matches_status: impl Fn(&NodeStatus) -> bool) -> Vec<SocketAddr> {
         let proxies = self.view.live.iter().filter(|(info, status)| {
             info.role == Role::Proxy
-                && is_wanted(status)
-                && (info.region == self.region || self.is_home(&info.region))
+                && matches_status(status)
+                && (info.region == self.region || self.is_allowed_region(&info.region))
                 && !self.view.committed.drained_zones.contains(&info.zone)
         });
         let mut addresses: Vec<SocketAddr> = proxies.map(|(info, _)| info.address).collect();
--- a/registry/src/steering/client.rs
+++ b/registry/src/steering/client.rs
@@ -10,6 +10,6 @@
     pub zone: String,
     /// The client's region.
     pub region: String,
-    /// The affinity bucket, below [`BUCKETS`]: it makes a client's draws repeatable.
+    /// The affinity bucket, below [`BUCKETS`]. It makes the ranking for a client repeatable.
     pub bucket: u64,
 }
--- a/registry/src/steering/pathways.rs
+++ b/registry/src/steering/pathways.rs
@@ -6,16 +6,16 @@
 use vanepath_cluster::wire::{NodeInfo, NodeStatus, Role};
 use vanepath_config::selector::Labelled;
 
-/// A zone with proxies that take requests.
+/// A zone with proxies that accept requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pathway {
-    /// The zone; its name is the pathway's id.
+    /// The zone's name, which is the id of the pathway.
     pub zone: String,
     /// The zone's region.
     pub region: String,
     /// The addresses of the zone's proxies, sorted.
     pub addresses: Vec<SocketAddr>,
-    /// None of its proxies is live: they are dead, or this registry is partitioned from them.
+    /// None of the zone's proxies is live: they are dead, or this registry is partitioned from them.
     pub is_unreachable: bool,
     labels: BTreeMap<String, String>,
 }
@@ -30,9 +30,9 @@
     }
 }
 
-/// The zones with proxies that are ready and not draining, sorted by name; drained zones are no pathways.
-/// A zone none of whose proxies is live any more is still a pathway, the last to be tried: a registry
-/// cannot distinguish their death from its own isolation.
+/// The zones with proxies that are ready and not draining, sorted by name, without drained zones. A zone
+/// whose proxies are all unreachable stays a pathway, which clients try last: a registry cannot distinguish
+/// their failure from its own isolation.
 pub fn pathways(view: &ClusterView) -> Vec<Pathway> {
     let mut pathways: Vec<Pathway> = Vec::new();
     let live = view.live.iter().map(|node| (node, false));
@@ -45,7 +45,7 @@
             Some(pathway) if pathway.is_unreachable == is_unreachable => {
                 pathway.addresses.push(info.address);
             }
-            // Other proxies of that zone are live.
+            // The zone has live proxies: its unreachable ones are left out.
             Some(_) => {}
             None => pathways.push(Pathway {
                 zone: info.zone.clone(),
--- a/registry/src/steering/response.rs
+++ b/registry/src/steering/response.rs
@@ -1,4 +1,4 @@
-//! The steering response, in the shape of an HLS Content Steering manifest.
+//! The steering response, in the form of an HLS Content Steering manifest.
 
 use super::client::Client;
 use super::pathways::{Pathway, pathways};
@@ -12,11 +12,11 @@
 
 /// The TTL of a steering response before jitter.
 pub const TTL: Duration = Duration::from_millis(2000);
-/// No response holds longer than this.
+/// The maximum TTL of a steering response.
 pub const MAX_TTL: Duration = Duration::from_millis(5000);
 
-/// The response for one client. `random` jitters the TTL by a quarter either way; `shows_reasons` adds the
-/// reason of each rank.
+/// The response for one client. `random` jitters the TTL by up to a quarter in either direction;
+/// `shows_reasons` adds the reason for each rank.
 pub fn steering_response(
     view: &ClusterView,
     client: &Client,
@@ -26,18 +26,19 @@
     let pathways = pathways(view);
     let state = SteeringState { revision: view.committed.revision, client: client.clone() };
     let mut rules = JsonValue::new_array();
-    let mut general: Option<Vec<RankedPathway>> = None;
+    let mut default_ranking: Option<Vec<RankedPathway>> = None;
     for (index, rule) in view.config.rules.iter().enumerate() {
         let ranked = rank_pathways(view, &pathways, index, client);
         let _ = rules.push(rule_json(view, rule, &pathways, &ranked, shows_reasons));
-        // The general priority is that of the last rule, which by custom matches all other requests.
-        general = Some(ranked);
+        // The priority outside the rules is that of the last rule, which by convention matches all requests
+        // that no earlier rule matches.
+        default_ranking = Some(ranked);
     }
     jzon::object! {
         "VERSION": 1,
         "TTL": jittered_ttl_s(random),
         "RELOAD-URI": format!("/v1/steer?state={}", state.encode()),
-        "PATHWAY-PRIORITY": priority_json(&pathways, &general.unwrap_or_default()),
+        "PATHWAY-PRIORITY": priority_json(&pathways, &default_ranking.unwrap_or_default()),
         "PATHWAYS": pathways.iter().map(pathway_json).collect::<Vec<JsonValue>>(),
         "RULES": rules,
         "DIRECTORIES": registries_json(view),
@@ -46,7 +47,7 @@
     }
 }
 
-/// The TTL in seconds, rounded to tenths. The jitter spreads the reloads of many clients.
+/// The TTL in seconds, rounded to tenths. The jitter spreads the reloads of many clients over time.
 fn jittered_ttl_s(random: u64) -> f64 {
     let jitter = (random % 1001) as f64 / 1000.0;
     let ttl_s = (TTL.as_secs_f64() * (0.75 + 0.5 * jitter)).min(MAX_TTL.as_secs_f64());
@@ -98,7 +99,7 @@
     }
 }
 
-/// The registries that a client can poll.
+/// The addresses of the registries that a client can poll.
 fn registries_json(view: &ClusterView) -> Vec<JsonValue> {
     view.live
         .iter()
--- a/registry/src/steering/state_token.rs
+++ b/registry/src/steering/state_token.rs
@@ -1,20 +1,20 @@
-//! The state token that a client brings back in the reload URI: it makes the registries stateless, since
-//! any of them can answer the next request of the same client.
+//! The state token that a client returns in the reload URI. It keeps the registries stateless: any of them
+//! can answer the next request of the same client.
 
 use super::client::{BUCKETS, Client};
 use vanepath_config::json_reader;
 
-/// What the state token carries.
+/// The contents of the state token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SteeringState {
-    /// The committed revision of the answer that the client has.
+    /// The committed revision that the client's current answer is based on.
     pub revision: u64,
     /// The client that got the answer.
     pub client: Client,
 }
 
 impl SteeringState {
-    /// The token: the parts and a check sum, joined by dots.
+    /// Encodes the token: the parts and a checksum, joined by dots.
     pub fn encode(&self) -> String {
         let body = format!(
             "{}.{}.{}.{}",
@@ -23,11 +23,11 @@
         format!("{body}.{:08x}", checksum(&body))
     }
 
-    /// Parses a token. `None` for any text that [`SteeringState::encode`] does not give: its bringer counts
-    /// as a first-time client.
+    /// Parses a token. Returns `None` for any text that [`SteeringState::encode`] does not produce; its
+    /// sender is treated as a first-time client.
     pub fn parse(text: &str) -> Option<SteeringState> {
-        let (body, check) = text.rsplit_once('.')?;
-        if check != format!("{:08x}", checksum(body)) {
+        let (body, received_checksum) = text.rsplit_once('.')?;
+        if received_checksum != format!("{:08x}", checksum(body)) {
             return None;
         }
         let parts: Vec<&str> = body.split('.').collect();
@@ -44,8 +44,8 @@
     }
 }
 
-/// Detects tokens that were mangled on the way; it is no protection against forgery on purpose, which
-/// would gain a client nothing but another bucket.
+/// Detects tokens that were corrupted in transit. It does not protect against deliberate forgery, by which
+/// a client would gain nothing but another bucket.
 fn checksum(body: &str) -> u32 {
     vanepath_config::stable_hash(&["vanepath echo", body]) as u32
 }
--- a/registry/src/steering/tests.rs
+++ b/registry/src/steering/tests.rs
@@ -43,53 +43,57 @@
 
 #[test]
 fn pathways_rank_by_proximity_within_the_regions_of_the_rule_and_without_drained_zones() {
-    let mut open = view(r#"{"name": "r", "class": "c", "service": "s"}"#);
-    assert!(ranked_zones(&open, 3).starts_with("a2 a1 "), "{}", ranked_zones(&open, 3));
-    assert_eq!(ranked_zones(&open, 3).split(' ').count(), 5);
+    let mut unbound = view(r#"{"name": "r", "class": "c", "service": "s"}"#);
+    assert!(ranked_zones(&unbound, 3).starts_with("a2 a1 "), "{}", ranked_zones(&unbound, 3));
+    assert_eq!(ranked_zones(&unbound, 3).split(' ').count(), 5);
     let committed =
         CommittedConfig { drained_zones: ["a2".to_string()].into(), ..CommittedConfig::default() };
-    open.committed = Arc::new(committed);
-    assert!(ranked_zones(&open, 3).starts_with("a1 "));
+    unbound.committed = Arc::new(committed);
+    assert!(ranked_zones(&unbound, 3).starts_with("a1 "));
     let bound = view(r#"{"name": "r", "class": "c", "service": "s", "regions": ["a", "c"]}"#);
     assert_eq!(ranked_zones(&bound, 3), "a2 a1 c1");
-    let mut none = bound.clone();
-    for (_, status) in &mut none.live {
+    let mut all_draining = bound.clone();
+    for (_, status) in &mut all_draining.live {
         status.draining = true;
     }
-    assert_eq!(ranked_zones(&none, 3), "", "nothing within bounds is left: nothing else either");
-    // Unreachable pathways come last, and never outside of the regions.
+    assert_eq!(
+        ranked_zones(&all_draining, 3),
+        "",
+        "no fallback to pathways outside the rule's regions"
+    );
+    // Unreachable pathways come last, and only those within the rule's regions.
     let mut unreachable = bound.clone();
     unreachable.unreachable =
         unreachable.live.extract_if(.., |(info, _)| info.zone != "c1").collect();
     assert_eq!(ranked_zones(&unreachable, 3), "c1 a2 a1");
 }
 
-/// The shares hold over many clients, and a change of shares moves hardly more clients than it must.
+/// Over many clients each pathway gets its share, and a change of the shares moves no client to a pathway
+/// whose share shrinks.
 #[test]
-fn shares_hold_and_a_change_of_shares_moves_as_few_clients_as_possible() {
-    let with = |low: u32| {
+fn clients_are_divided_by_shares_and_a_change_of_shares_moves_as_few_as_possible() {
+    let view_with_share = |low_cost: u32| {
         view(&format!(
             r#"{{"name": "r", "class": "c", "service": "s", "prefer": [[
                 {{"places": "zone = @zone", "share": {}}},
-                {{"places": "cost = low", "share": {low}}}]]}}"#,
-            100 - low
+                {{"places": "cost = low", "share": {low_cost}}}]]}}"#,
+            100 - low_cost
         ))
     };
-    let (before, after) = (with(20), with(30));
+    let (view_before, view_after) = (view_with_share(20), view_with_share(30));
     let mut counts = [0, 0, 0];
     for bucket in 0..4000 {
-        let first = |view: &ClusterView| ranked_zones(view, bucket).starts_with("a1");
-        let (old, new) = (first(&before), first(&after));
-        counts[0] += i32::from(old);
-        counts[1] += i32::from(new);
-        counts[2] += i32::from(old != new);
+        let is_low_cost_first = |view: &ClusterView| ranked_zones(view, bucket).starts_with("a1");
+        let (before, after) = (is_low_cost_first(&view_before), is_low_cost_first(&view_after));
+        counts[0] += i32::from(before);
+        counts[1] += i32::from(after);
+        counts[2] += i32::from(before != after);
     }
     assert!((counts[0] - 800).abs() < 80, "{counts:?}");
     assert!((counts[1] - 1200).abs() < 80, "{counts:?}");
-    assert_eq!(counts[2], counts[1] - counts[0], "nobody moves the other way");
+    assert_eq!(counts[2], counts[1] - counts[0], "no client moves in the other direction");
 }
 
-/// A partitioned registry answers only clients that have no answer yet.
 #[test]
 fn a_partitioned_registry_answers_only_first_time_clients() {
     let mut partitioned = view(r#"{"name": "r", "class": "c", "service": "s"}"#);
@@ -106,7 +110,7 @@
 }
 
 #[test]
-fn state_tokens_are_parsed_and_forged_ones_are_not() {
+fn valid_state_tokens_are_parsed_and_forged_ones_are_not() {
     let client = Client { zone: "a2".into(), region: "a".into(), bucket: 77 };
     let token = SteeringState { revision: 12, client: client.clone() }.encode();
     assert_eq!(SteeringState::parse(&token), Some(SteeringState { revision: 12, client }));
@@ -115,148 +119,155 @@
     }
 }
 
-const ANY: &str = r#"{"name": "r", "class": "c", "service": "s"}"#;
+const UNBOUND_RULE: &str = r#"{"name": "r", "class": "c", "service": "s"}"#;
 
-fn shown_addresses(view: &ClusterView, is_ready: bool, query: &str) -> String {
+fn format_addresses(view: &ClusterView, is_ready: bool, query: &str) -> String {
     match addresses(view, is_ready, ("a1", "a"), query, 0) {
         Ok(answer) => {
             let answer = answer.json();
-            let ports = answer["addresses"].members().filter_map(|one| one.as_str());
-            let ports: Vec<&str> = ports.map(|one| one.rsplit(':').next().unwrap()).collect();
+            let ports = answer["addresses"].members().filter_map(|address| address.as_str());
+            let ports: Vec<&str> =
+                ports.map(|address| address.rsplit(':').next().unwrap()).collect();
             format!("{} for {} s", ports.join(" "), answer["ttlS"])
         }
         Err(error) => error.to_string(),
     }
 }
 
-/// The live proxies of the client's own region; another region's as well where these are too few to
-/// bear the loss of one; and none that is unreachable, not ready, draining, or in a drained zone.
+/// The answer contains the live proxies of the client's own region, those of another region if one proxy
+/// alone is left there, and none that is unreachable, not ready, draining, or in a drained zone.
 #[test]
-fn plain_addresses_are_those_of_the_own_region() {
-    // By zone: 8000 and 8001 in a1, 8002 in a2, 8003 in b1, 8004 in b2, 8005 in c1.
-    let all = view(ANY);
-    let mut shown = String::new();
-    let mut show = |what: &str, answer: String| shown += &format!("{what}: {answer}\n");
-    show("from a", shown_addresses(&all, true, "name=x&region=a&zone=a2"));
-    show("from b", shown_addresses(&all, true, "name=x&region=b&zone=b1"));
-    show("from c", shown_addresses(&all, true, "name=x&region=c&zone=c1"));
-    show("from nowhere", shown_addresses(&all, true, "name=x"));
-    show("from an unknown place", shown_addresses(&all, true, "region=z&zone=z9"));
-    let mut fewer = all.clone();
-    fewer.live[0].1.draining = true;
-    fewer.live[1].1.ready = false;
-    show("two of a gone", shown_addresses(&fewer, true, "region=a&zone=a1"));
-    let mut drained = all.clone();
+fn plain_addresses_are_those_of_the_clients_region() {
+    // Ports by zone: 8000 and 8001 in a1, 8002 in a2, 8003 in b1, 8004 in b2, 8005 in c1.
+    let full_view = view(UNBOUND_RULE);
+    let mut transcript = String::new();
+    let mut show = |case: &str, answer: String| transcript += &format!("{case}: {answer}\n");
+    show("from a", format_addresses(&full_view, true, "name=x&region=a&zone=a2"));
+    show("from b", format_addresses(&full_view, true, "name=x&region=b&zone=b1"));
+    show("from c", format_addresses(&full_view, true, "name=x&region=c&zone=c1"));
+    show("without a location", format_addresses(&full_view, true, "name=x"));
+    show("from an unknown region", format_addresses(&full_view, true, "region=z&zone=z9"));
+    let mut partly_ready = full_view.clone();
+    partly_ready.live[0].1.draining = true;
+    partly_ready.live[1].1.ready = false;
+    show(
+        "a1 with one proxy draining and one not ready",
+        format_addresses(&partly_ready, true, "region=a&zone=a1"),
+    );
+    let mut drained = full_view.clone();
     let committed =
         CommittedConfig { drained_zones: ["a1".to_string()].into(), ..CommittedConfig::default() };
     drained.committed = Arc::new(committed);
-    show("a1 emptied", shown_addresses(&drained, true, "region=a&zone=a1"));
-    let mut unreachable = all.clone();
+    show("a1 drained", format_addresses(&drained, true, "region=a&zone=a1"));
+    let mut unreachable = full_view.clone();
     unreachable.unreachable =
         unreachable.live.extract_if(.., |(info, _)| info.region == "a").collect();
-    show("a lost", shown_addresses(&unreachable, true, "region=a&zone=a1"));
+    show("region a unreachable", format_addresses(&unreachable, true, "region=a&zone=a1"));
     unreachable.unreachable.append(&mut unreachable.live);
-    show("all lost", shown_addresses(&unreachable, true, "region=a&zone=a1"));
-    show("not ready", shown_addresses(&all, false, "region=a&zone=a1"));
-    let mut isolated = all.clone();
+    show("all unreachable", format_addresses(&unreachable, true, "region=a&zone=a1"));
+    show("not ready", format_addresses(&full_view, false, "region=a&zone=a1"));
+    let mut isolated = full_view.clone();
     isolated.is_isolated = true;
-    show("cut off", shown_addresses(&isolated, true, "region=a&zone=a1"));
-    show("nobody known", shown_addresses(&ClusterView::default(), true, "region=a&zone=a1"));
+    show("isolated registry", format_addresses(&isolated, true, "region=a&zone=a1"));
+    show("no node known", format_addresses(&ClusterView::default(), true, "region=a&zone=a1"));
     expect_test::expect![[r#"
         from a: 8000 8001 8002 for 2 s
         from b: 8003 8004 for 2 s
         from c: 8005 8002 for 2 s
-        from nowhere: 8000 8001 8002 for 2 s
-        from an unknown place: 8000 8001 for 2 s
-        two of a gone: 8002 8004 for 2 s
-        a1 emptied: 8002 8004 for 2 s
-        a lost: 8004 8003 for 2 s
-        all lost: this directory knows no setup or no place yet
+        without a location: 8000 8001 8002 for 2 s
+        from an unknown region: 8000 8001 for 2 s
+        a1 with one proxy draining and one not ready: 8002 8004 for 2 s
+        a1 drained: 8002 8004 for 2 s
+        region a unreachable: 8004 8003 for 2 s
+        all unreachable: this directory knows no setup or no place yet
         not ready: this directory knows no setup or no place yet
-        cut off: this directory is cut off, and what you have may be newer
-        nobody known: this directory knows no setup or no place yet
+        isolated registry: this directory is cut off, and what you have may be newer
+        no node known: this directory knows no setup or no place yet
     "#]]
-    .assert_eq(&shown);
+    .assert_eq(&transcript);
 }
 
-/// Incident 0016: where any rule is bound to regions, no other region's proxies are named beside the own
-/// one's, however few these are: what they name is taken for all rules alike.
+/// Incident 0016: clients use the addresses for all rules. If any rule is bound to regions, the proxies of
+/// the client's own region must not be supplemented with those of other regions, however few they are.
 #[test]
-fn plain_addresses_stay_in_the_region_where_rules_are_bound() {
+fn plain_addresses_stay_in_the_clients_region_if_a_rule_is_bound_to_regions() {
     let mut bound = view(r#"{"name": "r", "class": "c", "service": "s", "regions": ["a", "c"]}"#);
-    assert_eq!(shown_addresses(&bound, true, "region=c&zone=c1"), "8005 for 2 s");
-    assert_eq!(shown_addresses(&bound, true, "region=a&zone=a1"), "8000 8001 8002 for 2 s");
-    // With no live proxy of its own left, a region's clients still get addresses.
+    assert_eq!(format_addresses(&bound, true, "region=c&zone=c1"), "8005 for 2 s");
+    assert_eq!(format_addresses(&bound, true, "region=a&zone=a1"), "8000 8001 8002 for 2 s");
+    // Clients of a region without live proxies still get addresses.
     bound.unreachable = bound.live.extract_if(.., |(info, _)| info.region == "c").collect();
-    assert_ne!(shown_addresses(&bound, true, "region=c&zone=c1"), "");
-    assert!(shown_addresses(&bound, true, "region=c&zone=c1").ends_with("for 2 s"));
+    assert_ne!(format_addresses(&bound, true, "region=c&zone=c1"), "");
+    assert!(format_addresses(&bound, true, "region=c&zone=c1").ends_with("for 2 s"));
 }
 
-/// Incident 0020: during rolling restarts all proxies of a region may drain or start at one time. Clients were
-/// then named proxies of whatever region, as after the loss of theirs; where a rule of their host is bound to
-/// regions they get those of its other regions, or else the restarting ones, which serve or soon will.
+/// Incident 0020: during rolling restarts all proxies of a region may drain or start at the same time.
+/// Clients then got proxies of any other region, as after the loss of their own. If a rule of their host is
+/// bound to regions, they must get proxies of the rule's other regions, or else the restarting ones, which
+/// serve requests or will soon.
 #[test]
 fn bound_rules_keep_clients_within_their_regions_while_proxies_restart() {
     let rules = r#"{"name": "b", "match": {"host": "bound"}, "class": "c", "service": "s", "regions": ["c", "a"]},
         {"name": "o", "match": {"host": "only"}, "class": "c", "service": "s", "regions": ["c"]},
         {"name": "f", "match": {"host": "free"}, "class": "c", "service": "s"}"#;
-    let shown = |view: &ClusterView| {
-        let answer = |host| shown_addresses(view, true, &format!("name={host}&region=c&zone=c1"));
+    let answers = |view: &ClusterView| {
+        let answer = |host| format_addresses(view, true, &format!("name={host}&region=c&zone=c1"));
         ["bound", "only", "free"].map(answer).join(", ")
     };
-    let mut text = String::new();
-    let mut show = |what: &str, view: &ClusterView| text += &format!("{what}: {}\n", shown(view));
-    let mut one = view(rules);
-    show("all ready", &one);
-    one.live[5].1.draining = true;
-    show("it drains", &one);
-    one.live[5].1.ready = false;
-    show("it drains and accepts no more", &one);
-    one.live[5].1.draining = false;
-    show("starting", &one);
+    let mut transcript = String::new();
+    let mut show =
+        |case: &str, view: &ClusterView| transcript += &format!("{case}: {}\n", answers(view));
+    let mut state = view(rules);
+    show("all ready", &state);
+    state.live[5].1.draining = true;
+    show("c1 draining", &state);
+    state.live[5].1.ready = false;
+    show("c1 draining and closed to requests", &state);
+    state.live[5].1.draining = false;
+    show("c1 starting", &state);
     let committed =
         CommittedConfig { drained_zones: ["c1".to_string()].into(), ..CommittedConfig::default() };
-    one.committed = Arc::new(committed);
-    show("starting in a drained zone", &one);
-    one.committed = Arc::default();
-    one.unreachable.push(one.live.remove(5));
-    show("lost", &one);
-    for (_, status) in &mut one.live {
+    state.committed = Arc::new(committed);
+    show("c1 starting and drained", &state);
+    state.committed = Arc::default();
+    state.unreachable.push(state.live.remove(5));
+    show("c1 unreachable", &state);
+    for (_, status) in &mut state.live {
         status.draining = true;
     }
-    show("lost, and all others drain", &one);
+    show("c1 unreachable and all others draining", &state);
     expect_test::expect![[r#"
         all ready: 8005 for 2 s, 8005 for 2 s, 8005 8002 for 2 s
-        it drains: 8002 8000 8001 for 2 s, 8005 for 0.5 s, 8002 8004 for 2 s
-        it drains and accepts no more: 8002 8000 8001 for 2 s, 8002 for 2 s, 8002 8004 for 2 s
-        starting: 8002 8000 8001 for 2 s, 8005 for 0.5 s, 8002 8004 for 2 s
-        starting in a drained zone: 8002 8000 8001 for 2 s, 8002 for 2 s, 8002 8004 for 2 s
-        lost: 8002 8000 8001 for 2 s, 8002 for 2 s, 8002 8004 for 2 s
-        lost, and all others drain: 8000 8001 8002 for 0.5 s, this directory knows no setup or no place yet, this directory knows no setup or no place yet
+        c1 draining: 8002 8000 8001 for 2 s, 8005 for 0.5 s, 8002 8004 for 2 s
+        c1 draining and closed to requests: 8002 8000 8001 for 2 s, 8002 for 2 s, 8002 8004 for 2 s
+        c1 starting: 8002 8000 8001 for 2 s, 8005 for 0.5 s, 8002 8004 for 2 s
+        c1 starting and drained: 8002 8000 8001 for 2 s, 8002 for 2 s, 8002 8004 for 2 s
+        c1 unreachable: 8002 8000 8001 for 2 s, 8002 for 2 s, 8002 8004 for 2 s
+        c1 unreachable and all others draining: 8000 8001 8002 for 0.5 s, this directory knows no setup or no place yet, this directory knows no setup or no place yet
     "#]]
-    .assert_eq(&text);
+    .assert_eq(&transcript);
 }
 
-/// With very many proxies each answer has the maximum of addresses, each another part of them, and all
-/// proxies are named equally often.
+/// With more proxies than an answer may contain, each answer has the maximum number of addresses, and over
+/// many answers all proxies are contained equally often.
 #[test]
 fn answers_rotate_over_very_many_proxies() {
-    let mut many = view(ANY);
-    let node = many.live[0].clone();
-    many.live = (0..200_u16)
+    let mut view_of_many = view(UNBOUND_RULE);
+    let node = view_of_many.live[0].clone();
+    view_of_many.live = (0..200_u16)
         .map(|index| {
-            let mut one = node.clone();
-            one.0.name = format!("p{index}");
-            one.0.address.set_port(9000 + index);
-            one
+            let mut proxy = node.clone();
+            proxy.0.name = format!("p{index}");
+            proxy.0.address.set_port(9000 + index);
+            proxy
         })
         .collect();
     let mut counts = std::collections::BTreeMap::<String, u32>::new();
     for random in 0..200 {
-        let answer = addresses(&many, true, ("a1", "a"), "region=a", random).unwrap().json();
+        let answer =
+            addresses(&view_of_many, true, ("a1", "a"), "region=a", random).unwrap().json();
         assert_eq!(answer["addresses"].members().len(), MAX_ADDRESSES);
-        for one in answer["addresses"].members() {
-            *counts.entry(one.as_str().unwrap().to_string()).or_default() += 1;
+        for address in answer["addresses"].members() {
+            *counts.entry(address.as_str().unwrap().to_string()).or_default() += 1;
         }
     }
     assert_eq!(counts.len(), 200);
