--- a/proxy/src/connector.rs
+++ b/proxy/src/connector.rs
@@ -65,7 +65,7 @@
 ///
 /// # Errors
 /// [`Failure::Refused`] if nobody accepts, [`Failure::Unreachable`] after the time-out,
-/// [`Failure::Broken`] if the connection ends at once, and [`Failure::Silent`] if this process has no
+/// [`Failure::ConnectionLost`] if the connection ends at once, and [`Failure::NoResponse`] if this process has no
 /// file descriptor left.
 pub async fn open(
     endpoint: &Endpoint,
@@ -79,7 +79,7 @@
         SocketAddr::V6(_) => TcpSocket::new_v6(),
     };
     // This process has no file descriptor left: no sign against the server, and it may pass.
-    let socket = socket.map_err(|_| Failure::Silent)?;
+    let socket = socket.map_err(|_| Failure::NoResponse)?;
     if is_narrow {
         let _ = socket.set_recv_buffer_size(NARROW_LINK_RECEIVE_BUFFER);
     }
@@ -92,7 +92,7 @@
     let mut builder = http1::Builder::new();
     builder.preserve_header_case(true).max_buf_size(MAX_BUFFER_BYTES);
     let handshake = builder.handshake(TokioIo::new(stream)).await;
-    let (sender, connection) = handshake.map_err(|_| Failure::Broken)?;
+    let (sender, connection) = handshake.map_err(|_| Failure::ConnectionLost)?;
     tokio::spawn(async move {
         // Ends when either side closes, or on the first byte that belongs to no request.
         if connection.await.is_err_and(|error| is_surplus(&error)) {
@@ -130,8 +130,8 @@
 /// Checks over an open connection that its server is healthy and is the one that is meant.
 ///
 /// # Errors
-/// [`Failure::Broken`] if the connection ends, [`Failure::Silent`] after the time-out,
-/// [`Failure::Unwell`] if the server answers that it is unhealthy, and [`Failure::Refused`] if
+/// [`Failure::ConnectionLost`] if the connection ends, [`Failure::NoResponse`] after the time-out,
+/// [`Failure::Unhealthy`] if the server answers that it is unhealthy, and [`Failure::Refused`] if
 /// another server has the address.
 pub async fn verify_identity(
     format: SelectedFormat,
@@ -142,7 +142,7 @@
     let exchange = exchange_health_check(format, sender, endpoint, service);
     match timeout(TIMEOUT, exchange).await {
         Ok(outcome) => outcome,
-        Err(_) => Err(Failure::Silent),
+        Err(_) => Err(Failure::NoResponse),
     }
 }
 
@@ -152,28 +152,28 @@
     endpoint: &Endpoint,
     service: &Service,
 ) -> Result<HandshakeResponse, Failure> {
-    sender.ready().await.map_err(|_| Failure::Broken)?;
+    sender.ready().await.map_err(|_| Failure::ConnectionLost)?;
     let request = Request::builder()
         .method("GET")
         .uri(service.health_check_path.as_str())
         .header(header::HOST, endpoint.server.address.to_string())
         .header("vanepath-liveness", endpoint.server.id.as_str())
         .body(node::body(Bytes::new()))
-        .map_err(|_| Failure::Unwell)?;
-    let response = sender.send_request(request).await.map_err(|_| Failure::Broken)?;
+        .map_err(|_| Failure::Unhealthy)?;
+    let response = sender.send_request(request).await.map_err(|_| Failure::ConnectionLost)?;
     let (head, body) = response.into_parts();
     if !is_framed(&head) {
-        return Err(Failure::Unwell);
+        return Err(Failure::Unhealthy);
     }
     let body = Limited::new(body, MAX_HEALTH_CHECK_BYTES);
-    body.collect().await.map_err(|_| Failure::Unwell)?;
+    body.collect().await.map_err(|_| Failure::Unhealthy)?;
     if !head.status.is_success() {
-        return Err(Failure::Unwell);
+        return Err(Failure::Unhealthy);
     }
     if !names_endpoint(&head.headers, endpoint, service) {
         return Err(Failure::Refused);
     }
-    sender.ready().await.map_err(|_| Failure::Broken)?;
+    sender.ready().await.map_err(|_| Failure::ConnectionLost)?;
     Ok(read_server_state(format, &head.headers))
 }
 
--- a/proxy/src/endpoints/outcomes.rs
+++ b/proxy/src/endpoints/outcomes.rs
@@ -60,12 +60,12 @@
     ) -> Option<ServerPhase> {
         let phase = match outcome {
             Ok(()) => self.record_success(now, slot),
-            Err(AttemptError::Truncated) => self.record_failure(now, slot, Failure::Unwell),
+            Err(AttemptError::Truncated) => self.record_failure(now, slot, Failure::Unhealthy),
             Err(
                 AttemptError::NotSent
                 | AttemptError::LostAfterSend
                 | AttemptError::MismatchedResponse,
-            ) => self.record_failure(now, slot, Failure::Broken),
+            ) => self.record_failure(now, slot, Failure::ConnectionLost),
             // No proof of a failure: the server may just be busy. A probe will show.
             Err(AttemptError::Silent) => self.update_health(slot, ServerHealth::request_probe),
             Err(
--- a/proxy/src/endpoints/tests.rs
+++ b/proxy/src/endpoints/tests.rs
@@ -324,7 +324,9 @@
     let fail = |id, at, failure| case.endpoints.record_failure(now(at), case.slot(id), failure);
     fail("s-b1", 9, Failure::Unreachable);
     assert_eq!(case.hedges(&["s-b1"], 10), [HEDGE_LOST, WAIT, WAIT], "that was before");
-    for failure in [Failure::Silent, Failure::Broken, Failure::Unwell, Failure::Refused] {
+    for failure in
+        [Failure::NoResponse, Failure::ConnectionLost, Failure::Unhealthy, Failure::Refused]
+    {
         fail("s-b1", 11, failure);
         fail("s-b1", 11, failure);
         assert_eq!(case.hedges(&["s-b1"], 10), [HEDGE_LOST, WAIT, WAIT], "{failure:?}");
--- a/proxy/src/forward/connection.rs
+++ b/proxy/src/forward/connection.rs
@@ -64,7 +64,7 @@
                 match self.verify_again(&mut idle.connection).await {
                     Ok(_) => idle.verified_at = proxy.now(),
                     // Closed while it was idle: no sign against the server.
-                    Err(Failure::Broken) => continue,
+                    Err(Failure::ConnectionLost) => continue,
                     Err(failure) => {
                         self.record_failure(failure);
                         return Err(AttemptError::NotConnected);
--- a/proxy/src/health/mod.rs
+++ b/proxy/src/health/mod.rs
@@ -17,13 +17,13 @@
     /// Nobody listens at the address, or another server does: proof that the server is not there.
     Refused,
     /// A connection broke in the middle.
-    Broken,
+    ConnectionLost,
     /// A connection was neither accepted nor refused in time.
     Unreachable,
     /// No response in time on an open connection.
-    Silent,
+    NoResponse,
     /// It responded that it is not well, or its response was invalid.
-    Unwell,
+    Unhealthy,
 }
 
 /// Successful probes in a row after which a suspect server gets requests again.
--- a/proxy/src/health/tests.rs
+++ b/proxy/src/health/tests.rs
@@ -10,9 +10,9 @@
     let mut server = ServerHealth::new(second(0.0));
     server.record_success(second(0.0));
     assert_eq!(server.phase, ServerPhase::Healthy);
-    server.record_failure(second(1.0), Failure::Silent);
+    server.record_failure(second(1.0), Failure::NoResponse);
     assert_eq!(server.phase, ServerPhase::Healthy, "one slow reply is no proof");
-    server.record_failure(second(1.5), Failure::Silent);
+    server.record_failure(second(1.5), Failure::NoResponse);
     assert_eq!(server.phase, ServerPhase::Suspect);
     server.record_success(second(2.0));
     assert_eq!(server.phase, ServerPhase::Suspect, "one good reply is no proof");
@@ -24,8 +24,8 @@
     server.record_success(second(4.0));
     assert_eq!(server.phase, ServerPhase::WarmingUp);
     // Fails again while it is warming up.
-    server.record_failure(second(4.5), Failure::Silent);
-    server.record_failure(second(5.0), Failure::Silent);
+    server.record_failure(second(4.5), Failure::NoResponse);
+    server.record_failure(second(5.0), Failure::NoResponse);
     server.record_success(second(5.5));
     server.record_success(second(6.0));
     assert_eq!(server.phase, ServerPhase::WarmingUp);
@@ -127,10 +127,10 @@
         server.mark_healthy(second(0.0));
         assert_eq!(server.phase, ServerPhase::Healthy);
         assert!(!server.needs_probe());
-        server.record_failure(second(1.0), Failure::Broken);
+        server.record_failure(second(1.0), Failure::ConnectionLost);
         assert!(server.needs_probe(), "a probe is due");
         assert_eq!(server.phase, ServerPhase::Healthy);
-        server.record_failure(second(1.1), Failure::Broken);
+        server.record_failure(second(1.1), Failure::ConnectionLost);
         assert_eq!(server.phase, ServerPhase::Suspect);
         server.record_success(second(1.5));
         let phase = if by_traffic { ServerPhase::Healthy } else { ServerPhase::Suspect };
@@ -155,7 +155,7 @@
     server.mark_healthy(second(1.3));
     assert_eq!(server.phase, ServerPhase::Healthy);
     assert!(!server.needs_probe() && !server.was_refused());
-    server.record_failure(second(1.4), Failure::Broken);
+    server.record_failure(second(1.4), Failure::ConnectionLost);
     assert_eq!(
         server.phase,
         ServerPhase::Healthy,
--- a/proxy/src/shell/probing.rs
+++ b/proxy/src/shell/probing.rs
@@ -56,7 +56,7 @@
     let format = proxy.node.settings.wire_format;
     match connector::verify_identity(format, &mut connection, endpoint, service).await {
         Ok(response) => Some(Ok(PassedProbe { connection, response, keep_alive, is_used })),
-        Err(Failure::Broken) => None,
+        Err(Failure::ConnectionLost) => None,
         Err(failure) => Some(Err(failure)),
     }
 }
--- a/proxy/tests/idle_connections.rs
+++ b/proxy/tests/idle_connections.rs
@@ -105,7 +105,7 @@
 fn a_refused_connection_closes_idle_ones() {
     let (endpoints, slot) = endpoints();
     endpoints.put_idle(slot, idle("one", ms(5000), true));
-    endpoints.record_failure(ms(1050), slot, Failure::Broken);
+    endpoints.record_failure(ms(1050), slot, Failure::ConnectionLost);
     endpoints.put_idle(slot, idle("two", ms(5000), true));
     endpoints.record_failure(ms(1060), slot, Failure::Refused);
     assert_eq!(taken(&endpoints, slot, ms(1100)), None);
