--- a/proxy/src/endpoints/selection/least_cost.rs
+++ b/proxy/src/endpoints/selection/least_cost.rs
@@ -86,17 +86,17 @@
         let mut slow_start = SlowStartWait::default();
         let mut candidates = self.candidates(&mut slow_start);
         let limit_ms = self.response_time_limit_ms(&candidates);
-        let mut is_crowded = false;
+        let mut has_congested = false;
         for pass in SelectionPass::ALL {
             let is_last_resort = pass == SelectionPass::LastResort;
-            if is_last_resort && (self.is_alternative_only() || is_crowded) {
+            if is_last_resort && (self.is_alternative_only() || has_congested) {
                 break;
             }
             let candidates = candidates.of_pass(pass);
             if let Some(limit_ms) = limit_ms {
                 let before = candidates.len();
                 candidates.retain(|one| !one.is_congested(&self.cost, limit_ms));
-                is_crowded |= candidates.len() < before;
+                has_congested |= candidates.len() < before;
             }
             if let Some(endpoint) = self.pick(candidates, is_last_resort) {
                 return Selection::Server { endpoint, service: self.context.service };
@@ -104,12 +104,12 @@
             if pass == SelectionPass::Fallback
                 && let Some(earliest) = slow_start.earliest
                 && !self.is_alternative_only()
-                && !is_crowded
+                && !has_congested
             {
                 return Selection::Wait(earliest);
             }
         }
-        if is_crowded { Selection::Crowded } else { Selection::None }
+        if has_congested { Selection::Congested } else { Selection::None }
     }
 
     /// All endpoints that may take the request, as the latency model sees them.
--- a/proxy/src/endpoints/selection/mod.rs
+++ b/proxy/src/endpoints/selection/mod.rs
@@ -63,7 +63,7 @@
     /// Only servers in slow start have free capacity; the first takes a request at this time.
     Wait(Duration),
     /// There are servers, and at each of them the request would be late for the queue there.
-    Crowded,
+    Congested,
     /// There is no server that could take the request.
     None,
 }
--- a/proxy/src/endpoints/tests.rs
+++ b/proxy/src/endpoints/tests.rs
@@ -82,7 +82,7 @@
         match self.endpoints.select(Duration::from_secs(now_s), &table, &context, 5) {
             Selection::Server { endpoint: index, .. } => table.endpoints[index].server.id.clone(),
             Selection::Wait(at) => format!("wait until {:.1} s", at.as_secs_f64()),
-            Selection::Crowded => "crowded".to_string(),
+            Selection::Congested => "crowded".to_string(),
             Selection::None => "none".to_string(),
         }
     }
--- a/proxy/src/forward/retry.rs
+++ b/proxy/src/forward/retry.rs
@@ -270,7 +270,7 @@
                 Ok(Turn::Now(ReservedEndpoint { selected, in_flight }))
             }
             Selection::Wait(until) if until < deadline => Ok(Turn::At(until)),
-            Selection::Crowded => Err(Rejection::Crowded),
+            Selection::Congested => Err(Rejection::Crowded),
             // All that are left were tried, or there is none, or none has its turn in time.
             Selection::Wait(_) | Selection::None => Err(Rejection::NoServer),
         }
--- a/testbed/src/sim/traffic/attempts.rs
+++ b/testbed/src/sim/traffic/attempts.rs
@@ -39,7 +39,7 @@
                 let pause = pause.min(Duration::from_millis(50));
                 self.net.set_timer(host, pause, Timer::SelectServer(progress_id));
             }
-            Selection::Crowded => self.answer_client(index, progress_id, Err(Rejection::Crowded)),
+            Selection::Congested => self.answer_client(index, progress_id, Err(Rejection::Crowded)),
             _ => self.answer_client(index, progress_id, Err(Rejection::NoServer)),
         }
     }
