--- a/proxy/src/endpoints/outcomes.rs
+++ b/proxy/src/endpoints/outcomes.rs
@@ -85,7 +85,7 @@
         outcome: Result<(), AttemptError>,
     ) {
         self.with(slot, |state| {
-            let is_busy = state.demand(now) >= BUSY_LOAD_MILLI;
+            let is_busy = state.reported_load_milli(now) >= BUSY_LOAD_MILLI;
             match outcome {
                 Ok(()) => {
                     state.last_response_at = now;
--- a/proxy/src/endpoints/reporter.rs
+++ b/proxy/src/endpoints/reporter.rs
@@ -46,7 +46,7 @@
                 phase: state.health.phase,
                 age_ms: now.saturating_sub(state.health.since).as_millis() as u32,
                 in_contact_ms: state.health.contact_duration(now).as_millis() as u32,
-                load_milli: state.demand(now),
+                load_milli: state.reported_load_milli(now),
                 connection_refused: state.health.was_refused(),
             })
         });
--- a/proxy/src/endpoints/selection/tiered.rs
+++ b/proxy/src/endpoints/selection/tiered.rs
@@ -218,7 +218,7 @@
         state: &EndpointState<C>,
         max_in_flight: u64,
     ) -> Option<u64> {
-        let load_milli = state.demand(self.now);
+        let load_milli = state.reported_load_milli(self.now);
         let is_suspect = state.health.phase == ServerPhase::Suspect;
         let is_full = state.in_flight >= max_in_flight
             || (load_milli >= FULL_LOAD_MILLI && !state.is_load_report_stale(self.now));
--- a/proxy/src/endpoints/state.rs
+++ b/proxy/src/endpoints/state.rs
@@ -83,7 +83,7 @@
     }
 
     /// The reported load in thousandths of the server's capacity; 0 where the report is too old.
-    pub fn demand(&self, now: Duration) -> u32 {
+    pub fn reported_load_milli(&self, now: Duration) -> u32 {
         // A server that has requests in flight and sends no response has not become idle.
         let is_valid =
             self.in_flight > 0 || now.saturating_sub(self.load_reported_at) < LOAD_REPORT_TTL;
--- a/proxy/src/shell/status.rs
+++ b/proxy/src/shell/status.rs
@@ -70,7 +70,7 @@
         "phase": phase,
         "why": explanation(view, endpoint, &state.health, now),
         "inHand": state.in_flight,
-        "demand": f64::from(state.demand(now)) / 1000.0,
+        "demand": f64::from(state.reported_load_milli(now)) / 1000.0,
     }
 }
 
