--- a/proxy/src/endpoints/connections.rs
+++ b/proxy/src/endpoints/connections.rs
@@ -77,7 +77,7 @@
         slot: usize,
         is_usable: impl Fn(&IdleConnection<C>) -> bool,
     ) -> Option<IdleConnection<C>> {
-        self.with(slot, |state| {
+        self.with_state(slot, |state| {
             state.idle.retain(|idle| idle.is_alive(now));
             let found = state
                 .idle
@@ -90,7 +90,7 @@
     /// Keeps a connection for reuse, or closes it where enough are idle or where the server
     /// is desynchronized.
     pub fn put_idle(&self, slot: usize, idle: IdleConnection<C>) {
-        self.with(slot, |state| {
+        self.with_state(slot, |state| {
             let is_reusable = self.verifies_responses || !(state.is_desynchronized && idle.is_used);
             if is_reusable && state.idle.len() < state.max_idle {
                 state.idle.push(idle);
@@ -102,7 +102,7 @@
     /// next request is under way on the connection could not be told from that request's own, so
     /// from now on each connection carries one request. Returns whether that is new.
     pub fn mark_desynchronized(&self, slot: usize) -> bool {
-        let is_new = self.with(slot, |state| {
+        let is_new = self.with_state(slot, |state| {
             state.idle.retain(|idle| !idle.is_used);
             !std::mem::replace(&mut state.is_desynchronized, true)
         });
@@ -111,6 +111,6 @@
 
     /// Whether the server ever sent bytes that belong to no request.
     pub fn is_desynchronized(&self, slot: usize) -> bool {
-        self.with(slot, |state| state.is_desynchronized) == Some(true)
+        self.with_state(slot, |state| state.is_desynchronized) == Some(true)
     }
 }
--- a/proxy/src/endpoints/measurements.rs
+++ b/proxy/src/endpoints/measurements.rs
@@ -27,7 +27,7 @@
     /// Takes in a load report of a server (as in ORCA), in thousandths of what it works on at one
     /// time.
     pub fn observe_load(&self, now: Duration, slot: usize, load_milli: u32) {
-        let observed = self.with(slot, |state| {
+        let observed = self.with_state(slot, |state| {
             let others = state.record_load_report(now, load_milli);
             (state.pool, others)
         });
@@ -38,7 +38,7 @@
 
     /// Records how long a connection to this server took to open.
     pub fn record_connection(&self, slot: usize, connect_time: Duration) {
-        if let Some(pool) = self.with(slot, |state| state.pool) {
+        if let Some(pool) = self.with_state(slot, |state| state.pool) {
             self.lock_pools().get_mut(pool).record_connection(connect_time);
         }
     }
@@ -46,7 +46,7 @@
     /// Records that a request is sent now, a connection and a health check after it was counted as
     /// in flight: the next one of a server in slow start follows that far behind.
     pub fn record_sent(&self, now: Duration, slot: usize) {
-        self.with(slot, |state| {
+        self.with_state(slot, |state| {
             state.health.record_request(now);
             if state.in_flight <= 1 {
                 state.overdue_since = now;
@@ -57,7 +57,7 @@
     /// Factor by which a request takes longer for the load on this server, itself included.
     pub fn slowdown(&self, now: Duration, slot: usize) -> f64 {
         let pools = self.lock_pools();
-        let factor = self.with(slot, |state| {
+        let factor = self.with_state(slot, |state| {
             let concurrency = f64::from(state.concurrency.max(1));
             let distance = if state.is_in_subset { Distance::Subset } else { Distance::Zone };
             let usual = pools.utilization(now, state.pool) * concurrency;
@@ -69,7 +69,7 @@
 
     /// Learns from a response how long requests of its class take and how the server compares.
     pub fn record_response(&self, now: Duration, served: ServedRequest<'_>) {
-        let Some(pool) = self.with(served.slot, |state| state.pool) else { return };
+        let Some(pool) = self.with_state(served.slot, |state| state.pool) else { return };
         let round_trip_ms = self.lock_pools().get(pool).round_trip_ms(Distance::Subset);
         let response_ms = served.response_time.as_secs_f64() * 1000.0;
         let service_time_ms = (response_ms - round_trip_ms).max(1.0) / served.slowdown;
@@ -79,7 +79,7 @@
             profile.record_response(service_time_ms, served.kilobytes);
             profile.cost().service_time_ms
         };
-        self.with(served.slot, |state| {
+        self.with_state(served.slot, |state| {
             state.relative_latency.record(now, service_time_ms / usual_ms);
         });
     }
--- a/proxy/src/endpoints/mod.rs
+++ b/proxy/src/endpoints/mod.rs
@@ -72,7 +72,11 @@
 
 impl<C> Endpoints<C> {
     /// Runs `act` on the state in this slot; `None` if the endpoint is no longer in the table.
-    pub fn with<R>(&self, slot: usize, act: impl FnOnce(&mut EndpointState<C>) -> R) -> Option<R> {
+    pub fn with_state<R>(
+        &self,
+        slot: usize,
+        act: impl FnOnce(&mut EndpointState<C>) -> R,
+    ) -> Option<R> {
         self.shard(slot).get_mut(&slot).map(act)
     }
 
@@ -92,7 +96,7 @@
             return true;
         }
         let is_awaited = |slot| {
-            self.with(slot, |state| {
+            self.with_state(slot, |state| {
                 let health = &state.health;
                 health.phase == ServerPhase::Unknown && now < health.since + INITIAL_PROBE_TIMEOUT
             })
@@ -125,7 +129,7 @@
 
     /// Ends a request that [`Endpoints::select`] counted as in flight.
     pub fn release(&self, slot: usize) {
-        self.with(slot, |state| state.in_flight -= 1);
+        self.with_state(slot, |state| state.in_flight -= 1);
     }
 
     fn shard(&self, slot: usize) -> MutexGuard<'_, HashMap<usize, EndpointState<C>>> {
--- a/proxy/src/endpoints/outcomes.rs
+++ b/proxy/src/endpoints/outcomes.rs
@@ -17,7 +17,7 @@
         slot: usize,
         act: impl FnOnce(&mut ServerHealth),
     ) -> Option<ServerPhase> {
-        self.with(slot, |state| {
+        self.with_state(slot, |state| {
             let before = state.health.phase;
             act(&mut state.health);
             (state.health.phase != before).then_some(state.health.phase)
@@ -38,7 +38,7 @@
         failure: Failure,
     ) -> Option<ServerPhase> {
         if failure == Failure::Refused {
-            self.with(slot, |state| state.idle.clear());
+            self.with_state(slot, |state| state.idle.clear());
         }
         self.update_health(slot, |health| health.record_failure(now, failure))
     }
@@ -46,7 +46,7 @@
     /// Records the response to a request that counted as silent already: the server is there, and the
     /// request stays among those that it was too slow for. Returns the new phase where it changed.
     pub fn record_late_response(&self, now: Duration, slot: usize) -> Option<ServerPhase> {
-        self.with(slot, |state| state.last_response_at = now);
+        self.with_state(slot, |state| state.last_response_at = now);
         self.record_success(now, slot)
     }
 
@@ -84,7 +84,7 @@
         slot: usize,
         outcome: Result<(), AttemptError>,
     ) {
-        self.with(slot, |state| {
+        self.with_state(slot, |state| {
             let is_busy = state.reported_load_milli(now) >= BUSY_LOAD_MILLI;
             match outcome {
                 Ok(()) => {
@@ -110,7 +110,7 @@
 
     /// What a request that was sent at `sent_at` and has no response yet would need a retry for.
     pub fn retry_reason(&self, slot: usize, sent_at: Duration) -> RetryReason {
-        let answers_others = self.with(slot, |state| state.last_response_at > sent_at);
+        let answers_others = self.with_state(slot, |state| state.last_response_at > sent_at);
         if answers_others == Some(true) { RetryReason::Slow } else { RetryReason::Lost }
     }
 
--- a/proxy/src/endpoints/probes.rs
+++ b/proxy/src/endpoints/probes.rs
@@ -155,7 +155,8 @@
                 is_draining: endpoint.server.draining,
                 probes_suspects_only: probes_suspects_only(&table.config, &endpoint.services),
             };
-            let Some(tick) = self.with(endpoint.slot, |state| state.tick(now, &settings)) else {
+            let Some(tick) = self.with_state(endpoint.slot, |state| state.tick(now, &settings))
+            else {
                 continue;
             };
             outcome.has_changes |= tick.lost_contact || tick.new_phase.is_some();
--- a/proxy/src/endpoints/reporter.rs
+++ b/proxy/src/endpoints/reporter.rs
@@ -34,14 +34,14 @@
     pub fn observations(&self, now: Duration) -> Vec<wire::ServerObservation> {
         let table = self.table.load();
         let observations = table.endpoints.iter().filter_map(|endpoint| {
-            let is_reported = self.with(endpoint.slot, |state| {
+            let is_reported = self.with_state(endpoint.slot, |state| {
                 // What traffic shows of a healthy server concerns no other proxy.
                 let is_in_contact = state.health.contact_duration(now) > Duration::ZERO;
                 !matches!(state.health.phase, ServerPhase::Healthy | ServerPhase::Unknown)
                     || (is_in_contact && !state.health.is_judged_by_traffic)
             });
             is_reported.filter(|is_reported| *is_reported)?;
-            self.with(endpoint.slot, |state| wire::ServerObservation {
+            self.with_state(endpoint.slot, |state| wire::ServerObservation {
                 server: endpoint.server.id.clone(),
                 phase: state.health.phase,
                 age_ms: now.saturating_sub(state.health.since).as_millis() as u32,
--- a/proxy/src/endpoints/selection/hedging.rs
+++ b/proxy/src/endpoints/selection/hedging.rs
@@ -59,8 +59,8 @@
     /// and no connection to it comes about. Silence alone proves nothing: the request may be in its
     /// queue.
     fn waits_in_vain(&self, attempt: &PendingAttempt) -> bool {
-        let is_unreachable =
-            self.with(attempt.slot, |state| state.health.is_unreachable_since(attempt.sent_at));
+        let is_unreachable = self
+            .with_state(attempt.slot, |state| state.health.is_unreachable_since(attempt.sent_at));
         is_unreachable != Some(false)
             && self.retry_reason(attempt.slot, attempt.sent_at) == RetryReason::Lost
     }
--- a/proxy/src/endpoints/selection/least_cost.rs
+++ b/proxy/src/endpoints/selection/least_cost.rs
@@ -122,7 +122,7 @@
             if !self.context.admits(self.rule, endpoint) {
                 continue;
             }
-            self.endpoints.with(endpoint.slot, |state| {
+            self.endpoints.with_state(endpoint.slot, |state| {
                 if !slow_start.must_wait(self.now, &state.health) {
                     let candidate =
                         self.candidate(*index, endpoint, state, &pools, usual_utilization);
--- a/proxy/src/endpoints/selection/mod.rs
+++ b/proxy/src/endpoints/selection/mod.rs
@@ -144,7 +144,7 @@
         is_last_resort: bool,
     ) -> bool {
         let max_in_flight = table.config.services[service].max_in_flight_per_server;
-        let reserved = self.with(table.endpoints[index].slot, |state| {
+        let reserved = self.with_state(table.endpoints[index].slot, |state| {
             let is_allowed = state.in_flight < max_in_flight
                 && (state.health.accepts_request(now) || is_last_resort);
             if is_allowed {
--- a/proxy/src/endpoints/selection/tiered.rs
+++ b/proxy/src/endpoints/selection/tiered.rs
@@ -192,7 +192,7 @@
     ) -> Option<ScoredEndpoint> {
         let endpoints = self.endpoints;
         let max_in_flight = self.table.config.services[tier.service].max_in_flight_per_server;
-        endpoints.with(endpoint.slot, |state| {
+        endpoints.with_state(endpoint.slot, |state| {
             if self.slow_start.must_wait(self.now, &state.health) {
                 return None;
             }
--- a/proxy/src/endpoints/subset.rs
+++ b/proxy/src/endpoints/subset.rs
@@ -60,7 +60,7 @@
             let max_connections = table.config.services[service].max_connections;
             let endpoints = || of_service.iter().map(|index| &table.endpoints[*index]);
             for endpoint in endpoints() {
-                self.with(endpoint.slot, |state| {
+                self.with_state(endpoint.slot, |state| {
                     state.is_in_subset &= endpoint.server.zone == own.zone;
                     if max_connections > 0 {
                         state.max_idle = max_idle_connections(max_connections, all_proxies);
@@ -82,7 +82,7 @@
         let count = endpoints.len();
         for (position, (_, endpoint)) in endpoints.into_iter().enumerate() {
             let is_own = is_in_subset(zone_rank.rank, zone_rank.proxies, position, count);
-            self.with(endpoint.slot, |state| state.is_in_subset = is_own);
+            self.with_state(endpoint.slot, |state| state.is_in_subset = is_own);
         }
     }
 }
--- a/proxy/src/endpoints/table.rs
+++ b/proxy/src/endpoints/table.rs
@@ -177,7 +177,7 @@
             let is_unreachable = plan.unreachable.contains(&endpoint.server.id);
             let recovery = plan.warming_up.get(&endpoint.server.id);
             if is_unreachable || recovery.is_some() {
-                self.with(endpoint.slot, |state| {
+                self.with_state(endpoint.slot, |state| {
                     state.health.apply_cluster_view(now, is_unreachable, recovery);
                 });
             }
--- a/proxy/src/shell/probing.rs
+++ b/proxy/src/shell/probing.rs
@@ -41,7 +41,7 @@
             proxy.record_failure(endpoint.slot, &endpoint.server.id, failure);
         }
     }
-    proxy.endpoints.with(endpoint.slot, |state| state.probing = false);
+    proxy.endpoints.with_state(endpoint.slot, |state| state.probing = false);
 }
 
 /// `None` if the connection was closed while it was idle, which is no sign against the server.
--- a/proxy/src/shell/status.rs
+++ b/proxy/src/shell/status.rs
@@ -52,7 +52,7 @@
     let now = proxy.node.clock.now();
     let table = proxy.endpoints.table.load();
     let server = |endpoint: &Endpoint| {
-        proxy.endpoints.with(endpoint.slot, |state| server(view, endpoint, state, now))
+        proxy.endpoints.with_state(endpoint.slot, |state| server(view, endpoint, state, now))
     };
     table.endpoints.iter().filter_map(server).collect()
 }
--- a/testbed/src/sim/traffic/proxies.rs
+++ b/testbed/src/sim/traffic/proxies.rs
@@ -130,7 +130,7 @@
     ) {
         let now = self.net.local_time(self.nodes[index].host);
         let RoleState::Proxy(proxy) = &mut self.nodes[index].role_state else { return };
-        proxy.endpoints.with(slot, |state| state.probing = false);
+        proxy.endpoints.with_state(slot, |state| state.probing = false);
         let table = proxy.endpoints.table.load_full();
         let Some(endpoint) = table.endpoints.get(endpoint).filter(|endpoint| endpoint.slot == slot)
         else {
