--- a/proxy/src/endpoints/connections.rs
+++ b/proxy/src/endpoints/connections.rs
@@ -3,30 +3,30 @@
 use super::{EndpointState, Endpoints};
 use std::time::Duration;
 
-/// How long a connection is idle before it is used again, so that surplus bytes of the last
-/// response show.
+/// How long a connection stays idle before it is reused, so that surplus bytes after the last
+/// response are detected.
 pub const SETTLE_TIME: Duration = Duration::from_millis(20);
 /// How long a connection may be idle before it is closed.
 pub const MAX_IDLE_TIME: Duration = Duration::from_secs(20);
-/// How long before its server closes it an idle connection is no longer used.
+/// An idle connection is no longer used this long before its server would close it.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
-/// Idle connections that a proxy keeps to one server at the most.
+/// Maximum number of idle connections that a proxy keeps to one server.
 pub(super) const MAX_IDLE_CONNECTIONS: usize = 64;
-/// Share of a server's connection limit that may be idle; the others are in use.
+/// Share of a server's connection limit that may be idle; the rest is left for connections in use.
 const IDLE_SHARE: f64 = 0.5;
 
-/// An idle connection. It belongs to the server that named itself on it and is never used for
-/// another.
+/// An idle connection. It belongs to the server that identified itself on it and is never used for
+/// another server.
 pub struct IdleConnection<C> {
     /// The connection itself.
     pub connection: C,
-    /// When the server named itself on it last.
+    /// When the server last identified itself on it.
     pub verified_at: Duration,
-    /// When its last response was complete.
+    /// When the last response on it was complete.
     pub idle_since: Duration,
-    /// How long the server keeps it open while it is idle.
+    /// How long the server keeps it open while idle (keep-alive timeout).
     pub keep_alive: Duration,
-    /// Whether it carried a request, not health checks alone.
+    /// Whether it has carried a request, and not only health checks.
     pub is_used: bool,
 }
 
@@ -35,27 +35,28 @@
         now.saturating_sub(self.idle_since)
     }
 
-    /// Whether the server surely has not closed it yet.
+    /// Whether the server cannot have closed it yet for being idle.
     pub(super) fn is_alive(&self, now: Duration) -> bool {
         let idle_time = self.idle_time(now);
         idle_time < MAX_IDLE_TIME && idle_time + KEEP_ALIVE_MARGIN < self.keep_alive
     }
 
-    /// Whether a request that may run at most once may use it: not on a connection that its server
-    /// may be about to close.
+    /// Whether a request that may run at most once may use it. Such a request does not use a connection
+    /// that its server may be about to close.
     pub fn is_safe_for_at_most_once(&self, now: Duration) -> bool {
         self.idle_time(now) <= self.keep_alive / 2
     }
 }
 
-/// Idle connections that one of `proxies` may keep to a server that takes `max_connections` in all.
+/// Number of idle connections that each of `proxies` proxies may keep to a server that accepts
+/// `max_connections` in total.
 pub fn max_idle_connections(max_connections: u64, proxies: usize) -> usize {
-    let share = max_connections as f64 * IDLE_SHARE / proxies.max(1) as f64;
-    (share as usize).clamp(1, MAX_IDLE_CONNECTIONS)
+    let connections = max_connections as f64 * IDLE_SHARE / proxies.max(1) as f64;
+    (connections as usize).clamp(1, MAX_IDLE_CONNECTIONS)
 }
 
 impl<C> EndpointState<C> {
-    /// Whether there is an idle connection that a request could use now.
+    /// Whether there is an idle connection that a request can use now.
     pub(super) fn has_usable_connection(&self, now: Duration, is_at_most_once: bool) -> bool {
         self.idle.iter().any(|idle| {
             let is_alive = if is_at_most_once {
@@ -69,8 +70,8 @@
 }
 
 impl<C> Endpoints<C> {
-    /// Takes the last used idle connection that is alive, settled and `is_usable`; closes those that
-    /// are no longer alive.
+    /// Takes the most recently used idle connection that is alive, has been idle for [`SETTLE_TIME`]
+    /// and for which `is_usable` holds. Closes the connections that are no longer alive.
     pub fn take_idle(
         &self,
         now: Duration,
@@ -87,8 +88,8 @@
         })?
     }
 
-    /// Keeps a connection for reuse, or closes it where enough are idle or where the server
-    /// is desynchronized.
+    /// Keeps a connection for reuse, or closes it if the limit of idle connections is reached or the
+    /// server is desynchronized.
     pub fn put_idle(&self, slot: usize, idle: IdleConnection<C>) {
         self.with_state(slot, |state| {
             let is_reusable = self.verifies_responses || !(state.is_desynchronized && idle.is_used);
@@ -98,9 +99,10 @@
         });
     }
 
-    /// The server sent bytes that belong to no request. A second response that arrives while the
-    /// next request is under way on the connection could not be told from that request's own, so
-    /// from now on each connection carries one request. Returns whether that is new.
+    /// Records that the server sent bytes that belong to no request. If such surplus bytes arrive
+    /// while the next request is in progress on the connection, they cannot be distinguished from its
+    /// response, so from now on each connection carries one request. Returns whether the server
+    /// was not marked before.
     pub fn mark_desynchronized(&self, slot: usize) -> bool {
         let is_new = self.with_state(slot, |state| {
             state.idle.retain(|idle| !idle.is_used);
@@ -109,7 +111,7 @@
         is_new == Some(true)
     }
 
-    /// Whether the server ever sent bytes that belong to no request.
+    /// Whether the server has ever sent bytes that belong to no request.
     pub fn is_desynchronized(&self, slot: usize) -> bool {
         self.with_state(slot, |state| state.is_desynchronized) == Some(true)
     }
--- a/proxy/src/endpoints/mod.rs
+++ b/proxy/src/endpoints/mod.rs
@@ -1,8 +1,9 @@
-//! The endpoints of a proxy (design 8.6, 8.7): the servers that it knows, what it has learned of
-//! each, and the selection among them.
+//! The endpoints of a proxy (design 8.6, 8.7): the servers that it knows, the state of each, and the
+//! selection among them.
 //!
-//! The [`RoutingTable`] changes rarely and is read without a lock (read-copy-update). What changes
-//! with every request is an [`EndpointState`]; the states lie in shards, each under its own lock.
+//! The [`RoutingTable`] changes rarely and is read without a lock (read-copy-update). The state of an
+//! endpoint that changes with every request is an [`EndpointState`]; these are divided into shards,
+//! each under a lock of its own.
 
 mod connections;
 mod measurements;
@@ -38,20 +39,20 @@
 /// Number of shards into which the endpoint states are divided.
 const SHARD_COUNT: usize = 16;
 
-/// How long a proxy that starts waits for the first probe responses before it counts as ready. A
-/// server that was found dead meanwhile is not waited for.
+/// How long a starting proxy waits for the first probe responses before it counts as ready. It does
+/// not wait for a server that was found to be dead in the meantime.
 const INITIAL_PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
 type Shard<C> = Mutex<HashMap<usize, EndpointState<C>>>;
 
 /// All endpoints of a proxy. `C` is the type of a connection to a server.
 pub struct Endpoints<C> {
-    /// The routing table in force; a reader keeps the one that it loaded.
+    /// The current routing table. A reader keeps using the one that it loaded.
     pub table: arc_swap::ArcSwap<RoutingTable>,
     shards: Vec<Shard<C>>,
     next_slot: AtomicUsize,
-    /// Responses carry the id of their request, so that one that belongs to another request is
-    /// recognized. A desynchronized server may then go on using the connections that are in order.
+    /// Whether responses carry the id of their request, so that a response to another request is
+    /// recognized. Connections to a desynchronized server may then still be reused.
     pub verifies_responses: bool,
     pools: Mutex<ZonePools>,
     profiles: Mutex<RequestProfiles>,
@@ -71,26 +72,27 @@
 }
 
 impl<C> Endpoints<C> {
-    /// Runs `act` on the state in this slot; `None` if the endpoint is no longer in the table.
+    /// Runs `update` on the state in this slot while holding the lock of its shard. `None` if the endpoint
+    /// is no longer in the table.
     pub fn with_state<R>(
         &self,
         slot: usize,
-        act: impl FnOnce(&mut EndpointState<C>) -> R,
+        update: impl FnOnce(&mut EndpointState<C>) -> R,
     ) -> Option<R> {
-        self.shard(slot).get_mut(&slot).map(act)
+        self.shard(slot).get_mut(&slot).map(update)
     }
 
     /// Whether this proxy may be given requests (design 5.5): its view of the cluster is fresh
-    /// (`is_fresh`), its table was made from `revision`, there are rules, and the servers were
-    /// probed once. Right after a start it would send requests to dead servers otherwise.
+    /// (`is_fresh`), its table was built from `revision`, there are rules, and every server was
+    /// probed once. Without the probes, a proxy that just started would send requests to dead servers.
     pub fn is_ready(&self, now: Duration, is_fresh: bool, revision: TableRevision) -> bool {
         let table = self.table.load();
         let is_current = table.revision == revision && !table.config.rules.is_empty();
         is_fresh && is_current && self.is_initially_probed(now, &table)
     }
 
-    /// Whether no server of the table is still waited for. Once true it stays true for the table,
-    /// which spares the lookups on each request.
+    /// Whether no first probe response is awaited any more from a server of the table. Once true it
+    /// stays true for this table, which saves the lookups on each request.
     fn is_initially_probed(&self, now: Duration, table: &RoutingTable) -> bool {
         if table.is_initially_probed.load(Ordering::Relaxed) {
             return true;
@@ -101,15 +103,16 @@
                 health.phase == ServerPhase::Unknown && now < health.since + INITIAL_PROBE_TIMEOUT
             })
         };
-        let mut used = table.endpoints.iter().filter(|endpoint| !endpoint.services.is_empty());
-        let is_probed = !used
+        let mut used_endpoints =
+            table.endpoints.iter().filter(|endpoint| !endpoint.services.is_empty());
+        let is_probed = !used_endpoints
             .any(|endpoint| !endpoint.server.draining && is_awaited(endpoint.slot) == Some(true));
         table.is_initially_probed.store(is_probed, Ordering::Relaxed);
         is_probed
     }
 
-    /// Whether an endpoint that was selected from an earlier table must no longer be used: by the
-    /// newest table it is draining or gone, or its zone is drained.
+    /// Whether an endpoint that was selected from the table `selected_from` must no longer be used: in
+    /// the newest table it is draining or missing, or its zone is drained.
     pub fn is_withdrawn(
         &self,
         selected_from: &RoutingTable,
@@ -123,11 +126,11 @@
         if newest.revision == selected_from.revision {
             return false;
         }
-        let current = newest.endpoints.iter().find(|one| one.slot == endpoint.slot);
-        current.is_none_or(|one| one.server.draining)
+        let current = newest.endpoints.iter().find(|other| other.slot == endpoint.slot);
+        current.is_none_or(|current| current.server.draining)
     }
 
-    /// Ends a request that [`Endpoints::select`] counted as in flight.
+    /// Ends a request that [`Endpoints::select`] counted as in flight at this endpoint.
     pub fn release(&self, slot: usize) {
         self.with_state(slot, |state| state.in_flight -= 1);
     }
@@ -145,22 +148,22 @@
     }
 }
 
-/// The proxies that may carry requests of this rule: ready, not draining, in a region that the
-/// rule allows and in a zone that is not drained.
+/// The proxies that may forward requests of this rule: available, in a region that the rule allows
+/// and in a zone that is not drained.
 pub fn eligible_proxies<'v>(
     view: &'v ClusterView,
     rule: &'v Rule,
 ) -> impl Iterator<Item = &'v wire::NodeInfo> {
-    let all = view.live.iter().filter(|(node, status)| {
+    let eligible = view.live.iter().filter(|(node, status)| {
         node.role == wire::Role::Proxy
             && status.is_available()
             && rule.allows_region(&node.region)
             && !view.committed.drained_zones.contains(&node.zone)
     });
-    all.map(|(node, _)| node)
+    eligible.map(|(node, _)| node)
 }
 
-/// Number of live proxies in the whole cluster, one at the least.
+/// Number of live proxies in the whole cluster, at least 1.
 pub fn live_proxies(view: &ClusterView) -> usize {
     proxy_nodes(view).count().max(1)
 }
--- a/proxy/src/endpoints/outcomes.rs
+++ b/proxy/src/endpoints/outcomes.rs
@@ -1,5 +1,5 @@
-//! How the outcome of requests and probes changes the health of an endpoint (design 8.6), and what
-//! a request that waits would need a retry for (design 8.5).
+//! Updates of an endpoint's health from the outcomes of requests and probes (design 8.6), and the
+//! reason for which a waiting request would be retried (design 8.5).
 
 use super::Endpoints;
 use crate::health::{Failure, ServerHealth, ServerPhase};
@@ -7,30 +7,30 @@
 use crate::retry_budget::RetryReason;
 use std::time::Duration;
 
-/// A server that reported so much load, in thousandths, may be slow for that alone.
+/// Reported load, in thousandths, from which a server may be slow because of its load alone.
 const BUSY_LOAD_MILLI: u32 = 900;
 
 impl<C> Endpoints<C> {
-    /// Changes the health of an endpoint; returns the new phase where it changed.
+    /// Updates the health of an endpoint. Returns the new phase if it changed.
     pub fn update_health(
         &self,
         slot: usize,
-        act: impl FnOnce(&mut ServerHealth),
+        update: impl FnOnce(&mut ServerHealth),
     ) -> Option<ServerPhase> {
         self.with_state(slot, |state| {
-            let before = state.health.phase;
-            act(&mut state.health);
-            (state.health.phase != before).then_some(state.health.phase)
+            let phase_before = state.health.phase;
+            update(&mut state.health);
+            (state.health.phase != phase_before).then_some(state.health.phase)
         })?
     }
 
-    /// Records a probe or request that succeeded; returns the new phase where it changed.
+    /// Records a probe or request that succeeded. Returns the new phase if it changed.
     pub fn record_success(&self, now: Duration, slot: usize) -> Option<ServerPhase> {
         self.update_health(slot, |health| health.record_success(now))
     }
 
-    /// Records a failure; returns the new phase where it changed. After a refused connection the
-    /// idle ones are closed, too.
+    /// Records a failure. Returns the new phase if it changed. After a refused connection the idle
+    /// connections are closed too.
     pub fn record_failure(
         &self,
         now: Duration,
@@ -43,15 +43,16 @@
         self.update_health(slot, |health| health.record_failure(now, failure))
     }
 
-    /// Records the response to a request that counted as silent already: the server is there, and the
-    /// request stays among those that it was too slow for. Returns the new phase where it changed.
+    /// Records the response to a request that had already timed out. It shows that the server works;
+    /// for outlier detection the request still counts as one that the server was too slow for. Returns
+    /// the new phase if it changed.
     pub fn record_late_response(&self, now: Duration, slot: usize) -> Option<ServerPhase> {
         self.with_state(slot, |state| state.last_response_at = now);
         self.record_success(now, slot)
     }
 
-    /// Records the outcome of an attempt at this server, for its health and for the detection of
-    /// outliers; returns the new phase where it changed.
+    /// Records the outcome of an attempt at this server, for its health and for outlier detection.
+    /// Returns the new phase if it changed.
     pub fn record_outcome(
         &self,
         now: Duration,
@@ -66,7 +67,7 @@
                 | AttemptError::LostAfterSend
                 | AttemptError::MismatchedResponse,
             ) => self.record_failure(now, slot, Failure::ConnectionLost),
-            // No proof of a failure: the server may just be busy. A probe will show.
+            // A time-out does not prove a failure, since the server may just be busy. A probe decides.
             Err(AttemptError::Silent) => self.update_health(slot, ServerHealth::request_probe),
             Err(
                 AttemptError::NotConnected
@@ -108,14 +109,16 @@
         });
     }
 
-    /// What a request that was sent at `sent_at` and has no response yet would need a retry for.
+    /// The reason for which a request that was sent at `sent_at` and has no response yet would be
+    /// retried: its server is slow if it has responded to another request since, otherwise the request
+    /// counts as lost.
     pub fn retry_reason(&self, slot: usize, sent_at: Duration) -> RetryReason {
         let answers_others = self.with_state(slot, |state| state.last_response_at > sent_at);
         if answers_others == Some(true) { RetryReason::Slow } else { RetryReason::Lost }
     }
 
-    /// Likewise after the attempt failed. Only a time-out may mean slowness; after every other
-    /// error no response can come any more.
+    /// The reason for which a request would be retried after its attempt failed. Only a time-out may be
+    /// due to a slow server; after every other error no response can arrive any more.
     pub fn retry_reason_after(
         &self,
         error: AttemptError,
--- a/proxy/src/endpoints/probes.rs
+++ b/proxy/src/endpoints/probes.rs
@@ -1,5 +1,5 @@
-//! Health checks (probes): how often this proxy probes each server, and the tick that moves the
-//! servers' health on (design 8.6).
+//! Active health checks (probes): how often this proxy probes each server, and the periodic tick
+//! that advances the health state of the servers (design 8.6).
 
 use super::rendezvous::RendezvousRank;
 use super::slow_start::slow_start_rates;
@@ -12,50 +12,52 @@
 use vanepath_config::endpoint_list::Server;
 use vanepath_config::stable_hash;
 
-/// How often a server without traffic is probed by proxies of its own zone.
+/// Interval at which the proxies of its own zone probe a server without traffic.
 const OWN_ZONE_PROBE_INTERVAL: Duration = Duration::from_millis(1000);
-/// Likewise by its watcher in its region.
+/// Interval at which its watcher in its region probes such a server.
 const NEAR_WATCHER_PROBE_INTERVAL: Duration = Duration::from_millis(1000);
-/// Likewise by its watchers in other regions.
+/// Interval at which its watchers in other regions probe such a server.
 const REMOTE_WATCHER_PROBE_INTERVAL: Duration = Duration::from_millis(2000);
-/// Likewise by the other proxies of its region.
+/// Interval at which the other proxies of its region probe such a server.
 const REGION_PROBE_INTERVAL: Duration = Duration::from_millis(3000);
-/// Likewise by all other proxies.
+/// Interval at which all other proxies probe such a server.
 const REMOTE_PROBE_INTERVAL: Duration = Duration::from_millis(10_000);
-/// How often a server is probed whose health is uncertain.
+/// Minimum interval between probes of a server whose health is uncertain.
 const SUSPECT_PROBE_INTERVAL: Duration = Duration::from_millis(400);
-/// Likewise where no other servers are probed.
+/// The same for a server that is probed only while it is suspect.
 const SUSPECT_ONLY_PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How often the schedule is compared with the proxies that are live.
+/// Interval at which the set of live proxies is checked for changes that affect the schedule.
 const SCHEDULE_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Watchers of each server inside and outside of its region.
+/// Number of watchers of each server inside and outside of its region.
 const NEAR_WATCHERS: usize = 1;
 const REMOTE_WATCHERS: usize = 2;
 
-/// Whether this proxy is one of the few that watch a server for the whole cluster: by rendezvous
-/// hashing one of the server's own region, and two of other regions for when that region fails.
-fn is_watcher(view: &ClusterView, own: &str, server: &Server) -> bool {
+/// Whether this proxy is one of the few that watch a server for the whole cluster. Rendezvous hashing
+/// picks one proxy of the server's own region, and two of other regions in case that region fails.
+fn is_watcher(view: &ClusterView, own_name: &str, server: &Server) -> bool {
     let is_near = |proxy: &wire::NodeInfo| proxy.region == server.region;
-    let Some(own_node) = proxy_nodes(view).find(|proxy| proxy.name == own) else { return false };
+    let Some(own_node) = proxy_nodes(view).find(|proxy| proxy.name == own_name) else {
+        return false;
+    };
     let hash = |proxy: &wire::NodeInfo| stable_hash(&["watch", &proxy.name, &server.id]);
-    let own_rank = RendezvousRank { hash: hash(own_node), name: own };
-    let before = proxy_nodes(view).filter(|proxy| {
+    let own_rank = RendezvousRank { hash: hash(own_node), name: own_name };
+    let ranked_before = proxy_nodes(view).filter(|proxy| {
         is_near(proxy) == is_near(own_node)
             && RendezvousRank { hash: hash(proxy), name: &proxy.name } < own_rank
     });
-    // No more of them need to be found, which spares most of the hashes.
-    let before = before.take(REMOTE_WATCHERS).count();
-    before < if is_near(own_node) { NEAR_WATCHERS } else { REMOTE_WATCHERS }
+    // More than this many need not be found, which saves most of the hash computations.
+    let ranked_before = ranked_before.take(REMOTE_WATCHERS).count();
+    ranked_before < if is_near(own_node) { NEAR_WATCHERS } else { REMOTE_WATCHERS }
 }
 
 /// How often this proxy probes a server.
-fn probe_interval(view: &ClusterView, own: &wire::NodeInfo, server: &Server) -> Duration {
-    let is_near = server.region == own.region;
-    if server.zone == own.zone {
+fn probe_interval(view: &ClusterView, own_node: &wire::NodeInfo, server: &Server) -> Duration {
+    let is_near = server.region == own_node.region;
+    if server.zone == own_node.zone {
         OWN_ZONE_PROBE_INTERVAL
-    } else if is_watcher(view, &own.name, server) {
+    } else if is_watcher(view, &own_node.name, server) {
         if is_near { NEAR_WATCHER_PROBE_INTERVAL } else { REMOTE_WATCHER_PROBE_INTERVAL }
     } else if is_near {
         REGION_PROBE_INTERVAL
@@ -64,30 +66,30 @@
     }
 }
 
-/// Probe intervals and slow-start rates of a table's servers. They follow from the proxies that are
-/// live and take a while to compute, so that is done only after a change.
+/// Probe intervals and slow-start rates of a table's servers. They depend on the set of live proxies
+/// and are expensive to compute, so they are recomputed only when that set or the table changes.
 #[derive(Debug, Default)]
 pub struct ProbeSchedule {
     intervals: Vec<Duration>,
     slow_start_rates: Vec<SlowStartRate>,
     next_check_at: Duration,
-    /// The proxies from which the schedule was computed.
+    /// The live proxies from which the schedule was computed.
     proxies: Option<Vec<wire::NodeInfo>>,
 }
 
 impl ProbeSchedule {
-    /// The table or the configuration has changed: the next tick computes the schedule anew.
+    /// Makes the next tick recompute the schedule, after a change of the table or the configuration.
     pub fn invalidate(&mut self) {
         self.next_check_at = Duration::ZERO;
         self.proxies = None;
     }
 
-    /// Computes the schedule anew where a check is due and other proxies are live than before.
+    /// Recomputes the schedule if a check is due and the set of live proxies has changed.
     pub fn tick(
         &mut self,
         now: Duration,
         view: &ClusterView,
-        own: &wire::NodeInfo,
+        own_node: &wire::NodeInfo,
         table: &RoutingTable,
     ) {
         if now < self.next_check_at {
@@ -100,8 +102,8 @@
         self.proxies = Some(proxy_nodes(view).cloned().collect());
         let endpoints = table.endpoints.iter();
         self.intervals =
-            endpoints.map(|endpoint| probe_interval(view, own, &endpoint.server)).collect();
-        self.slow_start_rates = slow_start_rates(view, &own.name, table);
+            endpoints.map(|endpoint| probe_interval(view, own_node, &endpoint.server)).collect();
+        self.slow_start_rates = slow_start_rates(view, &own_node.name, table);
     }
 
     fn interval(&self, index: usize) -> Duration {
@@ -113,35 +115,36 @@
     }
 }
 
-/// What a tick found.
+/// The result of a tick over all endpoints.
 #[derive(Debug, Default)]
 pub struct TickOutcome {
-    /// Indices of the endpoints that want a probe now; each is marked as being probed.
+    /// Indices of the endpoints to be probed now; each is already marked as being probed.
     pub probes: Vec<usize>,
-    /// Changes of phase, for the log.
+    /// Log lines about changes of phase.
     pub log_lines: Vec<String>,
-    /// Registries should hear of it soon.
+    /// Whether a server changed its phase or contact to one was lost, which is reported to the
+    /// registries soon.
     pub has_changes: bool,
 }
 
-/// How the tick treats one endpoint.
+/// Parameters of the tick for one endpoint.
 struct TickSettings {
     interval: Duration,
     slow_start_rate: SlowStartRate,
     is_draining: bool,
-    /// The server is probed only while it is suspect.
+    /// Whether the server is probed only while it is suspect.
     probes_suspects_only: bool,
 }
 
-/// What the tick found at one endpoint.
+/// The result of a tick at one endpoint.
 struct EndpointTick {
-    wants_probe: bool,
+    needs_probe_now: bool,
     lost_contact: bool,
     new_phase: Option<ServerPhase>,
 }
 
 impl<C> Endpoints<C> {
-    /// Moves each server's health on and finds those that want a probe.
+    /// Advances each server's health state and finds the servers that are due for a probe.
     pub fn tick(&self, now: Duration, schedule: &ProbeSchedule) -> TickOutcome {
         let table = self.table.load();
         let mut outcome = TickOutcome::default();
@@ -163,7 +166,7 @@
             if let Some(phase) = tick.new_phase {
                 outcome.log_lines.push(format!("server {} is {phase}", endpoint.server.id));
             }
-            if tick.wants_probe {
+            if tick.needs_probe_now {
                 outcome.probes.push(index);
             }
         }
@@ -175,7 +178,7 @@
     fn tick(&mut self, now: Duration, settings: &TickSettings) -> EndpointTick {
         let phase_before = self.health.phase;
         if settings.probes_suspects_only && !self.is_in_subset {
-            // Other proxies probe it; here a single request finds out.
+            // Other proxies probe this server; this proxy tries it with requests after a delay.
             self.health.retry_suspect(now);
         }
         self.health.tick(now, settings.slow_start_rate);
@@ -184,20 +187,20 @@
         }
         let is_in_contact = self.health.contact_duration(now) > Duration::ZERO;
         let was_in_contact = std::mem::replace(&mut self.was_in_contact, is_in_contact);
-        let wants_probe = self.wants_probe(now, settings);
-        if wants_probe {
+        let needs_probe_now = self.needs_probe_now(now, settings);
+        if needs_probe_now {
             self.probing = true;
             self.last_probe_at = Some(now);
         }
         let phase = self.health.phase;
         EndpointTick {
-            wants_probe,
+            needs_probe_now,
             lost_contact: was_in_contact && !is_in_contact,
             new_phase: (phase != phase_before).then_some(phase),
         }
     }
 
-    fn wants_probe(&self, now: Duration, settings: &TickSettings) -> bool {
+    fn needs_probe_now(&self, now: Duration, settings: &TickSettings) -> bool {
         let next_probe_at = self.health.next_probe_at(settings.interval);
         let is_urgent = next_probe_at == Duration::ZERO;
         let min_interval = match (is_urgent, settings.probes_suspects_only) {
--- a/proxy/src/endpoints/rendezvous.rs
+++ b/proxy/src/endpoints/rendezvous.rs
@@ -1,11 +1,11 @@
 //! Rendezvous hashing (Thaler and Ravishankar, 1998): every proxy computes the same order of all
-//! proxies for a server, without any exchange of messages.
+//! proxies for a server, without exchanging messages.
 
-/// The rank of a node for one key; the least comes first.
+/// The rank of a node for one key; the lowest comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RendezvousRank<'a> {
     /// Hash of the key together with the node's name.
     pub(super) hash: u64,
-    /// The node's name, which decides between equal hashes.
+    /// The node's name, which breaks ties between equal hashes.
     pub(super) name: &'a str,
 }
--- a/proxy/src/endpoints/reporter.rs
+++ b/proxy/src/endpoints/reporter.rs
@@ -1,13 +1,13 @@
-//! What a proxy reports to registries about its servers, and when.
+//! Observations that a proxy reports to registries about its servers, and when it reports them.
 
 use super::Endpoints;
 use crate::health::ServerPhase;
 use std::time::Duration;
 use vanepath_cluster::wire;
 
-/// How often a proxy reports its observations.
+/// Interval at which a proxy reports its observations.
 const REPORT_INTERVAL: Duration = Duration::from_millis(2000);
-/// The least time between two reports where something changed.
+/// Minimum interval between two reports when something has changed.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Decides when the next report of observations is due.
@@ -17,7 +17,7 @@
 }
 
 impl ObservationReporter {
-    /// Whether a report is to be sent now, which then counts as sent.
+    /// Whether a report must be sent now. If so, it counts as sent.
     pub fn is_due(&mut self, now: Duration, has_changes: bool) -> bool {
         let is_due = now >= self.next_report_at
             || (has_changes && now + REPORT_INTERVAL >= self.next_report_at + MIN_REPORT_INTERVAL);
@@ -29,13 +29,13 @@
 }
 
 impl<C> Endpoints<C> {
-    /// Observations of the servers that this proxy is in contact with or that are not simply
-    /// healthy. There is nothing to report of the others.
+    /// Observations of the servers that this proxy is in contact with, or whose phase is neither
+    /// healthy nor unknown. About the others there is nothing to report.
     pub fn observations(&self, now: Duration) -> Vec<wire::ServerObservation> {
         let table = self.table.load();
         let observations = table.endpoints.iter().filter_map(|endpoint| {
             let is_reported = self.with_state(endpoint.slot, |state| {
-                // What traffic shows of a healthy server concerns no other proxy.
+                // Other proxies need no reports about a healthy server whose health is known from traffic.
                 let is_in_contact = state.health.contact_duration(now) > Duration::ZERO;
                 !matches!(state.health.phase, ServerPhase::Healthy | ServerPhase::Unknown)
                     || (is_in_contact && !state.health.is_judged_by_traffic)
--- a/proxy/src/endpoints/selection/hedging.rs
+++ b/proxy/src/endpoints/selection/hedging.rs
@@ -1,5 +1,5 @@
-//! Whether a request that waits long for its response is sent to another server too (hedged requests:
-//! Dean and Barroso, "The Tail at Scale", 2013).
+//! Hedged requests (Dean and Barroso, "The Tail at Scale", 2013): whether a request that has waited
+//! long for its response is sent to another server too.
 
 use super::SelectionContext;
 use crate::endpoints::{Endpoints, RoutingTable};
@@ -15,23 +15,24 @@
     pub sent_at: Duration,
 }
 
-/// What becomes of an idempotent request that has waited long for its response.
+/// What to do with an idempotent request that has waited long for its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HedgeDecision {
-    /// It waits on.
+    /// Keep waiting.
     Wait,
-    /// It is sent to another server too, with a retry for this reason. The servers that have it
-    /// keep it until one of them has responded.
+    /// Send it to another server too, which counts as a retry for this reason. The earlier attempts
+    /// continue until one of the servers has responded.
     Hedge(RetryReason),
-    /// It goes back to its client, which may reach another server in time.
+    /// Reject it, so that its client may reach another server in time.
     GiveUp,
 }
 
 impl<C> Endpoints<C> {
-    /// Decides for a request that is with these servers; the last one was sent to last. Another
-    /// endpoint must be there, and a retry be within the budget; beyond the budget the request is
-    /// given up if it waits in vain everywhere, unless this proxy drains: planned work ends no
-    /// request whose server may be at work on it (incident 0019).
+    /// Decides whether to hedge a request that was sent to the servers of `pending`, in the order of
+    /// sending. A hedge requires an alternative endpoint and a retry within the budget. If the
+    /// budget is exhausted, the request is given up when it is presumed lost at every server, unless this
+    /// proxy is draining: planned maintenance must not end a request that a server may still be
+    /// processing (incident 0019).
     pub fn decide_hedge(
         &self,
         now: Duration,
@@ -49,16 +50,16 @@
         if is_within_budget(reason) {
             return HedgeDecision::Hedge(reason);
         }
-        match !is_draining && pending.iter().all(|one| self.waits_in_vain(one)) {
+        match !is_draining && pending.iter().all(|attempt| self.is_presumed_lost(attempt)) {
             true => HedgeDecision::GiveUp,
             false => HedgeDecision::Wait,
         }
     }
 
-    /// Whether no response can be expected as far as is known: nobody had one of this server since,
-    /// and no connection to it comes about. Silence alone proves nothing: the request may be in its
-    /// queue.
-    fn waits_in_vain(&self, attempt: &PendingAttempt) -> bool {
+    /// Whether no response to this attempt is expected: since it was sent, the server has responded to
+    /// no request, and connecting to it has timed out. A missing response alone proves nothing, since
+    /// the request may be waiting in the server's queue.
+    fn is_presumed_lost(&self, attempt: &PendingAttempt) -> bool {
         let is_unreachable = self
             .with_state(attempt.slot, |state| state.health.is_unreachable_since(attempt.sent_at));
         is_unreachable != Some(false)
--- a/proxy/src/endpoints/selection/least_cost.rs
+++ b/proxy/src/endpoints/selection/least_cost.rs
@@ -1,5 +1,5 @@
-//! Selection of the endpoint at which a request costs least, among servers that say how many
-//! requests each works on at one time ([`crate::load_balancing`]).
+//! Selection of the endpoint at which a request costs least ([`crate::load_balancing`]), among servers
+//! whose concurrency is known, that is, how many requests each handles at one time.
 
 use super::{Selection, SelectionContext, SelectionPass, SlowStartWait, is_idempotent};
 use crate::endpoints::{Endpoint, EndpointState, Endpoints, RoutingTable};
@@ -12,20 +12,21 @@
 use std::time::Duration;
 use vanepath_config::model::{Class, Rule, Service};
 
-/// How often the next best candidate is tried where the chosen one was taken meanwhile.
+/// Maximum number of candidates that are tried in turn, if the chosen one no longer accepts a request
+/// when the request is to be reserved there.
 const RESERVATION_ATTEMPTS: usize = 3;
 
-/// The candidates of each pass, by the health of their servers.
+/// The candidates of each pass, which depends on the health of their servers.
 #[derive(Debug, Default)]
 struct Candidates {
     preferred: Vec<Candidate>,
     fallback: Vec<Candidate>,
-    /// Suspect servers.
+    /// Candidates whose servers are suspect.
     last_resort: Vec<Candidate>,
 }
 
 impl Candidates {
-    fn of_pass(&mut self, pass: SelectionPass) -> &mut Vec<Candidate> {
+    fn for_pass(&mut self, pass: SelectionPass) -> &mut Vec<Candidate> {
         match pass {
             SelectionPass::Preferred => &mut self.preferred,
             SelectionPass::Fallback => &mut self.fallback,
@@ -49,12 +50,12 @@
     class: &'a Class,
     service: &'a Service,
     is_idempotent: bool,
-    /// What requests like this one usually cost.
+    /// Usual cost of requests of this class at this service.
     cost: RequestCost,
 }
 
 impl<C> Endpoints<C> {
-    /// Selects the endpoint of least cost.
+    /// Selects the endpoint at which the request costs least.
     pub(super) fn select_least_cost(
         &self,
         now: Duration,
@@ -92,11 +93,11 @@
             if is_last_resort && (self.is_alternative_only() || has_congested) {
                 break;
             }
-            let candidates = candidates.of_pass(pass);
+            let candidates = candidates.for_pass(pass);
             if let Some(limit_ms) = limit_ms {
-                let before = candidates.len();
-                candidates.retain(|one| !one.is_congested(&self.cost, limit_ms));
-                has_congested |= candidates.len() < before;
+                let count_before = candidates.len();
+                candidates.retain(|candidate| !candidate.is_congested(&self.cost, limit_ms));
+                has_congested |= candidates.len() < count_before;
             }
             if let Some(endpoint) = self.pick(candidates, is_last_resort) {
                 return Selection::Server { endpoint, service: self.context.service };
@@ -112,7 +113,7 @@
         if has_congested { Selection::Congested } else { Selection::None }
     }
 
-    /// All endpoints that may take the request, as the latency model sees them.
+    /// All endpoints that may take the request, with the estimates of the latency model.
     fn candidates(&self, slow_start: &mut SlowStartWait) -> Candidates {
         let mut candidates = Candidates::default();
         let pools = self.endpoints.lock_pools();
@@ -126,15 +127,15 @@
                 if !slow_start.must_wait(self.now, &state.health) {
                     let candidate =
                         self.candidate(*index, endpoint, state, &pools, usual_utilization);
-                    candidates.of_pass(self.pass(state)).push(candidate);
+                    candidates.for_pass(self.pass_of(state)).push(candidate);
                 }
             });
         }
         candidates
     }
 
-    /// The pass that may select the endpoint.
-    fn pass(&self, state: &EndpointState<C>) -> SelectionPass {
+    /// The pass in which the endpoint may be selected.
+    fn pass_of(&self, state: &EndpointState<C>) -> SelectionPass {
         let allows_trial = self.is_idempotent && state.in_flight == 0;
         match state.health.phase {
             ServerPhase::Suspect => SelectionPass::LastResort,
@@ -155,8 +156,8 @@
         let distance = self.distance(endpoint, state);
         let concurrency = f64::from(endpoint.server.concurrency);
         let pool = pools.get(state.pool);
-        let others = pool.utilization(self.now, usual_utilization) * concurrency;
-        let load = state.estimated_load(self.now, distance, others);
+        let usual_load = pool.utilization(self.now, usual_utilization) * concurrency;
+        let load = state.estimated_load(self.now, distance, usual_load);
         let round_trip_ms = pool.round_trip_ms(distance);
         Candidate {
             index,
@@ -181,41 +182,42 @@
         } else if endpoint.server.region == self.context.region {
             Distance::Region
         } else {
-            Distance::Far
+            Distance::OtherRegion
         }
     }
 
-    /// The response time above which the request is not put into a queue; `None` without a latency
-    /// target. Records whether the request found congestion everywhere.
+    /// The expected response time above which the request must not be queued at a server; `None` if
+    /// there is no limit. Records whether the request found congestion at every usable candidate.
     fn response_time_limit_ms(&self, candidates: &Candidates) -> Option<f64> {
-        // A request that a server may have had goes on; a new one can come back.
-        let may_be_late = match self.context.only_alternative_for {
+        // A request that a server may already have received is continued even if it will be late. A
+        // new one can still be rejected.
+        let is_allowed_late = match self.context.only_alternative_for {
             Some(reason) => reason == RetryReason::Lost,
             None => !self.context.tried.is_empty(),
         };
-        let target = self.rule.latency_target.filter(|_| !may_be_late)?;
+        let target = self.rule.latency_target.filter(|_| !is_allowed_late)?;
         let limit_ms = |tolerance| max_response_time_ms(target, !self.is_idempotent, tolerance);
         let mut profiles = self.endpoints.lock_profiles();
         let profile = profiles.profile_mut(&self.class.name, &self.service.name, self.class.bulk);
         if !self.is_alternative_only() {
-            let least_ms = limit_ms(0.0);
-            let found_congestion =
-                candidates.usable().all(|one| one.is_congested(&self.cost, least_ms));
+            let min_limit_ms = limit_ms(0.0);
+            let found_congestion = candidates
+                .usable()
+                .all(|candidate| candidate.is_congested(&self.cost, min_limit_ms));
             profile.record_congestion(found_congestion);
         }
-        // A request that is late already takes free capacity only: in a queue it would make others
-        // late.
+        // A request that is already late uses free capacity only: in a queue it would delay others.
         Some(if self.context.is_past_target { 0.0 } else { limit_ms(profile.tolerance()) })
     }
 
-    /// The candidate of least cost that can still take the request.
+    /// The endpoint of the candidate with the least cost that still accepts the request.
     fn pick(&self, candidates: &mut Vec<Candidate>, is_last_resort: bool) -> Option<usize> {
         for _ in 0..RESERVATION_ATTEMPTS {
             let index = choose(candidates, &self.cost, self.random)?;
             if self.is_alternative_only() || self.reserve(index, is_last_resort) {
                 return Some(index);
             }
-            candidates.retain(|one| one.index != index);
+            candidates.retain(|candidate| candidate.index != index);
         }
         None
     }
--- a/proxy/src/endpoints/selection/mod.rs
+++ b/proxy/src/endpoints/selection/mod.rs
@@ -1,8 +1,9 @@
 //! Selection of an endpoint for a request (design 8.7).
 //!
-//! Where all servers of a service say how many requests each works on at one time, and the rule has
-//! no spillover, the endpoint of least cost is selected ([`least_cost`]); else the better of two by
-//! load within tiers of growing distance ([`tiered`]).
+//! If the concurrency of all servers of a service is known (how many requests each handles at one
+//! time) and the rule has no spillover, the endpoint of least cost is selected ([`least_cost`]).
+//! Otherwise the less loaded of two candidates is selected, within tiers of increasing distance
+//! ([`tiered`]).
 
 mod hedging;
 mod least_cost;
@@ -17,11 +18,11 @@
 use std::time::Duration;
 use vanepath_config::model::{Idempotency, Rule};
 
-/// What is wanted of a selection.
+/// The input of a selection for one request.
 pub struct SelectionContext<'w> {
     /// Index of the request's rule in the configuration.
     pub rule: usize,
-    /// Index of the service that was drawn among those of the rule.
+    /// Index of the service that was drawn from those of the rule.
     pub service: usize,
     /// Zones that get no requests.
     pub drained_zones: &'w BTreeSet<String>,
@@ -29,18 +30,18 @@
     pub zone: &'w str,
     /// The region of this proxy.
     pub region: &'w str,
-    /// Slots of the endpoints that this request has tried.
+    /// Slots of the endpoints that were already tried for this request.
     pub tried: &'w [usize],
-    /// Only find out whether there is another endpoint for a request that waits at its server, and
-    /// reserve nothing: with free capacity if that server is slow; one that is not suspect if the
-    /// request seems lost there.
+    /// If set, the selection only determines whether there is another endpoint for a request that is
+    /// waiting at its server, and reserves nothing. The endpoint must have free capacity if that
+    /// server is slow; it must only not be suspect if the request seems lost there.
     pub only_alternative_for: Option<RetryReason>,
-    /// Earlier attempts took so long that the latency target is missed anyway.
+    /// Whether earlier attempts took so long that the latency target is already missed.
     pub is_past_target: bool,
 }
 
 impl SelectionContext<'_> {
-    /// Whether an endpoint may serve the request at all, whatever its health and load.
+    /// Whether an endpoint may serve the request at all, regardless of its health and load.
     fn admits(&self, rule: &Rule, endpoint: &Endpoint) -> bool {
         let server = &endpoint.server;
         !server.draining
@@ -53,27 +54,28 @@
 /// The outcome of a selection.
 #[derive(Debug)]
 pub enum Selection {
-    /// An endpoint, on which the request now counts as in flight.
+    /// An endpoint, at which the request now counts as in flight.
     Server {
-        /// Index into the endpoints of the table that was given.
+        /// Index into the endpoints of the table that was passed to the selection.
         endpoint: usize,
         /// Index of the service for which it was selected.
         service: usize,
     },
-    /// Only servers in slow start have free capacity; the first takes a request at this time.
+    /// Only servers in slow start have free capacity. This is when the first of them accepts a
+    /// request.
     Wait(Duration),
-    /// There are servers, and at each of them the request would be late for the queue there.
+    /// There are servers, but the request would be late because of the queue at each of them.
     Congested,
-    /// There is no server that could take the request.
+    /// There is no server that can take the request.
     None,
 }
 
-/// The passes of a selection; each takes endpoints that the one before did not.
+/// The passes of a selection. Each considers endpoints that the previous one did not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SelectionPass {
     /// Endpoints whose servers are known to be healthy or in slow start.
     Preferred,
-    /// Endpoints that are not probed yet or that are degraded.
+    /// Endpoints that have not been probed yet or are degraded.
     Fallback,
     /// Suspect endpoints and, in the selection by tiers, full ones.
     LastResort,
@@ -84,20 +86,20 @@
         [SelectionPass::Preferred, SelectionPass::Fallback, SelectionPass::LastResort];
 }
 
-/// Endpoints that are passed over because their slow-start rate allows no request yet.
+/// Tracks the endpoints that are skipped because their slow-start rate allows no request yet.
 #[derive(Debug, Default)]
 struct SlowStartWait {
-    /// When the first of them may take a request.
+    /// When the first of them accepts a request.
     earliest: Option<Duration>,
 }
 
 impl SlowStartWait {
-    /// Whether an endpoint may not take a request yet; notes when it may.
+    /// Whether an endpoint may not take a request yet. If so, records when it may.
     fn must_wait(&mut self, now: Duration, health: &ServerHealth) -> bool {
         let Some(next_at) = health.next_slow_start_request_at().filter(|at| now < *at) else {
             return false;
         };
-        // A server in whose rate this proxy has no share is not waited for.
+        // No request waits for a server whose slow-start rate this proxy has no share of.
         if next_at < Duration::MAX {
             self.earliest = Some(self.earliest.map_or(next_at, |at| at.min(next_at)));
         }
@@ -111,8 +113,8 @@
 }
 
 impl<C> Endpoints<C> {
-    /// Selects an endpoint for a request and counts the request as in flight there. `random` is
-    /// the only draw that the selection takes.
+    /// Selects an endpoint for a request and counts the request as in flight there. `random` is the
+    /// only source of randomness.
     pub fn select(
         &self,
         now: Duration,
@@ -121,12 +123,12 @@
         random: u64,
     ) -> Selection {
         let rule = &table.config.rules[context.rule];
-        let of_service = &table.by_service[context.service];
+        let service_endpoints = &table.by_service[context.service];
         let has_concurrency = |index: &usize| table.endpoints[*index].server.concurrency > 0;
-        let is_by_cost = rule.spillover.is_empty()
-            && !of_service.is_empty()
-            && of_service.iter().all(has_concurrency);
-        if is_by_cost {
+        let uses_least_cost = rule.spillover.is_empty()
+            && !service_endpoints.is_empty()
+            && service_endpoints.iter().all(has_concurrency);
+        if uses_least_cost {
             self.select_least_cost(now, table, context, random)
         } else {
             self.select_tiered(now, table, context, random)
@@ -134,7 +136,7 @@
     }
 
     /// Counts a request as in flight at an endpoint. The candidates were collected without holding
-    /// all locks, so the endpoint is checked again: false if it may not take the request by now.
+    /// all locks at once, so the endpoint is checked again: false if it no longer accepts the request.
     fn reserve(
         &self,
         now: Duration,
@@ -156,7 +158,8 @@
         reserved == Some(true)
     }
 
-    /// Whether there is another endpoint for a request that would be retried for this reason.
+    /// Whether there is another endpoint for a request that would be retried for this reason. Reserves
+    /// nothing.
     pub fn has_alternative(
         &self,
         now: Duration,
--- a/proxy/src/endpoints/selection/tiered.rs
+++ b/proxy/src/endpoints/selection/tiered.rs
@@ -1,8 +1,8 @@
-//! Selection by tiers of distance: within a tier the better of two random candidates by load (the
-//! power of two choices, Mitzenmacher 2001).
+//! Selection by tiers of distance: within a tier, the less loaded of two random candidates (the power
+//! of two choices, Mitzenmacher 2001).
 //!
-//! The tiers are the own zone and the own region for each service (the rule's service first, then
-//! its spillover), and then the other regions for each service.
+//! The first tiers are this proxy's zone and then the rest of its region, for each service (the rule's
+//! service first, then its spillover services). The other regions follow, again for each service.
 
 use super::{Selection, SelectionContext, SelectionPass, SlowStartWait, is_idempotent};
 use crate::endpoints::{Endpoint, EndpointState, Endpoints, RoutingTable};
@@ -11,18 +11,18 @@
 use std::time::Duration;
 use vanepath_config::endpoint_list::Server;
 
-/// With so many requests of this proxy in flight an endpoint counts as piled up: an endpoint of a
-/// later tier comes first if it has less than one part in `PILED_UP_RATIO` of them.
-const PILED_UP_IN_FLIGHT: u64 = 16;
-const PILED_UP_RATIO: u64 = 4;
+/// Number of this proxy's requests in flight from which an endpoint counts as backlogged. An endpoint
+/// of a later tier is then preferred if it has less than `1 / BACKLOG_RATIO` as many in flight.
+const BACKLOG_IN_FLIGHT: u64 = 16;
+const BACKLOG_RATIO: u64 = 4;
 
-/// Reported load, in thousandths, from which a server is full.
+/// Reported load, in thousandths, from which a server counts as full.
 const FULL_LOAD_MILLI: u32 = 1000;
 
-/// Score of a suspect endpoint as a last resort, above all that are merely full.
-const SUSPECT_SCORE: u64 = 1 << 40;
+/// Added to the last-resort score of a suspect endpoint, so that it is above that of any full one.
+const SUSPECT_PENALTY: u64 = 1 << 40;
 
-/// The servers of a tier, as seen from this proxy.
+/// The part of the cluster that a tier covers, relative to this proxy.
 #[derive(Clone, Copy, Debug)]
 enum Scope {
     Zone,
@@ -47,12 +47,12 @@
     scope: Scope,
 }
 
-/// An endpoint that may take the request.
+/// An endpoint that may take the request, with its score.
 #[derive(Clone, Copy, Debug)]
 struct ScoredEndpoint {
     index: usize,
     service: usize,
-    /// The less the better.
+    /// Lower is better.
     score: u64,
     in_flight: u64,
 }
@@ -68,7 +68,7 @@
 }
 
 impl<C> Endpoints<C> {
-    /// Selects the nearest endpoint with free capacity.
+    /// Selects an endpoint with free capacity from the nearest tier that has one.
     pub(super) fn select_tiered(
         &self,
         now: Duration,
@@ -123,18 +123,21 @@
         tiers
     }
 
-    /// The first tier's best endpoint that is not piled up, or else the least piled up one.
+    /// The best endpoint of the first tier whose best one is not backlogged, or else the least
+    /// backlogged one.
     fn select_in_tiers(&mut self, pass: SelectionPass, tiers: &[Tier]) -> Option<ScoredEndpoint> {
-        let mut piled_up: Option<ScoredEndpoint> = None;
+        let mut backlogged: Option<ScoredEndpoint> = None;
         for tier in tiers {
             let candidates = self.candidates(pass, tier);
             let Some(best) = self.better_of_two(&candidates) else { continue };
-            // Load reports show a pile later than the requests in flight do: a later tier comes
-            // first if far fewer are in flight there.
-            let is_piled_up = best.in_flight >= PILED_UP_IN_FLIGHT && !self.is_alternative_only();
-            if is_piled_up || piled_up.is_some_and(|least| !is_far_below(&best, &least)) {
-                if piled_up.is_none_or(|least| is_far_below(&best, &least)) {
-                    piled_up = Some(best);
+            // The requests in flight show a backlog earlier than load reports do. A later tier is
+            // preferred if it has far fewer requests in flight.
+            let is_backlogged = best.in_flight >= BACKLOG_IN_FLIGHT && !self.is_alternative_only();
+            if is_backlogged
+                || backlogged.is_some_and(|least| !has_far_fewer_in_flight(&best, &least))
+            {
+                if backlogged.is_none_or(|least| has_far_fewer_in_flight(&best, &least)) {
+                    backlogged = Some(best);
                 }
                 continue;
             }
@@ -142,11 +145,11 @@
                 return Some(best);
             }
         }
-        piled_up.filter(|least| self.reserve(least, false))
+        backlogged.filter(|least| self.reserve(least, false))
     }
 
-    /// Of all endpoints, full and suspect ones too, the one with the least score; of equal ones the
-    /// first, which is the nearest.
+    /// The endpoint with the lowest score of all, full and suspect ones included. Of equal ones, the
+    /// first is selected, which is the nearest.
     fn select_last_resort(&mut self, tiers: &[Tier]) -> Option<ScoredEndpoint> {
         let mut candidates = Vec::new();
         for tier in tiers {
@@ -156,17 +159,17 @@
         (self.is_alternative_only() || self.reserve(&best, true)).then_some(best)
     }
 
-    /// Where the selection ends before it turns to full and suspect endpoints.
+    /// The result of the selection if it must end before full and suspect endpoints are considered.
     fn end_before_last_resort(&self) -> Option<Selection> {
         match self.context.only_alternative_for {
             Some(RetryReason::Slow) => Some(Selection::None),
             Some(RetryReason::Lost) => None,
-            // A server in slow start that soon takes a request is better than a suspect one.
+            // Waiting for a server in slow start is better than using a suspect one.
             None => self.slow_start.earliest.map(Selection::Wait),
         }
     }
 
-    /// The endpoints of a tier that may take the request in this pass.
+    /// The endpoints of a tier that may take the request in this pass, with their scores.
     fn candidates(&mut self, pass: SelectionPass, tier: &Tier) -> Vec<ScoredEndpoint> {
         let (table, context) = (self.table, self.context);
         let rule = &table.config.rules[context.rule];
@@ -211,7 +214,7 @@
         })?
     }
 
-    /// Score by load; `None` if the endpoint is suspect, full or for the other pass.
+    /// Score by load; `None` if the endpoint is suspect, full or belongs to the other pass.
     fn load_score(
         &self,
         pass: SelectionPass,
@@ -229,17 +232,17 @@
         is_usable.then_some((state.in_flight + 1) * u64::from(100 + load_milli))
     }
 
-    /// Score as a last resort: full endpoints before suspect ones, by requests in flight.
+    /// Score as a last resort: by requests in flight, full endpoints before suspect ones.
     fn last_resort_score(&self, state: &EndpointState<C>, max_in_flight: u64) -> Option<u64> {
         let is_suspect = state.health.phase == ServerPhase::Suspect;
         if is_suspect && self.is_alternative_only() {
             return None;
         }
-        let suspect_score = if is_suspect { SUSPECT_SCORE } else { 0 };
-        (state.in_flight < max_in_flight).then_some(suspect_score + state.in_flight)
+        let suspect_penalty = if is_suspect { SUSPECT_PENALTY } else { 0 };
+        (state.in_flight < max_in_flight).then_some(suspect_penalty + state.in_flight)
     }
 
-    /// The better of two candidates by the draw; the first one where they are equal.
+    /// The better of two random candidates; the first one if their scores are equal.
     fn better_of_two(&self, candidates: &[ScoredEndpoint]) -> Option<ScoredEndpoint> {
         if candidates.is_empty() {
             return None;
@@ -259,7 +262,7 @@
     }
 }
 
-/// Whether an endpoint has far fewer requests in flight than one that is piled up.
-fn is_far_below(candidate: &ScoredEndpoint, piled_up: &ScoredEndpoint) -> bool {
-    candidate.in_flight < piled_up.in_flight / PILED_UP_RATIO
+/// Whether an endpoint has far fewer requests in flight than a backlogged one.
+fn has_far_fewer_in_flight(candidate: &ScoredEndpoint, backlogged: &ScoredEndpoint) -> bool {
+    candidate.in_flight < backlogged.in_flight / BACKLOG_RATIO
 }
--- a/proxy/src/endpoints/state.rs
+++ b/proxy/src/endpoints/state.rs
@@ -1,4 +1,4 @@
-//! What a proxy knows of one endpoint and what changes with every request.
+//! The state of one endpoint, which changes with every request.
 
 use super::connections::{IdleConnection, MAX_IDLE_CONNECTIONS};
 use crate::health::ServerHealth;
@@ -6,47 +6,49 @@
 use crate::load_balancing::{Distance, slowdown};
 use std::time::Duration;
 
-/// How long a load report counts for the load score.
+/// How long a load report is used for the load score.
 const LOAD_REPORT_TTL: Duration = Duration::from_secs(5);
-/// How long a report of a full server counts where this proxy has no request in flight: its queue
-/// may be done by then.
+/// How long a report that a server is full is used while this proxy has no request in flight there:
+/// its queue may be empty after that time.
 const FULL_REPORT_TTL: Duration = Duration::from_millis(700);
-/// Time, in seconds, in which what a report says of other proxies' requests fades.
-const OTHERS_FADING_TIME_S: f64 = 1.5;
-/// Weight of the newest report in the average of other proxies' requests.
+/// Time, in seconds, in which the number of other proxies' requests from a load report decays to
+/// weight 0.
+const OTHERS_DECAY_TIME_S: f64 = 1.5;
+/// Weight of the newest load report in the average of other proxies' requests.
 const OTHERS_WEIGHT: f64 = 0.5;
 
 /// The state of one endpoint.
 pub struct EndpointState<C> {
-    /// The health state machine of the server.
+    /// State machine of the server's health.
     pub health: ServerHealth,
-    /// Requests of this proxy that the server has.
+    /// Requests of this proxy that are in flight at the server.
     pub in_flight: u64,
-    /// Load that the server reported last, in thousandths of its capacity.
+    /// Load that the server last reported, in thousandths of its capacity.
     pub load_milli: u32,
-    /// When it reported that.
+    /// When it reported `load_milli`.
     pub(super) load_reported_at: Duration,
-    /// Requests that the server works on at one time, by the endpoint list; 0: not known.
+    /// Number of requests that the server handles concurrently, from the endpoint list; 0 if assumed.
     pub(super) concurrency: u32,
-    /// Average of other proxies' requests at the server, by its latest load reports.
+    /// Moving average of other proxies' requests at the server, from its load reports.
     pub(super) others_in_flight: f64,
-    /// How long the server takes, relative to others of its service.
+    /// Latency of the server relative to the other servers of its service.
     pub relative_latency: RelativeLatency,
-    /// Since when it has requests in flight and sent no response.
+    /// Since when it has had requests in flight without sending a response.
     pub(super) overdue_since: Duration,
-    /// When its last response was complete.
+    /// When it last completed a response.
     pub(super) last_response_at: Duration,
     /// Index of its pool in the latency model.
     pub(super) pool: usize,
     /// Whether it is in this proxy's subset of the zone.
     pub(super) is_in_subset: bool,
-    /// Idle connections that this proxy may keep to it.
+    /// Maximum number of idle connections that this proxy keeps to it.
     pub(super) max_idle: usize,
-    /// Idle connections, the last used at the end.
+    /// Idle connections, the most recently used last.
     pub idle: Vec<IdleConnection<C>>,
-    /// Whether a probe is under way.
+    /// Whether a probe is in progress.
     pub probing: bool,
-    /// It sent bytes that belong to no request: each connection carries one request at most.
+    /// Whether it has sent bytes that belong to no request: each connection then carries one request
+    /// at most.
     pub(super) is_desynchronized: bool,
     pub(super) last_probe_at: Option<Duration>,
     /// Whether this proxy was in contact with it at the last tick.
@@ -54,7 +56,7 @@
 }
 
 impl<C> EndpointState<C> {
-    /// The state of a server that was not known before.
+    /// The initial state of a server that was not known before.
     pub(super) fn new(
         now: Duration,
         health: ServerHealth,
@@ -82,24 +84,25 @@
         }
     }
 
-    /// The reported load in thousandths of the server's capacity; 0 where the report is too old.
+    /// The reported load in thousandths of the server's capacity; 0 if the report has expired.
     pub fn reported_load_milli(&self, now: Duration) -> u32 {
-        // A server that has requests in flight and sends no response has not become idle.
+        // A report does not expire while requests are in flight: a server that sends no response to
+        // them has not become idle.
         let is_valid =
             self.in_flight > 0 || now.saturating_sub(self.load_reported_at) < LOAD_REPORT_TTL;
         if is_valid { self.load_milli } else { 0 }
     }
 
-    /// Whether the load report is old and no request of this proxy is there to bring a newer one:
-    /// a single request will find out.
+    /// Whether the load report is old and no request of this proxy is in flight whose response would
+    /// bring a newer one. The server may then be tried with a single request.
     pub(super) fn is_load_report_stale(&self, now: Duration) -> bool {
         self.in_flight == 0 && now.saturating_sub(self.load_reported_at) > FULL_REPORT_TTL
     }
 
-    /// Takes in a load report; returns the requests of other proxies for each unit of the server's
-    /// concurrency.
+    /// Records a load report. Returns the server's utilization by other proxies: their requests per
+    /// unit of its concurrency.
     pub(super) fn record_load_report(&mut self, now: Duration, load_milli: u32) -> f64 {
-        // The server reports while the request of this response still counts as in flight here.
+        // The report comes with the response to a request that still counts as in flight here.
         let reported = f64::from(load_milli) * f64::from(self.concurrency) / 1000.0;
         let own = self.in_flight.saturating_sub(1) as f64;
         self.others_in_flight +=
@@ -110,8 +113,8 @@
         (reported - own).max(0.0) / f64::from(self.concurrency.max(1))
     }
 
-    /// How long the server takes as a multiple of the usual, by its responses or by those that are
-    /// overdue. `load` is the number of requests at the server.
+    /// Latency of the server as a multiple of the usual_load one, from its responses and from responses that
+    /// are overdue. `load` is the number of requests at the server.
     pub(super) fn relative_latency(
         &self,
         now: Duration,
@@ -128,17 +131,18 @@
         self.relative_latency.factor_when_overdue(now, overdue_ms / usual_ms)
     }
 
-    /// Estimated number of requests at the server. As the load report grows old, other proxies'
-    /// requests are taken to be `usual` instead, or none where the server is in this proxy's subset.
-    pub(super) fn estimated_load(&self, now: Duration, distance: Distance, usual: f64) -> f64 {
+    /// Estimated number of requests at the server. As the load report ages, the estimate of other
+    /// proxies' requests moves from the reported number to `usual_load`, or to none if the server is in
+    /// this proxy's subset.
+    pub(super) fn estimated_load(&self, now: Duration, distance: Distance, usual_load: f64) -> f64 {
         let freshness = self.load_report_freshness(now);
-        let unknown = if distance == Distance::Subset { 0.0 } else { usual };
-        self.in_flight as f64 + freshness * self.others_in_flight + (1.0 - freshness) * unknown
+        let assumed = if distance == Distance::Subset { 0.0 } else { usual_load };
+        self.in_flight as f64 + freshness * self.others_in_flight + (1.0 - freshness) * assumed
     }
 
-    /// Weight of the last load report, from 1 when it is new to 0.
+    /// Weight of the last load report: 1 when it is new, decreasing to 0.
     fn load_report_freshness(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.load_reported_at).as_secs_f64();
-        (1.0 - age / OTHERS_FADING_TIME_S).max(0.0)
+        (1.0 - age / OTHERS_DECAY_TIME_S).max(0.0)
     }
 }
--- a/proxy/src/endpoints/table.rs
+++ b/proxy/src/endpoints/table.rs
@@ -1,4 +1,4 @@
-//! The routing table: the configuration in force and the servers of the endpoint list, sorted by
+//! The routing table: the configuration in force and the servers of the endpoint list, indexed by
 //! service.
 
 use super::{EndpointState, Endpoints};
@@ -13,50 +13,50 @@
 use vanepath_config::model::Config;
 use vanepath_config::selector::ClientLocation;
 
-/// What the endpoint list and the configuration say of a server; changes rarely.
+/// A server as described by the endpoint list and the configuration. Changes rarely.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// The server as the endpoint list has it.
+    /// The server's entry in the endpoint list.
     pub server: Server,
     /// Indices into the configuration's services whose selectors match the server.
     pub services: Vec<usize>,
-    /// Key of its state; another one for each server and each address that it moves to.
+    /// Key of its state. A server that moves to another address gets another slot.
     pub slot: usize,
 }
 
-/// What a routing table was made from.
+/// The revisions from which a routing table was built.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TableRevision {
-    /// The revision of the configuration's document.
+    /// The revision of the configuration document.
     pub config: u64,
     /// The revision of the endpoint list.
     pub endpoint_list: u64,
 }
 
 impl TableRevision {
-    /// A table made from these revisions.
+    /// The revision of a table built from these revisions.
     pub fn new(config: u64, endpoint_list: u64) -> TableRevision {
         TableRevision { config, endpoint_list }
     }
 }
 
-/// The revision of a table that is made from this view.
+/// The revision of a table that is built from this view.
 pub fn revision_of(view: &ClusterView) -> TableRevision {
     TableRevision::new(view.committed.config_revision, view.endpoints.revision)
 }
 
-/// One consistent whole: the configuration in force on this proxy and the servers sorted by it.
+/// A consistent snapshot of the configuration in force on this proxy and of its servers by service.
 #[derive(Debug, Default)]
 pub struct RoutingTable {
-    /// What the table was made from.
+    /// The revisions from which the table was built.
     pub revision: TableRevision,
     /// The configuration in force.
     pub config: Arc<Config>,
     /// All servers, in the order of the endpoint list.
     pub endpoints: Vec<Endpoint>,
-    /// For each service of the configuration the indices of its endpoints.
+    /// Indices of the endpoints of each service of the configuration.
     pub by_service: Vec<Vec<usize>>,
-    /// Each of its servers was probed once, or its time for that ran out.
+    /// Whether each of its servers was probed once, or the time limit for that has passed.
     pub(super) is_initially_probed: AtomicBool,
 }
 
@@ -70,9 +70,9 @@
 }
 
 impl<C> Endpoints<C> {
-    /// Replaces the table by one made from this configuration and endpoint list; returns log lines.
-    /// In the first table every server counts as one that has been there for long (`apply_plan` says
-    /// which have not); later a new server starts warming up at its `rate`.
+    /// Replaces the table with one built from this configuration and endpoint list. Returns log lines.
+    /// The servers of the first table count as long-running (`apply_plan` then marks those that are
+    /// not); a server that is added later starts warming up at its `rate`.
     pub fn update(
         &self,
         now: Duration,
@@ -87,15 +87,18 @@
         let mut table =
             RoutingTable { revision, config: config.clone(), ..RoutingTable::default() };
         table.by_service.resize(config.services.len(), Vec::new());
-        let by_id: HashMap<&str, &Endpoint> =
-            previous.endpoints.iter().map(|one| (one.server.id.as_str(), one)).collect();
+        let by_id: HashMap<&str, &Endpoint> = previous
+            .endpoints
+            .iter()
+            .map(|endpoint| (endpoint.server.id.as_str(), endpoint))
+            .collect();
         for server in &list.servers {
             let services = matching_services(config, server);
-            // A server at another address is another one: its connections, its slow start and its
+            // A server at another address counts as another server: connections, slow start and
             // health are not carried over.
             let known = by_id.get(server.id.as_str()).copied();
-            let known = known.filter(|one| one.server.address == server.address);
-            let slot = known.map(|one| one.slot).unwrap_or_else(|| {
+            let known = known.filter(|endpoint| endpoint.server.address == server.address);
+            let slot = known.map(|endpoint| endpoint.slot).unwrap_or_else(|| {
                 let mut health = ServerHealth::new(now);
                 health.tick(now, rate(server, &services));
                 if !is_first {
@@ -105,10 +108,10 @@
                 self.insert_state(now, health, config, server, &services)
             });
             if probes_suspects_only(config, &services) {
-                let was_warming_up = known.is_some_and(|one| one.server.warming_up);
+                let was_warming_up = known.is_some_and(|endpoint| endpoint.server.warming_up);
                 self.apply_listed_phase(now, slot, server.warming_up, was_warming_up);
             }
-            if known.is_some_and(|one| one.server.draining != server.draining) {
+            if known.is_some_and(|endpoint| endpoint.server.draining != server.draining) {
                 let change = if server.draining { "is draining" } else { "is no longer draining" };
                 log_lines.push(format!("server {} {change}", server.id));
             }
@@ -119,7 +122,7 @@
         log_lines
     }
 
-    /// Creates the state of a server that was not known; returns its slot.
+    /// Creates the state of a server that was not known before. Returns its slot.
     fn insert_state(
         &self,
         now: Duration,
@@ -135,7 +138,8 @@
         slot
     }
 
-    /// Takes over the phase that the endpoint list gives to a server that is not probed.
+    /// Applies the phase that the endpoint list states for a server that is probed only while it is
+    /// suspect.
     fn apply_listed_phase(
         &self,
         now: Duration,
@@ -154,21 +158,23 @@
         });
     }
 
-    /// Drops the states of the servers that are in the previous table only.
+    /// Removes the states of servers that are in the previous table but not in the new one.
     fn remove_missing(
         &self,
         previous: &RoutingTable,
         table: &RoutingTable,
         log_lines: &mut Vec<String>,
     ) {
-        let slots: HashSet<usize> = table.endpoints.iter().map(|one| one.slot).collect();
-        for endpoint in previous.endpoints.iter().filter(|one| !slots.contains(&one.slot)) {
+        let slots: HashSet<usize> = table.endpoints.iter().map(|endpoint| endpoint.slot).collect();
+        for endpoint in previous.endpoints.iter().filter(|endpoint| !slots.contains(&endpoint.slot))
+        {
             self.shard(endpoint.slot).remove(&endpoint.slot);
             log_lines.push(format!("server {} was removed", endpoint.server.id));
         }
     }
 
-    /// Takes in what the whole cluster knows of servers that are unreachable or came back lately.
+    /// Applies the cluster's common knowledge of servers that are unreachable or have recently
+    /// recovered.
     pub fn apply_plan(&self, now: Duration, plan: &wire::TrafficShiftPlan) {
         if plan.unreachable.is_empty() && plan.warming_up.is_empty() {
             return;
@@ -193,8 +199,9 @@
         .collect()
 }
 
-/// Whether all services of a server have it probed only while it is suspect; its phase is otherwise
-/// what the endpoint list and its traffic say.
+/// Whether all services of a server are configured to probe it only while it is suspect. At other
+/// times its phase follows from the endpoint list and from its traffic.
 pub(super) fn probes_suspects_only(config: &Config, services: &[usize]) -> bool {
-    !services.is_empty() && services.iter().all(|one| config.services[*one].probes_suspects_only)
+    !services.is_empty()
+        && services.iter().all(|service| config.services[*service].probes_suspects_only)
 }
--- a/proxy/src/latency_model/tests.rs
+++ b/proxy/src/latency_model/tests.rs
@@ -115,14 +115,14 @@
 #[test]
 fn round_trip_time_is_the_least_connect_time() {
     let mut pool = ZonePool::default();
-    assert!(pool.round_trip_ms(Distance::Far) > pool.round_trip_ms(Distance::Zone));
+    assert!(pool.round_trip_ms(Distance::OtherRegion) > pool.round_trip_ms(Distance::Zone));
     for took in [40, 24, 90, 30] {
         pool.record_connection(ms(took));
     }
     assert!(
-        (24.0..27.0).contains(&pool.round_trip_ms(Distance::Far)),
+        (24.0..27.0).contains(&pool.round_trip_ms(Distance::OtherRegion)),
         "{}",
-        pool.round_trip_ms(Distance::Far)
+        pool.round_trip_ms(Distance::OtherRegion)
     );
 }
 
--- a/proxy/src/latency_model/zone_pool.rs
+++ b/proxy/src/latency_model/zone_pool.rs
@@ -74,7 +74,7 @@
         self.round_trip_ms.unwrap_or(match distance {
             Distance::Subset | Distance::Zone => 1.0,
             Distance::Region => 2.0,
-            Distance::Far => 30.0,
+            Distance::OtherRegion => 30.0,
         })
     }
 }
--- a/proxy/src/load_balancing.rs
+++ b/proxy/src/load_balancing.rs
@@ -17,7 +17,7 @@
     /// In the own region.
     Region,
     /// In another region.
-    Far,
+    OtherRegion,
 }
 
 /// A server that may be given the request.
@@ -97,7 +97,7 @@
     pub fn cost(&self, request: &RequestCost) -> f64 {
         let transfer = match self.distance {
             Distance::Subset | Distance::Zone => 0.0,
-            Distance::Region | Distance::Far => KILOBYTE_COST_MS * request.kilobytes,
+            Distance::Region | Distance::OtherRegion => KILOBYTE_COST_MS * request.kilobytes,
         };
         let connecting = if self.is_connected {
             0.0
--- a/proxy/src/load_balancing/tests.rs
+++ b/proxy/src/load_balancing/tests.rs
@@ -19,8 +19,12 @@
         (0..count)
             .map(|index| Candidate {
                 index: 100 + index,
-                distance: [Distance::Subset, Distance::Zone, Distance::Region, Distance::Far]
-                    [self.below(4) as usize],
+                distance: [
+                    Distance::Subset,
+                    Distance::Zone,
+                    Distance::Region,
+                    Distance::OtherRegion,
+                ][self.below(4) as usize],
                 load: self.below(80) as f64 / 4.0,
                 concurrency: (1 + self.below(6)) as f64,
                 relative_latency: 0.5 + self.below(10) as f64 / 5.0,
@@ -128,7 +132,7 @@
 fn the_last_free_unit_is_left_where_others_have_capacity() {
     let near = Candidate { concurrency: 3.0, ..candidate(0, 2.0) };
     let far = Candidate {
-        distance: Distance::Far,
+        distance: Distance::OtherRegion,
         round_trip_ms: 24.0,
         concurrency: 3.0,
         ..candidate(1, 0.5)
@@ -223,7 +227,7 @@
 fn a_rising_load_spreads_from_near_to_far() {
     let mut shown = String::new();
     for request in [SMALL, LARGE] {
-        let all = [Distance::Subset, Distance::Zone, Distance::Region, Distance::Far];
+        let all = [Distance::Subset, Distance::Zone, Distance::Region, Distance::OtherRegion];
         let mut candidates: Vec<Candidate> = all
             .into_iter()
             .enumerate()
