--- a/proxy/src/endpoints/reporter.rs
+++ b/proxy/src/endpoints/reporter.rs
@@ -38,7 +38,7 @@
                 // Other proxies need no reports about a healthy server whose health is known from traffic.
                 let is_in_contact = state.health.contact_duration(now) > Duration::ZERO;
                 !matches!(state.health.phase, ServerPhase::Healthy | ServerPhase::Unknown)
-                    || (is_in_contact && !state.health.is_judged_by_traffic)
+                    || (is_in_contact && !state.health.is_passively_checked)
             });
             is_reported.filter(|is_reported| *is_reported)?;
             self.with_state(endpoint.slot, |state| wire::ServerObservation {
--- a/proxy/src/endpoints/state.rs
+++ b/proxy/src/endpoints/state.rs
@@ -27,7 +27,7 @@
     pub load_milli: u32,
     /// When it reported `load_milli`.
     pub(super) load_reported_at: Duration,
-    /// Number of requests that the server handles concurrently, from the endpoint list; 0 if assumed.
+    /// Number of requests that the server handles concurrently, from the endpoint list; 0 if unknown.
     pub(super) concurrency: u32,
     /// Moving average of other proxies' requests at the server, from its load reports.
     pub(super) others_in_flight: f64,
@@ -113,8 +113,8 @@
         (reported - own).max(0.0) / f64::from(self.concurrency.max(1))
     }
 
-    /// Latency of the server as a multiple of the usual_load one, from its responses and from responses that
-    /// are overdue. `load` is the number of requests at the server.
+    /// Latency of the server as a multiple of the usual one, from its responses and from responses
+    /// that are overdue. `load` is the number of requests at the server.
     pub(super) fn relative_latency(
         &self,
         now: Duration,
--- a/proxy/src/endpoints/subset/tests.rs
+++ b/proxy/src/endpoints/subset/tests.rs
@@ -1,5 +1,5 @@
-/// The sizes of all subsets differ by one server at max, and the numbers of subsets that the servers
-/// are in differ by one at max. No proxy has an empty subset and no server is in none.
+/// The sizes of any two subsets differ by one server at most, and the numbers of subsets that any two
+/// servers are in differ by one at most. No subset is empty, and every server is in a subset.
 #[test]
 fn subsets_of_a_zone_are_even_and_complete() {
     for proxies in 1..20 {
--- a/proxy/src/endpoints/table.rs
+++ b/proxy/src/endpoints/table.rs
@@ -148,7 +148,7 @@
         was_warming_up: bool,
     ) {
         self.update_health(slot, |health| {
-            health.is_judged_by_traffic = true;
+            health.is_passively_checked = true;
             let is_unknown = health.phase == ServerPhase::Unknown;
             if is_warming_up && (!was_warming_up || is_unknown) {
                 health.restart_slow_start(now, Duration::ZERO);
--- a/proxy/src/health/mod.rs
+++ b/proxy/src/health/mod.rs
@@ -1,5 +1,5 @@
 //! The health of one server as one proxy sees it: a state machine with hysteresis, slow start and
-//! outlier detection as in common proxies (design 8.6). Pure.
+//! outlier detection, as in other load balancers (design 8.6). Does no I/O and reads no clock.
 
 mod outlier_detection;
 mod slow_start_rate;
@@ -11,71 +11,76 @@
 use std::time::Duration;
 use vanepath_cluster::wire::WarmUp;
 
-/// How a server failed.
+/// How a probe or request at a server failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Nobody listens at the address, or another server does: proof that the server is not there.
+    /// Nothing listens at the address, or another server does: proof that the server is not running
+    /// there.
     Refused,
-    /// A connection broke in the middle.
+    /// An open connection was lost.
     ConnectionLost,
-    /// A connection was neither accepted nor refused in time.
+    /// Connecting timed out: the connection was neither accepted nor refused.
     Unreachable,
-    /// No response in time on an open connection.
+    /// No response arrived in time on an open connection.
     NoResponse,
-    /// It responded that it is not well, or its response was invalid.
+    /// The server responded that it is unhealthy, or its response was invalid.
     Unhealthy,
 }
 
-/// Successful probes in a row after which a suspect server gets requests again.
+/// Consecutive successful probes after which a suspect server gets requests again.
 const HEALTHY_THRESHOLD: u32 = 2;
-/// Failures in a row, other than a refused connection, after which a server is suspect.
+/// Consecutive failures after which a server is suspect. A refused connection suffices alone.
 const UNHEALTHY_THRESHOLD: u32 = 2;
-/// How long a suspect server that this proxy does not probe gets no requests.
+/// How long a suspect server that this proxy does not probe gets no requests before it is tried again.
 const SUSPECT_RETRY_DELAY: Duration = Duration::from_millis(1500);
-/// How long a server must fail to count as having been unreachable; it then comes back with a slow
-/// start.
+/// How long a server must keep failing to count as having been unreachable. It then recovers with a
+/// slow start.
 const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long contact may pause; after a longer pause the server may have been away meanwhile.
+/// Maximum time between two successes that count as uninterrupted contact. In a longer gap the server
+/// may have been down.
 const MAX_CONTACT_GAP: Duration = Duration::from_millis(2500);
-/// How often the rate doubles within the period that follows the warm-up.
+/// Number of times that the rate doubles within the period that follows the warm-up.
 const RATE_DOUBLINGS: u32 = 4;
-/// How long the handover of a share in a slow-start rate takes from one proxy to another.
+/// Time allowed for the handover of a share of a slow-start rate from one proxy to another.
 const HANDOVER_TIME: Duration = Duration::from_secs(1);
-/// By how much the clocks and probes of two proxies may differ about a server's return.
+/// Maximum difference between two proxies in the time at which they see a server recover, due to their
+/// clocks and probe times.
 const RECOVERY_TOLERANCE: Duration = Duration::from_secs(1);
 
 /// The health of one server.
 #[derive(Clone, Debug)]
 pub struct ServerHealth {
-    /// The phase that the server is in.
+    /// The current phase of the server.
     pub phase: ServerPhase,
-    /// When the phase began.
+    /// When the current phase began.
     pub since: Duration,
     consecutive_successes: u32,
     consecutive_failures: u32,
     failing_since: Option<Duration>,
     was_unreachable: bool,
-    /// Since when it is bound to its slow-start rate: while it warms up and while the rate rises,
-    /// and while it is suspect if it failed during these.
+    /// Since when it has been limited to its slow-start rate. The limit applies while it warms up,
+    /// while the rate rises, and while it is suspect if it failed in one of these phases.
     slow_start_since: Option<Duration>,
-    /// Its machine itself refused a connection, which no network partition can feign.
+    /// Whether its host refused a connection. Unlike a time-out, this cannot be due to a network
+    /// partition.
     connection_refused: bool,
-    /// When a connection was last neither accepted nor refused; `None` after a success.
+    /// When connecting last timed out; `None` after a success.
     unreachable_at: Option<Duration>,
     last_success_at: Option<Duration>,
-    /// Since when this proxy is in contact with it without a gap.
+    /// Since when this proxy has been in contact with it without a gap.
     contact_since: Option<Duration>,
     is_probe_requested: bool,
     /// When the slow-start rate allows the next request.
     next_request_at: Duration,
     slow_start_rate: SlowStartRate,
-    /// Judged by the traffic that it gets; it is probed only while its health is uncertain.
-    pub is_judged_by_traffic: bool,
+    /// Whether its health is determined by the traffic that it gets (passive health checks). It is then
+    /// probed only while its health is uncertain.
+    pub is_passively_checked: bool,
     outliers: OutlierDetection,
 }
 
 impl ServerHealth {
-    /// A server of which nothing is known yet.
+    /// A server about which nothing is known yet.
     pub fn new(now: Duration) -> ServerHealth {
         ServerHealth {
             phase: ServerPhase::Unknown,
@@ -92,12 +97,12 @@
             is_probe_requested: false,
             next_request_at: now,
             slow_start_rate: SlowStartRate::default(),
-            is_judged_by_traffic: false,
+            is_passively_checked: false,
             outliers: OutlierDetection::new(now),
         }
     }
 
-    fn enter(&mut self, now: Duration, phase: ServerPhase) {
+    fn enter_phase(&mut self, now: Duration, phase: ServerPhase) {
         self.phase = phase;
         self.since = now;
         match phase {
@@ -111,26 +116,28 @@
         }
     }
 
-    /// Starts the warm-up now and counts its time from an earlier moment.
+    /// Starts the warm-up now, with its time counted from the earlier moment `since`.
     fn start_warm_up(&mut self, now: Duration, since: Duration) {
-        self.enter(now, ServerPhase::WarmingUp);
+        self.enter_phase(now, ServerPhase::WarmingUp);
         self.since = since;
         self.slow_start_since = Some(since);
     }
 
-    /// Starts over with a slow start: the server was added while this proxy ran, it said so itself,
-    /// or another proxy saw it come back `age` ago.
+    /// Restarts with a slow start: the server was added while this proxy was running, reported itself
+    /// that it is warming up, or was seen by another proxy to recover `age` ago.
     pub fn restart_slow_start(&mut self, now: Duration, age: Duration) {
         self.start_warm_up(now, now.saturating_sub(age));
         if age > Duration::ZERO {
-            // Other proxies have divided its rate among them already, and hear of this one only now.
+            // Other proxies have already divided its rate among themselves, and learn of this proxy
+            // only now.
             self.next_request_at += HANDOVER_TIME;
         }
     }
 
-    /// Takes it for healthy, as the endpoint list says; traffic will show.
+    /// Marks it as healthy without a success, because the endpoint list says so or a suspect server is
+    /// tried again. Its traffic then shows whether that is right.
     pub fn mark_healthy(&mut self, now: Duration) {
-        self.enter(now, ServerPhase::Healthy);
+        self.enter_phase(now, ServerPhase::Healthy);
         self.consecutive_successes = 0;
         self.consecutive_failures = 0;
         self.failing_since = None;
@@ -139,8 +146,8 @@
         self.unreachable_at = None;
     }
 
-    /// Gives a suspect server that other proxies probe requests again after a while; at its
-    /// slow-start rate if it was bound to that when it failed.
+    /// Lets a suspect server that only other proxies probe get requests again after
+    /// [`SUSPECT_RETRY_DELAY`], at its slow-start rate if it was limited to that when it failed.
     pub fn retry_suspect(&mut self, now: Duration) {
         let is_too_early = now.saturating_sub(self.since) < SUSPECT_RETRY_DELAY;
         if self.phase != ServerPhase::Suspect || is_too_early {
@@ -152,21 +159,21 @@
         }
     }
 
-    /// Whether its health is uncertain, which only a probe can settle.
+    /// Whether its health is uncertain, so that a probe is needed.
     pub fn needs_probe(&self) -> bool {
         self.phase == ServerPhase::Suspect
             || self.is_probe_requested
             || self.consecutive_failures > 0
     }
 
-    /// Whether it refused a connection before it became suspect or came back.
+    /// Whether it is suspect or warming up after it refused a connection.
     pub fn was_refused(&self) -> bool {
         self.connection_refused
             && matches!(self.phase, ServerPhase::Suspect | ServerPhase::WarmingUp)
     }
 
-    /// Whether no connection to it came about after `since`, and nothing has succeeded from then on. A
-    /// busy server still accepts or refuses connections: what tells it from one that is gone.
+    /// Whether connecting to it timed out after `since` and nothing has succeeded after that. This
+    /// distinguishes a server that is gone from a busy one, which still accepts or refuses connections.
     pub fn is_unreachable_since(&self, since: Duration) -> bool {
         self.unreachable_at.is_some_and(|at| at > since)
     }
@@ -175,7 +182,7 @@
         self.last_success_at.is_some_and(|at| now.saturating_sub(at) < MAX_CONTACT_GAP)
     }
 
-    /// How long this proxy has been in contact with it, up to the last success; zero after a gap.
+    /// How long this proxy had been in contact with it at the last success; zero after a gap.
     pub fn contact_duration(&self, now: Duration) -> Duration {
         match (self.contact_since, self.last_success_at) {
             (Some(since), Some(last_success_at)) if self.is_in_contact(now) => {
@@ -185,8 +192,8 @@
         }
     }
 
-    /// Takes in what the whole cluster knows: the server is unreachable, or it came back lately. What
-    /// this proxy saw itself without a gap counts more.
+    /// Applies the cluster's common knowledge: the server is unreachable, or it recently recovered.
+    /// This proxy's own observations take precedence if they have no gap.
     pub fn apply_cluster_view(
         &mut self,
         now: Duration,
@@ -197,17 +204,17 @@
             self.was_unreachable = true;
             if self.phase != ServerPhase::Suspect {
                 self.consecutive_successes = 0;
-                self.enter(now, ServerPhase::Suspect);
+                self.enter_phase(now, ServerPhase::Suspect);
             }
         }
         let Some(recovery) = recovery else { return };
         let age = Duration::from_millis(u64::from(recovery.age_ms));
-        // A refused connection is proof; this proxy's own probes may lie before and after a short
-        // absence.
-        let was_away =
+        // A refused connection proves that the server was down, even if this proxy saw no gap: its
+        // probes may lie before and after a short downtime.
+        let was_down =
             recovery.connection_refused || self.contact_duration(now) <= age + RECOVERY_TOLERANCE;
         if matches!(self.phase, ServerPhase::Healthy | ServerPhase::Unknown)
-            && was_away
+            && was_down
             && age < self.slow_start_rate.period
         {
             self.restart_slow_start(now, age);
@@ -225,7 +232,7 @@
         self.consecutive_failures = 0;
         self.failing_since = None;
         match self.phase {
-            ServerPhase::Unknown => self.enter(now, ServerPhase::Healthy),
+            ServerPhase::Unknown => self.enter_phase(now, ServerPhase::Healthy),
             ServerPhase::Suspect => self.record_suspect_success(now),
             ServerPhase::WarmingUp | ServerPhase::SlowStart | ServerPhase::Healthy => {}
         }
@@ -233,14 +240,14 @@
 
     fn record_suspect_success(&mut self, now: Duration) {
         self.consecutive_successes += 1;
-        if !self.is_judged_by_traffic && self.consecutive_successes < HEALTHY_THRESHOLD {
+        if !self.is_passively_checked && self.consecutive_successes < HEALTHY_THRESHOLD {
             return;
         }
         let phase =
             if self.was_unreachable { ServerPhase::WarmingUp } else { ServerPhase::Healthy };
         self.connection_refused &= self.was_unreachable;
         self.was_unreachable = false;
-        self.enter(now, phase);
+        self.enter_phase(now, phase);
     }
 
     /// Records a probe or request that failed.
@@ -256,45 +263,45 @@
         if failure == Failure::Refused || failing_for >= UNREACHABLE_TIMEOUT {
             self.was_unreachable = true;
         }
-        // A single slow response is no proof; a refused connection is.
+        // A single slow response does not prove a failure; a refused connection does.
         let is_proof =
             failure == Failure::Refused || self.consecutive_failures >= UNHEALTHY_THRESHOLD;
         if is_proof {
             self.contact_since = None;
         }
         if is_proof && self.phase != ServerPhase::Suspect {
-            // A server that was in slow start comes back with a slow start.
+            // A server that was in slow start recovers with a slow start.
             self.was_unreachable |=
                 matches!(self.phase, ServerPhase::WarmingUp | ServerPhase::SlowStart);
-            self.enter(now, ServerPhase::Suspect);
+            self.enter_phase(now, ServerPhase::Suspect);
         }
     }
 
-    /// A request had no response in time: no proof of anything, but a probe is due.
+    /// Requests a probe, after a request had no response in time. That alone does not prove a failure.
     pub fn request_probe(&mut self) {
         self.is_probe_requested = true;
     }
 
-    /// Records for outlier detection whether a request that the server had was lost or served.
+    /// Records for outlier detection whether a request that the server received was served or lost.
     pub fn record_request_result(&mut self, now: Duration, is_success: bool) {
         self.outliers.record(now, is_success);
     }
 
-    /// Forgets the failed requests that outlier detection has counted.
+    /// Resets the failure count of outlier detection.
     pub fn reset_outlier_detection(&mut self) {
         self.outliers.reset();
     }
 
-    /// Whether it loses requests too often to be given any while others are there. `allows_trial`:
-    /// not so once its ejection is over.
+    /// Whether it loses requests so often that it gets requests only if no other server is available.
+    /// With `allows_trial`, false once its ejection is over.
     pub fn is_degraded(&self, now: Duration, allows_trial: bool) -> bool {
         self.outliers.is_degraded(now, allows_trial)
     }
 
-    /// Moves the phases on that end with time. `slow_start_rate` is this proxy's share by now.
+    /// Ends the phases whose time is over. `slow_start_rate` is this proxy's current share.
     pub fn tick(&mut self, now: Duration, slow_start_rate: SlowStartRate) {
         if self.slow_start_rate.interval.is_none() && slow_start_rate.interval.is_some() {
-            // The share was another proxy's, which may not know yet that it lost it.
+            // The share belonged to another proxy, which may not know yet that it no longer has it.
             let handed_over_at = now + HANDOVER_TIME + slow_start_rate.initial_delay;
             self.next_request_at = self.next_request_at.max(handed_over_at);
         }
@@ -303,10 +310,12 @@
         let period = slow_start_rate.period;
         let age = now.saturating_sub(self.since);
         match self.phase {
-            ServerPhase::WarmingUp if age >= period => self.enter(now, ServerPhase::SlowStart),
+            ServerPhase::WarmingUp if age >= period => {
+                self.enter_phase(now, ServerPhase::SlowStart)
+            }
             ServerPhase::SlowStart if age >= period => {
                 self.connection_refused = false;
-                self.enter(now, ServerPhase::Healthy);
+                self.enter_phase(now, ServerPhase::Healthy);
             }
             ServerPhase::Suspect
                 if self.slow_start_since.is_some_and(|since| now >= since + 2 * period) =>
@@ -317,7 +326,7 @@
         }
     }
 
-    /// Whether it may be given a request, as far as its phase says.
+    /// Whether its phase allows a request now.
     pub fn accepts_request(&self, now: Duration) -> bool {
         match self.phase {
             ServerPhase::WarmingUp | ServerPhase::SlowStart => {
@@ -328,16 +337,16 @@
         }
     }
 
-    /// When a server that is bound to its slow-start rate may get its next request from this proxy:
-    /// `Duration::MAX` where this proxy has no share in the rate; `None` if it is not bound.
+    /// When a server that is limited to its slow-start rate may get its next request from this proxy;
+    /// `Duration::MAX` if this proxy has no share of the rate, `None` if the server is not limited.
     pub fn next_slow_start_request_at(&self) -> Option<Duration> {
         self.slow_start_since?;
         let has_share = self.slow_start_rate.interval.is_some();
         Some(if has_share { self.next_request_at } else { Duration::MAX })
     }
 
-    /// Counts a request against this proxy's share in the slow-start rate. After the warm-up the
-    /// share doubles step by step.
+    /// Counts a request against this proxy's share of the slow-start rate. After the warm-up the share
+    /// doubles [`RATE_DOUBLINGS`] times.
     pub fn record_request(&mut self, now: Duration) {
         let Some(interval) = self.slow_start_rate.interval else { return };
         let doublings = match self.phase {
@@ -352,8 +361,8 @@
         self.next_request_at = now + interval / 2_u32.pow(doublings.min(16));
     }
 
-    /// When it wants a probe: at once (zero) if its health is uncertain, else `interval` after the
-    /// last success.
+    /// When the next probe is due: at once (zero) if its health is uncertain, otherwise `interval` after
+    /// the last success.
     pub fn next_probe_at(&self, interval: Duration) -> Duration {
         match self.last_success_at {
             Some(last_success_at) if !self.needs_probe() => last_success_at + interval,
--- a/proxy/src/health/outlier_detection.rs
+++ b/proxy/src/health/outlier_detection.rs
@@ -1,20 +1,21 @@
-//! Outlier detection, as common proxies have it: a server whose probes succeed and whose requests
-//! fail is degraded, and gets requests only after all that are not (design 8.6).
+//! Outlier detection, as in other load balancers: a server whose requests fail although its probes
+//! succeed is degraded, and gets requests only if no other server accepts them (design 8.6).
 
 use std::time::Duration;
 
-/// What a failed request adds to the failure score. A successful one takes 1 from it, so that the
-/// score grows where a quarter of the requests or more fail.
+/// What a failed request adds to the failure score. A successful one subtracts 1, so the score grows
+/// if more than a quarter of the requests fail.
 const FAILURE_WEIGHT: u32 = 3;
-/// Failure score from which a server is degraded.
+/// Failure score from which a server is degraded. It stays degraded until the score is 0.
 const DEGRADED_SCORE: u32 = 7;
+/// Upper bound of the failure score, which limits the successes needed for recovery.
 const MAX_FAILURE_SCORE: u32 = 12;
-/// How long a degraded server is ejected after a failure; then single requests try it.
+/// How long a degraded server is ejected after a failure. After that it is tried with single requests.
 const EJECTION_TIME: Duration = Duration::from_secs(3);
-/// How long after the end of its ejection a server that got no request no longer counts as degraded.
+/// How long after the end of its ejection a server without requests stops counting as degraded.
 const DEGRADED_EXPIRY: Duration = Duration::from_secs(30);
 
-/// The failed requests of one server.
+/// The failure score of one server.
 #[derive(Clone, Debug)]
 pub(super) struct OutlierDetection {
     failure_score: u32,
@@ -27,7 +28,7 @@
         OutlierDetection { failure_score: 0, is_degraded: false, ejected_until: now }
     }
 
-    /// Forgets all failures.
+    /// Resets the failure score and the degraded state.
     pub(super) fn reset(&mut self) {
         self.failure_score = 0;
         self.is_degraded = false;
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Whether the server is degraded; with `allows_trial` only while it is ejected.
+    /// Whether the server is degraded. With `allows_trial`, only while it is ejected.
     pub(super) fn is_degraded(&self, now: Duration, allows_trial: bool) -> bool {
         self.is_degraded && !(allows_trial && now >= self.ejected_until)
     }
--- a/proxy/src/health/tests.rs
+++ b/proxy/src/health/tests.rs
@@ -6,16 +6,16 @@
 }
 
 #[test]
-fn a_refused_server_comes_back_warming_up_and_a_paused_one_does_not() {
+fn a_server_that_refused_connections_recovers_warming_up_and_one_that_timed_out_does_not() {
     let mut server = ServerHealth::new(second(0.0));
     server.record_success(second(0.0));
     assert_eq!(server.phase, ServerPhase::Healthy);
     server.record_failure(second(1.0), Failure::NoResponse);
-    assert_eq!(server.phase, ServerPhase::Healthy, "one slow reply is no proof");
+    assert_eq!(server.phase, ServerPhase::Healthy, "one slow response does not prove a failure");
     server.record_failure(second(1.5), Failure::NoResponse);
     assert_eq!(server.phase, ServerPhase::Suspect);
     server.record_success(second(2.0));
-    assert_eq!(server.phase, ServerPhase::Suspect, "one good reply is no proof");
+    assert_eq!(server.phase, ServerPhase::Suspect, "one success does not prove recovery");
     server.record_success(second(2.5));
     assert_eq!(server.phase, ServerPhase::Healthy);
     server.record_failure(second(3.0), Failure::Refused);
@@ -31,21 +31,21 @@
     assert_eq!(server.phase, ServerPhase::WarmingUp);
 }
 
-/// One failed request in three makes a server degraded and one in ten does not; after its ejection
-/// it is tried, and successful requests restore it.
+/// One failed request in three makes a server degraded, and one in ten does not. After its ejection
+/// it is tried again, and successful requests end the degraded state.
 #[test]
-fn a_server_that_loses_requests_is_degraded_though_its_probes_succeed() {
-    let mut degraded_turns = [0, 0];
-    for (index, every) in [3, 10].into_iter().enumerate() {
+fn a_server_that_loses_requests_is_degraded_although_its_probes_succeed() {
+    let mut degraded_counts = [0, 0];
+    for (index, failure_interval) in [3, 10].into_iter().enumerate() {
         let mut server = ServerHealth::new(second(0.0));
         for turn in 1..=200 {
             let now = second(f64::from(turn) * 0.01);
             server.record_success(now);
-            server.record_request_result(now, turn % every != 0);
-            degraded_turns[index] += u32::from(server.is_degraded(now, false));
+            server.record_request_result(now, turn % failure_interval != 0);
+            degraded_counts[index] += u32::from(server.is_degraded(now, false));
         }
     }
-    assert!(degraded_turns[0] > 150 && degraded_turns[1] == 0, "{degraded_turns:?}");
+    assert!(degraded_counts[0] > 150 && degraded_counts[1] == 0, "{degraded_counts:?}");
     let mut server = ServerHealth::new(second(0.0));
     for _ in 0..3 {
         server.record_request_result(second(1.0), false);
@@ -55,7 +55,7 @@
     for _ in 0..8 {
         server.record_request_result(second(5.0), true);
     }
-    assert!(server.is_degraded(second(5.0), false), "not at the first good ones");
+    assert!(server.is_degraded(second(5.0), false), "the first successful requests do not suffice");
     for _ in 0..4 {
         server.record_request_result(second(5.0), true);
     }
@@ -64,66 +64,72 @@
         server.record_request_result(second(6.0), false);
     }
     server.tick(second(39.0), SlowStartRate::default());
-    assert!(!server.is_degraded(second(39.0), false), "nobody tried it: taken for well");
+    assert!(
+        !server.is_degraded(second(39.0), false),
+        "a server without requests stops counting as degraded after a while"
+    );
 }
 
-/// All proxies together never exceed the slow-start rate while the server is warming up, in any second
-/// and wherever each one's share begins, and hardly any of it is lost to whole numbers.
+/// All proxies together never exceed the slow-start rate in any interval of one second while the server
+/// is warming up, whenever each proxy starts, and little of the rate is lost to rounding.
 #[test]
-fn slow_start_rate_holds_for_all_proxies_together() {
-    let mut shown = String::new();
+fn slow_start_rate_limits_all_proxies_together() {
+    let mut summary = String::new();
     for (per_second, proxies) in [(10.0, 8), (10.0, 12), (5.0, 8), (2.5, 8), (0.5, 8), (40.0, 3)] {
         let period = second(8.0);
         let mut all: Vec<ServerHealth> =
             (0..proxies).map(|_| ServerHealth::new(second(0.0))).collect();
         for (rank, proxy) in all.iter_mut().enumerate() {
             let rate = SlowStartRate::new(per_second, period, rank, proxies);
-            // Each proxy saw it come back at another time.
+            // Each proxy saw the server recover at another time.
             let seen_at = second(0.37 * rank as f64);
             proxy.tick(seen_at, rate);
             proxy.restart_slow_start(seen_at, seen_at);
         }
-        let mut taken: Vec<f64> = Vec::new();
+        let mut sent_at_s: Vec<f64> = Vec::new();
         for tick in 0..3200 {
             let now = second(f64::from(tick) * 0.005);
             for (rank, proxy) in all.iter_mut().enumerate() {
                 proxy.tick(now, SlowStartRate::new(per_second, period, rank, proxies));
                 if proxy.accepts_request(now) {
                     proxy.record_request(now);
-                    taken.push(now.as_secs_f64());
+                    sent_at_s.push(now.as_secs_f64());
                 }
             }
         }
-        let within =
-            |low: f64, high: f64| taken.iter().filter(|at| **at >= low && **at < high).count();
-        let most =
-            (0..140).map(|turn| within(f64::from(turn) / 20.0, f64::from(turn) / 20.0 + 1.0));
-        let most = most.max().unwrap_or(0);
-        assert!(most as f64 <= per_second.max(1.0), "{per_second}: {most} in a second");
-        shown += &format!(
-            "{per_second} a second among {proxies}: {} in the 4 s when all have begun, then {}\n",
-            within(4.0, 8.0),
-            within(8.0, 12.0)
+        let sent_between =
+            |low: f64, high: f64| sent_at_s.iter().filter(|at| **at >= low && **at < high).count();
+        let counts =
+            (0..140).map(|step| sent_between(f64::from(step) / 20.0, f64::from(step) / 20.0 + 1.0));
+        let most = counts.max().unwrap_or(0);
+        assert!(
+            most as f64 <= per_second.max(1.0),
+            "{per_second} per second: {most} in one second"
+        );
+        summary += &format!(
+            "{per_second}/s among {proxies} proxies: {} requests in 4 s once all have started, then {}\n",
+            sent_between(4.0, 8.0),
+            sent_between(8.0, 12.0)
         );
     }
     expect_test::expect![[r#"
-        10 a second among 8: 39 in the 4 s when all have begun, then 106
-        10 a second among 12: 37 in the 4 s when all have begun, then 102
-        5 a second among 8: 19 in the 4 s when all have begun, then 51
-        2.5 a second among 8: 8 in the 4 s when all have begun, then 20
-        0.5 a second among 8: 2 in the 4 s when all have begun, then 6
-        40 a second among 3: 145 in the 4 s when all have begun, then 399
+        10/s among 8 proxies: 39 requests in 4 s once all have started, then 106
+        10/s among 12 proxies: 37 requests in 4 s once all have started, then 102
+        5/s among 8 proxies: 19 requests in 4 s once all have started, then 51
+        2.5/s among 8 proxies: 8 requests in 4 s once all have started, then 20
+        0.5/s among 8 proxies: 2 requests in 4 s once all have started, then 6
+        40/s among 3 proxies: 145 requests in 4 s once all have started, then 399
     "#]]
-    .assert_eq(&shown);
+    .assert_eq(&summary);
 }
 
-/// Judged by its traffic a server is healthy again with the first success; judged by probes it takes
-/// two.
+/// With passive health checks a suspect server is healthy again after the first success; with probes
+/// it takes two.
 #[test]
-fn judged_by_traffic_one_success_ends_suspicion() {
-    for by_traffic in [false, true] {
+fn with_passive_checks_one_success_makes_a_suspect_server_healthy() {
+    for is_passively_checked in [false, true] {
         let mut server = ServerHealth::new(second(0.0));
-        server.is_judged_by_traffic = by_traffic;
+        server.is_passively_checked = is_passively_checked;
         server.mark_healthy(second(0.0));
         assert_eq!(server.phase, ServerPhase::Healthy);
         assert!(!server.needs_probe());
@@ -133,7 +139,7 @@
         server.record_failure(second(1.1), Failure::ConnectionLost);
         assert_eq!(server.phase, ServerPhase::Suspect);
         server.record_success(second(1.5));
-        let phase = if by_traffic { ServerPhase::Healthy } else { ServerPhase::Suspect };
+        let phase = if is_passively_checked { ServerPhase::Healthy } else { ServerPhase::Suspect };
         assert_eq!(server.phase, phase);
         server.record_success(second(1.6));
         assert_eq!(server.phase, ServerPhase::Healthy);
@@ -141,17 +147,19 @@
     }
 }
 
-/// One that was unreachable comes back warming up all the same, also with the first success.
+/// A server that was unreachable recovers warming up also with passive health checks, after the first
+/// success.
 #[test]
-fn judged_by_traffic_an_unreachable_server_comes_back_warming_up() {
+fn with_passive_checks_an_unreachable_server_recovers_warming_up() {
     let mut server = ServerHealth::new(second(0.0));
-    server.is_judged_by_traffic = true;
+    server.is_passively_checked = true;
     server.mark_healthy(second(0.0));
     server.record_failure(second(1.0), Failure::Refused);
     assert_eq!(server.phase, ServerPhase::Suspect);
     server.record_success(second(1.2));
     assert_eq!(server.phase, ServerPhase::WarmingUp);
-    // The endpoint list says that it is warm: that counts, and earlier failures are forgotten.
+    // If the endpoint list says that it is not warming up, it is healthy and earlier failures
+    // no longer count.
     server.mark_healthy(second(1.3));
     assert_eq!(server.phase, ServerPhase::Healthy);
     assert!(!server.needs_probe() && !server.was_refused());
@@ -159,15 +167,15 @@
     assert_eq!(
         server.phase,
         ServerPhase::Healthy,
-        "one failure is no proof, as if it were the first"
+        "one failure after that is not enough, like a first one"
     );
 }
 
-/// A time-out alone only asks for a probe, and the next success ends that.
+/// A time-out alone only requests a probe, and the next success cancels the request.
 #[test]
-fn a_time_out_requests_a_probe_and_takes_no_requests_away() {
+fn a_time_out_requests_a_probe_and_requests_are_still_accepted() {
     let mut server = ServerHealth::new(second(0.0));
-    server.is_judged_by_traffic = true;
+    server.is_passively_checked = true;
     server.mark_healthy(second(0.0));
     server.request_probe();
     assert!(server.needs_probe() && server.accepts_request(second(0.1)));
@@ -177,9 +185,9 @@
 }
 
 /// A suspect server that this proxy does not probe is tried again after a delay, and is suspect again
-/// if it is still not there.
+/// if it still fails.
 #[test]
-fn a_suspect_that_others_probe_is_retried_after_a_delay() {
+fn a_suspect_server_that_others_probe_is_tried_again_after_a_delay() {
     let ms = Duration::from_millis;
     let mut server = ServerHealth::new(ms(0));
     server.mark_healthy(ms(0));
@@ -193,21 +201,21 @@
     assert_eq!(server.phase, ServerPhase::Suspect);
 }
 
-/// Incident 0018: a server that was warming up when it failed was taken for healthy after a delay, by
-/// every proxy that does not probe it, and got all requests; as a last resort it got them at once.
+/// Incident 0018: a server that failed while warming up was marked as healthy after a delay by every
+/// proxy that did not probe it, and got requests without a limit; as a last resort it got them at once.
 #[test]
-fn a_warming_up_server_that_failed_is_retried_at_its_slow_start_rate() {
+fn a_server_that_failed_while_warming_up_is_tried_again_at_its_slow_start_rate() {
     let rate = SlowStartRate::new(5.1, second(3.0), 0, 72);
-    let interval = rate.interval.expect("the first has a part");
+    let interval = rate.interval.expect("the first proxy has a share");
     for fails in [true, false] {
         let mut server = ServerHealth::new(second(0.0));
-        server.is_judged_by_traffic = true;
+        server.is_passively_checked = true;
         server.tick(second(0.0), rate);
         server.restart_slow_start(second(0.0), Duration::ZERO);
         if fails {
             server.record_failure(second(0.5), Failure::Refused);
         } else {
-            // The other proxies report it.
+            // Other proxies report it as unreachable.
             server.apply_cluster_view(second(0.5), true, None);
         }
         assert_eq!(server.phase, ServerPhase::Suspect);
@@ -222,31 +230,32 @@
             }
         }
         let most = (2400.0 / interval.as_millis() as f64).ceil() as u32;
-        assert!(sent <= most, "{sent} in 2.4 s, and {most} are its rate");
+        assert!(sent <= most, "{sent} requests in 2.4 s, but its rate allows {most}");
         assert_eq!(server.phase, ServerPhase::WarmingUp);
         server.tick(second(3.0), rate);
-        assert_eq!(server.phase, ServerPhase::SlowStart, "by the time at which it became cold");
+        assert_eq!(server.phase, ServerPhase::SlowStart, "the warm-up counts from when it began");
         server.tick(second(6.0), rate);
         assert_eq!(
             (server.phase, server.next_slow_start_request_at()),
             (ServerPhase::Healthy, None)
         );
     }
-    // Without a share it gets nothing from this proxy.
+    // It gets no requests from a proxy without a share of its rate.
     let mut server = ServerHealth::new(second(0.0));
-    server.is_judged_by_traffic = true;
-    let none = SlowStartRate::new(5.1, second(3.0), 30, 72);
-    server.tick(second(0.0), none);
+    server.is_passively_checked = true;
+    let rate_without_share = SlowStartRate::new(5.1, second(3.0), 30, 72);
+    server.tick(second(0.0), rate_without_share);
     server.restart_slow_start(second(0.0), Duration::ZERO);
     server.apply_cluster_view(second(0.5), true, None);
     server.retry_suspect(second(2.1));
-    server.tick(second(2.1), none);
+    server.tick(second(2.1), rate_without_share);
     assert_eq!(server.next_slow_start_request_at(), Some(Duration::MAX));
 }
 
-/// One that is suspect for longer than its slow start would have taken is an ordinary suspect.
+/// A server that is suspect for longer than its slow start would have taken is no longer limited to its
+/// slow-start rate.
 #[test]
-fn a_suspect_is_bound_to_its_slow_start_rate_no_longer_than_the_slow_start() {
+fn a_suspect_server_is_limited_to_its_slow_start_rate_no_longer_than_its_slow_start() {
     let rate = SlowStartRate::new(5.1, second(3.0), 0, 72);
     let mut server = ServerHealth::new(second(0.0));
     server.tick(second(0.0), rate);
--- a/proxy/src/latency_model/mod.rs
+++ b/proxy/src/latency_model/mod.rs
@@ -1,6 +1,7 @@
-//! What a proxy learns from responses and load reports for the selection of endpoints (design 8.7):
-//! how long a class's requests take at a service and how large they are, how a server compares with
-//! the others of its service, and how loaded and how far a zone's servers are. Pure.
+//! The latency model for the selection of endpoints (design 8.7), learned from responses and load
+//! reports: the service time and size of requests by class and service, the latency of each server
+//! relative to the others of its service, and the utilization and round-trip time of each zone's
+//! servers. Does no I/O and reads no clock.
 
 mod relative_latency;
 mod request_profile;
--- a/proxy/src/latency_model/relative_latency.rs
+++ b/proxy/src/latency_model/relative_latency.rs
@@ -1,22 +1,22 @@
-//! How a server's latency compares with the usual.
+//! The latency of a server relative to the usual one in its service.
 
 use std::time::Duration;
 
-/// Least weight of a response in the average.
+/// Minimum weight of a response in the average.
 const MIN_RESPONSE_WEIGHT: f64 = 0.12;
-/// Number of responses that the initial guess counts for.
+/// Number of responses whose weight the initial estimate has.
 const INITIAL_RESPONSES: f64 = 2.0;
-/// How long after its last response a server counts as any other again.
+/// How long after its last response the relative latency of a server has decayed to the usual one.
 const EXPIRY_TIME: Duration = Duration::from_secs(6);
-/// After a pause of this length earlier responses weigh no more than an initial guess.
+/// After a pause of this length, earlier responses have no more weight than an initial estimate.
 const RESUMPTION_TIME: Duration = Duration::from_secs(2);
-/// How many times the usual time a response must be overdue for its server to count as slow.
+/// A server counts as slow if a response is overdue for more than this multiple of the usual time.
 const OVERDUE_THRESHOLD: f64 = 2.5;
-/// Bound of the logarithm of a single response's factor.
+/// Bound of the absolute value of the logarithm of a single response's factor.
 const MAX_LOG_FACTOR: f64 = 2.1;
 
-/// How long a server takes, relative to what is usual in its service. The mean of logarithms, so
-/// that one slow response does not outweigh many.
+/// Response time of a server relative to the usual time in its service. An average of logarithms, so
+/// that one slow response does not outweigh many fast ones.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RelativeLatency {
     mean_log: f64,
@@ -27,27 +27,27 @@
 impl RelativeLatency {
     /// Records a response that took `factor` times the usual time.
     pub fn record(&mut self, now: Duration, factor: f64) {
-        self.mean_log = self.faded_log(now);
-        let pause =
+        self.mean_log = self.decayed_log(now);
+        let pause_ratio =
             now.saturating_sub(self.updated_at).as_secs_f64() / RESUMPTION_TIME.as_secs_f64();
-        self.responses = self.responses * (1.0 - pause).max(0.0) + 1.0;
+        self.responses = self.responses * (1.0 - pause_ratio).max(0.0) + 1.0;
         self.updated_at = now;
         let weight = (1.0 / (self.responses + INITIAL_RESPONSES)).max(MIN_RESPONSE_WEIGHT);
         let log = factor.max(0.01).ln().clamp(-MAX_LOG_FACTOR, MAX_LOG_FACTOR);
         self.mean_log += weight * (log - self.mean_log);
     }
 
-    fn faded_log(&self, now: Duration) -> f64 {
+    fn decayed_log(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.updated_at);
         self.mean_log * (1.0 - age.as_secs_f64() / EXPIRY_TIME.as_secs_f64()).max(0.0)
     }
 
-    /// The server's time as a multiple of the usual time.
+    /// The server's response time as a multiple of the usual time.
     pub fn factor(&self, now: Duration) -> f64 {
-        self.faded_log(now).exp()
+        self.decayed_log(now).exp()
     }
 
-    /// Likewise for a server whose responses are overdue for `overdue` times the usual time.
+    /// The same for a server whose responses are overdue for `overdue` times the usual time.
     pub fn factor_when_overdue(&self, now: Duration, overdue: f64) -> f64 {
         let factor = self.factor(now);
         if overdue > OVERDUE_THRESHOLD { factor.max(overdue) } else { factor }
--- a/proxy/src/latency_model/request_profile.rs
+++ b/proxy/src/latency_model/request_profile.rs
@@ -3,30 +3,30 @@
 use crate::load_balancing::RequestCost;
 use std::collections::HashMap;
 
-/// Service time that is assumed before the first response.
+/// Service time assumed before the first response.
 const INITIAL_SERVICE_TIME_MS: f64 = 100.0;
-/// Size that is assumed before the first response.
+/// Size assumed before the first response.
 const INITIAL_KILOBYTES: f64 = 4.0;
-/// Likewise for classes of bulk transfers.
+/// Size assumed before the first response for classes of bulk transfers.
 const INITIAL_BULK_KILOBYTES: f64 = 64.0;
-/// Least weight of a response in the averages.
+/// Minimum weight of a response in the averages.
 const MIN_RESPONSE_WEIGHT: f64 = 0.02;
 
-/// Weight of a request in the share of those that find congestion.
+/// Weight of a request in the moving average of the share of requests that find congestion.
 const CONGESTION_WEIGHT: f64 = 0.05;
-/// Share of requests that find congestion from which on it counts as persistent.
+/// Share of requests that find congestion from which the congestion counts as persistent.
 const PERSISTENT_CONGESTION_SHARE: f64 = 0.5;
 
-/// Number of services, and of classes for each, that are stored at the most: their names
-/// change with configurations.
+/// Maximum number of services, and of classes for each service, that are stored. Their names change
+/// with configurations, so without a limit the maps would grow.
 const MAX_PROFILES: usize = 4096;
 
-/// What is learned of the requests of one class at one service.
+/// What was learned about the requests of one class at one service.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestProfile {
     cost: RequestCost,
     responses: f64,
-    /// The share of the latest requests that found congestion at every server.
+    /// Moving average of the share of requests that found congestion at every server.
     congestion: f64,
 }
 
@@ -41,25 +41,25 @@
         }
     }
 
-    /// What a request usually costs.
+    /// The usual cost of a request.
     pub fn cost(&self) -> RequestCost {
         self.cost
     }
 
-    /// Records whether a request found such a queue at every server that its response would take
-    /// longer than is tolerated under persistent congestion.
+    /// Records whether a request found congestion at every server: queues in which its response would
+    /// take longer than is tolerated under persistent congestion.
     pub fn record_congestion(&mut self, found_congestion: bool) {
         let found = f64::from(u8::from(found_congestion));
         self.congestion += CONGESTION_WEIGHT * (found - self.congestion);
     }
 
-    /// How much of the latency target may be spent in a queue beyond the least: from 1, while few
-    /// requests find congestion, to 0, where half of them find it and it persists.
+    /// How much of the latency target a request may be expected to use beyond the minimum share: from 1,
+    /// while no requests find congestion, to 0, when half of them do and the congestion is persistent.
     pub fn tolerance(&self) -> f64 {
         (1.0 - self.congestion / PERSISTENT_CONGESTION_SHARE).max(0.0)
     }
 
-    /// Records a response. `service_time_ms` is without the slowdown by its server's load.
+    /// Records a response. `service_time_ms` excludes the slowdown due to its server's load.
     pub fn record_response(&mut self, service_time_ms: f64, kilobytes: Option<f64>) {
         self.responses += 1.0;
         let weight = (1.0 / self.responses).max(MIN_RESPONSE_WEIGHT);
@@ -78,13 +78,13 @@
 }
 
 impl RequestProfiles {
-    /// What requests of this class usually cost at this service.
+    /// The usual cost of requests of this class at this service.
     pub fn cost(&self, class: &str, service: &str, is_bulk: bool) -> RequestCost {
-        let known = self.by_service.get(service).and_then(|classes| classes.get(class));
-        known.copied().unwrap_or_else(|| RequestProfile::new(is_bulk)).cost()
+        let profile = self.by_service.get(service).and_then(|classes| classes.get(class));
+        profile.copied().unwrap_or_else(|| RequestProfile::new(is_bulk)).cost()
     }
 
-    /// The profile of this class at this service; a new one if there is none.
+    /// The profile of this class at this service. Creates it if there is none.
     pub fn profile_mut(
         &mut self,
         class: &str,
@@ -96,7 +96,7 @@
     }
 }
 
-/// The value of this key, inserted where it is missing. A map that is full is cleared first.
+/// The value of this key, inserted if it is missing. A full map is cleared first.
 fn get_or_insert_bounded<'m, V>(
     map: &'m mut HashMap<String, V>,
     key: &str,
@@ -105,7 +105,7 @@
     if !map.contains_key(key) && map.len() >= MAX_PROFILES {
         map.clear();
     }
-    // A known key, which is the usual case, is found without a copy of it.
+    // In the usual case the key is known and need not be copied.
     if !map.contains_key(key) {
         map.insert(key.to_string(), new_value());
     }
--- a/proxy/src/latency_model/tests.rs
+++ b/proxy/src/latency_model/tests.rs
@@ -15,16 +15,16 @@
     }
     let cost = profile.cost();
     assert_eq!((cost.service_time_ms.round(), cost.kilobytes.round()), (170.0, 90.0));
-    // One slow response moves it by little, and one without a length says nothing of sizes.
+    // One slow response changes the average little; one without a length does not change the size.
     profile.record_response(1700.0, None);
     assert!((171.0..230.0).contains(&profile.cost().service_time_ms), "{:?}", profile.cost());
     assert_eq!(profile.cost().kilobytes.round(), 90.0);
 }
 
-/// A few requests that find congestion change little; where half of all find it, it is persistent until
-/// it is gone.
+/// If few requests find congestion, the tolerance decreases little. If more than half of them do, it is
+/// 0 until the congestion is over.
 #[test]
-fn congestion_is_persistent_where_half_of_all_requests_find_it() {
+fn congestion_is_persistent_if_half_of_all_requests_find_it() {
     let mut profile = RequestProfile::new(false);
     assert_eq!(profile.tolerance(), 1.0);
     (0..200).for_each(|count| profile.record_congestion(count % 5 == 0));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_slow_server_is_known_after_a_few_responses_and_forgotten_without_any() {
+fn a_slow_server_is_recognized_after_a_few_responses_and_forgotten_without_any() {
     let mut relative_latency = RelativeLatency::default();
     assert_eq!(relative_latency.factor(ms(0)), 1.0);
     for count in 1..=6 {
@@ -49,7 +49,7 @@
     );
     assert!(relative_latency.factor(ms(3600)) < relative_latency.factor(ms(600)));
     assert_eq!(relative_latency.factor(ms(6600)), 1.0);
-    // It takes the usual time again.
+    // The server takes the usual time again.
     for count in 7..=40 {
         relative_latency.record(ms(count * 100), 1.0);
     }
@@ -58,26 +58,26 @@
         "{}",
         relative_latency.factor(ms(4000))
     );
-    // However long a single response took.
+    // A single slow response changes the factor little, however long it took.
     relative_latency.record(ms(4100), 1e6);
     assert!(relative_latency.factor(ms(4100)) < 1.4, "{}", relative_latency.factor(ms(4100)));
 }
 
 #[test]
-fn overdue_responses_make_a_server_slow_before_they_arrive_and_it_recovers_soon_after() {
+fn overdue_responses_mark_a_server_as_slow_before_they_arrive_and_fast_ones_end_that_soon() {
     let mut relative_latency = RelativeLatency::default();
     for count in 1..=20 {
         relative_latency.record(ms(count * 100), 1.0);
     }
     assert!(
         relative_latency.factor_when_overdue(ms(2000), 2.0) < 1.1,
-        "as long as many answers take"
+        "a response may take twice the usual time"
     );
     assert_eq!(relative_latency.factor_when_overdue(ms(2000), 4.0), 4.0);
     for count in 1..=10 {
         relative_latency.record(ms(2000 + count * 100), 5.0);
     }
-    // After a pause one fast response counts as much as all before it.
+    // After a pause, one fast response has as much weight as all earlier ones together.
     assert!(relative_latency.factor(ms(3000)) > 2.5, "{}", relative_latency.factor(ms(3000)));
     relative_latency.record(ms(5500), 1.0);
     assert!(relative_latency.factor(ms(5500)) < 1.8, "{}", relative_latency.factor(ms(5500)));
@@ -97,27 +97,30 @@
     assert_eq!(pool.utilization(ms(9000), 0.3), 0.3);
 }
 
-/// A zone of which nothing is known is taken to be like the others, not idle.
+/// A zone about which nothing is known is assumed to be like the others, not idle.
 #[test]
-fn a_zone_that_comes_back_is_as_utilized_as_the_others() {
-    let unknown = super::mean_utilization(ms(0), [].iter());
+fn a_zone_that_recovers_is_assumed_to_be_as_utilized_as_the_others() {
+    let initial_utilization = super::mean_utilization(ms(0), [].iter());
     let mut pools = vec![ZonePool::default(); 3];
     for pool in &mut pools[..2] {
         (0..30).for_each(|count| pool.record_load(ms(5000 + count * 10), 1.2));
     }
-    let usual = super::mean_utilization(ms(5300), pools.iter());
-    assert!(usual > 1.0 && unknown < 0.4, "{usual} {unknown}");
-    assert!(pools[2].utilization(ms(5300), usual) > 1.0);
-    // Long after, the initial assumption.
-    assert!((super::mean_utilization(ms(60_000), pools.iter()) - unknown).abs() < 0.01);
+    let usual_utilization = super::mean_utilization(ms(5300), pools.iter());
+    assert!(
+        usual_utilization > 1.0 && initial_utilization < 0.4,
+        "{usual_utilization} {initial_utilization}"
+    );
+    assert!(pools[2].utilization(ms(5300), usual_utilization) > 1.0);
+    // Long after the last load reports, the initial assumption applies.
+    assert!((super::mean_utilization(ms(60_000), pools.iter()) - initial_utilization).abs() < 0.01);
 }
 
 #[test]
-fn round_trip_time_is_the_least_connect_time() {
+fn round_trip_time_is_the_shortest_connect_time() {
     let mut pool = ZonePool::default();
     assert!(pool.round_trip_ms(Distance::OtherRegion) > pool.round_trip_ms(Distance::Zone));
-    for took in [40, 24, 90, 30] {
-        pool.record_connection(ms(took));
+    for connect_time_ms in [40, 24, 90, 30] {
+        pool.record_connection(ms(connect_time_ms));
     }
     assert!(
         (24.0..27.0).contains(&pool.round_trip_ms(Distance::OtherRegion)),
@@ -129,18 +132,21 @@
 #[test]
 fn pools_and_profiles_are_found_by_their_names() {
     let mut pools = ZonePools::default();
-    let first = pools.find_or_insert("s", "a1");
-    assert_ne!(pools.find_or_insert("s", "b1"), first);
-    assert_ne!(pools.find_or_insert("t", "a1"), first);
-    assert_eq!(pools.find_or_insert("s", "a1"), first);
-    (0..30).for_each(|count| pools.get_mut(first).record_load(ms(9000 + count), 1.2));
+    let first_pool = pools.find_or_insert("s", "a1");
+    assert_ne!(pools.find_or_insert("s", "b1"), first_pool);
+    assert_ne!(pools.find_or_insert("t", "a1"), first_pool);
+    assert_eq!(pools.find_or_insert("s", "a1"), first_pool);
+    (0..30).for_each(|count| pools.get_mut(first_pool).record_load(ms(9000 + count), 1.2));
     assert!(
         pools.mean_utilization(ms(9030), "s") > 0.9 && pools.mean_utilization(ms(9030), "t") < 0.4
     );
 
-    // An unknown zone is taken to be at the service's mean.
-    let other = pools.find_or_insert("s", "b1");
-    assert!(pools.utilization(ms(9030), other) > 0.9 && pools.utilization(ms(90_000), other) < 0.4);
+    // A zone without load reports is assumed to have the service's mean utilization.
+    let other_pool = pools.find_or_insert("s", "b1");
+    assert!(
+        pools.utilization(ms(9030), other_pool) > 0.9
+            && pools.utilization(ms(90_000), other_pool) < 0.4
+    );
 
     let mut profiles = RequestProfiles::default();
     profiles.profile_mut("c", "s", false).record_response(40.0, None);
--- a/proxy/src/latency_model/zone_pool.rs
+++ b/proxy/src/latency_model/zone_pool.rs
@@ -1,26 +1,26 @@
-//! How loaded and how far the servers of a service are in a zone.
+//! Utilization and round-trip time of the servers of a service in a zone.
 
 use crate::load_balancing::Distance;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Utilization by other proxies that is assumed where nothing is known.
+/// Utilization by other proxies that is assumed if nothing is known.
 const INITIAL_UTILIZATION: f64 = 0.3;
-/// Weight of that assumption among the zones of a service.
+/// Weight of that assumption in the mean over the zones of a service.
 const INITIAL_UTILIZATION_WEIGHT: f64 = 0.2;
-/// Weight of a load report in a pool's utilization.
+/// Weight of a load report in the moving average of a pool's utilization.
 const REPORT_WEIGHT: f64 = 0.2;
 /// Utilization at which a load report is capped.
 const MAX_REPORTED_UTILIZATION: f64 = 1.5;
-/// Time in which a pool's utilization fades into what is usual.
-const FADING_TIME: Duration = Duration::from_secs(3);
-/// Weight of a connection that took longer than the least round trip.
+/// Time in which a pool's utilization decays to the usual one without load reports.
+const DECAY_TIME: Duration = Duration::from_secs(3);
+/// Weight of a connection that took longer to open than the known round-trip time.
 const SLOWER_CONNECTION_WEIGHT: f64 = 0.02;
 
 /// The servers of one service in one zone.
 #[derive(Clone, Debug)]
 pub struct ZonePool {
-    /// Requests of other proxies for each unit of concurrency.
+    /// Requests of other proxies per unit of concurrency.
     utilization: f64,
     updated_at: Duration,
     round_trip_ms: Option<f64>,
@@ -37,28 +37,29 @@
 }
 
 impl ZonePool {
-    /// Records a load report of one of its servers: so many requests of other proxies for each unit
-    /// of its concurrency.
-    pub fn record_load(&mut self, now: Duration, others: f64) {
+    /// Records a load report of one of its servers: the number of other proxies' requests per unit of
+    /// the server's concurrency.
+    pub fn record_load(&mut self, now: Duration, other_utilization: f64) {
         self.utilization = self.utilization(now, INITIAL_UTILIZATION);
         self.updated_at = now;
         self.utilization +=
-            REPORT_WEIGHT * (others.min(MAX_REPORTED_UTILIZATION) - self.utilization);
+            REPORT_WEIGHT * (other_utilization.min(MAX_REPORTED_UTILIZATION) - self.utilization);
     }
 
-    /// Utilization of its servers by other proxies; `usual` where nothing new is known of the zone.
-    pub fn utilization(&self, now: Duration, usual: f64) -> f64 {
-        usual + (self.utilization - usual) * self.freshness(now)
+    /// Utilization of its servers by other proxies. Tends to `usual_utilization` as the last load
+    /// report ages.
+    pub fn utilization(&self, now: Duration, usual_utilization: f64) -> f64 {
+        usual_utilization + (self.utilization - usual_utilization) * self.freshness(now)
     }
 
-    /// Weight of what is known, from 1 when it is new to 0.
+    /// Weight of the last load report: 1 when it is new, decreasing to 0.
     fn freshness(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.updated_at).as_secs_f64();
-        (1.0 - age / FADING_TIME.as_secs_f64()).max(0.0)
+        (1.0 - age / DECAY_TIME.as_secs_f64()).max(0.0)
     }
 
-    /// Records how long a connection took to open. The least is the round trip; more than
-    /// that was queueing on the network.
+    /// Records how long opening a connection took. The shortest time is the round-trip time; any
+    /// excess is due to queueing in the network, so it has little weight.
     pub fn record_connection(&mut self, connect_time: Duration) {
         let connect_ms = connect_time.as_secs_f64() * 1000.0;
         let before = self.round_trip_ms.unwrap_or(connect_ms);
@@ -69,7 +70,7 @@
         });
     }
 
-    /// Round-trip time in milliseconds; a guess by distance before the first connection.
+    /// Round-trip time in milliseconds; an estimate by distance before the first connection.
     pub fn round_trip_ms(&self, distance: Distance) -> f64 {
         self.round_trip_ms.unwrap_or(match distance {
             Distance::Subset | Distance::Zone => 1.0,
@@ -95,7 +96,7 @@
 }
 
 impl ZonePools {
-    /// Index of the pool of this service in this zone; a new one if there is none.
+    /// Index of the pool of this service in this zone. Creates the pool if there is none.
     pub fn find_or_insert(&mut self, service: &str, zone: &str) -> usize {
         if let Some(index) = self.by_service.get(service).and_then(|zones| zones.get(zone)) {
             return *index;
@@ -112,12 +113,13 @@
         &self.all[index].pool
     }
 
-    /// Likewise, to record something.
+    /// The same, for updates.
     pub fn get_mut(&mut self, index: usize) -> &mut ZonePool {
         &mut self.all[index].pool
     }
 
-    /// Utilization of a pool's servers by other proxies, as far as it is known.
+    /// Utilization of a pool's servers by other proxies. Tends to the service's mean as the pool's last
+    /// load report ages.
     pub fn utilization(&self, now: Duration, index: usize) -> f64 {
         let ServicePool { service, pool } = &self.all[index];
         pool.utilization(now, self.mean_utilization(now, service))
@@ -130,8 +132,8 @@
     }
 }
 
-/// Mean utilization of the pools that reported lately: what is expected of one that did not. A zone
-/// that comes back would draw all requests at once if it were taken to be idle.
+/// Mean utilization of the pools with recent load reports, which is assumed for a pool without one. If
+/// a zone that recovers were assumed to be idle, it would attract all requests at once.
 pub fn mean_utilization<'p>(now: Duration, pools: impl Iterator<Item = &'p ZonePool>) -> f64 {
     let initial = (INITIAL_UTILIZATION * INITIAL_UTILIZATION_WEIGHT, INITIAL_UTILIZATION_WEIGHT);
     let (sum, weight) = pools.fold(initial, |(sum, weight), pool| {
