--- a/proxy/src/connector.rs
+++ b/proxy/src/connector.rs
@@ -65,8 +65,8 @@
 ///
 /// # Errors
 /// [`Failure::Refused`] if nobody accepts, [`Failure::Unreachable`] after the time-out,
-/// [`Failure::ConnectionLost`] if the connection ends at once, and [`Failure::NoResponse`] if this process has no
-/// file descriptor left.
+/// [`Failure::ConnectionLost`] if the connection ends at once, and [`Failure::NoResponse`] if this
+/// process has no file descriptor left.
 pub async fn open(
     endpoint: &Endpoint,
     is_far: bool,
--- a/proxy/src/load_balancing/tests.rs
+++ b/proxy/src/load_balancing/tests.rs
@@ -1,9 +1,9 @@
 use super::{Candidate, Distance, MAX_UTILIZATION, RequestCost, choose};
 
-/// A deterministic source of numbers.
-struct Draw(u64);
+/// A deterministic random number generator.
+struct TestRng(u64);
 
-impl Draw {
+impl TestRng {
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
         let mixed = (self.0 ^ (self.0 >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
@@ -40,60 +40,72 @@
 const LARGE: RequestCost = RequestCost { service_time_ms: 130.0, kilobytes: 90.0 };
 
 fn each_case(mut check: impl FnMut(&[Candidate], &RequestCost, u64, Option<&Candidate>)) {
-    let mut draw = Draw(11);
+    let mut rng = TestRng(11);
     for case in 0..CASES {
-        let candidates = draw.candidates();
-        let random = draw.next();
+        let candidates = rng.candidates();
+        let random = rng.next();
         let request = if case % 2 == 0 { LARGE } else { SMALL };
         let chosen = choose(&candidates, &request, random);
-        let chosen = chosen
-            .map(|index| candidates.iter().find(|one| one.index == index).expect("one of them"));
+        let chosen = chosen.map(|index| {
+            candidates
+                .iter()
+                .find(|candidate| candidate.index == index)
+                .expect("index of a candidate")
+        });
         check(&candidates, &request, random, chosen);
     }
 }
 
-/// A candidate is chosen as long as one has capacity, and never one that is full.
+/// A candidate is chosen if any has capacity, and a full one is never chosen.
 #[test]
-fn a_candidate_with_capacity_is_chosen_and_a_full_one_never() {
-    let mut none = 0;
+fn a_candidate_with_capacity_is_chosen_and_a_full_one_is_not() {
+    let mut without_capacity = 0;
     each_case(|candidates, _, _, chosen| {
-        let has_room = candidates.iter().any(|one| one.utilization() <= MAX_UTILIZATION);
-        assert_eq!(chosen.is_some(), has_room, "{candidates:?}");
-        none += usize::from(chosen.is_none());
+        let has_capacity =
+            candidates.iter().any(|candidate| candidate.utilization() <= MAX_UTILIZATION);
+        assert_eq!(chosen.is_some(), has_capacity, "{candidates:?}");
+        without_capacity += usize::from(chosen.is_none());
         assert!(
-            chosen.is_none_or(|one| one.utilization() <= MAX_UTILIZATION),
+            chosen.is_none_or(|candidate| candidate.utilization() <= MAX_UTILIZATION),
             "{chosen:?} of {candidates:?}"
         );
     });
-    assert!(none > 100 && none < CASES / 2, "{none} cases without room");
+    assert!(
+        without_capacity > 100 && without_capacity < CASES / 2,
+        "{without_capacity} cases without capacity"
+    );
 }
 
-/// The chosen candidate costs least. Among servers of equal latency and distance that is the one with
-/// the least load, and no request goes farther while such a server has free capacity nearer.
+/// The chosen candidate costs least. Among servers of equal latency and distance it has the least load.
+/// No request goes to a farther server while an equal server nearer has free capacity.
 #[test]
-fn the_least_cost_and_so_near_capacity_comes_first() {
+fn the_candidate_of_least_cost_is_chosen_and_so_near_capacity_comes_first() {
     each_case(|candidates, request, _, chosen| {
         let Some(chosen) = chosen else { return };
-        let with_room = || candidates.iter().filter(|one| one.utilization() <= MAX_UTILIZATION);
-        for one in with_room() {
-            assert!(chosen.cost(request) <= one.cost(request), "{chosen:?} of {candidates:?}");
-            let is_alike = one.relative_latency <= chosen.relative_latency
-                && one.concurrency == chosen.concurrency
-                && one.round_trip_ms <= chosen.round_trip_ms
-                && one.is_connected >= chosen.is_connected;
-            if is_alike && one.distance == chosen.distance {
-                assert!(chosen.load <= one.load, "{chosen:?} of {candidates:?}");
+        let with_capacity =
+            || candidates.iter().filter(|candidate| candidate.utilization() <= MAX_UTILIZATION);
+        for candidate in with_capacity() {
+            assert!(
+                chosen.cost(request) <= candidate.cost(request),
+                "{chosen:?} of {candidates:?}"
+            );
+            let is_as_good = candidate.relative_latency <= chosen.relative_latency
+                && candidate.concurrency == chosen.concurrency
+                && candidate.round_trip_ms <= chosen.round_trip_ms
+                && candidate.is_connected >= chosen.is_connected;
+            if is_as_good && candidate.distance == chosen.distance {
+                assert!(chosen.load <= candidate.load, "{chosen:?} of {candidates:?}");
             }
-            // Half of its concurrency costs others nothing.
-            let has_room = one.load + 1.0 <= (one.concurrency / 2.0).max(1.0);
-            let is_passed_over = one.distance < Distance::Region
+            // Up to half of its concurrency a request does not delay others.
+            let is_uncongested = candidate.load + 1.0 <= (candidate.concurrency / 2.0).max(1.0);
+            let is_passed_over = candidate.distance < Distance::Region
                 && chosen.distance >= Distance::Region
-                && has_room
-                && is_alike;
+                && is_uncongested
+                && is_as_good;
             assert!(!is_passed_over, "{chosen:?} of {candidates:?}");
         }
     });
-    // A farther server with less load gains a tenth of the service time at the most.
+    // Less load makes a farther server cheaper by at most a tenth of the service time.
     let near = Candidate { index: 0, distance: Distance::Zone, ..candidate(0, 1.0) };
     let far = Candidate { index: 1, distance: Distance::Region, ..candidate(1, 0.0) };
     assert_eq!(choose(&[near, far], &SMALL, 0), Some(0));
@@ -119,17 +131,17 @@
         if *request != LARGE || chosen.distance < Distance::Region {
             return;
         }
-        let near = candidates.iter().filter(|one| one.distance < Distance::Region);
-        for one in near.filter(|one| one.relative_latency <= 1.5) {
-            assert!(one.utilization() > 2.0, "{chosen:?} of {candidates:?}");
+        let near = candidates.iter().filter(|candidate| candidate.distance < Distance::Region);
+        for candidate in near.filter(|candidate| candidate.relative_latency <= 1.5) {
+            assert!(candidate.utilization() > 2.0, "{chosen:?} of {candidates:?}");
         }
     });
 }
 
-/// The last free unit of a near server is used after uncongested ones of the region and far away, and
-/// a slow server's first one after a fast server's next.
+/// The last free unit of concurrency of a near server is used only after uncongested servers in other
+/// zones and regions, and the first one of a slow server only after the next one of a fast server.
 #[test]
-fn the_last_free_unit_is_left_where_others_have_capacity() {
+fn the_last_free_unit_of_concurrency_is_not_used_while_others_have_capacity() {
     let near = Candidate { concurrency: 3.0, ..candidate(0, 2.0) };
     let far = Candidate {
         distance: Distance::OtherRegion,
@@ -145,10 +157,10 @@
     assert_eq!(choose(&[slow, Candidate { load: 4.0, ..fast }], &SMALL, 0), Some(2));
 }
 
-/// A server is congested for a request that would be late in its queue; one with free capacity never
-/// is, however long requests take, for its responses show when they no longer do.
+/// A server is congested for a request that would be late because of its queue. A server with free
+/// capacity never is, however long requests take, because its responses show when they take less.
 #[test]
-fn a_queue_is_congested_where_it_would_be_late() {
+fn a_server_is_congested_if_the_request_would_be_late_in_its_queue() {
     let target = std::time::Duration::from_millis(600);
     let limit_ms = |is_at_most_once, tolerance| {
         super::max_response_time_ms(target, is_at_most_once, tolerance)
@@ -164,19 +176,23 @@
     assert!(!candidate(0, 6.0).is_congested(&SMALL, at_most_once));
 }
 
-/// Neither the draw nor the order of the candidates changes anything but which of equal ones it is.
+/// The random number and the order of the candidates only decide among candidates of equal cost and
+/// distance.
 #[test]
-fn the_draw_decides_among_equals_only() {
-    let mut draw = Draw(5);
+fn the_random_number_decides_only_among_equal_candidates() {
+    let mut rng = TestRng(5);
     each_case(|candidates, request, random, chosen| {
         let Some(chosen) = chosen else { return };
         let mut shuffled = candidates.to_vec();
         for index in (1..shuffled.len()).rev() {
-            shuffled.swap(index, draw.below(index as u64 + 1) as usize);
+            shuffled.swap(index, rng.below(index as u64 + 1) as usize);
         }
         for random in [0, 1, random / 3, u64::MAX] {
-            let other = choose(&shuffled, request, random).expect("there is one");
-            let other = candidates.iter().find(|one| one.index == other).expect("one of them");
+            let other = choose(&shuffled, request, random).expect("a candidate has capacity");
+            let other = candidates
+                .iter()
+                .find(|candidate| candidate.index == other)
+                .expect("index of a candidate");
             assert_eq!(
                 (other.cost(request), other.distance),
                 (chosen.cost(request), chosen.distance)
@@ -185,47 +201,48 @@
     });
 }
 
-/// Of equal candidates each gets its part.
+/// Equal candidates get equal shares of the requests.
 #[test]
 fn equal_candidates_share_the_requests() {
     let candidates: Vec<Candidate> = (0..5).map(|index| candidate(index, 1.0)).collect();
-    let mut draw = Draw(3);
+    let mut rng = TestRng(3);
     let mut counts = [0; 5];
     for _ in 0..5000 {
-        counts[choose(&candidates, &SMALL, draw.next()).expect("there is one")] += 1;
+        counts[choose(&candidates, &SMALL, rng.next()).expect("a candidate has capacity")] += 1;
     }
     assert!(counts.iter().all(|count| (850..1150).contains(count)), "{counts:?}");
 }
 
-/// More load, a higher latency, no connection or a longer round trip never draws requests to a server
-/// that would have gone elsewhere.
+/// More load, a higher latency, the lack of a connection or a longer round trip never makes a server
+/// the chosen one if it was not before.
 #[test]
-fn more_load_never_attracts() {
-    let mut draw = Draw(17);
+fn more_load_never_attracts_requests() {
+    let mut rng = TestRng(17);
     each_case(|candidates, request, random, chosen| {
         if candidates.is_empty() {
             return;
         }
-        let at = draw.below(candidates.len() as u64) as usize;
-        for what in 0..4 {
-            let mut heavier = candidates.to_vec();
-            match what {
-                0 => heavier[at].load += 1.0,
-                1 => heavier[at].relative_latency *= 1.2,
-                2 => heavier[at].is_connected = false,
-                _ => heavier[at].round_trip_ms += 5.0,
+        let at = rng.below(candidates.len() as u64) as usize;
+        for change in 0..4 {
+            let mut changed = candidates.to_vec();
+            match change {
+                0 => changed[at].load += 1.0,
+                1 => changed[at].relative_latency *= 1.2,
+                2 => changed[at].is_connected = false,
+                _ => changed[at].round_trip_ms += 5.0,
             }
-            let was_chosen = chosen.is_some_and(|one| one.index == candidates[at].index);
-            let is_chosen = choose(&heavier, request, random) == Some(candidates[at].index);
+            let was_chosen =
+                chosen.is_some_and(|candidate| candidate.index == candidates[at].index);
+            let is_chosen = choose(&changed, request, random) == Some(candidates[at].index);
             assert!(was_chosen || !is_chosen, "{candidates:?} at {at}");
         }
     });
 }
 
-/// Where requests go one after the other, none of which ends.
+/// The order in which servers are chosen for successive requests of which none completes.
 #[test]
-fn a_rising_load_spreads_from_near_to_far() {
-    let mut shown = String::new();
+fn a_rising_load_spreads_from_near_to_far_servers() {
+    let mut summary = String::new();
     for request in [SMALL, LARGE] {
         let all = [Distance::Subset, Distance::Zone, Distance::Region, Distance::OtherRegion];
         let mut candidates: Vec<Candidate> = all
@@ -243,11 +260,11 @@
             candidates[index].load += 1.0;
             order += ["o", "z", "r", "f"][index];
         }
-        shown += &format!("{} kB: {order}\n", request.kilobytes);
+        summary += &format!("{} kB: {order}\n", request.kilobytes);
     }
     expect_test::expect![[r#"
         4 kB: ozrfozrfozrfozrfozrfozrfozrfozrf
         90 kB: ozozozozozozozozrfrfrfrfrfrfrfrf
     "#]]
-    .assert_eq(&shown);
+    .assert_eq(&summary);
 }
--- a/proxy/src/request_rates/tests.rs
+++ b/proxy/src/request_rates/tests.rs
@@ -1,21 +1,22 @@
 use super::RequestRates;
 use std::time::Duration;
 
-/// The same rate measures the same, however seldom or often it is measured, and through a change of
-/// the configuration; a new service begins at zero.
+/// The measured rate depends neither on the measuring interval nor on a change of the configuration. A
+/// new service starts at zero.
 #[test]
 fn rates_do_not_depend_on_the_measuring_interval() {
     let mut request_rates = RequestRates::default();
     request_rates.set_services(["a", "b"].into_iter());
     assert_eq!(request_rates.measure(Duration::ZERO)["b"], 0);
     let mut now_ms = 0;
-    for (turn, span_ms) in
+    for (step, interval_ms) in
         [2000, 200, 1800, 2000, 400, 2000, 2000, 2000, 2000, 2000].iter().enumerate()
     {
-        (0..span_ms / 50).for_each(|_| request_rates.record_request(if turn < 5 { 1 } else { 0 }));
-        now_ms += span_ms;
+        (0..interval_ms / 50)
+            .for_each(|_| request_rates.record_request(if step < 5 { 1 } else { 0 }));
+        now_ms += interval_ms;
         request_rates.measure(Duration::from_millis(now_ms));
-        if turn == 4 {
+        if step == 4 {
             request_rates.set_services(["b", "c"].into_iter());
         }
     }
--- a/proxy/src/retry_budget.rs
+++ b/proxy/src/retry_budget.rs
@@ -1,34 +1,36 @@
-//! The retry budget: retries stay a small share of the traffic of each service (design 8.5). Pure.
+//! The retry budget, which limits retries to a small share of the traffic of each service (design
+//! 8.5). Does no I/O and reads no clock.
 
 use std::collections::HashMap;
 use std::time::Duration;
 use vanepath_config::settings::RetryBudgetSettings;
 
-/// The share of the configured budget that is used. Proxies count on their own, and the retries of
-/// the others are not known at once.
+/// The share of the configured budget that is used. The rest is a margin because each proxy counts
+/// retries on its own and does not learn at once of the retries of the others.
 const SAFETY_MARGIN: f64 = 0.75;
 
-/// The share of the budget for requests whose server is only slow, so that enough is left for
-/// those whose server is gone.
+/// The share of the budget that requests at slow servers may use, so that enough is left for requests
+/// whose server has failed.
 const SLOW_SHARE: f64 = 0.5;
 
-/// What a retry is for.
+/// The reason for a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryReason {
-    /// The server is slow but answers other requests meanwhile: it may still answer this one.
+    /// The server is slow but has responded to other requests in the meantime: it may still respond to
+    /// this one.
     Slow,
-    /// The last attempt failed.
+    /// The attempt failed, or its server has responded to no request since.
     Lost,
 }
 
-/// A budget for each service, by name: names outlive a change of the config.
+/// The budgets of all services, by name, since a service keeps its name when the configuration changes.
 pub struct RetryBudgets {
     settings: RetryBudgetSettings,
     services: HashMap<String, RetryBudget>,
 }
 
 impl RetryBudgets {
-    /// Budgets without any traffic yet.
+    /// Budgets without any traffic so far.
     pub fn new(settings: RetryBudgetSettings) -> RetryBudgets {
         RetryBudgets { settings, services: HashMap::default() }
     }
@@ -45,8 +47,8 @@
         self.for_service(service).record_request(now);
     }
 
-    /// Whether one more retry may be made; if so it is counted. `live_proxies` is the number of
-    /// proxies that share the budget.
+    /// Whether one more retry is within the budget. If so, it is counted. `live_proxies` is the number
+    /// of proxies that share the budget.
     pub fn try_take(
         &mut self,
         now: Duration,
@@ -57,7 +59,7 @@
         self.for_service(service).try_take(now, live_proxies, reason)
     }
 
-    /// Whether one more retry would be within the budget; counts nothing.
+    /// Whether one more retry would be within the budget. Counts nothing.
     pub fn would_allow(
         &mut self,
         now: Duration,
@@ -69,7 +71,7 @@
     }
 }
 
-/// What happened within one second of the node's clock.
+/// Requests and retries within one second of the node's clock.
 #[derive(Clone, Copy, Debug, Default)]
 struct SecondCounts {
     second: u64,
@@ -77,15 +79,15 @@
     retries: u64,
 }
 
-/// The budget of one service. Counts by second, over one second more than the window, so that no
-/// window, wherever it begins, holds more retries than allowed.
+/// The budget of one service. Retries are counted by second over one second more than the window, so
+/// that no window exceeds the limit, whenever it begins within a second.
 pub struct RetryBudget {
     /// Retries allowed per request that this proxy received within the window.
     ratio: f64,
-    /// Retries allowed on top within the window, divided among the live proxies.
+    /// Additional retries allowed within the window, divided among the live proxies.
     extra: f64,
     window_s: u64,
-    /// A ring indexed by second.
+    /// Ring buffer, indexed by second.
     seconds: Vec<SecondCounts>,
 }
 
@@ -96,7 +98,7 @@
 }
 
 impl RetryBudget {
-    /// A budget without any traffic yet. The window is rounded up to whole seconds.
+    /// A budget without any traffic so far. The window is rounded up to whole seconds.
     pub fn new(settings: RetryBudgetSettings) -> RetryBudget {
         let window_s = (settings.window.as_millis() as u64).div_ceil(1000).max(1);
         RetryBudget {
@@ -107,7 +109,7 @@
         }
     }
 
-    /// The counts of the present second; those of an earlier one in their place are reset.
+    /// The counts of the current second. Those of an earlier second in the same slot are reset.
     fn current(&mut self, now: Duration) -> &mut SecondCounts {
         let second = now.as_secs();
         let count = self.seconds.len();
@@ -123,22 +125,23 @@
         self.current(now).requests += 1;
     }
 
-    /// Whether one more retry may be made; if so it is counted. `live_proxies` is the number of
-    /// proxies that share the budget.
+    /// Whether one more retry is within the budget. If so, it is counted. `live_proxies` is the number
+    /// of proxies that share the budget.
     pub fn try_take(&mut self, now: Duration, live_proxies: usize, reason: RetryReason) -> bool {
         let is_allowed = self.would_allow(now, live_proxies, reason);
         self.current(now).retries += u64::from(is_allowed);
         is_allowed
     }
 
-    /// Whether one more retry would be within the budget; counts nothing.
+    /// Whether one more retry would be within the budget. Counts nothing.
     pub fn would_allow(&mut self, now: Duration, live_proxies: usize, reason: RetryReason) -> bool {
         self.current(now);
         let second = now.as_secs();
-        let recent = self.seconds.iter().filter(|counts| counts.second + self.window_s >= second);
-        let retries: u64 = recent.clone().map(|counts| counts.retries).sum();
-        // Requests of the oldest second may lie outside the window, and must not add to it.
-        let requests: u64 = recent
+        let recent_seconds =
+            self.seconds.iter().filter(|counts| counts.second + self.window_s >= second);
+        let retries: u64 = recent_seconds.clone().map(|counts| counts.retries).sum();
+        // Requests of the oldest second may lie outside the window, so they must not add to the budget.
+        let requests: u64 = recent_seconds
             .filter(|counts| counts.second + self.window_s > second)
             .map(|counts| counts.requests)
             .sum();
--- a/proxy/src/retry_budget/tests.rs
+++ b/proxy/src/retry_budget/tests.rs
@@ -2,23 +2,23 @@
 use std::time::Duration;
 use vanepath_config::settings::RetryBudgetSettings;
 
-/// Whatever the load does, no ten seconds hold more retries than a fifth of the requests and the
-/// extra ones.
+/// Under any load, an interval of ten seconds contains no more retries than a fifth of its requests plus
+/// the extra ones.
 #[test]
-fn retries_stay_within_their_share_of_any_ten_seconds() {
+fn retries_stay_within_their_share_in_any_ten_seconds() {
     let mut budget = RetryBudget::default();
     let mut seed = 7_u64;
     let mut history: Vec<(u64, u64, u64)> = Vec::new();
     for step in 0..2000_u64 {
         let now_ms = step * 50;
         seed = seed.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-        let surge = if (step / 400) % 2 == 0 { 12 } else { 1 };
-        let requests = (seed >> 33) % surge;
+        let request_bound = if (step / 400) % 2 == 0 { 12 } else { 1 };
+        let requests = (seed >> 33) % request_bound;
         let now = Duration::from_millis(now_ms);
         let mut retries = 0;
         for _ in 0..requests {
             budget.record_request(now);
-            // Every request wants three retries.
+            // Every request tries to make three retries.
             retries += (0..3).filter(|_| budget.try_take(now, 8, RetryReason::Lost)).count() as u64;
         }
         history.push((now_ms, requests, retries));
@@ -32,15 +32,15 @@
         worst = worst.max(retries as f64 - 0.2 * requests as f64);
         total = total.max(retries);
     }
-    assert!(worst <= 24.0, "{worst} over a fifth of the traffic");
-    assert!(total > 20, "the budget is there to be used");
+    assert!(worst <= 24.0, "{worst} retries more than a fifth of the requests");
+    assert!(total > 20, "too little of the budget was used");
 }
 
 const SETTINGS: RetryBudgetSettings =
     RetryBudgetSettings { ratio: 0.4, window: Duration::from_secs(4), extra: 40.0 };
 
-/// Another window and another ratio, as settings may have them: no span of that length holds more
-/// retries, and not many fewer either.
+/// The limit also holds for other settings: no interval of the length of the window contains more
+/// retries than allowed, and most of the allowed retries are made.
 #[test]
 fn retries_stay_within_any_configured_window() {
     let mut budget = RetryBudget::new(SETTINGS);
@@ -49,8 +49,8 @@
     for step in 0..4000_u64 {
         let now_ms = step * 10;
         seed = seed.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-        let surge = if (step / 300) % 3 == 0 { 6 } else { 2 };
-        for _ in 0..(seed >> 33) % surge {
+        let request_bound = if (step / 300) % 3 == 0 { 6 } else { 2 };
+        for _ in 0..(seed >> 33) % request_bound {
             budget.record_request(Duration::from_millis(now_ms));
             events.push((now_ms, false));
             while budget.try_take(Duration::from_millis(now_ms), 4, RetryReason::Lost) {
@@ -67,19 +67,19 @@
         worst = worst.max(retries - 0.4 * requests - 40.0 / 4.0);
         total += retries as u64;
     }
-    assert!(worst <= 0.0, "{worst} over the bound");
-    assert!(total > 1000, "{total}: the budget is there to be used");
+    assert!(worst <= 0.0, "{worst} retries over the limit");
+    assert!(total > 1000, "{total}: too little of the budget was used");
 }
 
-/// Each service has a budget of its own, and it is kept by name.
+/// Each service has its own budget, found by name.
 #[test]
-fn each_service_has_a_budget_of_its_own() {
+fn each_service_has_its_own_budget() {
     let mut budgets = RetryBudgets::new(SETTINGS);
     let now = Duration::from_secs(100);
-    let spend = |budgets: &mut RetryBudgets, service: &str, now| {
+    let take_all = |budgets: &mut RetryBudgets, service: &str, now| {
         (0..1000).take_while(|_| budgets.try_take(now, service, 1, RetryReason::Lost)).count()
     };
-    assert_eq!(spend(&mut budgets, "a", now), 30);
+    assert_eq!(take_all(&mut budgets, "a", now), 30);
     assert!(
         !budgets.would_allow(now, "a", 1, RetryReason::Lost)
             && budgets.would_allow(now, "b", 1, RetryReason::Lost)
@@ -87,48 +87,56 @@
     for _ in 0..100 {
         budgets.record_request(now, "b");
     }
-    assert_eq!(spend(&mut budgets, "a", now), 0, "requests of other services add nothing");
-    assert_eq!(spend(&mut budgets, "b", now), 60);
+    assert_eq!(
+        take_all(&mut budgets, "a", now),
+        0,
+        "requests of other services do not add to the budget"
+    );
+    assert_eq!(take_all(&mut budgets, "b", now), 60);
     let later = now + Duration::from_secs(6);
-    assert_eq!(spend(&mut budgets, "a", later), 30, "all of it is outside the window by then");
+    assert_eq!(
+        take_all(&mut budgets, "a", later),
+        30,
+        "the earlier retries are outside the window"
+    );
 }
 
-/// What is allowed on top is divided among the proxies that are live.
+/// The extra retries are divided among the live proxies.
 #[test]
 fn live_proxies_divide_the_extra_retries() {
-    let mut shown = Vec::new();
+    let mut counts = Vec::new();
     for live in [0, 1, 3, 10, 1000] {
         let mut budgets = RetryBudgets::new(SETTINGS);
         let now = Duration::from_secs(7);
-        shown.push(
+        counts.push(
             (0..1000).take_while(|_| budgets.try_take(now, "a", live, RetryReason::Lost)).count(),
         );
     }
-    assert_eq!(shown, [30, 30, 10, 3, 1]);
+    assert_eq!(counts, [30, 30, 10, 3, 1]);
 }
 
-/// A query takes nothing from the budget.
+/// Querying the budget uses none of it.
 #[test]
-fn would_allow_takes_nothing() {
+fn would_allow_uses_no_budget() {
     let mut budgets = RetryBudgets::new(SETTINGS);
     let now = Duration::from_secs(7);
     assert!((0..500).all(|_| budgets.would_allow(now, "a", 10, RetryReason::Lost)));
     assert_eq!((0..500).filter(|_| budgets.try_take(now, "a", 10, RetryReason::Lost)).count(), 3);
 }
 
-/// Requests whose servers are only slow leave a share of the budget to those whose servers are gone;
-/// the retries of the latter count for all.
+/// Requests at slow servers leave a share of the budget to requests whose servers have failed. The
+/// retries of the latter count against both limits.
 #[test]
-fn retries_for_slow_servers_leave_a_share_for_lost_ones() {
+fn retries_for_slow_servers_leave_a_share_for_lost_requests() {
     let now = Duration::from_secs(3);
     let mut budget = RetryBudget::new(SETTINGS);
     (0..100).for_each(|_| budget.record_request(now));
-    let mut all = |reason| (0..500).filter(|_| budget.try_take(now, 1, reason)).count();
+    let mut take_all = |reason| (0..500).filter(|_| budget.try_take(now, 1, reason)).count();
     assert_eq!(
-        (all(RetryReason::Slow), all(RetryReason::Lost), all(RetryReason::Slow)),
+        (take_all(RetryReason::Slow), take_all(RetryReason::Lost), take_all(RetryReason::Slow)),
         (30, 30, 0)
     );
-    // The one retry that each proxy has at least is not for slowness.
+    // The one retry that each proxy has at least is not available for slow servers.
     let mut budget = RetryBudget::new(SETTINGS);
     assert!(
         !budget.try_take(now, 100, RetryReason::Slow)
--- a/proxy/tests/slow_start_rate.rs
+++ b/proxy/tests/slow_start_rate.rs
@@ -1,5 +1,5 @@
-//! A proxy's share in a server's slow-start rate, computed without sorting all proxies, is that of the
-//! sorted list.
+//! A proxy's share of a server's slow-start rate is computed without sorting all proxies. It must equal
+//! the share that follows from its position in the sorted list.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,21 +27,21 @@
 }
 
 #[test]
-fn the_share_is_that_of_the_sorted_list() {
+fn the_share_equals_that_of_the_sorted_list() {
     let config = br#"{"classes": [{"name": "c", "urgency": 1, "kind": "repeatable"}],
         "services": [{"name": "s", "selector": "all", "livenessPath": "/",
                       "cold": {"ratePerSecond": 3, "periodMs": 5000}}],
         "rules": [{"name": "r", "class": "c", "service": "s"}]}"#;
     let config = Arc::new(vanepath_config::model::parse(config).unwrap());
-    let mut shares = 0;
+    let mut share_count = 0;
     for nodes in [1, 2, 6, 30, 90] {
         let live = (0..nodes).map(|index| (node(index), wire::NodeStatus::default())).collect();
         let view = ClusterView { config: config.clone(), live, ..ClusterView::default() };
-        for number in 0..40 {
-            let zone = ZONES[number % 5];
+        for server_index in 0..40 {
+            let zone = ZONES[server_index % 5];
             let server = Server {
-                id: format!("s{number}"),
-                address: SocketAddr::from(([127, 0, 0, 2], 1000 + number as u16)),
+                id: format!("s{server_index}"),
+                address: SocketAddr::from(([127, 0, 0, 2], 1000 + server_index as u16)),
                 region: zone[..1].to_string(),
                 zone: zone.to_string(),
                 labels: Default::default(),
@@ -54,23 +54,24 @@
                 .iter()
                 .filter(|(node, _)| node.role == wire::Role::Proxy)
                 .map(|(node, _)| {
-                    let rank = stable_hash(&["cold", &node.name, &server.id]);
-                    let is_far = node.region != server.region;
-                    (is_far, node.zone != server.zone, rank, node.name.as_str())
+                    let hash = stable_hash(&["cold", &node.name, &server.id]);
+                    let is_in_other_region = node.region != server.region;
+                    (is_in_other_region, node.zone != server.zone, hash, node.name.as_str())
                 })
                 .collect();
             sorted.sort_unstable();
-            // A proxy that is not in the list comes after all.
-            for own in 0..=nodes {
-                let own = format!("p{own}");
-                let rank = sorted.iter().position(|one| one.3 == own).unwrap_or(sorted.len());
+            // A proxy that is not in the list ranks after all others.
+            for own_index in 0..=nodes {
+                let own_name = format!("p{own_index}");
+                let rank =
+                    sorted.iter().position(|entry| entry.3 == own_name).unwrap_or(sorted.len());
                 let expected =
                     SlowStartRate::new(3.0, Duration::from_millis(5000), rank, sorted.len());
-                let found = slow_start_rate(&view, &own, &server, &[0]);
-                assert_eq!(found, expected, "{own} of {nodes} for {}", server.id);
-                shares += usize::from(found.interval.is_some());
+                let found = slow_start_rate(&view, &own_name, &server, &[0]);
+                assert_eq!(found, expected, "{own_name} of {nodes} for {}", server.id);
+                share_count += usize::from(found.interval.is_some());
             }
         }
     }
-    assert!(shares > 400, "{shares}");
+    assert!(share_count > 400, "{share_count}");
 }
