--- a/proxy/src/shell/probing.rs
+++ b/proxy/src/shell/probing.rs
@@ -41,7 +41,7 @@
             proxy.record_failure(endpoint.slot, &endpoint.server.id, failure);
         }
     }
-    proxy.endpoints.with(endpoint.slot, |state| state.probing = false);
+    proxy.endpoints.with_state(endpoint.slot, |state| state.probing = false);
 }
 
 /// `None` if the connection was closed while it was idle, which is no sign against the server.
@@ -56,7 +56,7 @@
     let format = proxy.node.settings.wire_format;
     match connector::verify_identity(format, &mut connection, endpoint, service).await {
         Ok(response) => Some(Ok(PassedProbe { connection, response, keep_alive, is_used })),
-        Err(Failure::Broken) => None,
+        Err(Failure::ConnectionLost) => None,
         Err(failure) => Some(Err(failure)),
     }
 }
--- a/proxy/src/shell/status.rs
+++ b/proxy/src/shell/status.rs
@@ -52,7 +52,7 @@
     let now = proxy.node.clock.now();
     let table = proxy.endpoints.table.load();
     let server = |endpoint: &Endpoint| {
-        proxy.endpoints.with(endpoint.slot, |state| server(view, endpoint, state, now))
+        proxy.endpoints.with_state(endpoint.slot, |state| server(view, endpoint, state, now))
     };
     table.endpoints.iter().filter_map(server).collect()
 }
@@ -70,7 +70,7 @@
         "phase": phase,
         "why": explanation(view, endpoint, &state.health, now),
         "inHand": state.in_flight,
-        "demand": f64::from(state.demand(now)) / 1000.0,
+        "demand": f64::from(state.reported_load_milli(now)) / 1000.0,
     }
 }
 
