--- a/cluster/src/counters.rs
+++ b/cluster/src/counters.rs
@@ -1,11 +1,10 @@
-//! Counters of a node: one array of atomics, indexed by an enum whose variants name the metrics
-//! (design 9.3).
+//! Metrics counters: an array of atomics, indexed by an enum whose variants name the metrics (design 9.3).
 
 use std::marker::PhantomData;
 use std::sync::atomic::{AtomicU64, Ordering};
 use strum::IntoEnumIterator;
 
-/// The counters listed by the enum `C`, which [`counters!`](crate::counters!) declares.
+/// One counter for each variant of the enum `C`, which [`counters!`](crate::counters!) declares.
 pub struct Counters<C> {
     counts: Vec<AtomicU64>,
     list: PhantomData<fn(C)>,
@@ -36,7 +35,7 @@
         self.add(counter, 1);
     }
 
-    /// The present value of a counter.
+    /// The current value of a counter.
     pub fn get(&self, counter: C) -> u64 {
         let index: usize = counter.into();
         self.counts[index].load(Ordering::Relaxed)
--- a/cluster/src/endpoint_cache.rs
+++ b/cluster/src/endpoint_cache.rs
@@ -1,8 +1,9 @@
-//! The endpoint list as one node knows it: the current one, some earlier ones as bases for deltas, and when
-//! anyone last found it to be current (design 4). Pure.
+//! A node's cache of the endpoint list: the current list, recent earlier lists as bases for deltas, and when
+//! a read of the platform last confirmed that the current list is up to date (design 4). It does no I/O.
 //!
-//! Invariants: the revision of the current list never falls; `highest_revision` is never below it;
-//! `read_at` is when a read began that found this very list, not an earlier one, to be current.
+//! Invariants: the revision of the current list never decreases; `highest_revision` is never below it;
+//! `read_at` is the start time of a read that returned the current list, never of one that returned an
+//! earlier list.
 
 use crate::wire::EndpointListRead;
 use std::collections::VecDeque;
@@ -10,52 +11,53 @@
 use std::time::Duration;
 use vanepath_config::endpoint_list::{EndpointList, EndpointListDelta};
 
-/// How many earlier lists are kept as bases for deltas.
+/// The number of earlier lists kept as bases for deltas.
 const MAX_EARLIER_LISTS: usize = 16;
 
-/// The current endpoint list and what is known of it.
+/// The current endpoint list, its history and its freshness.
 #[derive(Debug, Default)]
 pub struct EndpointCache {
     current: Arc<EndpointList>,
-    /// Lists that were current lately, for peers that still have them.
+    /// Previously current lists, oldest first: bases for deltas to peers that still have them.
     earlier: VecDeque<Arc<EndpointList>>,
-    /// A delta did not lead to the list that it should: the next pulls ask for the full list.
+    /// Set when a delta to the current list gave another list than the sender's: the next pulls ask for the
+    /// full list.
     needs_full_list: bool,
     read_at: Option<Duration>,
     highest_revision: u64,
 }
 
-/// What one peer needs of the list: the full list, a delta to the one that it has, or nothing.
+/// What a peer needs to get the current list: the full list, a delta to the list that it has, or nothing.
 #[derive(Debug, Default)]
 pub struct EndpointUpdate {
-    /// The whole list.
+    /// The full list.
     pub full: Option<EndpointList>,
-    /// What changed since the list that the peer has.
+    /// The changes since the list that the peer has.
     pub delta: Option<EndpointListDelta>,
 }
 
 impl EndpointCache {
-    /// The list in force here.
+    /// The current list.
     pub fn current(&self) -> &Arc<EndpointList> {
         &self.current
     }
 
-    /// The revision to which peers may send deltas; 0: they have to send the full list.
+    /// The revision that peers may use as the base of a delta; 0: they have to send the full list.
     pub fn known_revision(&self) -> u64 {
         if self.needs_full_list { 0 } else { self.current.revision }
     }
 
-    /// The highest revision that anyone reported, whether or not its list has arrived.
+    /// The highest revision that any node reported, whether or not its list has arrived.
     pub fn highest_revision(&self) -> u64 {
         self.highest_revision
     }
 
-    /// When the newest read began that found the current list to be current, on this node's clock.
+    /// When the latest read that returned the current list began, on this node's clock.
     pub fn read_at(&self) -> Option<Duration> {
         self.read_at
     }
 
-    /// Makes a list the current one if it is newer; whether it was.
+    /// Replaces the current list if this one is newer. Returns whether it was.
     pub fn apply(&mut self, list: Arc<EndpointList>) -> bool {
         self.observe_revision(list.revision);
         if list.revision <= self.current.revision {
@@ -71,17 +73,19 @@
         true
     }
 
-    /// The same for a full list from a peer, which may have been asked for.
+    /// Like [`apply`](EndpointCache::apply), for a full list from a peer. A list that was requested after a
+    /// failed delta also replaces a current list of the same revision.
     pub fn apply_full(&mut self, list: EndpointList) -> bool {
         if self.needs_full_list && list.revision == self.current.revision {
-            // Two different lists have one revision: the node that asked for the full list takes the peer's.
+            // The two nodes have different lists under the same revision. The node that requested the full
+            // list adopts the peer's.
             self.current = Arc::default();
         }
         self.apply(Arc::new(list))
     }
 
-    /// The same for a delta to the current list. One that leads to another list than the sender's is not
-    /// taken, and the next pulls ask for the full list.
+    /// Like [`apply`](EndpointCache::apply), for a delta to the current list. A delta whose result differs
+    /// from the sender's list is discarded, and the next pulls ask for the full list.
     pub fn apply_delta(&mut self, delta: &EndpointListDelta) -> bool {
         match self.current.with(delta) {
             Some(list) => self.apply(Arc::new(list)),
@@ -92,8 +96,8 @@
         }
     }
 
-    /// A read that began at `began_at` found the list of this revision to be current. Whether that is newer
-    /// than what was known.
+    /// Records that a read begun at `began_at` returned the list of this revision. Returns whether it is
+    /// later than the latest recorded read of the current list.
     pub fn record_read(&mut self, revision: u64, began_at: Duration) -> bool {
         let is_newer =
             revision == self.current.revision && self.read_at.is_none_or(|at| began_at > at);
@@ -103,19 +107,19 @@
         is_newer
     }
 
-    /// A peer reported that it has a list of this revision.
+    /// Records that a peer has reported a list of this revision.
     pub fn observe_revision(&mut self, revision: u64) {
         self.highest_revision = self.highest_revision.max(revision);
     }
 
-    /// The newest read of the current list, as peers get it.
+    /// The latest read of the current list, in the form that is sent to peers.
     pub fn latest_read(&self, now: Duration) -> Option<EndpointListRead> {
         let read_at = self.read_at?;
         let age_ms = now.saturating_sub(read_at).as_millis() as u32;
         Some(EndpointListRead { revision: self.current.revision, age_ms })
     }
 
-    /// What a peer needs that has the list of `known_revision`; 0: it needs the full list.
+    /// The update for a peer that has the list of `known_revision`; 0: it needs the full list.
     pub fn update_for(&self, known_revision: u64) -> EndpointUpdate {
         if self.current.revision <= known_revision {
             return EndpointUpdate::default();
--- a/cluster/src/lib.rs
+++ b/cluster/src/lib.rs
@@ -1,13 +1,13 @@
 //! The cluster layer that all programs share: membership and gossip, failure detection, the transport
-//! between nodes, the read index at start-up, and the shell of a node (design 5).
+//! between nodes, the read index at start-up, and the runtime shell of a node (design 5).
 //!
-//! - [`gossip`] - the pure core that spreads the soft state
-//! - [`peer_selection`] - whom a node pulls from
-//! - [`read_index`] - what a node has to know before it applies any configuration
+//! - [`gossip`] - the state machine that replicates the soft state (no I/O)
+//! - [`peer_selection`] - which peers a node pulls from
+//! - [`read_index`] - the revision that a node must reach before it applies any configuration
 //! - [`endpoint_cache`] - the endpoint list and its deltas
 //! - [`wire`] - the messages between nodes
 //! - [`transport`] - connections between nodes
-//! - [`node`] - the shell: clock, log, gossip actor, HTTP, shutdown
+//! - [`node`] - the runtime shell: clock, logging, gossip actor, HTTP, shutdown
 //! - [`mod@counters`] - metrics
 
 #![warn(missing_docs)]
--- a/cluster/src/peer_selection/tests.rs
+++ b/cluster/src/peer_selection/tests.rs
@@ -1,33 +1,33 @@
 use crate::wire::Role;
 
-/// Fleets of three regions of two zones, with one machine for registry and store in each region.
+/// A fleet of three regions with two zones each, and one registry and one store per region.
 fn fleet(proxies: usize) -> Vec<(String, Role, String, String)> {
     let zones = ["a1", "b1", "c1", "a2", "b2", "c2"];
-    let mut all = Vec::new();
+    let mut nodes = Vec::new();
     for index in 0..proxies {
         let zone = zones[index % 6];
-        all.push((format!("proxy-{index}"), Role::Proxy, zone[..1].into(), zone.into()));
+        nodes.push((format!("proxy-{index}"), Role::Proxy, zone[..1].into(), zone.into()));
     }
     for zone in &zones[..3] {
         for role in [Role::Registry, Role::Store] {
-            all.push((format!("{role}-{zone}"), role, zone[..1].into(), zone.to_string()));
+            nodes.push((format!("{role}-{zone}"), role, zone[..1].into(), zone.to_string()));
         }
     }
-    all
+    nodes
 }
 
-/// An update from any node reaches all others along the pulls, with all nodes or with a zone, a region or
-/// every registry gone; and nobody has more than a few peers.
+/// An update of any node propagates to all others, with all nodes live or with a zone, a region or all
+/// registries lost; and no node pulls from more than seven peers.
 #[test]
-fn updates_reach_all_nodes_whichever_location_is_gone() {
+fn updates_reach_all_live_nodes_when_a_location_is_lost() {
     let mut max_peers = 0;
     for proxies in [8, 12] {
         let all_nodes = fleet(proxies);
-        for gone in ["-", "a1", "b1", "c1", "a2", "b2", "c2", "a", "b", "c", "registry"] {
+        for lost in ["-", "a1", "b1", "c1", "a2", "b2", "c2", "a", "b", "c", "registry"] {
             let live: Vec<_> = all_nodes
                 .iter()
                 .filter(|(name, _, region, zone)| {
-                    region != gone && zone != gone && !name.starts_with(gone)
+                    region != lost && zone != lost && !name.starts_with(lost)
                 })
                 .collect();
             let candidates: Vec<super::Candidate<'_>> = live
@@ -43,7 +43,8 @@
                 .map(|own| {
                     let others: Vec<usize> =
                         (0..candidates.len()).filter(|index| *index != own).collect();
-                    let view: Vec<_> = others.iter().map(|one| candidates[*one].clone()).collect();
+                    let view: Vec<_> =
+                        others.iter().map(|index| candidates[*index].clone()).collect();
                     super::select_peers(&candidates[own], &view)
                         .into_iter()
                         .map(|index| others[index])
@@ -53,7 +54,8 @@
             for source in 0..candidates.len() {
                 let mut reached = vec![false; candidates.len()];
                 reached[source] = true;
-                // A pull shows the responder who pulls; everything else flows to the requester.
+                // A response carries updates from the responder to the requester. The other direction, the
+                // requester's own entry, is not counted here.
                 for rounds in 0..candidates.len() {
                     let before = reached.clone();
                     for requester in 0..candidates.len() {
@@ -68,7 +70,7 @@
                     }
                     assert!(rounds < 8, "too many rounds");
                 }
-                assert!(reached.iter().all(|one| *one), "{proxies} without {gone}");
+                assert!(reached.iter().all(|is_reached| *is_reached), "{proxies} without {lost}");
             }
             max_peers = max_peers.max(pulls.iter().map(Vec::len).max().unwrap_or(0));
         }
--- a/cluster/src/wire/mod.rs
+++ b/cluster/src/wire/mod.rs
@@ -1,8 +1,8 @@
 //! The messages between nodes: CBOR in frames of bounded size (design 5.1).
 //!
-//! Nodes of two versions talk to each other while they are replaced one by one. So the serialized form
-//! stays: where a Rust name has changed, `#[serde(rename)]` preserves the name that earlier versions use on
-//! the wire, and types that are sent often are tuples without field names there.
+//! Nodes of two versions communicate during a rolling upgrade, so the serialized form is stable: where a Rust
+//! name has changed, `#[serde(rename)]` preserves the name that earlier versions use on the wire. Types that
+//! are sent often are serialized as tuples, without field names.
 
 mod config;
 mod node;
@@ -22,61 +22,60 @@
 use serde_bytes::ByteBuf;
 use std::fmt;
 
-/// No frame is larger, in bytes; one that claims to be closes the connection. It has room for a
-/// configuration and an endpoint list as large as they may be, and for what a response holds besides
-/// (docs/CAPACITY.md).
+/// The maximum size of a frame in bytes; a longer length prefix closes the connection. A frame can hold a
+/// configuration and an endpoint list of maximum size, and the rest of a response (docs/CAPACITY.md).
 pub const MAX_FRAME_BYTES: usize = 32 << 20;
-/// About as many bytes of observations go into one response; the rest comes with later ones.
+/// The approximate limit on the bytes of observations in one response; the rest is sent in later responses.
 pub const MAX_OBSERVATION_BYTES: usize = 4 << 20;
-/// The name and version of the protocol, for [`Handshake::system`].
+/// The protocol's name and version, the value of [`Handshake::system`].
 pub const SYSTEM: &str = "vanepath/1";
 
-/// The first frame each way. A node of another system or fleet is rejected.
+/// The first frame in each direction. A node of another system or fleet is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handshake {
     /// [`SYSTEM`].
     pub system: String,
-    /// The fleet's name by the settings.
+    /// The fleet's name, from the settings.
     pub fleet: String,
     /// The node's name.
     pub name: String,
 }
 
-/// One request; the variants are named on the wire as in earlier versions.
+/// A request to another node. Serialized variant names are those of earlier versions.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Request {
     /// A gossip pull.
     Pull(PullRequest),
-    /// For the store, which decodes it.
+    /// A request to the store, which decodes it.
     Store(ByteBuf),
-    /// Asks a store for the read index: the highest revision that a majority of stores holds, in a round
-    /// that begins after this request (design 5.8).
+    /// Asks a store for the read index: the highest revision that a majority of stores holds, determined in
+    /// a round that begins after this request (design 5.8).
     #[serde(rename = "Floor")]
     ReadIndex,
 }
 
-/// The reply to a request; the variants are named on the wire as in earlier versions.
+/// The reply to a request. Serialized variant names are those of earlier versions.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Reply {
-    /// To [`Request::Pull`].
+    /// The reply to [`Request::Pull`].
     #[serde(rename = "News")]
     Pull(PullResponse),
-    /// To [`Request::Store`].
+    /// The reply to [`Request::Store`].
     Store(ByteBuf),
-    /// This node does not serve such requests, or not now.
+    /// This node does not serve this type of request, or cannot serve it now.
     #[serde(rename = "NoDuty")]
     Unsupported,
-    /// To [`Request::ReadIndex`]; `None`: the store could not determine it.
+    /// The reply to [`Request::ReadIndex`]; `None`: the store could not determine the read index.
     #[serde(rename = "Floor")]
     ReadIndex(Option<u64>),
 }
 
-/// Why bytes are not one message of the expected type.
+/// Why bytes could not be decoded as exactly one message of the expected type.
 #[derive(Debug)]
 pub enum DecodeError {
-    /// Not CBOR, cut short, or a value of another type.
+    /// The bytes are not CBOR, are truncated, or encode a value of another type.
     Malformed(ciborium::de::Error<std::io::Error>),
-    /// A value, and this many bytes after it.
+    /// This many bytes follow the value.
     TrailingBytes(usize),
 }
 
@@ -100,24 +99,25 @@
     }
 }
 
-/// Writes a value as CBOR.
+/// Encodes a value as CBOR.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     let mut bytes = Vec::new();
-    ciborium::into_writer(value, &mut bytes).expect("writing to memory does not fail");
+    ciborium::into_writer(value, &mut bytes).expect("CBOR encoding into memory cannot fail");
     bytes
 }
 
-/// Reads exactly one value.
+/// Decodes exactly one value.
 ///
 /// # Errors
-/// [`DecodeError`] where the bytes are not one CBOR value of this type, or more bytes follow it.
+/// [`DecodeError`] if the bytes are not a CBOR value of this type, or if more bytes follow it.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
     let mut rest = bytes;
     let value = ciborium::from_reader(&mut rest).map_err(DecodeError::Malformed)?;
     if rest.is_empty() { Ok(value) } else { Err(DecodeError::TrailingBytes(rest.len())) }
 }
 
-/// Converts a struct from and to the tuple of its fields, for types without field names on the wire.
+/// Implements conversions between a struct and the tuple of its fields, for types that are serialized
+/// without field names.
 macro_rules! tuple_encoded {
     ($name:ident { $($field:ident: $kind:ty),* $(,)? }) => {
         impl From<($($kind,)*)> for $name {
--- a/cluster/src/wire/node.rs
+++ b/cluster/src/wire/node.rs
@@ -1,4 +1,4 @@
-//! What a node reports of itself: its identity, status and observations, under a version.
+//! What a node reports about itself: its versioned identity, status and observations.
 
 use super::tuple_encoded;
 use serde::{Deserialize, Serialize};
@@ -7,13 +7,13 @@
 use vanepath_config::selector::Labelled;
 use vanepath_config::{settings, stable_hash};
 
-/// What a node runs.
+/// The role of a node, which is the program that it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Role {
     /// Forwards requests.
     Proxy,
-    /// Takes operators' calls, discovers endpoints and steers clients.
+    /// Serves the operators' API, discovers endpoints and steers clients.
     Registry,
     /// Stores the committed configuration.
     Store,
@@ -29,20 +29,21 @@
     }
 }
 
-/// Who a node is; fixed for one incarnation of it. Fields are named on the wire as in earlier versions.
+/// The identity of a node, constant during one incarnation. Serialized field names are those of earlier
+/// versions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeInfo {
-    /// Unique in the fleet.
+    /// The node's name, unique in the fleet.
     pub name: String,
-    /// What it runs.
+    /// The node's role.
     pub role: Role,
     /// The region of its zone.
     pub region: String,
-    /// Where it runs.
+    /// The zone that the node runs in.
     pub zone: String,
-    /// Where it serves HTTP.
+    /// The address at which it serves HTTP.
     pub address: SocketAddr,
-    /// Where it serves other nodes.
+    /// The address at which it serves other nodes.
     #[serde(rename = "sibling_address")]
     pub cluster_address: SocketAddr,
 }
@@ -57,31 +58,32 @@
     }
 }
 
-/// What all others have to know of a node, and at once when it changes; a tuple on the wire.
+/// The part of a node's state that is sent to all other nodes, without delay when it changes. Serialized as
+/// a tuple.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(
     from = "(bool, bool, u64, bool, bool, Option<DiskStatus>, bool)",
     into = "(bool, bool, u64, bool, bool, Option<DiskStatus>, bool)"
 )]
 pub struct NodeStatus {
-    /// It takes work. A proxy that drains does so for as long as it accepts clients.
+    /// It accepts work. A draining proxy stays ready for as long as it accepts clients.
     pub ready: bool,
-    /// It shuts down gracefully: new work is better given to others.
+    /// It is shutting down gracefully: new work should go to other nodes.
     pub draining: bool,
-    /// The revision of the configuration in force there; 0: none.
+    /// The revision of its active configuration; 0: none.
     pub revision: u64,
-    /// Store only: its disk holds nothing yet.
+    /// Stores only: its disk holds no data yet.
     pub empty_disk: bool,
-    /// It may be the leader of its role: it has heard from enough nodes since it started.
+    /// It may be the leader of its role: it has received the state of enough nodes since it started.
     pub synced: bool,
-    /// Store only.
+    /// Stores only: the state of its disk.
     pub disk: Option<DiskStatus>,
-    /// Registry only: it hears from more than half of all registries.
+    /// Registries only: it receives replies from more than half of all registries.
     pub hears_majority: bool,
 }
 
 impl NodeStatus {
-    /// Whether it takes new work and is not about to stop.
+    /// Whether it accepts new work and is not shutting down.
     pub fn is_available(&self) -> bool {
         self.ready && !self.draining
     }
@@ -97,20 +99,20 @@
     hears_majority: bool,
 });
 
-/// A store's disk. Fields are named on the wire as in earlier versions.
+/// The state of a store's disk. Serialized field names are those of earlier versions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DiskStatus {
-    /// Drawn when the disk was empty.
+    /// A random number drawn when the disk was initialized.
     pub incarnation: u64,
-    /// It is empty and may take part in the bootstrap of the fleet.
+    /// The disk is empty, and the store may take part in the bootstrap of the fleet.
     #[serde(rename = "founds")]
     pub may_bootstrap: bool,
-    /// Its slot in the member table that it holds; `None`: it is not a member.
+    /// The store's slot in the member table that it holds; `None`: it is not a member.
     #[serde(rename = "seat")]
     pub slot: Option<u8>,
 }
 
-/// The health of a server as one proxy sees it; a number on the wire (design 8.6).
+/// The health of a server as observed by one proxy; serialized as a number (design 8.6).
 #[derive(
     Clone,
     Copy,
@@ -129,18 +131,18 @@
 #[strum(serialize_all = "kebab-case")]
 #[repr(u8)]
 pub enum ServerPhase {
-    /// Not known yet; gets requests only where no better server is there.
+    /// Not known yet; selected only if no server in a better phase is available.
     Unknown,
-    /// Just back: gets no more than its slow-start rate.
+    /// Just returned; receives requests at its slow-start rate at most.
     #[strum(serialize = "cold")]
     WarmingUp,
-    /// Its rate doubles step by step.
+    /// Its permitted request rate doubles step by step.
     #[strum(serialize = "ramping")]
     SlowStart,
-    /// Gets requests without a limit of its own.
+    /// Receives requests without a rate limit of its own.
     #[strum(serialize = "live")]
     Healthy,
-    /// Failed lately; gets no new requests while others are there.
+    /// Failed recently; receives no new requests while other servers are available.
     Suspect,
 }
 
@@ -156,7 +158,7 @@
     }
 }
 
-/// One proxy's observation of one server; a tuple on the wire, for there are many.
+/// One proxy's observation of one server. Serialized as a tuple, because many are sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(
     from = "(String, ServerPhase, u32, u32, u32, bool)",
@@ -165,15 +167,16 @@
 pub struct ServerObservation {
     /// The server's id in the endpoint list.
     pub server: String,
-    /// Its health.
+    /// The server's health.
     pub phase: ServerPhase,
-    /// How long it has been in that phase, in milliseconds.
+    /// The time for which it has been in this phase, in milliseconds.
     pub age_ms: u32,
-    /// For how long the proxy has been in contact with it without a gap, in milliseconds; 0: it is not.
+    /// The time for which the proxy has been in contact with it without interruption, in milliseconds; 0: it
+    /// is not in contact.
     pub in_contact_ms: u32,
-    /// Thousandths of the server's own capacity in use, by its load reports.
+    /// The utilization from the server's load reports, in thousandths of its capacity.
     pub load_milli: u32,
-    /// The server's machine refused connections while it was away.
+    /// The server's address refused connections while it was unreachable.
     pub connection_refused: bool,
 }
 
@@ -186,26 +189,26 @@
     connection_refused: bool,
 });
 
-/// What a proxy reports to registries alone, as the basis of the traffic-shift plan (design 7.2). Fields are
-/// named on the wire as in earlier versions.
+/// What a proxy reports to registries only, as the input of the traffic-shift plan (design 7.2). Serialized
+/// field names are those of earlier versions.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ProxyObservations {
-    /// One for each server that it has something to report of.
+    /// One observation for each server that the proxy has something to report about.
     #[serde(rename = "sights")]
     pub servers: Vec<ServerObservation>,
-    /// Requests in flight, by class in the order of the configuration.
+    /// The number of requests in flight for each class, in the order of the configuration.
     #[serde(rename = "in_hand")]
     pub in_flight: Vec<u32>,
-    /// Requests in queues, likewise.
+    /// The number of queued requests for each class, in the order of the configuration.
     #[serde(rename = "waiting")]
     pub queued: Vec<u32>,
-    /// Requests accepted per thousand seconds, at the rate of the last few seconds, by service.
+    /// By service: the rate of accepted requests over the last few seconds, in requests per 1000 seconds.
     #[serde(rename = "taken")]
     pub request_rates: BTreeMap<String, u32>,
 }
 
 impl ProxyObservations {
-    /// Its size on the wire in bytes, estimated rather too high.
+    /// A conservative (high) estimate of the serialized size in bytes.
     pub fn estimated_bytes(&self) -> usize {
         let servers = self.servers.iter().map(|server| server.server.len() + 24).sum::<usize>();
         let rates = self.request_rates.keys().map(|name| name.len() + 8).sum::<usize>();
@@ -213,19 +216,19 @@
     }
 }
 
-/// The version of everything that is known of one node; a tuple on the wire. `counter` rises within an
-/// incarnation and is the node's heartbeat; the other two rise within the incarnation as well.
+/// The version of one node's entry; serialized as a tuple. `counter` is the node's heartbeat; it and the two
+/// other versions increase within an incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64, u64, u64)", into = "(u64, u64, u64, u64)")]
 pub struct NodeVersion {
-    /// One for each start: its wall-clock time and a random part, so that no two starts of a name have
-    /// the same.
+    /// Identifies one start of the node: its wall-clock time and random bits, so that no two starts under a
+    /// name have the same incarnation.
     pub incarnation: u64,
-    /// The heartbeat.
+    /// The heartbeat counter.
     pub counter: u64,
-    /// Of the status.
+    /// The version of the status.
     pub status_version: u64,
-    /// Of the observations.
+    /// The version of the observations.
     pub observations_version: u64,
 }
 
@@ -237,7 +240,7 @@
 });
 
 impl NodeVersion {
-    /// Whether this version's heartbeat was raised later than the other's.
+    /// Whether this version's heartbeat is later than the other's.
     pub fn is_newer_than(&self, other: &NodeVersion) -> bool {
         (self.incarnation, self.counter) > (other.incarnation, other.counter)
     }
@@ -246,21 +249,21 @@
 type NodeDeltaTuple =
     (String, NodeVersion, u32, Option<NodeInfo>, Option<NodeStatus>, Option<ProxyObservations>);
 
-/// One node's entry without the parts that the receiver has; a tuple on the wire.
+/// One node's entry without the parts that the receiver already has. Serialized as a tuple.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(from = "NodeDeltaTuple", into = "NodeDeltaTuple")]
 pub struct NodeDelta {
     /// The node's name.
     pub name: String,
-    /// The version of all that follows.
+    /// The version of the entry.
     pub version: NodeVersion,
-    /// How long ago the node raised its heartbeat, in milliseconds.
+    /// The time since the node raised its heartbeat, in milliseconds.
     pub age_ms: u32,
-    /// `None`: the receiver has it.
+    /// The identity; `None`: the receiver already has it.
     pub info: Option<NodeInfo>,
-    /// `None`: the receiver has it.
+    /// The status; `None`: the receiver already has it.
     pub status: Option<NodeStatus>,
-    /// `None`: the receiver has them, or does not get them.
+    /// The observations; `None`: the receiver already has them, or is not sent any.
     pub observations: Option<ProxyObservations>,
 }
 
@@ -273,8 +276,8 @@
     observations: Option<ProxyObservations>,
 });
 
-/// The hash that stands for a node's name in version vectors. Two names with one hash would hide one node
-/// from some others: with a hundred nodes one fleet in a million has such a pair.
+/// The hash that identifies a node's name in version vectors. Two names with the same hash would hide one of
+/// the nodes from some others: among fleets of a hundred nodes, one in a million has such a collision.
 pub fn name_hash(name: &str) -> u32 {
     stable_hash(&["name", name]) as u32
 }
--- a/cluster/src/wire/plan.rs
+++ b/cluster/src/wire/plan.rs
@@ -1,63 +1,65 @@
-//! The traffic-shift plan, which the leader of the registries makes (design 7.4).
+//! The traffic-shift plan, which is computed by the leader of the registries (design 7.4).
 
 use super::tuple_encoded;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// By zone, for each other zone: thousandths of the first one's clients that are steered to the other.
+/// For each source zone and each target zone: the share of the source's clients that are steered to the
+/// target, in thousandths.
 pub type ZoneShares = BTreeMap<String, BTreeMap<String, u32>>;
 
-/// A server that came back lately, as the fleet's proxies saw it come back; a tuple on the wire.
+/// A server that came back recently, as observed by the fleet's proxies. Serialized as a tuple.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, bool)", into = "(u32, bool)")]
 pub struct WarmUp {
-    /// For how long it has been back, in milliseconds.
+    /// The time since it came back, in milliseconds.
     pub age_ms: u32,
-    /// Its machine refused connections before: it surely was away.
+    /// Its address refused connections before, so it was certainly unreachable.
     pub connection_refused: bool,
 }
 
 tuple_encoded!(WarmUp { age_ms: u32, connection_refused: bool });
 
-/// The version of a traffic-shift plan; a tuple on the wire. A new leader takes the next epoch and counts
-/// from 1 within it.
+/// The version of a traffic-shift plan. Serialized as a tuple. A new leader takes the next epoch and counts
+/// plans from 1 within it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct PlanVersion {
-    /// One for each term of a leader.
+    /// Identifies the term of a leader.
     pub epoch: u64,
-    /// Rises within the epoch.
+    /// Increases within the epoch.
     pub counter: u64,
 }
 
 tuple_encoded!(PlanVersion { epoch: u64, counter: u64 });
 
-/// The traffic-shift plan. Fields are named on the wire as in earlier versions.
+/// The traffic-shift plan. Serialized field names are those of earlier versions.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TrafficShiftPlan {
-    /// With `counter`, its version.
+    /// The first part of the plan's version.
     pub epoch: u64,
-    /// With `epoch`, its version.
+    /// The second part of the plan's version.
     pub counter: u64,
-    /// The name of the leader that made it.
+    /// The name of the leader that computed the plan.
     #[serde(rename = "holder")]
     pub leader: String,
-    /// The configuration's revision that it was made for.
+    /// The configuration revision that the plan was computed for.
     pub revision: u64,
-    /// For each service, for each zone: to which other zones its clients are steered first, in
-    /// thousandths of them. By names, so that it stays valid through changes of the configuration.
+    /// For each service and each zone: the shares of the zone's clients that are steered to other zones
+    /// first. Keyed by name, so that the plan stays valid when the configuration changes.
     #[serde(rename = "moved")]
     pub shifted: BTreeMap<String, ZoneShares>,
-    /// Servers that came back lately, for proxies that were not there to see it.
+    /// Servers that came back recently, for proxies that did not observe their return.
     #[serde(rename = "cold")]
     pub warming_up: BTreeMap<String, WarmUp>,
-    /// Servers that no proxy can reach: a proxy that sees one come back knows that it was away.
+    /// Servers that no proxy can reach. When one comes back, a proxy knows from this that it was unreachable
+    /// for the whole fleet.
     #[serde(rename = "away")]
     pub unreachable: BTreeSet<String>,
 }
 
 impl TrafficShiftPlan {
-    /// By which the newest plan is known.
+    /// The plan's version, by which plans are ordered.
     pub fn version(&self) -> PlanVersion {
         PlanVersion { epoch: self.epoch, counter: self.counter }
     }
--- a/cluster/src/wire/pull.rs
+++ b/cluster/src/wire/pull.rs
@@ -1,4 +1,4 @@
-//! The gossip pull (design 5.3).
+//! The messages of a gossip pull (design 5.3).
 
 use super::{
     CommittedConfig, NodeDelta, NodeVersion, PlanVersion, TrafficShiftPlan, tuple_encoded,
@@ -6,59 +6,62 @@
 use serde::{Deserialize, Serialize};
 use vanepath_config::endpoint_list::{EndpointList, EndpointListDelta};
 
-/// A pull: what the requester has, and its own entry. Fields are named on the wire as in earlier versions.
+/// A pull: the versions that the requester has, and its own entry. Serialized field names are those of
+/// earlier versions.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PullRequest {
-    /// The version vector, by [`super::name_hash`]; `None`: as after the last response to this requester.
+    /// The version vector, keyed by [`super::name_hash`]; `None`: unchanged since the last response to this
+    /// requester.
     #[serde(rename = "vector")]
     pub known_versions: Option<Vec<(u32, NodeVersion)>>,
-    /// The revision of the committed configuration that it has.
+    /// The revision of the requester's committed configuration.
     #[serde(rename = "word")]
     pub config_revision: u64,
-    /// The revision of the endpoint list that it has; 0: it needs the full list.
+    /// The revision of the requester's endpoint list; 0: it needs the full list.
     #[serde(rename = "platform")]
     pub endpoint_list_revision: u64,
-    /// The version of the traffic-shift plan that it has.
+    /// The version of the requester's traffic-shift plan.
     #[serde(rename = "plan")]
     pub plan_version: PlanVersion,
     /// The requester's own entry.
     #[serde(rename = "own")]
     pub sender: NodeDelta,
-    /// How long the request may wait for something urgent, in milliseconds (long polling).
+    /// The time for which the request may wait for an urgent change, in milliseconds (long polling).
     pub wait_ms: u32,
-    /// The requester collects the observations of proxies.
+    /// Whether the requester collects the observations of proxies.
     #[serde(rename = "wants_detail")]
     pub wants_observations: bool,
-    /// The requester is a leaf: it relies on registries for who is unreachable, and needs no
+    /// Whether the requester is a leaf: it learns from registries which nodes are unreachable, and needs no
     /// heartbeats (design 5.3).
     #[serde(rename = "light")]
     pub is_leaf: bool,
-    /// The digest of the unreachable nodes that were reported to the requester last.
+    /// The digest of the list of unreachable nodes that the requester was last sent.
     #[serde(rename = "silent")]
     pub unreachable_digest: u64,
-    /// Between registries: how long ago the newest read began that the requester knows of and that found
-    /// its endpoint list to be current, in milliseconds.
+    /// Between registries: the time since the start of the latest read known to the requester that returned
+    /// its current endpoint list, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "list_age_ms")]
     pub list_read_age_ms: Option<u32>,
 }
 
-/// A read of the endpoint list that found this revision to be current; a tuple on the wire.
+/// A read of the platform that returned the endpoint list of this revision. Serialized as a tuple.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u32)", into = "(u64, u32)")]
 pub struct EndpointListRead {
     /// The revision of the list.
     pub revision: u64,
-    /// How long ago the read began, in milliseconds.
+    /// The time since the read began, in milliseconds.
     pub age_ms: u32,
 }
 
 tuple_encoded!(EndpointListRead { revision: u64, age_ms: u32 });
 
-/// What the requester of a pull lacks. Fields are named on the wire as in earlier versions.
+/// The response to a pull: the state that the requester does not have. Serialized field names are those of
+/// earlier versions.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct PullResponse {
-    /// The entries of nodes.
+    /// Entries of nodes that are newer than the requester's.
     #[serde(rename = "deltas")]
     pub nodes: Vec<NodeDelta>,
     /// A newer committed configuration.
@@ -67,22 +70,22 @@
     /// A newer endpoint list.
     #[serde(rename = "platform")]
     pub endpoint_list: Option<EndpointList>,
-    /// Instead of the full list, where the sender knows the one that the requester has.
+    /// Sent instead of the full list if the sender still has the requester's list as a base.
     #[serde(rename = "platform_delta")]
     pub endpoint_list_delta: Option<EndpointListDelta>,
-    /// The newest read of the endpoint list that the sender knows of.
+    /// The latest read of the sender's current endpoint list that the sender knows of.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub list_read: Option<EndpointListRead>,
     /// A newer traffic-shift plan.
     pub plan: Option<TrafficShiftPlan>,
-    /// For a leaf: the unreachable nodes in the eyes of the sender, by sorted [`super::name_hash`].
+    /// For a leaf: the nodes that the sender considers unreachable, as sorted [`super::name_hash`] values.
     #[serde(rename = "silent")]
     pub unreachable: Option<Vec<u32>>,
-    /// The sender does not know which versions the requester has: it has to send its version vector.
+    /// The sender does not know which versions the requester has: the requester must send its version vector.
     #[serde(rename = "resend")]
     pub resend_versions: bool,
-    /// For a requester without a read index: the highest revision that the sender knows as active
-    /// anywhere (design 5.8).
+    /// For a requester without a read index: the highest revision that the sender knows to be active on any
+    /// node (design 5.8).
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "floor")]
     pub read_index: Option<u64>,
