--- a/cluster/src/gossip/failure_detection.rs
+++ b/cluster/src/gossip/failure_detection.rs
@@ -1,5 +1,4 @@
-//! Which peers are live: by heartbeats at registries, by what registries report everywhere else
-//! (design 5.3, 5.7).
+//! Failure detection: registries use heartbeats, all other nodes the reports of registries (design 5.3, 5.7).
 
 use super::{
     Effect, FORGET_TIMEOUT, Gossip, ISOLATION_TIMEOUT, NODE_TIMEOUT, Peer, UnreachableReport,
@@ -15,13 +14,13 @@
             .chain(self.live_peers(now).map(|peer| (&peer.info, &peer.status)))
     }
 
-    /// The nodes that are not live any more and not forgotten yet, as they were last known.
+    /// The nodes that are no longer live and not forgotten yet, in their last known state.
     pub fn unreachable(&self, now: Duration) -> impl Iterator<Item = (&NodeInfo, &NodeStatus)> {
         self.unreachable_peers(now).map(|peer| (&peer.info, &peer.status))
     }
 
-    /// The leader of a role: the first live and synced node of the role in the order of names
-    /// (design 5.6).
+    /// The leader of a role: of its live and synced nodes that are not draining, the one whose name sorts
+    /// first (design 5.6).
     pub fn leader(&self, role: Role, now: Duration) -> Option<&NodeInfo> {
         self.live(now)
             .filter(|(info, status)| info.role == role && !status.draining && status.synced)
@@ -29,15 +28,15 @@
             .min_by(|left, right| left.name.cmp(&right.name))
     }
 
-    /// No pull has been answered for [`ISOLATION_TIMEOUT`]: others may know more by now.
+    /// Whether no pull has been answered for [`ISOLATION_TIMEOUT`], so that others may have newer state.
     pub fn is_isolated(&self, now: Duration) -> bool {
         self.freshness.is_isolated(now)
     }
 
-    /// Whether others may know more than this node: no pull was answered, or, at a registry, none of those
-    /// sent to other registries. Requests that arrive here prove nothing, for they come through a
-    /// partition in one direction; nor do the replies of a store, which may be cut off together with this
-    /// registry. Registries whose addresses refuse connections are gone and do not count.
+    /// Whether other nodes may have newer state than this one: none of its pulls or, at a registry, none of
+    /// its pulls from other registries was answered. Incoming requests do not count, because they still
+    /// arrive in a one-way partition; nor do the replies of a store, which may be cut off together with this
+    /// registry. Registries whose addresses refuse connections are considered dead and are not counted.
     pub fn is_partitioned(&self, now: Duration) -> bool {
         let other_registries = || {
             let registries = self.peers.iter().filter(|peer| peer.info.role == Role::Registry);
@@ -47,7 +46,7 @@
             return self.is_isolated(now);
         }
         let is_recent = |at: Duration| now.saturating_sub(at) <= ISOLATION_TIMEOUT;
-        // One that became known only now has not had the time to reply.
+        // A registry that has only just become known has not had time to reply.
         let is_in_contact =
             |peer: &Peer| is_recent(peer.known_since) || peer.last_reply_at.is_some_and(is_recent);
         !other_registries().any(is_in_contact)
@@ -70,7 +69,8 @@
         self.unreachable_peers(now).map(|peer| peer.info.cluster_address)
     }
 
-    /// After a pause of the process nobody is dead for not having been heard of meanwhile.
+    /// Moves heartbeat times forward by the length of a pause of this process, so that peers do not time out
+    /// because their heartbeats could not be received during it.
     pub(super) fn extend_heartbeats(&mut self, now: Duration, pause: Duration) {
         for peer in &mut self.peers {
             peer.last_heartbeat_at += pause;
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Forgets peers that are long gone.
+    /// Removes the peers whose latest heartbeat is older than [`FORGET_TIMEOUT`].
     pub(super) fn forget_peers(&mut self, now: Duration) {
         let count_before = self.peers.len();
         self.peers.retain(|peer| now.saturating_sub(peer.last_heartbeat_at) < FORGET_TIMEOUT);
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Compares each peer with the last tick; the addresses of those that have just become unreachable
-    /// are added to `suspects`.
+    /// Updates whether each peer is live; adds the addresses of peers that have become unreachable since the
+    /// last tick to `suspects`.
     pub(super) fn detect_failures(
         &mut self,
         now: Duration,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// At a registry: lists who is unreachable, for the leaves that rely on it.
+    /// At a registry: updates the list of unreachable peers, which leaves rely on.
     pub(super) fn update_unreachable_list(&mut self, now: Duration) {
         if self.own_info.role != Role::Registry {
             return;
@@ -126,7 +126,7 @@
         self.leaf_versions.retain(|name, _| self.peer_indices.contains_key(name));
     }
 
-    /// Nobody listens at the address: whoever was there is dead until a newer heartbeat.
+    /// Handles a refused connection: the peer at the address counts as dead until a newer heartbeat.
     pub(super) fn on_connection_refused(
         &mut self,
         now: Duration,
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Takes in a registry's list of unreachable nodes, sorted hashes of their names. A peer is unreachable
-    /// only if all registries that reported lately say so.
+    /// Handles a registry's list of unreachable nodes, given as sorted hashes of their names. A peer is
+    /// unreachable only if all registries that reported recently list it.
     pub(super) fn apply_unreachable(
         &mut self,
         now: Duration,
--- a/cluster/src/gossip/freshness.rs
+++ b/cluster/src/gossip/freshness.rs
@@ -1,31 +1,32 @@
-//! Whether what this node knows is current: after its start, after a pause of its process, and while no
-//! peer replies (design 5.5).
+//! Whether the local state is current: after a start, after a pause of the process, and while no peer
+//! replies (design 5.5).
 
 use std::time::Duration;
 
-/// A tick that comes this late means that the process was paused.
+/// A longer gap since the last tick means that the process was paused.
 pub const PAUSE_THRESHOLD: Duration = Duration::from_millis(1500);
-/// Without any reply from a registry, replies of other peers make a node fresh after this long.
+/// Without a reply from a registry, a reply of any other peer makes a node fresh after this long.
 pub const PEER_FRESHNESS_TIMEOUT: Duration = Duration::from_secs(2);
-/// Without any reply at all, a node counts as isolated after this long and acts on what it has.
+/// Without any reply, a node counts as fresh after this long and acts on the state that it has.
 pub const ISOLATED_FRESHNESS_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A node that is not fresh holds new work for this long: until it would act on what it has.
+/// A node that is not fresh holds new work for at most this long. It is longer than
+/// [`ISOLATED_FRESHNESS_TIMEOUT`], after which the node acts on the state that it has.
 pub const READINESS_TIMEOUT: Duration = Duration::from_secs(3);
 const _: () = assert!(PEER_FRESHNESS_TIMEOUT.as_millis() < ISOLATED_FRESHNESS_TIMEOUT.as_millis());
 const _: () = assert!(ISOLATED_FRESHNESS_TIMEOUT.as_millis() + 200 < READINESS_TIMEOUT.as_millis());
-/// When no pull has been answered for this long, others may know more than this node.
+/// A node is isolated if no pull was answered for this long: others may have newer state.
 pub const ISOLATION_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// When replies came in since the start or the last pause. All times are on this node's clock.
+/// When replies arrived since the start or the last pause. All times are on this node's clock.
 pub(super) struct Freshness {
     last_tick_at: Duration,
-    /// The start of the process, or its return from the last pause.
+    /// The start of the process, or the end of its last pause.
     resumed_at: Duration,
-    /// When the first reply came to a pull that was sent since then.
+    /// When the first reply to a pull sent since `resumed_at` arrived.
     first_reply_at: Option<Duration>,
-    /// A registry, or a synced store, has replied since then.
+    /// Whether a ready registry, or a ready and synced store, has replied to a pull sent since `resumed_at`.
     is_confirmed: bool,
-    /// When any pull was last answered, whenever it was sent.
+    /// When any pull was last answered, including pulls sent before `resumed_at`.
     last_reply_at: Duration,
 }
 
@@ -44,8 +45,8 @@
         self.last_tick_at = now;
     }
 
-    /// How long the process was paused, if whatever comes now is the first event after a pause. From here
-    /// on nothing that was known before the pause counts as fresh.
+    /// Checks whether the process was paused before the current event, and returns the length of the pause.
+    /// After a pause, state from before it no longer counts as fresh.
     pub(super) fn detect_pause(&mut self, now: Duration) -> Option<Duration> {
         let gap = now.saturating_sub(self.last_tick_at);
         if gap <= PAUSE_THRESHOLD {
@@ -58,12 +59,13 @@
         Some(gap)
     }
 
-    /// A pull was answered.
+    /// Records a reply to any pull.
     pub(super) fn on_reply(&mut self, now: Duration) {
         self.last_reply_at = now;
     }
 
-    /// A pull that was sent since the start or the last pause was answered. Whether it is the first one.
+    /// Records a reply to a pull that was sent since the start or the last pause. Returns whether it is the
+    /// first one.
     pub(super) fn on_current_reply(&mut self, now: Duration) -> bool {
         let is_first = self.first_reply_at.is_none();
         if is_first {
@@ -72,18 +74,19 @@
         is_first
     }
 
-    /// Such a reply came from a node that knows the committed configuration. Whether it is the first one.
+    /// Records that such a reply came from a node that knows the committed configuration. Returns whether it
+    /// is the first one.
     pub(super) fn confirm(&mut self) -> bool {
         !std::mem::replace(&mut self.is_confirmed, true)
     }
 
-    /// Whether a pull that was sent then was sent by the process as it runs now: not before a pause, for
-    /// then its reply may be as old as the pause is long.
+    /// Whether a pull sent at `sent_at` was sent since the start or the last pause. The reply to an earlier
+    /// pull may be as old as the pause is long.
     pub(super) fn is_current(&self, sent_at: Duration) -> bool {
         sent_at >= self.resumed_at
     }
 
-    /// No reply yet since the start or the last pause.
+    /// Whether no pull that was sent since the start or the last pause has been answered yet.
     pub(super) fn awaits_first_reply(&self) -> bool {
         self.first_reply_at.is_none()
     }
--- a/cluster/src/gossip/merge.rs
+++ b/cluster/src/gossip/merge.rs
@@ -1,4 +1,4 @@
-//! Taking in what peers sent. Every item has an order, and none is replaced by an older one
+//! Merging of received state. Every item is versioned, and none is replaced by an older version
 //! (design 5.3, 5.4).
 
 use super::pull_session::PullOutcome;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 impl Gossip {
-    /// A pull of this node's came back; `None`: without a response.
+    /// Handles the end of a pull that this node sent. `response` is `None` if the pull failed.
     pub(super) fn on_pull_completed(
         &mut self,
         now: Duration,
@@ -26,7 +26,7 @@
         };
         if let Some(response) = response {
             self.freshness.on_reply(now);
-            // Sent before a pause and answered after it: that is as old as the pause is long.
+            // The response to a pull that was sent before a pause may be as old as the pause is long.
             let session = self.sessions.get(&address);
             let is_current =
                 session.is_some_and(|session| self.freshness.is_current(session.sent_at));
@@ -59,10 +59,11 @@
             self.apply_config(Arc::new(config), effects);
         }
         if !response.resend_versions {
-            // A peer of an earlier version reports none: it stands for the configuration that it has sent.
+            // A peer of an earlier version reports no read index. The committed revision, which is no lower
+            // than that of the configuration that the peer has just sent, is used instead.
             let read_index = response.read_index.unwrap_or(self.committed.revision);
             if self.read_index.established().is_none() {
-                let name = self.name_at(address);
+                let name = self.peer_name_at(address);
                 self.read_index.on_peer_reply(&name, read_index);
             }
             self.highest_reported_revision =
@@ -86,12 +87,13 @@
         }
     }
 
-    /// A pull that was sent since the start or the last pause was answered.
+    /// Records a response to a pull that was sent since the start or the last pause.
     fn update_freshness(&mut self, now: Duration, address: SocketAddr, effects: &mut Vec<Effect>) {
         if self.freshness.on_current_reply(now) {
             effects.push(Effect::ViewChanged);
         }
-        // A store that has asked a majority since it started knows the configuration as well as a registry.
+        // A store that has queried a majority since it started knows the committed configuration as well
+        // as a registry does.
         let can_confirm = self.peers.iter().any(|peer| {
             peer.info.cluster_address == address
                 && peer.status.ready
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Takes in one node's entry; `is_direct`: from the node itself, with its pull.
+    /// Merges one node's entry. `is_direct`: the entry came from the node itself, with its pull.
     pub(super) fn merge_node(
         &mut self,
         now: Duration,
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Peers know a later incarnation of this node's name: this one takes a higher number (design 5.3).
+    /// Raises this node's incarnation above a later one of its name that peers know (design 5.3).
     fn raise_incarnation(&mut self, incarnation: u64, effects: &mut Vec<Effect>) {
         if incarnation > self.own_version.incarnation {
             self.own_version.incarnation = incarnation + 1;
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Remembers the highest revision that each name reported as active, for the read index of its later
+    /// Records the highest revision that each name reported as active, for the read index of its later
     /// incarnations (design 5.8).
     fn record_active_revision(&mut self, delta: &NodeDelta) {
         let Some(status) = delta.status.as_ref().filter(|status| status.revision > 0) else {
@@ -166,7 +168,7 @@
             effects.push(Effect::Log(LogEvent::TooManyPeers));
             return;
         }
-        // Observations that were not sent are not known.
+        // The entry's version covers observations that were not sent; record that they are not known.
         let mut version = delta.version;
         if delta.observations.is_none() {
             version.observations_version = 0;
@@ -251,7 +253,7 @@
         }
     }
 
-    /// A plan of a lower epoch, or an earlier one of the same epoch, is left out (design 5.6).
+    /// Applies a plan, unless it is of a lower epoch or is not newer within its epoch (design 5.6).
     pub(super) fn apply_plan(&mut self, plan: Arc<TrafficShiftPlan>, effects: &mut Vec<Effect>) {
         if plan.version() > self.plan.version() {
             self.plan = plan;
@@ -267,7 +269,7 @@
         }
     }
 
-    /// A read of the endpoint list found this revision to be the current one.
+    /// Records that a read of the platform returned the endpoint list of this revision.
     pub(super) fn record_list_read(&mut self, revision: u64, began_at: Duration) {
         let is_newer = self.endpoints.record_read(revision, began_at);
         if is_newer && self.own_info.role == Role::Registry {
@@ -277,7 +279,7 @@
 }
 
 impl Peer {
-    /// Observations have a version of their own, since they may arrive by a slower way than heartbeats.
+    /// Merges observations by their own version, since they may arrive on a slower path than heartbeats.
     fn merge_observations(&mut self, delta: &NodeDelta, is_direct: bool) {
         if delta.version.incarnation == self.version.incarnation
             && delta.version.observations_version > self.version.observations_version
--- a/cluster/src/gossip/mod.rs
+++ b/cluster/src/gossip/mod.rs
@@ -1,20 +1,20 @@
-//! Gossip: the soft state of the fleet, spread by pulls. Each node is the source of its own entry. A pull
-//! names the versions that its sender has, one for each node, and is answered with whatever is newer; it
-//! waits for urgent changes (long polling). The scheme follows the version vectors of Scuttlebutt
+//! Pull-based gossip, which replicates the soft state of the fleet. Each node is the source of its own
+//! entry. A pull carries its sender's version vector and is answered with all newer entries; without an
+//! urgent change it waits for one (long polling). The scheme follows the version vectors of Scuttlebutt
 //! (van Renesse et al., "Efficient Reconciliation and Flow Control for Anti-Entropy Protocols", 2008), with
 //! registries as hubs for the other nodes, the leaves (design 5.3).
 //!
-//! [`Gossip`] is a pure state machine: events and the time go in, effects come out.
+//! [`Gossip`] is a state machine without I/O: events and the time are its input, effects its output.
 //!
-//! - `peer`: one peer and the rule by which it is live
+//! - `peer`: the state of one peer and the rule by which it is live
 //! - `failure_detection`: which peers are live
 //! - `pull_session`: outgoing pulls
-//! - `pending_pull`: incoming pulls that wait
-//! - `response`: what pulls are answered with
-//! - `merge`: taking in what peers sent
-//! - `freshness`: whether what is known is current
+//! - `pending_pull`: incoming pulls that wait for an urgent change
+//! - `response`: the responses to pulls
+//! - `merge`: merging received state
+//! - `freshness`: whether the local state is current
 //! - `read_index_requests`: how the read index is established after a start
-//! - `observation_interest`: whether this registry collects proxies' observations
+//! - `observation_interest`: whether this registry collects the observations of proxies
 
 mod failure_detection;
 mod freshness;
@@ -51,69 +51,71 @@
 use vanepath_config::endpoint_list::EndpointList;
 use vanepath_config::stable_hash;
 
-/// Peers known at one time, so that a peer that makes up names cannot fill the memory. Six times the
-/// design size (docs/CAPACITY.md).
+/// The maximum number of known peers, so that a peer that invents names cannot exhaust memory. Six times the
+/// fleet size that the design assumes (docs/CAPACITY.md).
 pub const MAX_PEERS: usize = 4096;
 
-/// What happens to a node, as far as gossip is concerned.
+/// An input of the gossip state machine.
 pub enum Event {
-    /// Time passes; due every 50 ms.
+    /// Time has passed; expected every 50 ms.
     Tick,
-    /// A peer pulls; the response goes out under the ticket, at once or later.
+    /// A pull was received from a peer. The response has the same ticket and is sent at once or later.
     PullReceived {
-        /// Chosen by the shell, one for each pull.
+        /// The identifier of the pull, unique at this node and assigned by the shell.
         ticket: u64,
         /// The pull.
         request: PullRequest,
     },
-    /// The requester of a pending pull is gone.
+    /// The requester of a pending pull has disconnected.
     PullAbandoned {
         /// The ticket of that pull.
         ticket: u64,
     },
-    /// Nobody listens at a peer's address.
+    /// A peer's address refused a connection.
     ConnectionRefused {
         /// The cluster address.
         address: SocketAddr,
     },
-    /// A pull of this node's ended.
+    /// A pull sent by this node has ended.
     PullCompleted {
         /// The cluster address that was pulled from.
         address: SocketAddr,
-        /// `None`: the pull failed.
+        /// The response; `None`: the pull failed.
         response: Option<Box<PullResponse>>,
     },
-    /// This node's own status.
+    /// This node's own status has changed.
     StatusChanged(NodeStatus),
-    /// What this proxy observed of servers.
+    /// This proxy's observations of servers have changed.
     ObservationsChanged(ProxyObservations),
-    /// At a store: a version that a majority of stores has accepted.
+    /// At a store: a majority of stores has accepted this configuration.
     ConfigCommitted(Arc<CommittedConfig>),
-    /// An endpoint list from elsewhere than a peer.
+    /// An endpoint list was received from a source other than a peer.
     EndpointListReceived(Arc<EndpointList>),
     /// This node has read the endpoint list from the platform.
     EndpointListRead {
-        /// The list that is current by that.
+        /// The list that was read.
         list: Arc<EndpointList>,
         /// When the read began, on this node's clock.
         began_at: Duration,
     },
-    /// A traffic-shift plan, by this node as the leader or from its disk.
+    /// This node has computed a traffic-shift plan as the leader, or has loaded one from its disk.
     PlanReceived(Arc<TrafficShiftPlan>),
-    /// An operator asks this registry for the observations of proxies.
+    /// An operator has requested the observations of proxies from this registry.
     ObservationsWanted,
-    /// The settings name other seeds from now on.
+    /// The seeds in the settings have changed.
     SeedsChanged(Vec<SocketAddr>),
-    /// A store that was asked for the read index replied, or failed to (design 5.8).
+    /// A request to a store for the read index has ended (design 5.8).
     ReadIndexReceived {
         /// The store's cluster address.
         address: SocketAddr,
-        /// The highest revision that a majority of stores holds; `None`: it could not determine that.
+        /// The highest revision that a majority of stores holds; `None`: the store did not reply, or could
+        /// not determine it.
         revision: Option<u64>,
     },
 }
 
-/// What the shell has to do after a step, in this order.
+/// An output of the gossip state machine, which the shell carries out. The effects of a step are carried out
+/// in order.
 #[derive(Debug)]
 pub enum Effect {
     /// Send a pull.
@@ -123,11 +125,11 @@
         /// The pull.
         request: PullRequest,
     },
-    /// Answer a pull.
+    /// Respond to a pull.
     Respond {
         /// The ticket of the pull.
         ticket: u64,
-        /// The answer.
+        /// The response.
         response: PullResponse,
     },
     /// Ask a store for the read index.
@@ -135,22 +137,22 @@
         /// The store's cluster address.
         address: SocketAddr,
     },
-    /// Something that readers of the cluster view care about has changed.
+    /// State that is part of the cluster view has changed.
     ViewChanged,
-    /// Something to log.
+    /// Log an event.
     Log(LogEvent),
 }
 
-/// An incident that is logged.
+/// An event that is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 pub enum LogEvent {
-    /// The process was paused: the machine was suspended, or had no time for it.
+    /// The process was paused: the machine was suspended, or did not schedule the process.
     #[strum(serialize = "resumed after a pause of the process")]
     ResumedAfterPause,
-    /// Peers knew a later incarnation of this node's name.
+    /// Peers knew a later incarnation of this node's name, so this node has raised its own.
     #[strum(serialize = "raised the own incarnation above another one of this name")]
     IncarnationRaised,
-    /// A node was ignored because [`MAX_PEERS`] are known already.
+    /// A new node was ignored because [`MAX_PEERS`] are known already.
     #[strum(serialize = "too many peers; a new one is ignored")]
     TooManyPeers,
 }
@@ -165,11 +167,11 @@
     seeds: Vec<SocketAddr>,
     /// All known peers, live or not.
     pub peers: Vec<Peer>,
-    /// The index in `peers` by name.
+    /// The indices in `peers`, by name.
     peer_indices: HashMap<String, usize>,
-    /// The hashes of all known names, the own one included.
+    /// The hashes of all known names, including this node's.
     known_name_hashes: HashSet<u32>,
-    /// The newest committed configuration that is known here; in force once the read index is established.
+    /// The newest known committed configuration; active once the read index is established.
     pub committed: Arc<CommittedConfig>,
     /// The endpoint list.
     pub endpoints: EndpointCache,
@@ -179,36 +181,36 @@
     pending_pulls: Vec<PendingPull>,
     /// At a registry: the versions that each leaf has, by the leaf's name.
     leaf_versions: HashMap<String, HashMap<u32, NodeVersion>>,
-    /// At a registry: the name hashes of unreachable peers, in order.
+    /// At a registry: the name hashes of unreachable peers, sorted.
     unreachable_hashes: Vec<u32>,
-    /// Counts what requesters are to know at once. What was not urgent for a requester stays so until the
-    /// next change.
+    /// The number of urgent changes, which requesters must learn of at once. A pull without an urgent change
+    /// at one count has none until the count increases.
     urgent_changes: u64,
-    /// `urgent_changes` when the pending pulls were last checked.
+    /// The value of `urgent_changes` when the pending pulls were last checked.
     checked_urgent_changes: u64,
-    /// When a registry last reported who is unreachable.
+    /// When a registry last reported its list of unreachable nodes.
     registry_report_at: Option<Duration>,
-    /// Any registry is live: this node pulls from registries.
+    /// Whether any registry is live; if so, this node pulls from registries.
     has_live_registry: bool,
-    /// Addresses of peers whose connections ended lately; they are pulled from with the next tick.
+    /// The addresses of peers whose connections ended recently; they are pulled from at the next tick.
     suspects: Vec<SocketAddr>,
     collects_observations_since: Option<Duration>,
-    collects_observations_until: Duration,
+    operator_interest_until: Duration,
     next_heartbeat_at: Duration,
     next_seed_retry_at: Duration,
-    /// Counts the retries of unreachable peers and seeds.
-    retry_turn: usize,
+    /// The number of retries of unreachable peers and seeds, which determines the next address to try.
+    retry_count: usize,
     freshness: Freshness,
     read_index: ReadIndex,
-    /// The highest revision that each name ever reported as active, over all its incarnations.
+    /// The highest revision that each name ever reported as active, across its incarnations.
     highest_active_revisions: HashMap<String, u64>,
-    /// The highest revision that anyone reported as active, directly or by way of others.
+    /// The highest revision that any node reported as active, directly or through other nodes.
     highest_reported_revision: u64,
 }
 
 impl Gossip {
-    /// The state of a node that has just started. `incarnation` has to be higher than that of any earlier
-    /// start under this name; where it is not, the node raises it as soon as it hears of that.
+    /// The state of a node that has just started. `incarnation` should be higher than that of any earlier
+    /// start under this name; if it is not, the node raises it once it learns of the higher one.
     pub fn new(
         own_info: NodeInfo,
         seeds: Vec<SocketAddr>,
@@ -216,8 +218,8 @@
         now: Duration,
     ) -> Gossip {
         let seeds = seeds.into_iter().filter(|seed| *seed != own_info.cluster_address).collect();
-        // Each node begins its retries elsewhere, so that between them they soon try all addresses.
-        let retry_turn = stable_hash(&["turn", &own_info.name]) as usize;
+        // Each node starts its retries at a different address, so that together they soon try all of them.
+        let retry_count = stable_hash(&["turn", &own_info.name]) as usize;
         let own_name_hash = name_hash(&own_info.name);
         Gossip {
             own_info,
@@ -247,10 +249,10 @@
             has_live_registry: false,
             suspects: Vec::new(),
             collects_observations_since: None,
-            collects_observations_until: now,
+            operator_interest_until: now,
             next_heartbeat_at: now,
             next_seed_retry_at: now,
-            retry_turn,
+            retry_count,
             freshness: Freshness::new(now),
             read_index: ReadIndex::new(now),
             highest_active_revisions: HashMap::new(),
@@ -258,12 +260,12 @@
         }
     }
 
-    /// Who this node is.
+    /// This node's identity.
     pub fn node_info(&self) -> &NodeInfo {
         &self.own_info
     }
 
-    /// This node's status as other nodes get it.
+    /// This node's status, as it is sent to other nodes.
     pub fn node_status(&self) -> &NodeStatus {
         &self.own_status
     }
@@ -273,27 +275,28 @@
         self.own_version
     }
 
-    /// The read index of this incarnation, established or not.
+    /// The state of this incarnation's read index.
     pub fn read_index(&self) -> &ReadIndex {
         &self.read_index
     }
 
-    /// The highest revision that each name reported as active there, over all its incarnations.
+    /// The highest revision that each name reported as active, across its incarnations.
     pub fn highest_active_revisions(&self) -> &HashMap<String, u64> {
         &self.highest_active_revisions
     }
 
-    /// Whether what is known here was refreshed since the start or the last pause (design 5.5): by a
-    /// registry, or by any peer when no registry replied for [`PEER_FRESHNESS_TIMEOUT`]. A node that gets
-    /// no reply at all acts on what it has after [`ISOLATED_FRESHNESS_TIMEOUT`].
+    /// Whether the local state was refreshed since the start or the last pause (design 5.5): by a reply of a
+    /// registry or synced store or, after [`PEER_FRESHNESS_TIMEOUT`], by a reply of any peer. A node that
+    /// receives no reply counts as fresh after [`ISOLATED_FRESHNESS_TIMEOUT`] and acts on the state that it
+    /// has.
     pub fn is_fresh(&self, now: Duration) -> bool {
         self.freshness.is_fresh(now)
     }
 
-    /// Takes in one event at `now`, monotonic time since the start of the node.
+    /// Handles one event at `now`, the monotonic time since the start of the node.
     pub fn step(&mut self, now: Duration, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
-        // Whatever comes first after a pause must not be taken for current.
+        // The first event after a pause may carry data from before it, which must not count as fresh.
         self.handle_pause(now, &mut effects);
         let is_tick = matches!(event, Event::Tick);
         self.handle_event(now, event, &mut effects);
@@ -368,7 +371,7 @@
     }
 
     fn on_status_changed(&mut self, mut status: NodeStatus, effects: &mut Vec<Effect>) {
-        // Nothing is in force here before the read index is established.
+        // No configuration is active before the read index is established.
         status.revision = status.revision.min(self.active_revision());
         if status != self.own_status {
             self.own_status = status;
@@ -392,15 +395,16 @@
         config: Arc<CommittedConfig>,
         effects: &mut Vec<Effect>,
     ) {
-        // A majority of stores has confirmed it since this one started (design 6.2).
+        // A majority of stores has confirmed this configuration since this store started (design 6.2), which
+        // establishes its read index.
         if self.own_info.role == Role::Store {
             self.read_index.on_store_reply(now, &self.own_info.name, Some(config.revision));
         }
         self.apply_config(config, effects);
     }
 
-    /// The name of the peer at a cluster address, or else the address.
-    fn name_at(&self, address: SocketAddr) -> String {
+    /// The name of the peer at a cluster address, or the address itself if the peer is not known.
+    fn peer_name_at(&self, address: SocketAddr) -> String {
         let peer = self.peers.iter().find(|peer| peer.info.cluster_address == address);
         peer.map_or_else(|| address.to_string(), |peer| peer.info.name.clone())
     }
--- a/cluster/src/gossip/observation_interest.rs
+++ b/cluster/src/gossip/observation_interest.rs
@@ -1,16 +1,16 @@
-//! Whether this registry collects what proxies observe of servers (design 5.3). Observations are most of
-//! what registries send each other, so only those that plan by them ask for them.
+//! Whether this registry collects the proxies' observations of servers (design 5.3). Observations are most of
+//! the traffic between registries, so only the registries that need them for planning request them.
 
 use super::Gossip;
 use crate::wire::{NodeInfo, NodeStatus, Role};
 use std::time::Duration;
 
-/// This many registries collect observations: the leader and the one that would succeed it.
+/// The number of registries that collect observations: the leader and its successor.
 const COLLECTING_REGISTRIES: usize = 2;
-/// A registry that began to collect has all observations after this long: every other registry was asked
-/// and has answered.
+/// The time after which a registry that began to collect has all observations: by then it has sent a pull to
+/// every other registry and received the response.
 const COLLECTION_DELAY: Duration = Duration::from_millis(1500);
-/// An operator's question for observations keeps a registry collecting for this long.
+/// A registry collects observations for this long after an operator requested them.
 const OPERATOR_INTEREST_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl Gossip {
@@ -21,7 +21,7 @@
     }
 
     pub(super) fn on_observations_wanted(&mut self, now: Duration) {
-        self.collects_observations_until = now + OPERATOR_INTEREST_TIMEOUT;
+        self.operator_interest_until = now + OPERATOR_INTEREST_TIMEOUT;
         self.update_observation_interest(now);
     }
 
@@ -31,7 +31,7 @@
             info.role == Role::Registry && !status.draining && info.name < self.own_info.name
         };
         let collects = self.own_info.role == Role::Registry
-            && (now < self.collects_observations_until
+            && (now < self.operator_interest_until
                 || self.live(now).filter(is_registry_before).count() < COLLECTING_REGISTRIES
                 || self.leader(Role::Registry, now).is_some_and(|leader| *leader == self.own_info));
         self.collects_observations_since =
--- a/cluster/src/gossip/peer.rs
+++ b/cluster/src/gossip/peer.rs
@@ -1,51 +1,53 @@
-//! What this node knows of one other node, and when that node counts as live.
+//! The state of one peer, and the rule by which it is live.
 
 use crate::wire::{NodeInfo, NodeStatus, NodeVersion, ProxyObservations, Role};
 use std::time::Duration;
 
-/// How often a node raises its own heartbeat counter.
+/// The interval at which a node increments its heartbeat counter.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(700);
-/// A node without a newer heartbeat for this long is not live.
+/// A peer without a newer heartbeat for this long is not live.
 pub const NODE_TIMEOUT: Duration = Duration::from_millis(3000);
-/// The same between registries, which pull straight from each other and so know sooner.
+/// The value of [`NODE_TIMEOUT`] between registries. It is shorter because they pull directly from each
+/// other, and so receive heartbeats sooner.
 pub const REGISTRY_TIMEOUT: Duration = Duration::from_millis(2200);
-/// A node without a newer heartbeat for this long is forgotten.
+/// A peer without a newer heartbeat for this long is forgotten.
 pub const FORGET_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// One other node as this one knows it.
+/// One other node, as known to this one.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Who it is, as of its newest known incarnation.
+    /// Its identity in its newest known incarnation.
     pub info: NodeInfo,
-    /// The version of everything known of it.
+    /// The version of its entry.
     pub version: NodeVersion,
     /// Its newest known status.
     pub status: NodeStatus,
-    /// Proxies only, and only at registries that collect them: what it observed of servers.
+    /// Proxies only, at registries that collect observations: its observations of servers.
     pub observations: ProxyObservations,
-    /// The observations came from the node itself, not by way of a third one.
+    /// Whether the observations came from the node itself and not through another node.
     pub(super) has_direct_observations: bool,
     /// The hash of its name, for version vectors.
     pub(super) name_hash: u32,
-    /// When its newest known heartbeat was raised, on this node's clock.
+    /// When its latest known heartbeat was raised, on this node's clock.
     pub(super) last_heartbeat_at: Duration,
-    /// Since when this node knows of it, or since this process resumed after a pause.
+    /// When this node first learned of it, or when this process last resumed after a pause.
     pub(super) known_since: Duration,
-    /// When it last replied to a pull of this node's.
+    /// When it last replied to a pull of this node.
     pub(super) last_reply_at: Option<Duration>,
-    /// When its address refused a connection: it is dead until a newer heartbeat (design 5.7).
+    /// When its address refused a connection: it counts as dead until a newer heartbeat (design 5.7).
     pub(super) refused_at: Option<Duration>,
-    /// At a leaf: every registry that reported lately says that it is unreachable.
+    /// At a leaf: whether all registries that reported recently consider it unreachable.
     pub(super) is_reported_unreachable: bool,
     /// Whether it was live at the last tick.
     pub(super) was_live: bool,
 }
 
 impl Peer {
-    /// Whether the peer is live for a node of role `own_role`. Registries rely on heartbeats alone. All other
-    /// nodes rely on what registries report; `registry_report_at` is when one last did. They judge only
-    /// registries by heartbeats then: while no registry reports, nobody else becomes unreachable
-    /// (design 5.3).
+    /// Whether the peer is live from the perspective of a node of role `own_role`. Registries use heartbeats
+    /// only. Other nodes use the reports of registries, the latest of which arrived at `registry_report_at`.
+    /// Once they have received a report, they evaluate only the heartbeats of registries at `now`, and those
+    /// of other peers at the time of the latest report: while no registry reports, no other peer becomes
+    /// unreachable (design 5.3).
     pub(super) fn is_live(
         &self,
         now: Duration,
@@ -66,7 +68,7 @@
         !self.is_refused() && judged_at.saturating_sub(self.last_heartbeat_at) < timeout
     }
 
-    /// Its address refused a connection, and no newer heartbeat is known since.
+    /// Whether its address refused a connection and no newer heartbeat is known.
     pub(super) fn is_refused(&self) -> bool {
         self.refused_at.is_some_and(|refused_at| self.last_heartbeat_at <= refused_at)
     }
--- a/cluster/src/gossip/pending_pull.rs
+++ b/cluster/src/gossip/pending_pull.rs
@@ -1,18 +1,19 @@
-//! Incoming pulls. One that finds nothing urgent waits for it until its deadline (long polling).
+//! Incoming pulls. A pull for which there is no urgent change waits for one until its deadline (long
+//! polling).
 
 use super::{Effect, Gossip, LONG_POLL_TIMEOUT, unreachable_digest};
 use crate::wire::{NodeVersion, PlanVersion, PullRequest, Role, name_hash};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Between registries a read of the endpoint list that began this much later than the last one that the
-/// requester knows of is urgent.
-const LIST_READ_STEP: Duration = Duration::from_millis(200);
+/// Between registries, a read of the endpoint list is an urgent change if it began at least this much later
+/// than the latest one that the requester knows of.
+const LIST_READ_MIN_ADVANCE: Duration = Duration::from_millis(200);
 
-/// A pull that is to be answered, and what its requester has.
+/// A pull that has not been responded to, with the versions that its requester has.
 pub(super) struct PendingPull {
     pub(super) ticket: u64,
-    /// By the hashes of the nodes' names.
+    /// The requester's version vector, keyed by the hashes of the nodes' names.
     pub(super) known_versions: HashMap<u32, NodeVersion>,
     pub(super) config_revision: u64,
     pub(super) endpoint_list_revision: u64,
@@ -22,27 +23,27 @@
     pub(super) requester: String,
     pub(super) requester_incarnation: u64,
     pub(super) is_leaf: bool,
-    /// The digest of the unreachable nodes that were reported to the requester last.
+    /// The digest of the list of unreachable nodes that the requester was last sent.
     unreachable_digest: u64,
-    /// The requester's versions are not known here: it has to send them again.
+    /// The requester's versions are not known to this node: it must send them again.
     pub(super) needs_versions: bool,
-    /// The requester just started or resumed, does not wait, and wants all that there is.
+    /// The requester has just started or resumed: it does not wait, and is sent all available state.
     pub(super) is_initial: bool,
     /// The requester has not established its read index yet (design 5.8).
     pub(super) needs_read_index: bool,
-    /// The count of urgent changes at which nothing was urgent for this requester.
+    /// The value of `Gossip::urgent_changes` at which there was nothing urgent for this requester.
     checked_changes: u64,
-    /// When the newest read of the endpoint list that the requester knows of began, on this node's clock.
+    /// When the latest read of the endpoint list that the requester knows of began, on this node's clock.
     list_read_at: Option<Duration>,
 }
 
 impl PendingPull {
-    /// What the requester knows of a node; the default version: nothing.
+    /// The requester's version of a node's entry; the default version if it has none.
     pub(super) fn known_version(&self, name_hash: u32) -> NodeVersion {
         self.known_versions.get(&name_hash).copied().unwrap_or_default()
     }
 
-    /// Whether the requester has a node's status, as of this version.
+    /// Whether the requester has the status of this version, or a newer one, of a node.
     fn has_status(&self, name: &str, name_hash: u32, version: &NodeVersion) -> bool {
         match self.known_versions.get(&name_hash) {
             None => name == self.requester,
@@ -72,7 +73,7 @@
         self.endpoints.observe_revision(request.endpoint_list_revision);
         let list_read_age =
             request.list_read_age_ms.map(|age_ms| Duration::from_millis(u64::from(age_ms)));
-        // A node has one pull out to each peer: an earlier one was given up.
+        // A node has at most one pull in flight to each peer, so it has abandoned any earlier one.
         self.pending_pulls.retain(|pull| pull.requester != requester || pull.ticket == ticket);
         let leaf_versions = self.leaf_versions.remove(&requester);
         let needs_versions = request.known_versions.is_none() && leaf_versions.is_none();
@@ -105,8 +106,8 @@
         }
     }
 
-    /// The requester's connection ended while its pull waited: it may be dead, so it is asked directly with
-    /// the next tick.
+    /// Handles the end of a requester's connection while its pull was pending. The requester may be dead, so
+    /// it is pulled from at the next tick.
     pub(super) fn on_pull_abandoned(&mut self, ticket: u64) {
         if let Some(pull) = self.pending_pulls.iter().find(|pull| pull.ticket == ticket) {
             let requester = self.peers.iter().find(|peer| peer.info.name == pull.requester);
@@ -115,7 +116,7 @@
         self.pending_pulls.retain(|pull| pull.ticket != ticket);
     }
 
-    /// Answers the pulls for which there is something urgent and those whose deadline has come.
+    /// Responds to the pending pulls for which there is an urgent change or whose deadline has passed.
     pub(super) fn respond_to_pending(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         let mut index = 0;
         while index < self.pending_pulls.len() {
@@ -142,8 +143,8 @@
         effects.push(Effect::Respond { ticket: pull.ticket, response });
     }
 
-    /// Whether there is anything for a requester that is not to wait. Heartbeats and observations are not
-    /// urgent.
+    /// Whether there is a change that the requester must learn of at once. Heartbeats and observations are
+    /// not urgent.
     fn has_urgent_change(&self, pull: &PendingPull) -> bool {
         let is_reporting_registry = pull.is_leaf && self.own_info.role == Role::Registry;
         let has_new_unreachable = is_reporting_registry
@@ -160,14 +161,14 @@
                 .any(|peer| !pull.has_status(&peer.info.name, peer.name_hash, &peer.version))
     }
 
-    /// Registries announce each read of the endpoint list to each other at once: any other registry reads it
-    /// only when it has heard of no read for a while.
+    /// Whether this registry knows of a read of the endpoint list that a requesting registry must learn of
+    /// at once: a registry reads the list itself only if it has not learned of another's read for some time.
     fn has_later_list_read(&self, pull: &PendingPull) -> bool {
         let is_registry = self.own_info.role == Role::Registry;
         let Some(read_at) = self.endpoints.read_at().filter(|_| is_registry && !pull.is_leaf)
         else {
             return false;
         };
-        pull.list_read_at.is_none_or(|known_at| read_at >= known_at + LIST_READ_STEP)
+        pull.list_read_at.is_none_or(|known_at| read_at >= known_at + LIST_READ_MIN_ADVANCE)
     }
 }
--- a/cluster/src/gossip/pull_session.rs
+++ b/cluster/src/gossip/pull_session.rs
@@ -1,4 +1,4 @@
-//! Outgoing pulls: which peers this node pulls from, and one session for each of them (design 5.2).
+//! Outgoing pulls: selection of the peers to pull from, and one session for each of them (design 5.2).
 
 use super::{Effect, Gossip, Peer, candidate, unreachable_digest};
 use crate::peer_selection::{Candidate, nearest_store, rank_registries, select_peers};
@@ -7,22 +7,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A leaf pulls from this many registries.
+/// The number of registries that a leaf pulls from.
 const LEAF_PULL_SESSIONS: usize = 2;
-/// A pull that is unanswered for this long is slow: another registry is asked as well.
+/// A session whose pull is unanswered for this long is unhealthy, and another registry is used as well.
 const SLOW_PULL_TIMEOUT: Duration = Duration::from_millis(1100);
-/// A pull that finds nothing urgent waits for it this long (long polling).
+/// The time for which a pull waits at the peer for an urgent change (long polling).
 pub const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(700);
-/// The pause after a failed pull.
+/// The delay before the next pull after a failed one.
 pub const PULL_BACKOFF: Duration = Duration::from_millis(300);
-/// How often one of the unreachable peers and seeds is tried.
+/// The interval at which one of the unreachable peers and seeds is tried.
 const SEED_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A registry's last list of unreachable nodes.
+/// The latest list of unreachable nodes from a registry.
 #[derive(Clone, Debug)]
 pub(super) struct UnreachableReport {
     pub(super) received_at: Duration,
-    /// Hashes of their names, in order.
+    /// The hashes of the nodes' names, sorted.
     pub(super) name_hashes: Vec<u32>,
 }
 
@@ -32,23 +32,23 @@
     }
 }
 
-/// The pulls from one address: at most one is in flight.
+/// The state of the pulls from one address. At most one pull is in flight.
 #[derive(Clone, Debug)]
 pub(super) struct PullSession {
     is_in_flight: bool,
-    /// When the pull in flight, or the last one, was sent: its reply is no fresher than that.
+    /// When the pull in flight, or else the last one, was sent. Its reply may be as old as that.
     pub(super) sent_at: Duration,
     next_pull_at: Duration,
-    /// Not wanted any more, a session ends with the pull that is in flight.
+    /// Whether the address is still selected. If not, the session ends when the pull in flight completes.
     is_wanted: bool,
-    /// The version of the own observations that were sent with the last pull to this registry.
+    /// The version of this node's observations that the registry was last sent.
     sent_observations_version: u64,
-    /// The peer has this node's info and version vector from an earlier pull, unless it was restarted,
-    /// and then the pull fails.
+    /// Whether the peer has this node's info and version vector from an earlier pull. A restarted peer has
+    /// lost them, but then the pull fails and this is reset.
     peer_has_state: bool,
-    /// At a leaf: whom this registry reported as unreachable last.
+    /// At a leaf: the latest report of unreachable nodes from this registry.
     pub(super) unreachable: Option<UnreachableReport>,
-    /// The last pull failed.
+    /// Whether the last pull failed.
     has_failed: bool,
 }
 
@@ -72,18 +72,18 @@
     }
 }
 
-/// How a pull ended.
+/// The outcome of a pull.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PullOutcome {
     Answered,
-    /// Answered, but the peer does not know this node's versions: they have to be sent again.
+    /// The peer replied that it does not know this node's versions: they must be sent again.
     VersionsRequested,
     Failed,
 }
 
 impl Gossip {
-    /// Begins and ends sessions so that this node pulls from whom it should, and sends the pulls that
-    /// are due. `suspects` are pulled from once, whoever they are.
+    /// Opens and closes sessions according to the selection of peers, and starts the pulls that are due.
+    /// Each address in `suspects` is pulled from once, whether or not it would be selected.
     pub(super) fn update_sessions(
         &mut self,
         now: Duration,
@@ -110,8 +110,8 @@
         }
     }
 
-    /// The addresses to pull from: registries where any is live, otherwise a few peers; in addition those
-    /// that may know more, and in turn a seed or an unreachable peer.
+    /// The addresses to pull from: registries if any is live, otherwise a few peers; in addition peers that
+    /// may have a newer configuration, the suspects, and periodically a seed or an unreachable peer.
     fn select_addresses(
         &mut self,
         now: Duration,
@@ -120,9 +120,9 @@
         let live: Vec<&Peer> = self.live_peers(now).collect();
         let candidates: Vec<Candidate<'_>> =
             live.iter().map(|peer| candidate(&peer.info)).collect();
-        let by_registries = self.registry_addresses(now, &live, &candidates);
-        let has_live_registry = by_registries.is_some();
-        let mut wanted: BTreeSet<SocketAddr> = match by_registries {
+        let registry_targets = self.registry_addresses(now, &live, &candidates);
+        let has_live_registry = registry_targets.is_some();
+        let mut wanted: BTreeSet<SocketAddr> = match registry_targets {
             Some(addresses) => addresses.into_iter().collect(),
             None => select_peers(&candidate(&self.own_info), &candidates)
                 .into_iter()
@@ -132,29 +132,31 @@
         if wanted.is_empty() {
             wanted.extend(&self.seeds);
         }
-        wanted.extend(self.better_informed(&live));
+        wanted.extend(self.peers_with_newer_config(&live));
         if self.freshness.awaits_first_reply() {
-            // After a start or a pause the few selected peers may all be gone: everyone is asked once.
-            let asked =
+            // After a start or a pause the few selected peers may all be down. Until the first reply, all
+            // live peers are pulled from, except proxies while a registry is live.
+            let initial_targets =
                 live.iter().filter(|peer| !has_live_registry || peer.info.role != Role::Proxy);
-            wanted.extend(asked.map(|peer| peer.info.cluster_address));
+            wanted.extend(initial_targets.map(|peer| peer.info.cluster_address));
         }
-        // Whoever has just become unreachable is asked directly, once: it may be cut off from all nodes
-        // but this one, which it does not know of.
+        // A peer that has just become unreachable is pulled from directly, once: it may be cut off from
+        // all nodes except this one, and may not know this one.
         wanted.extend(suspects);
         let live: BTreeSet<SocketAddr> =
             live.iter().map(|peer| peer.info.cluster_address).collect();
         wanted.extend(self.next_retry_address(now, &live));
         let had_live_registry = std::mem::replace(&mut self.has_live_registry, has_live_registry);
         if had_live_registry != has_live_registry {
-            // Heartbeats count from now on, or do not any more: everyone gets this node's whole state again.
+            // The node switches between relying on registries and on heartbeats, so every peer needs its
+            // full state again.
             self.sessions.values_mut().for_each(|session| session.peer_has_state = false);
         }
         wanted
     }
 
-    /// Whom a node pulls from while a registry is live: the nearest registry and one of another region, and
-    /// the next one where one does not reply. `None` where no registry is live.
+    /// The addresses to pull from while a registry is live: the nearest registry and one of another region,
+    /// and the next registry if one of these does not reply. `None` if no registry is live.
     fn registry_addresses(
         &self,
         now: Duration,
@@ -168,7 +170,7 @@
         if ranked.is_empty() {
             return None;
         }
-        // A registry without a majority may be cut off together with what nobody else knows.
+        // A registry that is cut off from the majority may have state that no other registry has.
         let minority = ranked.iter().copied().filter(|index| !hears_majority(*index));
         let mut wanted: Vec<SocketAddr> = minority.map(address).collect();
         if self.own_info.role == Role::Registry {
@@ -177,44 +179,44 @@
             return Some(wanted);
         }
         if self.own_info.role == Role::Store {
-            // What one store knows as committed all of them know at once, whichever registry is gone.
+            // Stores pull from each other, so that they learn of a commit at once whichever registry fails.
             let stores = live.iter().filter(|peer| peer.info.role == Role::Store);
             wanted.extend(stores.map(|peer| peer.info.cluster_address));
         }
-        let mut healthy = 0;
+        let mut healthy_count = 0;
         for address in ranked.into_iter().map(address) {
             wanted.push(address);
             let session = self.sessions.get(&address);
             let is_unhealthy = session.is_some_and(|session| session.is_unhealthy(now));
-            healthy += usize::from(!is_unhealthy);
-            if healthy >= LEAF_PULL_SESSIONS {
+            healthy_count += usize::from(!is_unhealthy);
+            if healthy_count >= LEAF_PULL_SESSIONS {
                 break;
             }
         }
         Some(wanted)
     }
 
-    /// Live peers that have, or may have, a newer configuration than this node.
-    fn better_informed(&self, live: &[&Peer]) -> Vec<SocketAddr> {
+    /// The addresses of live peers that have, or may have, a newer configuration than this node.
+    fn peers_with_newer_config(&self, live: &[&Peer]) -> Vec<SocketAddr> {
         let mut addresses = Vec::new();
         if self.own_info.role == Role::Registry {
-            // A store that nobody pulls from may be the one that committed it.
+            // The store that committed a configuration may be one that no registry pulls from.
             let newer = live.iter().filter(|peer| {
                 peer.info.role == Role::Store && peer.status.revision > self.committed.revision
             });
             addresses.extend(newer.map(|peer| peer.info.cluster_address));
         }
         let required = self.read_index.required();
-        let is_below = required.is_some_and(|required| required > self.committed.revision);
-        if self.read_index.established().is_none() && is_below {
-            // All registries may lag behind the read index: stores are asked as well.
+        let is_behind = required.is_some_and(|required| required > self.committed.revision);
+        if self.read_index.established().is_none() && is_behind {
+            // All registries may lag behind the read index, so stores are pulled from as well.
             let control_plane = live.iter().filter(|peer| peer.info.role != Role::Proxy);
             addresses.extend(control_plane.map(|peer| peer.info.cluster_address));
         }
         addresses
     }
 
-    /// Each [`SEED_RETRY_INTERVAL`] the next one of the unreachable peers and the seeds.
+    /// Once per [`SEED_RETRY_INTERVAL`], the next address among the unreachable peers and the seeds.
     fn next_retry_address(
         &mut self,
         now: Duration,
@@ -230,8 +232,8 @@
         if addresses.is_empty() {
             return None;
         }
-        self.retry_turn = self.retry_turn.wrapping_add(1);
-        Some(addresses[self.retry_turn % addresses.len()])
+        self.retry_count = self.retry_count.wrapping_add(1);
+        Some(addresses[self.retry_count % addresses.len()])
     }
 
     fn start_pull(&mut self, now: Duration, address: SocketAddr, effects: &mut Vec<Effect>) {
@@ -247,7 +249,7 @@
         let sends_info = !session.peer_has_state;
         let is_leaf = self.own_info.role != Role::Registry && self.has_live_registry;
         let sends_versions = !(is_leaf && session.peer_has_state);
-        let digest = session
+        let known_digest = session
             .unreachable
             .as_ref()
             .map_or(0, |report| unreachable_digest(&report.name_hashes));
@@ -257,7 +259,7 @@
         if sends_observations {
             session.sent_observations_version = observations_version;
         }
-        // The first pulls do not wait: through them the node learns of all others.
+        // The first pulls do not wait, because the node learns of all other nodes from them.
         let wait_ms = if self.freshness.awaits_first_reply() {
             0
         } else {
@@ -273,7 +275,7 @@
             wait_ms,
             wants_observations: self.collects_observations_since.is_some(),
             is_leaf,
-            unreachable_digest: digest,
+            unreachable_digest: known_digest,
             list_read_age_ms: (self.own_info.role == Role::Registry)
                 .then(|| self.endpoints.latest_read(now).map(|read| read.age_ms))
                 .flatten(),
@@ -281,7 +283,7 @@
         effects.push(Effect::Pull { address, request });
     }
 
-    /// This node's own entry.
+    /// This node's own entry, as it is sent with a pull.
     fn own_delta(&self, with_info: bool, with_observations: bool) -> NodeDelta {
         NodeDelta {
             name: self.own_info.name.clone(),
@@ -293,7 +295,8 @@
         }
     }
 
-    /// After a pull: the next one follows at once, or after a pause where this one failed.
+    /// Ends a pull. The next pull from the address starts at once, or after [`PULL_BACKOFF`] if this one
+    /// failed.
     pub(super) fn finish_pull(
         &mut self,
         now: Duration,
--- a/cluster/src/gossip/read_index_requests.rs
+++ b/cluster/src/gossip/read_index_requests.rs
@@ -1,5 +1,5 @@
-//! How a node that started establishes its read index (design 5.8): it asks stores, and takes what peers
-//! report while no majority of stores can be asked. The rules themselves are in [`crate::read_index`].
+//! How a node establishes its read index after a start (design 5.8): it asks stores, and uses the reports of
+//! peers if no majority of stores can be reached. The rules are in [`crate::read_index`].
 
 use super::{Effect, Gossip, candidate};
 use crate::peer_selection::{Candidate, nearest_store};
@@ -8,13 +8,13 @@
 use std::time::Duration;
 
 impl Gossip {
-    /// The revision in force here; 0: none in this incarnation so far.
+    /// The active revision; 0: this incarnation has no active configuration yet.
     pub(super) fn active_revision(&self) -> u64 {
         self.read_index.established().map_or(0, |_| self.committed.revision)
     }
 
-    /// Whether this node has waited for its read index in vain while other proxies take work, so that
-    /// requests are better off there.
+    /// Whether this node could not establish its read index in time while another proxy accepts work, to
+    /// which clients should turn instead.
     pub fn is_stalled(&self, now: Duration) -> bool {
         self.read_index.is_stalled(now)
             && self.live(now).any(|(info, status)| {
@@ -28,7 +28,7 @@
         store: SocketAddr,
         revision: Option<u64>,
     ) {
-        let name = self.name_at(store);
+        let name = self.peer_name_at(store);
         self.read_index.on_store_reply(now, &name, revision);
     }
 
@@ -38,28 +38,30 @@
             return;
         }
         if self.read_index.check(now, self.committed.revision, self.has_enough_peers(now)) {
-            // What was held back is offered from here on.
+            // From here on, the configuration that was withheld is offered to other nodes.
             self.urgent_changes += 1;
             effects.push(Effect::ViewChanged);
         }
     }
 
-    /// A node that is in contact with few of those it knows may be cut off together with them, and they may
-    /// lag. More than half of all nodes are enough, or more than half of its own region, whose nodes
-    /// exchanged their revisions before the region was cut off.
+    /// Whether enough peers are live for their reports to be used. A minority of the known nodes may be cut
+    /// off together with this one, and lag. More than half of all known nodes are enough, or more than half
+    /// of this node's region, whose nodes had exchanged their revisions before the region was cut off.
     fn has_enough_peers(&self, now: Duration) -> bool {
         let live = self.live(now).count();
         if live > self.unreachable(now).count() {
             return true;
         }
-        let is_near = |info: &NodeInfo| info.region == self.own_info.region;
-        let near = self.live(now).filter(|(info, _)| is_near(info)).count();
-        near > 1 && near > self.unreachable(now).filter(|(info, _)| is_near(info)).count()
+        let is_in_own_region = |info: &NodeInfo| info.region == self.own_info.region;
+        let live_in_region = self.live(now).filter(|(info, _)| is_in_own_region(info)).count();
+        live_in_region > 1
+            && live_in_region
+                > self.unreachable(now).filter(|(info, _)| is_in_own_region(info)).count()
     }
 
-    /// Asks stores that vote for the read index, in the order in which they propose, and the nearest one. A
-    /// store establishes its own as it asks the others for the committed version; one that is not a
-    /// member asks like any other node, a little later.
+    /// Requests the read index from voting stores, in their order of precedence as proposers, and from the
+    /// nearest one. A store that is a member establishes its own read index when it queries the other stores
+    /// for the committed version; a store that is not a member asks like any other node, after a delay.
     pub(super) fn request_read_index(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         if self.read_index.established().is_some()
             || (self.own_info.role == Role::Store && self.read_index.has_just_started(now))
@@ -81,7 +83,9 @@
         let nearest = nearest.map(|index| stores[index].1.cluster_address);
         let addresses: Vec<SocketAddr> =
             stores.iter().map(|(_, info)| info.cluster_address).collect();
-        let next = self.read_index.next_stores(now, &addresses, nearest);
-        effects.extend(next.into_iter().map(|address| Effect::RequestReadIndex { address }));
+        let next_stores_to_ask = self.read_index.next_stores(now, &addresses, nearest);
+        effects.extend(
+            next_stores_to_ask.into_iter().map(|address| Effect::RequestReadIndex { address }),
+        );
     }
 }
--- a/cluster/src/gossip/response.rs
+++ b/cluster/src/gossip/response.rs
@@ -1,4 +1,4 @@
-//! What a pull is answered with: everything that its requester does not have yet (design 5.3).
+//! The response to a pull: all state that its requester does not have yet (design 5.3).
 
 use super::pending_pull::PendingPull;
 use super::{FORGET_TIMEOUT, Gossip};
@@ -44,9 +44,9 @@
         }
     }
 
-    /// The entries that the requester lacks, this node's own first.
+    /// The entries that the requester does not have, this node's own first.
     fn node_deltas(&self, now: Duration, pull: &PendingPull) -> Vec<NodeDelta> {
-        let own = Entry {
+        let own_entry = Entry {
             info: &self.own_info,
             name_hash: self.own_name_hash,
             version: &self.own_version,
@@ -55,7 +55,7 @@
             has_direct_observations: true,
             last_heartbeat_at: now,
         };
-        let peers = self.peers.iter().map(|peer| Entry {
+        let peer_entries = self.peers.iter().map(|peer| Entry {
             info: &peer.info,
             name_hash: peer.name_hash,
             version: &peer.version,
@@ -67,15 +67,15 @@
         let selected = self.select_observations(pull);
         let may_send_observations =
             |index: usize| selected.as_ref().is_none_or(|selected| selected.contains(&index));
-        let own_delta = node_delta(now, pull, &own, true);
-        let peer_deltas = peers.enumerate().filter_map(|(index, entry)| {
+        let own_delta = node_delta(now, pull, &own_entry, true);
+        let peer_deltas = peer_entries.enumerate().filter_map(|(index, entry)| {
             node_delta(now, pull, &entry, may_send_observations(index))
         });
         own_delta.into_iter().chain(peer_deltas).collect()
     }
 
-    /// The indices of the peers whose observations fit into a response; `None`: all of them. The requester
-    /// gets the rest with its next pulls, which begin with another peer.
+    /// The indices of the peers whose observations fit into a response; `None`: all of them fit. The
+    /// requester gets the rest with its next pulls, for which the selection starts at a different peer.
     fn select_observations(&self, pull: &PendingPull) -> Option<HashSet<usize>> {
         if !pull.wants_observations {
             return None;
@@ -102,8 +102,8 @@
         Some(fitting.map(|(index, _)| *index).collect())
     }
 
-    /// The name hashes of unreachable nodes for one requester, in order: also of those that the requester
-    /// knows and this registry has never heard of, once it has heard of enough.
+    /// The sorted name hashes of unreachable nodes, for one requester. Once this registry is synced, these
+    /// include nodes that the requester knows and this registry does not.
     pub(super) fn unreachable_for(&self, pull: &PendingPull) -> Vec<u32> {
         let mut unreachable = self.unreachable_hashes.clone();
         if self.own_status.synced {
@@ -117,9 +117,9 @@
 }
 
 impl PendingPull {
-    /// Whether a node's observations go into the response. Registries pull from all other registries, so
-    /// each gets observations from the one that the proxy sent them to; by way of a third one only if it
-    /// missed more than one version, since the direct way may be cut.
+    /// Whether the requester needs a node's observations. Registries pull from all other registries, so each
+    /// gets observations from the registry that the proxy sent them to. Another registry forwards them only
+    /// if the requester missed more than one version, since its direct path may be cut.
     fn needs_observations(
         &self,
         version: &NodeVersion,
@@ -135,7 +135,7 @@
     }
 }
 
-/// One entry without what the requester has; `None`: it has all of it.
+/// The parts of an entry that the requester does not have; `None`: there is nothing to send.
 fn node_delta(
     now: Duration,
     pull: &PendingPull,
@@ -170,7 +170,7 @@
     })
 }
 
-/// A digest of name hashes, by which a leaf shows which list it has; 0: an empty one.
+/// The digest of a list of name hashes, with which a leaf identifies the list that it has; 0: an empty list.
 pub(super) fn unreachable_digest(name_hashes: &[u32]) -> u64 {
     let texts: Vec<String> = name_hashes.iter().map(u32::to_string).collect();
     let parts: Vec<&str> = texts.iter().map(String::as_str).collect();
