--- a/cluster/src/node/clock.rs
+++ b/cluster/src/node/clock.rs
@@ -1,13 +1,13 @@
-//! Monotonic time.
+//! The monotonic clock.
 
 use std::time::{Duration, Instant};
 
-/// Monotonic time since the start of the process. Wall clocks may jump and decide nothing.
+/// Monotonic time since the start of the process. The wall clock may jump, so no decision depends on it.
 #[derive(Clone, Copy)]
 pub struct Clock(Instant);
 
 impl Clock {
-    /// A clock that begins at zero.
+    /// A clock that starts at zero.
     pub fn start() -> Clock {
         Clock(Instant::now())
     }
--- a/cluster/src/node/cluster_view.rs
+++ b/cluster/src/node/cluster_view.rs
@@ -1,4 +1,5 @@
-//! The consistent view of the gossip state that a program acts on, replaced as a whole when it changes.
+//! The cluster view: a consistent snapshot of the gossip state that a program acts on, replaced as a whole
+//! when it changes.
 
 use crate::gossip::Gossip;
 use crate::read_index::EstablishedReadIndex;
@@ -10,48 +11,48 @@
 use vanepath_config::model::Config;
 use vanepath_config::wire_format::SelectedFormat;
 
-/// The cluster as this node sees it. Readers load it whole (read-copy-update).
+/// The state of the cluster as known to this node. Readers load a whole snapshot (read-copy-update).
 #[derive(Clone, Debug, Default)]
 pub struct ClusterView {
-    /// The committed configuration as it is stored.
+    /// The newest known committed configuration, as it is stored.
     pub committed: Arc<CommittedConfig>,
-    /// The parsed configuration in force.
+    /// The parsed configuration.
     pub config: Arc<Config>,
-    /// The endpoint list in force.
+    /// The current endpoint list.
     pub endpoints: Arc<EndpointList>,
-    /// When the newest read began that found this list to be current.
+    /// When the latest read that returned this list began.
     pub endpoint_list_read_at: Option<Duration>,
-    /// The highest revision of an endpoint list that anyone reported.
+    /// The highest revision of an endpoint list that any node reported.
     pub highest_endpoint_list_revision: u64,
     /// The newest traffic-shift plan.
     pub plan: Arc<TrafficShiftPlan>,
     /// All live nodes, this one first.
     pub live: Vec<(NodeInfo, NodeStatus)>,
-    /// Nodes that are not live any more, as they were last known: dead, or cut off from here.
+    /// Nodes that are no longer live, in their last known state: dead, or cut off from this node.
     pub unreachable: Vec<(NodeInfo, NodeStatus)>,
-    /// What is known is current, and not older than what an earlier incarnation applied.
+    /// Whether the state is current and not older than what an earlier incarnation applied.
     pub is_fresh: bool,
-    /// The read index of this incarnation (design 5.8); `None`: it applies no configuration yet.
+    /// The read index of this incarnation (design 5.8); `None`: it is not established, and no configuration
+    /// is active yet.
     pub read_index: Option<EstablishedReadIndex>,
-    /// The revision that it has to reach before that, as far as it is known.
+    /// The revision that must be reached to establish the read index, by what was reported so far.
     pub required_revision: Option<u64>,
-    /// It has waited for its read index in vain: requests are rejected at once (design 5.8).
+    /// Whether the read index was not established in time: requests are rejected at once (design 5.8).
     pub is_stalled: bool,
-    /// The highest revision that each name reported as active there, over all its incarnations.
+    /// The highest revision that each name reported as active, across its incarnations.
     pub highest_active_revisions: Arc<HashMap<String, u64>>,
-    /// No pull has been answered for a while: others may know more.
+    /// Whether no pull was answered recently ([`Gossip::is_isolated`]).
     pub is_isolated: bool,
-    /// Others may know more ([`Gossip::is_partitioned`]).
+    /// Whether others may have newer state ([`Gossip::is_partitioned`]).
     pub is_partitioned: bool,
-    /// This registry has the observations of all proxies (design 5.3).
+    /// Whether this registry has the observations of all proxies (design 5.3).
     pub has_observations: bool,
-    /// The format of the operator's documents.
+    /// The format of the operator's configuration documents.
     pub wire_format: SelectedFormat,
 }
 
 impl ClusterView {
-    /// The view of the gossip state as it is now, and the changes since `previous` that are worth a line in
-    /// the log.
+    /// The view of the current gossip state, and the log lines for the changes since `previous`.
     pub fn from_gossip(
         gossip: &Gossip,
         previous: &ClusterView,
@@ -59,7 +60,7 @@
     ) -> (ClusterView, Vec<String>) {
         let mut log_lines = Vec::new();
         let config = previous.updated_config(&gossip.committed, &mut log_lines);
-        let live = cloned(gossip.live(now));
+        let live = clone_nodes(gossip.live(now));
         log_membership_changes(&previous.live, &live, &mut log_lines);
         previous.log_read_index_changes(gossip, now, &mut log_lines);
         let highest_active_revisions =
@@ -76,7 +77,7 @@
             highest_endpoint_list_revision: gossip.endpoints.highest_revision(),
             plan: gossip.plan.clone(),
             live,
-            unreachable: cloned(gossip.unreachable(now)),
+            unreachable: clone_nodes(gossip.unreachable(now)),
             is_fresh: is_fresh(gossip, now),
             read_index: gossip.read_index().established().cloned(),
             required_revision: gossip.read_index().required(),
@@ -90,7 +91,8 @@
         (view, log_lines)
     }
 
-    /// Whether whatever changes with the time alone is still as it was when this view was made.
+    /// Whether the state that changes without an [`Effect::ViewChanged`](crate::gossip::Effect::ViewChanged),
+    /// such as by time alone, is the same as in this view.
     pub fn is_up_to_date(&self, gossip: &Gossip, now: Duration) -> bool {
         self.is_fresh == is_fresh(gossip, now)
             && self.endpoint_list_read_at == gossip.endpoints.read_at()
@@ -102,12 +104,12 @@
             && self.has_observations == gossip.has_observations(now)
     }
 
-    /// The revision in force here; 0: none in this incarnation so far (design 5.8).
+    /// The active revision; 0: this incarnation has no active configuration yet (design 5.8).
     pub fn active_revision(&self) -> u64 {
         self.read_index.as_ref().map_or(0, |_| self.committed.revision)
     }
 
-    /// The read index for a program's status page.
+    /// The read index, for a program's status page.
     pub fn read_index_json(&self) -> jzon::JsonValue {
         match &self.read_index {
             Some(read_index) => jzon::object! {
@@ -126,8 +128,8 @@
         }
     }
 
-    /// The leader of a role: the first live and synced node of the role in the order of names
-    /// (design 5.6).
+    /// The leader of a role: of its live and synced nodes that are not draining, the one whose name sorts
+    /// first (design 5.6).
     pub fn leader(&self, role: Role) -> Option<&NodeInfo> {
         self.live
             .iter()
@@ -136,8 +138,8 @@
             .min_by(|left, right| left.name.cmp(&right.name))
     }
 
-    /// The parsed configuration once this one is committed. One that this version of the program cannot read
-    /// leaves the previous one in force.
+    /// The parsed configuration for a committed one. If this version of the program cannot parse it, the
+    /// previous configuration stays active.
     fn updated_config(
         &self,
         committed: &CommittedConfig,
@@ -149,12 +151,12 @@
         }
         match self.wire_format.parse_config(&committed.document) {
             Ok(config) => {
-                log_lines.push(format!("configuration of revision {revision} is active"));
+                log_lines.push(format!("parsed the configuration of revision {revision}"));
                 Arc::new(config)
             }
             Err(faults) => {
                 log_lines.push(format!(
-                    "configuration of revision {revision} cannot be read by this version: {}",
+                    "cannot parse the configuration of revision {revision}, keeping the previous one: {}",
                     faults[0]
                 ));
                 self.config.clone()
@@ -166,7 +168,7 @@
         let active_revision = gossip.committed.revision;
         if let (None, Some(read_index)) = (&self.read_index, gossip.read_index().established()) {
             log_lines.push(format!(
-                "revision {active_revision} is active: the read index is {} by {} ({}), after {} ms",
+                "revision {active_revision} is active; read index {} established by {} ({}) in {} ms",
                 read_index.revision,
                 read_index.source,
                 read_index.from,
@@ -175,22 +177,22 @@
         }
         if gossip.is_stalled(now) && !self.is_stalled {
             let required = gossip.read_index().required();
-            let required = required.map_or("not known".into(), |revision| revision.to_string());
+            let required = required.map_or("unknown".into(), |revision| revision.to_string());
             log_lines.push(format!(
-                "stalled below the read index: has revision {active_revision}, the read index is \
-                 {required}; takes no work"
+                "read index not established in time: committed revision {active_revision}, read index \
+                 {required}; accepting no work"
             ));
         }
     }
 }
 
-fn cloned<'n>(
+fn clone_nodes<'n>(
     nodes: impl Iterator<Item = (&'n NodeInfo, &'n NodeStatus)>,
 ) -> Vec<(NodeInfo, NodeStatus)> {
     nodes.map(|(info, status)| (info.clone(), status.clone())).collect()
 }
 
-/// What is known is current, and not older than what an earlier incarnation applied.
+/// Whether the state is current and not older than what an earlier incarnation applied.
 fn is_fresh(gossip: &Gossip, now: Duration) -> bool {
     gossip.is_fresh(now) && gossip.read_index().established().is_some()
 }
@@ -200,16 +202,17 @@
     live: &[(NodeInfo, NodeStatus)],
     log_lines: &mut Vec<String>,
 ) {
-    let previous_names = names(previous);
-    let live_names = names(live);
+    let previous_names = node_names(previous);
+    let live_names = node_names(live);
     for (info, _) in live.iter().filter(|(info, _)| !previous_names.contains(info.name.as_str())) {
-        log_lines.push(format!("{} {} in zone {} is live", info.role, info.name, info.zone));
+        log_lines.push(format!("{} {} in zone {} is now live", info.role, info.name, info.zone));
     }
     for (info, _) in previous.iter().filter(|(info, _)| !live_names.contains(info.name.as_str())) {
-        log_lines.push(format!("{} {} in zone {} is not live", info.role, info.name, info.zone));
+        log_lines
+            .push(format!("{} {} in zone {} is no longer live", info.role, info.name, info.zone));
     }
 }
 
-fn names(nodes: &[(NodeInfo, NodeStatus)]) -> HashSet<&str> {
+fn node_names(nodes: &[(NodeInfo, NodeStatus)]) -> HashSet<&str> {
     nodes.iter().map(|(info, _)| info.name.as_str()).collect()
 }
--- a/cluster/src/node/gossip_actor.rs
+++ b/cluster/src/node/gossip_actor.rs
@@ -1,4 +1,4 @@
-//! The actor around the gossip core: it carries out the core's effects and publishes the cluster view.
+//! The actor that runs the gossip state machine, carries out its effects and publishes the cluster view.
 
 use super::{Clock, ClusterView};
 use crate::gossip::{Effect, Event, Gossip, LogEvent, Peer};
@@ -15,12 +15,12 @@
 use tokio::time::MissedTickBehavior;
 use xtra::{Address, Context, Handler, Mailbox};
 
-/// How often the core gets a tick.
+/// The interval at which the core receives ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// A pull may take this much longer than it waits at the peer.
+/// The timeout of a pull is the time for which it waits at the peer plus this margin.
 const PULL_TIMEOUT_MARGIN: Duration = Duration::from_millis(1000);
 
-/// Runs the gossip core.
+/// Runs the gossip state machine.
 #[derive(xtra::Actor)]
 pub struct GossipActor {
     core: Gossip,
@@ -29,7 +29,7 @@
     counters: Arc<Counters>,
     view: watch::Sender<Arc<ClusterView>>,
     table: Arc<ArcSwap<ClusterView>>,
-    /// Where the responses to peers' pulls go, by ticket.
+    /// The channels for the responses to peers' pulls, by ticket.
     responders: HashMap<u64, oneshot::Sender<PullResponse>>,
     last_tick_ms: Arc<AtomicU64>,
 }
@@ -37,27 +37,27 @@
 /// Message: an event for the core.
 pub struct HandleEvent(pub Event);
 
-/// Message: a peer's pull; the response goes through the channel.
+/// Message: a pull from a peer; the response is sent through the channel.
 pub(super) struct HandlePull {
     pub(super) ticket: u64,
     pub(super) request: PullRequest,
     pub(super) responder: oneshot::Sender<PullResponse>,
 }
 
-/// Message: returns all peers with their observations.
+/// Message: returns all known peers with their observations.
 pub struct ListPeers;
 
-/// The running actor and what it publishes.
+/// A handle to the running actor and its published state.
 pub(super) struct GossipHandle {
     pub(super) address: Address<GossipActor>,
     pub(super) table: Arc<ArcSwap<ClusterView>>,
     pub(super) view: watch::Receiver<Arc<ClusterView>>,
-    /// When the core last got a tick, in milliseconds of the node's clock.
+    /// When the core last handled a tick, in milliseconds on the node's clock.
     pub(super) last_tick_ms: Arc<AtomicU64>,
 }
 
 impl GossipActor {
-    /// Starts the actor; ticks begin with [`send_ticks`].
+    /// Starts the actor; [`send_ticks`] then sends it ticks.
     pub(super) fn start(
         core: Gossip,
         clock: Clock,
@@ -82,18 +82,20 @@
         GossipHandle { address, table, view, last_tick_ms }
     }
 
-    fn perform(&mut self, effects: Vec<Effect>, own: &Address<GossipActor>) {
+    fn perform(&mut self, effects: Vec<Effect>, own_address: &Address<GossipActor>) {
         let mut has_view_changed = false;
         for effect in effects {
             match effect {
-                Effect::Pull { address, request } => self.send_pull(address, request, own.clone()),
+                Effect::Pull { address, request } => {
+                    self.send_pull(address, request, own_address.clone())
+                }
                 Effect::Respond { ticket, response } => {
                     if let Some(responder) = self.responders.remove(&ticket) {
                         let _ = responder.send(response);
                     }
                 }
                 Effect::RequestReadIndex { address } => {
-                    self.request_read_index(address, own.clone());
+                    self.request_read_index(address, own_address.clone());
                 }
                 Effect::ViewChanged => has_view_changed = true,
                 Effect::Log(event) => {
@@ -109,27 +111,36 @@
         }
     }
 
-    fn send_pull(&self, address: SocketAddr, request: PullRequest, own: Address<GossipActor>) {
+    fn send_pull(
+        &self,
+        address: SocketAddr,
+        request: PullRequest,
+        own_address: Address<GossipActor>,
+    ) {
         let transport = self.transport.clone();
-        let other_zone = self.core.peers.iter().any(|peer| {
+        let is_cross_zone = self.core.peers.iter().any(|peer| {
             peer.info.cluster_address == address && peer.info.zone != self.core.node_info().zone
         });
         tokio::spawn(async move {
-            let limit = Duration::from_millis(u64::from(request.wait_ms)) + PULL_TIMEOUT_MARGIN;
+            let call_timeout =
+                Duration::from_millis(u64::from(request.wait_ms)) + PULL_TIMEOUT_MARGIN;
             let request = Request::Pull(request);
-            let response = match transport.call(address, &request, limit, other_zone).await {
-                Ok(Reply::Pull(response)) => Some(Box::new(response)),
-                Err(TransportError::Refused) => {
-                    let _ = own.send(HandleEvent(Event::ConnectionRefused { address })).await;
-                    None
-                }
-                _ => None,
-            };
-            let _ = own.send(HandleEvent(Event::PullCompleted { address, response })).await;
+            let response =
+                match transport.call(address, &request, call_timeout, is_cross_zone).await {
+                    Ok(Reply::Pull(response)) => Some(Box::new(response)),
+                    Err(TransportError::Refused) => {
+                        let _ = own_address
+                            .send(HandleEvent(Event::ConnectionRefused { address }))
+                            .await;
+                        None
+                    }
+                    _ => None,
+                };
+            let _ = own_address.send(HandleEvent(Event::PullCompleted { address, response })).await;
         });
     }
 
-    fn request_read_index(&self, address: SocketAddr, own: Address<GossipActor>) {
+    fn request_read_index(&self, address: SocketAddr, own_address: Address<GossipActor>) {
         self.counters.increment(Counter::ReadIndexRequests);
         let transport = self.transport.clone();
         tokio::spawn(async move {
@@ -139,7 +150,8 @@
                 Ok(Reply::ReadIndex(revision)) => revision,
                 _ => None,
             };
-            let _ = own.send(HandleEvent(Event::ReadIndexReceived { address, revision })).await;
+            let _ =
+                own_address.send(HandleEvent(Event::ReadIndexReceived { address, revision })).await;
         });
     }
 
@@ -166,11 +178,11 @@
     type Return = ();
 
     async fn handle(&mut self, HandleEvent(event): HandleEvent, context: &mut Context<Self>) {
-        let Some(own) = context.mailbox().address().try_upgrade() else { return };
+        let Some(own_address) = context.mailbox().address().try_upgrade() else { return };
         let is_tick = matches!(event, Event::Tick);
         let now = self.clock.now();
         let effects = self.core.step(now, event);
-        self.perform(effects, &own);
+        self.perform(effects, &own_address);
         if is_tick {
             self.last_tick_ms.store(now.as_millis() as u64, Ordering::Relaxed);
         }
@@ -184,12 +196,12 @@
     type Return = ();
 
     async fn handle(&mut self, message: HandlePull, context: &mut Context<Self>) {
-        let Some(own) = context.mailbox().address().try_upgrade() else { return };
+        let Some(own_address) = context.mailbox().address().try_upgrade() else { return };
         let HandlePull { ticket, request, responder } = message;
         self.responders.retain(|_, responder| !responder.is_closed());
         self.responders.insert(ticket, responder);
         let effects = self.core.step(self.clock.now(), Event::PullReceived { ticket, request });
-        self.perform(effects, &own);
+        self.perform(effects, &own_address);
     }
 }
 
@@ -201,7 +213,7 @@
     }
 }
 
-/// Sends ticks until the actor is gone.
+/// Sends ticks until the actor has stopped.
 pub(super) async fn send_ticks(gossip: Address<GossipActor>) {
     let mut interval = tokio::time::interval(TICK_INTERVAL);
     interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/cluster/src/node/http.rs
+++ b/cluster/src/node/http.rs
@@ -1,4 +1,4 @@
-//! Serving HTTP/1.1 (RFC 9112): listeners, connections, graceful shutdown, bodies and JSON responses.
+//! The HTTP/1.1 server (RFC 9112): listeners, connections, graceful shutdown, bodies and JSON responses.
 
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
@@ -15,28 +15,28 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// The pause after a failed accept, for want of file handles.
+/// The delay after a failed accept, for example when file descriptors are exhausted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// How often a listener that stops looks whether its connections have ended.
+/// The interval at which a stopping listener checks whether its connections have ended.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The body of a response.
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
-/// Why a body ended early.
+/// The error with which a body ends early.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Opens a listener; `key` is the settings key of the address.
+/// Binds a listener; `key` is the settings key of the address.
 ///
 /// # Errors
-/// That the address cannot be listened at, with the key and the address.
+/// If the address cannot be bound. The message names the key and the address.
 pub async fn bind(key: &str, address: SocketAddr) -> Result<TcpListener, miette::Report> {
     TcpListener::bind(address)
         .await
         .map_err(|error| miette::miette!("$.{key}: cannot listen at {address}: {error}"))
 }
 
-/// Accepts connections until `stop` turns true, and then waits until the open ones have ended; the
-/// program's own grace period bounds that.
+/// Accepts connections until `stop` becomes true, and then waits until the open ones have ended. The wait is
+/// only limited by the program's own grace period.
 pub async fn accept<F>(
     listener: TcpListener,
     mut stop: watch::Receiver<bool>,
@@ -44,8 +44,8 @@
 ) where
     F: Future<Output = ()> + Send + 'static,
 {
-    // Each open connection holds a clone.
-    let open = Arc::new(());
+    // Each open connection holds a clone, so the reference count is the number of connections plus one.
+    let open_connections = Arc::new(());
     let connection_stop = stop.clone();
     loop {
         let accepted = tokio::select! {
@@ -53,25 +53,25 @@
             _ = async { stop.wait_for(|stop| *stop).await.is_ok() } => break,
         };
         let Ok((stream, _)) = accepted else {
-            // Out of file handles: some connections have to end first.
+            // File descriptors are exhausted: some connections must end first.
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
-        let served = serve(stream, connection_stop.clone());
-        let open = open.clone();
+        let connection_future = serve(stream, connection_stop.clone());
+        let open_connections = open_connections.clone();
         tokio::spawn(async move {
-            let _open = open;
-            served.await;
+            let _open_connection = open_connections;
+            connection_future.await;
         });
     }
     drop(listener);
-    while Arc::strong_count(&open) > 1 {
+    while Arc::strong_count(&open_connections) > 1 {
         tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
     }
 }
 
-/// Serves HTTP until `stop` turns true. Then no new connections are accepted, and the open ones end after
+/// Serves HTTP until `stop` becomes true. Then no new connections are accepted, and the open ones end after
 /// the request in flight.
 pub async fn serve_http<H, F>(
     listener: TcpListener,
@@ -105,19 +105,19 @@
     .await;
 }
 
-/// How connections are served.
+/// Settings for HTTP connections.
 #[derive(Clone, Copy)]
 pub struct HttpSettings {
-    /// A request's head has to arrive within this time.
+    /// The time within which the head of a request must arrive.
     pub header_timeout: Duration,
-    /// Header names are passed on in the case in which they came.
+    /// Whether header names keep the case in which they were received.
     pub preserve_header_case: bool,
-    /// The size of a connection's read buffer at the most, and so of a request's head.
+    /// The maximum size of a connection's read buffer, and so of a request's head.
     pub max_buffer_bytes: usize,
 }
 
 impl HttpSettings {
-    /// A builder of hyper's connections with these settings.
+    /// A hyper connection builder with these settings.
     pub fn builder(&self) -> hyper::server::conn::http1::Builder {
         let mut builder = hyper::server::conn::http1::Builder::new();
         builder
@@ -140,12 +140,12 @@
     }
 }
 
-/// A body of bytes that are all there.
+/// A body of bytes that are all in memory.
 pub fn body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// A response with a JSON document, which is not to be cached.
+/// A response with a JSON document, marked as not cacheable.
 pub fn json_response(status: StatusCode, value: &jzon::JsonValue) -> Response<Body> {
     let mut text = value.dump();
     text.push('\n');
--- a/cluster/src/node/logging.rs
+++ b/cluster/src/node/logging.rs
@@ -1,10 +1,10 @@
-//! The log: lines on standard error for changes of state; everything else is counted (design 9.3).
+//! Logging to standard error. State changes are logged; everything else is counted in metrics (design 9.3).
 
 use logforth::append::Stderr;
 use logforth::filter::rustlog::RustLogFilterBuilder;
 use logforth::layout::TextLayout;
 
-/// Starts logging, at the level `info` unless `RUST_LOG` says otherwise. Called once by each program.
+/// Initializes logging, at the level `info` unless `RUST_LOG` is set. Each program calls this once.
 pub fn init_logging() {
     logforth::starter_log::builder()
         .dispatch(|dispatch| {
--- a/cluster/src/node/mod.rs
+++ b/cluster/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! The shell that the three programs share (design 2): clock, log, gossip actor, connections to other nodes,
-//! HTTP and shutdown. It does what the pure cores decide.
+//! The runtime shell that the three programs share (design 2): clock, logging, gossip actor, connections to
+//! other nodes, HTTP and shutdown. It performs the I/O that the state machines decide on.
 
 mod clock;
 mod cluster_view;
@@ -31,36 +31,36 @@
 use vanepath_config::settings::Settings;
 use xtra::Address;
 
-/// The shared parts of a running program.
+/// The parts of a running program that all programs share.
 pub struct Node {
-    /// As read at the start; seeds may have changed since.
+    /// The settings as read at the start. The seeds may have changed since.
     pub settings: Settings,
-    /// The clock of all times in events and views.
+    /// The clock for all times in events and views.
     pub clock: Clock,
-    /// For calls to other nodes.
+    /// The client for calls to other nodes.
     pub transport: Arc<Client>,
     /// The counters of the cluster layer.
     pub transport_counters: Arc<Counters>,
     /// The gossip actor.
     pub gossip: Address<GossipActor>,
-    /// The cluster view as it is now.
+    /// The current cluster view.
     pub table: Arc<ArcSwap<ClusterView>>,
-    /// The same, to wait for changes.
+    /// Notifies of changes of the cluster view.
     pub view: watch::Receiver<Arc<ClusterView>>,
-    /// Turns true when the program is to shut down.
+    /// Becomes true when the program must shut down.
     pub stop: watch::Receiver<bool>,
-    /// Who this node is.
+    /// This node's identity.
     pub info: NodeInfo,
     is_signalled: Arc<AtomicBool>,
     last_tick_ms: Arc<AtomicU64>,
 }
 
 impl Node {
-    /// Starts gossip and the service for other nodes. `store_handler` answers requests for the store, at a
-    /// store.
+    /// Starts gossip and the server for other nodes. At a store, `store_handler` handles the requests that
+    /// are for the store.
     ///
     /// # Errors
-    /// That the cluster address cannot be listened at, or signals cannot be watched.
+    /// If the cluster address cannot be bound, or the signal handlers cannot be installed.
     pub async fn start(
         settings: Settings,
         store_handler: Option<StoreHandler>,
@@ -114,18 +114,19 @@
         }))
     }
 
-    /// Makes this the node's status, for all other nodes.
+    /// Publishes this node's status to all other nodes.
     pub async fn publish_status(&self, status: NodeStatus) {
         let _ = self.gossip.send(HandleEvent(Event::StatusChanged(status))).await;
     }
 
-    /// False right after a pause of the process, before the tick that will detect it (design 5.5).
+    /// Whether the gossip core handled a tick recently. False right after a pause of the process, until the
+    /// next tick detects the pause (design 5.5).
     pub fn is_awake(&self) -> bool {
         let last_tick_at = Duration::from_millis(self.last_tick_ms.load(Ordering::Relaxed));
         self.clock.now().saturating_sub(last_tick_at) < PAUSE_THRESHOLD
     }
 
-    /// The program is to shut down: true from the signal on, before [`Node::stop`] turns.
+    /// Whether a shutdown signal was received. True from the signal on, before [`Node::stop`] becomes true.
     pub fn is_shutting_down(&self) -> bool {
         self.is_signalled.load(Ordering::Relaxed)
     }
@@ -142,8 +143,9 @@
     }
 }
 
-/// Milliseconds since the epoch and twelve random bits. It rises with each start in ordinary running; where
-/// the wall clock went back, gossip raises it above the earlier one (design 5.3).
+/// A new incarnation: milliseconds since the Unix epoch, followed by twelve random bits. It normally
+/// increases with each start; if the wall clock went back, gossip raises it above the earlier one
+/// (design 5.3).
 fn new_incarnation() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let since_epoch_ms = since_epoch.map_or(0, |since| since.as_millis() as u64);
--- a/cluster/src/node/pages.rs
+++ b/cluster/src/node/pages.rs
@@ -1,11 +1,11 @@
-//! The pages that every program serves: liveness, readiness and metrics.
+//! The HTTP endpoints that every program serves: liveness, readiness and metrics.
 
 use super::http::{Body, json_response};
 use super::{ClusterView, Node};
 use hyper::{Response, StatusCode};
 
-/// The response for a path that every program has; `None`: the path is the program's own. `metrics` adds
-/// the program's own counters.
+/// The response to a request for one of the endpoints that every program serves; `None`: the path is not one
+/// of them. `metrics` adds the program's own counters.
 pub fn common_pages(
     node: &Node,
     path: &str,
--- a/cluster/src/node/peer_server.rs
+++ b/cluster/src/node/peer_server.rs
@@ -1,4 +1,4 @@
-//! Serving other nodes: pulls go to the gossip actor, everything else to the program's own handler.
+//! The server for other nodes: pulls go to the gossip actor, all other requests to the program's handler.
 
 use super::gossip_actor::{GossipActor, HandleEvent, HandlePull};
 use crate::gossip::Event;
@@ -11,11 +11,12 @@
 use tokio::sync::oneshot;
 use xtra::Address;
 
-/// Answers the requests that are for the store.
+/// Handles the requests that are for the store.
 pub type StoreHandler =
     Arc<dyn Fn(Request) -> Pin<Box<dyn Future<Output = Reply> + Send>> + Send + Sync>;
 
-/// Reports a pull as abandoned if it is dropped before the response is there: the requester is gone.
+/// Reports a pull as abandoned if it is dropped before the response is ready, because the requester has
+/// disconnected.
 struct AbandonGuard {
     gossip: Address<GossipActor>,
     ticket: u64,
--- a/cluster/src/node/runtime.rs
+++ b/cluster/src/node/runtime.rs
@@ -1,4 +1,4 @@
-//! The threads of a program, the signals that stop it, and its random numbers.
+//! The async runtime of a program, its shutdown signals, and random numbers.
 
 use signal_hook::flag;
 use std::sync::Arc;
@@ -7,22 +7,23 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-/// At most this many threads run a program's tasks.
+/// The maximum number of worker threads.
 const MAX_WORKER_THREADS: usize = 4;
-/// Tasks that still run when the main future has ended are cut off after this long.
+/// The upper limit on the time for which the runtime waits for remaining tasks after the main future ended.
 const MAX_RUNTIME_SHUTDOWN: Duration = Duration::from_millis(100);
 
 /// A random number from the operating system.
 pub fn random() -> u64 {
-    getrandom::u64().expect("the system gives random numbers")
+    getrandom::u64().expect("the operating system provides random numbers")
 }
 
-/// Runs a program's main future on several threads. What still runs at its end is cut off, within `grace`.
+/// Runs a program's main future on a multi-threaded runtime. Tasks that still run when it ends are dropped
+/// within `grace_period`.
 ///
 /// # Errors
-/// Those of the main future, and that the threads cannot be started.
+/// The error of the main future, or that the threads cannot be started.
 pub fn run_on_runtime(
-    grace: Duration,
+    grace_period: Duration,
     main: impl Future<Output = Result<(), miette::Report>>,
 ) -> Result<(), miette::Report> {
     let threads =
@@ -33,27 +34,27 @@
         .build()
         .map_err(|error| miette::miette!("cannot start threads: {error}"))?;
     let outcome = runtime.block_on(main);
-    runtime.shutdown_timeout(grace.min(MAX_RUNTIME_SHUTDOWN));
+    runtime.shutdown_timeout(grace_period.min(MAX_RUNTIME_SHUTDOWN));
     outcome
 }
 
-/// The signals that stop a program.
+/// The state of the signals that shut a program down.
 pub(super) struct ShutdownSignals {
-    /// Set within the signal handler: whatever runs after the signal sees it, before any task is told.
+    /// Set by the signal handler itself, so that it is visible before any task is notified.
     pub is_signalled: Arc<AtomicBool>,
-    /// Turns true once the program's tasks are told.
+    /// Becomes true when the program's tasks are notified.
     pub stop: watch::Receiver<bool>,
 }
 
 /// Watches for SIGTERM and SIGINT.
 pub(super) fn watch_shutdown_signals() -> Result<ShutdownSignals, miette::Report> {
-    let failed = |error| miette::miette!("cannot watch for signals: {error}");
+    let watch_error = |error| miette::miette!("cannot watch for signals: {error}");
     let (sender, stop) = watch::channel(false);
     let is_signalled = Arc::new(AtomicBool::new(false));
-    let mut terminate = signal(SignalKind::terminate()).map_err(failed)?;
-    let mut interrupt = signal(SignalKind::interrupt()).map_err(failed)?;
+    let mut terminate = signal(SignalKind::terminate()).map_err(watch_error)?;
+    let mut interrupt = signal(SignalKind::interrupt()).map_err(watch_error)?;
     for kind in [SignalKind::terminate(), SignalKind::interrupt()] {
-        flag::register(kind.as_raw_value(), is_signalled.clone()).map_err(failed)?;
+        flag::register(kind.as_raw_value(), is_signalled.clone()).map_err(watch_error)?;
     }
     tokio::spawn(async move {
         tokio::select! {
@@ -62,7 +63,7 @@
         }
         log::info!("shutdown requested");
         sender.send_replace(true);
-        // The sender stays, so that receivers never see a closed channel.
+        // Keep the sender, so that receivers never see a closed channel.
         std::future::pending::<()>().await;
     });
     Ok(ShutdownSignals { is_signalled, stop })
--- a/cluster/src/transport.rs
+++ b/cluster/src/transport.rs
@@ -1,5 +1,5 @@
-//! Connections between nodes over TCP: a handshake each way, then one request at a time, in frames of
-//! bounded size (design 5.1). A frame is its length, four bytes in network order, and a CBOR value.
+//! Connections between nodes over TCP: a handshake in each direction, then one request at a time, in frames
+//! of bounded size (design 5.1). A frame is a length prefix (four bytes, big-endian) and a CBOR value.
 
 use crate::wire::{self, Handshake, MAX_FRAME_BYTES, Reply, Request};
 use serde::Serialize;
@@ -13,24 +13,24 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// Open connections kept for each address between calls.
+/// The maximum number of idle connections kept for each address.
 const MAX_IDLE_CONNECTIONS: usize = 4;
-/// A peer that connects has to send its handshake within this time.
+/// The time within which a connecting peer must send its handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
-/// A connection without a request for this long is closed.
+/// An incoming connection without a request for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// The pause after a failed accept, for want of file handles.
+/// The delay after a failed accept, for example when file descriptors are exhausted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Memory that is set aside for a frame before any of it has arrived.
+/// The maximum size of the buffer that is allocated for a frame before any of it has arrived.
 const INITIAL_BUFFER_BYTES: usize = 64 << 10;
 
 crate::counters! {
-    /// Counters of the cluster layer. The metrics keep the names of earlier versions.
+    /// Counters of the cluster layer. The names of the metrics are those of earlier versions.
     pub enum Counter {
         /// Requests sent to other nodes.
         #[strum(serialize = "siblingCalls")]
         PeerCalls,
-        /// Those that got no reply.
+        /// Requests to other nodes that got no reply.
         #[strum(serialize = "siblingCallsFailed")]
         PeerCallsFailed,
         /// Bytes sent to other nodes.
@@ -39,31 +39,31 @@
         /// Bytes received from other nodes.
         #[strum(serialize = "siblingBytesIn")]
         PeerBytesReceived,
-        /// Bytes of calls to nodes in other zones, both ways.
+        /// Bytes of calls to nodes in other zones, in both directions.
         #[strum(serialize = "siblingBytesOtherZone")]
         PeerBytesOtherZone,
         /// Frames that could not be decoded.
         #[strum(serialize = "siblingFramesMalformed")]
         PeerFramesMalformed,
-        /// Frames above [`MAX_FRAME_BYTES`].
+        /// Frames larger than [`MAX_FRAME_BYTES`].
         #[strum(serialize = "siblingFramesOversized")]
         PeerFramesOversized,
-        /// Handshakes of another system or fleet.
+        /// Handshakes rejected because they are of another system or fleet.
         #[strum(serialize = "siblingsTurnedAway")]
         PeersRejected,
         /// Connections accepted from other nodes.
         #[strum(serialize = "siblingConnectionsTaken")]
         PeerConnectionsAccepted,
-        /// Pauses of this process.
+        /// Detected pauses of this process.
         #[strum(serialize = "freezes")]
         ProcessPauses,
-        /// Requests for the read index.
+        /// Requests to stores for the read index.
         #[strum(serialize = "floorAsks")]
         ReadIndexRequests,
         /// Read indexes established by a quorum of stores.
         #[strum(serialize = "floorsByMajority")]
         ReadIndexesByQuorum,
-        /// Read indexes established by peers.
+        /// Read indexes established by the reports of peers.
         #[strum(serialize = "floorsByWitnesses")]
         ReadIndexesByPeers,
     }
@@ -72,25 +72,25 @@
 /// The counters of one node's cluster layer.
 pub type Counters = crate::counters::Counters<Counter>;
 
-/// Why a call to another node, or a connection from one, failed.
+/// Why a call to another node failed, or a connection from one was closed.
 #[derive(Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum TransportError {
-    /// The connection ended, could not be opened, or the time was up.
+    /// The connection ended or could not be opened, or the call timed out.
     Closed,
-    /// Nobody listens at the address.
+    /// The address refused the connection.
     Refused,
-    /// A frame above [`MAX_FRAME_BYTES`].
+    /// A frame is larger than [`MAX_FRAME_BYTES`].
     Oversized,
-    /// A frame that could not be decoded.
+    /// A frame could not be decoded.
     Malformed,
-    /// The other end is of another system or fleet.
+    /// The other node belongs to another system or fleet.
     Rejected,
 }
 
 impl std::error::Error for TransportError {}
 
-/// A value, and the bytes that its frame took.
+/// A decoded value, and the size of its frame in bytes.
 struct Frame<T> {
     value: T,
     bytes: usize,
@@ -107,7 +107,7 @@
         counters.increment(Counter::PeerFramesOversized);
         return Err(TransportError::Oversized);
     }
-    // The buffer grows with what arrives, not with what the length claims.
+    // The buffer grows with the bytes that arrive and not by the claimed length.
     let mut bytes = Vec::with_capacity(length.min(INITIAL_BUFFER_BYTES));
     let read = stream.take(length as u64).read_to_end(&mut bytes).await;
     if read.map_err(|_| TransportError::Closed)? < length {
@@ -123,7 +123,7 @@
     }
 }
 
-/// Returns the bytes that the frame took.
+/// Returns the size of the frame in bytes.
 async fn write_frame<T: Serialize>(
     stream: &mut TcpStream,
     value: &T,
@@ -155,7 +155,7 @@
     Ok(())
 }
 
-/// Calls other nodes, over a small pool of open connections for each address.
+/// Calls other nodes, with a small pool of connections for each address.
 pub struct Client {
     handshake: Handshake,
     counters: Arc<Counters>,
@@ -168,34 +168,34 @@
         Client { handshake, counters, idle: Mutex::default() }
     }
 
-    /// Sends a request and waits for its reply, for `limit` at the most. `other_zone` is for the counters
-    /// alone.
+    /// Sends a request and waits for its reply, for at most `call_timeout`. `is_cross_zone` only affects
+    /// the counters.
     ///
     /// # Errors
-    /// [`TransportError`]; whether the request was carried out is then unknown, unless the request is
-    /// such that it does not matter.
+    /// [`TransportError`]. After an error it is not known whether the request was executed, so callers must
+    /// be able to tolerate either outcome.
     pub async fn call(
         &self,
         address: SocketAddr,
         request: &Request,
-        limit: Duration,
-        other_zone: bool,
+        call_timeout: Duration,
+        is_cross_zone: bool,
     ) -> Result<Reply, TransportError> {
         self.counters.increment(Counter::PeerCalls);
-        let outcome = timeout(limit, self.call_once(address, request)).await;
+        let outcome = timeout(call_timeout, self.call_once(address, request)).await;
         let outcome = outcome.unwrap_or(Err(TransportError::Closed));
-        if other_zone && let Ok(reply) = &outcome {
+        if is_cross_zone && let Ok(reply) = &outcome {
             self.counters.add(Counter::PeerBytesOtherZone, reply.bytes as u64);
         }
         if outcome.is_err() {
             self.counters.increment(Counter::PeerCallsFailed);
-            // The idle connections to that address are as doubtful.
+            // The idle connections to the address may be broken for the same reason.
             self.idle_connections().remove(&address);
         }
         outcome.map(|reply| reply.value)
     }
 
-    /// The reply, with the bytes of the request and of the reply.
+    /// The reply, with the sum of the sizes of the request's and the reply's frames.
     async fn call_once(
         &self,
         address: SocketAddr,
@@ -230,12 +230,12 @@
     }
 
     fn idle_connections(&self) -> MutexGuard<'_, HashMap<SocketAddr, Vec<TcpStream>>> {
-        self.idle.lock().expect("no panic under this lock")
+        self.idle.lock().expect("no code panics while it holds this lock")
     }
 }
 
-/// Serves other nodes until the task is dropped. The handler gets each request; its future is dropped when
-/// the requester is gone.
+/// Serves other nodes until the task is dropped. The handler is called with each request; its future is
+/// dropped if the requester disconnects.
 pub async fn serve<H, F>(
     listener: TcpListener,
     handshake: Handshake,
@@ -271,20 +271,23 @@
     H: Fn(Request) -> F,
     F: Future<Output = Reply>,
 {
-    let first = timeout(HANDSHAKE_TIMEOUT, read_frame::<Handshake>(&mut stream, counters)).await;
-    let other = first.unwrap_or(Err(TransportError::Closed))?;
+    let handshake_read =
+        timeout(HANDSHAKE_TIMEOUT, read_frame::<Handshake>(&mut stream, counters)).await;
+    let other = handshake_read.unwrap_or(Err(TransportError::Closed))?;
     write_frame(&mut stream, &handshake, counters).await?;
     check_handshake(&handshake, &other.value, counters)?;
     loop {
-        let next = timeout(IDLE_TIMEOUT, read_frame::<Request>(&mut stream, counters)).await;
-        let request = next.unwrap_or(Err(TransportError::Closed))?;
+        let request_read =
+            timeout(IDLE_TIMEOUT, read_frame::<Request>(&mut stream, counters)).await;
+        let request = request_read.unwrap_or(Err(TransportError::Closed))?;
         let reply = {
             let mut byte = [0];
-            let handled = handler(request.value);
-            tokio::pin!(handled);
+            let reply_future = handler(request.value);
+            tokio::pin!(reply_future);
             tokio::select! {
-                reply = &mut handled => reply,
-                // Nothing may arrive before the reply: the requester is gone, or breaks the protocol.
+                reply = &mut reply_future => reply,
+                // Nothing may arrive before the reply: the requester has disconnected or violates the
+                // protocol.
                 _ = stream.peek(&mut byte) => return Err(TransportError::Closed),
             }
         };
