--- a/cluster/tests/common/mod.rs
+++ b/cluster/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures that several tests share.
+//! Helpers shared by several tests.
 
 use vanepath_cluster::wire;
 
--- a/cluster/tests/frames.rs
+++ b/cluster/tests/frames.rs
@@ -1,5 +1,5 @@
-//! The messages between nodes, byte for byte: nodes of two versions talk to each other while they are
-//! replaced one by one (design 5.1). The labels are those of the fixtures.
+//! The serialized form of the messages between nodes, byte for byte: nodes of two versions communicate during
+//! a rolling upgrade (design 5.1). The labels are those of the fixtures.
 
 use std::fmt::Write as _;
 use vanepath_cluster::wire::{
@@ -15,14 +15,15 @@
 }
 
 impl Frames {
-    /// Records a message's bytes and shows that they are read as that very message.
+    /// Records a message's bytes, and checks that they decode to the same message.
     fn add<T>(&mut self, label: &str, message: &T)
     where
         T: serde::Serialize + serde::de::DeserializeOwned,
     {
         let bytes = encode(message);
-        let read: T = decode(&bytes).unwrap_or_else(|error| panic!("{label} is not read: {error}"));
-        assert_eq!(encode(&read), bytes, "{label}");
+        let decoded: T =
+            decode(&bytes).unwrap_or_else(|error| panic!("cannot decode {label}: {error}"));
+        assert_eq!(encode(&decoded), bytes, "{label}");
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         let _ = writeln!(self.text, "{label} {hex}");
     }
@@ -133,11 +134,11 @@
     }
 }
 
-fn list() -> EndpointList {
+fn endpoint_list() -> EndpointList {
     EndpointList { revision: 91, servers: vec![server()] }
 }
 
-fn list_delta() -> EndpointListDelta {
+fn endpoint_list_delta() -> EndpointListDelta {
     EndpointListDelta {
         base: 90,
         revision: 91,
@@ -196,8 +197,8 @@
     let full = PullResponse {
         nodes: vec![bare_delta(), full_delta()],
         config: Some(config()),
-        endpoint_list: Some(list()),
-        endpoint_list_delta: Some(list_delta()),
+        endpoint_list: Some(endpoint_list()),
+        endpoint_list_delta: Some(endpoint_list_delta()),
         list_read: Some(EndpointListRead { revision: 91, age_ms: 5 }),
         plan: Some(plan()),
         unreachable: Some(vec![name_hash("two")]),
@@ -212,7 +213,7 @@
     expect_test::expect_file!["fixtures/replies.txt"].assert_eq(&frames.text);
 }
 
-/// Each part by itself, with what may be absent absent.
+/// The parts of messages by themselves, with and without their optional fields.
 #[test]
 fn parts_keep_their_bytes() {
     let mut frames = Frames::default();
@@ -242,8 +243,8 @@
     frames.add("mark", &version());
     frames.add("delta-bare", &bare_delta());
     frames.add("delta-full", &full_delta());
-    frames.add("list", &list());
-    frames.add("list-delta", &list_delta());
+    frames.add("list", &endpoint_list());
+    frames.add("list-delta", &endpoint_list_delta());
     frames.add("list-read", &EndpointListRead { revision: 91, age_ms: 5 });
     expect_test::expect_file!["fixtures/parts.txt"].assert_eq(&frames.text);
 }
--- a/cluster/tests/leaf.rs
+++ b/cluster/tests/leaf.rs
@@ -1,4 +1,5 @@
-//! Leaves, the nodes that pull from registries (design 5.3): who is live for them, and what makes them fresh.
+//! Leaves, the nodes that pull from registries (design 5.3): which peers they consider live, and what makes
+//! them fresh.
 
 mod common;
 
@@ -61,8 +62,8 @@
     ports
 }
 
-/// After all processes were killed no registry is ready yet: a store that has asked a majority since it
-/// started confirms the configuration at once, and one that has not does not.
+/// After a restart of all processes no registry is ready yet. A reply of a store that has queried a majority
+/// since it started makes a node fresh at once; a reply of a store that has not does not.
 #[test]
 fn a_synced_store_makes_fresh_at_once() {
     for is_synced in [false, true] {
@@ -76,10 +77,10 @@
     }
 }
 
-/// A leaf relies on what registries report: a node that all of them call unreachable is not live, one that
-/// any of them holds for live is, and while none reports nobody is judged.
+/// A leaf relies on the reports of registries: a peer is not live if all of them list it as unreachable, and
+/// live if any does not. While no registry reports, no peer but the registries becomes unreachable.
 #[test]
-fn a_leaf_relies_on_what_registries_report() {
+fn a_leaf_determines_live_peers_from_the_reports_of_registries() {
     let mut gossip = Gossip::new(node_info("p0", wire::Role::Proxy, 1), Vec::new(), 9, ms(0));
     let majority_status =
         wire::NodeStatus { ready: true, hears_majority: true, ..wire::NodeStatus::default() };
@@ -92,7 +93,7 @@
     receive(&mut gossip, ms(100), 11, deltas, Some(&[]));
     gossip.step(ms(150), Event::Tick);
     let live = |gossip: &Gossip, now: Duration| {
-        let mut names: Vec<String> = gossip.live(now).map(|one| one.0.name.clone()).collect();
+        let mut names: Vec<String> = gossip.live(now).map(|node| node.0.name.clone()).collect();
         names.sort_unstable();
         names.join(" ")
     };
@@ -109,21 +110,21 @@
             );
         }
         if now == 3900 {
-            assert_eq!(live(&gossip, ms(now)), "p0 p1 p2 r1 r2", "one registry hears from it");
+            assert_eq!(live(&gossip, ms(now)), "p0 p1 p2 r1 r2", "one registry has its heartbeats");
         }
     }
     assert_eq!(live(&gossip, ms(8000)), "p0 p2 r1 r2");
-    // Both stop replying: they are not live any more, and nobody else is judged by that.
+    // Both registries stop replying: they are no longer live, and no other peer becomes unreachable.
     for now in (8000..14_000).step_by(50) {
         gossip.step(ms(now), Event::Tick);
     }
     assert_eq!(live(&gossip, ms(14_000)), "p0 p2");
 }
 
-/// A proxy pulls from two registries, and from any that does not hear from a majority; a store from all
-/// other stores too.
+/// A proxy pulls from two registries, and from any registry that does not hear from a majority; a store also
+/// pulls from all other stores.
 #[test]
-fn leaves_pull_from_two_registries_and_from_minorities() {
+fn leaves_pull_from_two_registries_and_from_those_without_a_majority() {
     for (role, has_minority, expected) in [
         (wire::Role::Proxy, false, "two of 11 12 13"),
         (wire::Role::Proxy, true, "11 12 13"),
@@ -151,7 +152,7 @@
         for port in [21, 22] {
             deltas.push(delta(&format!("s{port}"), wire::Role::Store, port, status(false)));
         }
-        // The seed replies, and again; from then on sessions are chosen by what is known.
+        // The seed replies; from then on the node pulls from addresses selected among known peers.
         receive(&mut gossip, ms(100), 11, deltas, Some(&[]));
         let mut ports = vec![11];
         for now in [150, 200, 250] {
