--- a/cluster/src/node/gossip_actor.rs
+++ b/cluster/src/node/gossip_actor.rs
@@ -27,8 +27,8 @@
     clock: Clock,
     transport: Arc<Client>,
     counters: Arc<Counters>,
-    view: watch::Sender<Arc<ClusterView>>,
-    table: Arc<ArcSwap<ClusterView>>,
+    view_sender: watch::Sender<Arc<ClusterView>>,
+    current_view: Arc<ArcSwap<ClusterView>>,
     /// The channels for the responses to peers' pulls, by ticket.
     responders: HashMap<u64, oneshot::Sender<PullResponse>>,
     last_tick_ms: Arc<AtomicU64>,
@@ -50,8 +50,8 @@
 /// A handle to the running actor and its published state.
 pub(super) struct GossipHandle {
     pub(super) address: Address<GossipActor>,
-    pub(super) table: Arc<ArcSwap<ClusterView>>,
-    pub(super) view: watch::Receiver<Arc<ClusterView>>,
+    pub(super) current_view: Arc<ArcSwap<ClusterView>>,
+    pub(super) view_updates: watch::Receiver<Arc<ClusterView>>,
     /// When the core last handled a tick, in milliseconds on the node's clock.
     pub(super) last_tick_ms: Arc<AtomicU64>,
 }
@@ -63,23 +63,23 @@
         clock: Clock,
         transport: Arc<Client>,
         counters: Arc<Counters>,
-        first_view: ClusterView,
+        initial_view: ClusterView,
     ) -> GossipHandle {
-        let table = Arc::new(ArcSwap::from_pointee(first_view));
-        let (view_sender, view) = watch::channel(table.load_full());
+        let current_view = Arc::new(ArcSwap::from_pointee(initial_view));
+        let (view_sender, view_updates) = watch::channel(current_view.load_full());
         let last_tick_ms: Arc<AtomicU64> = Arc::default();
         let actor = GossipActor {
             core,
             clock,
             transport,
             counters,
-            view: view_sender,
-            table: table.clone(),
+            view_sender,
+            current_view: current_view.clone(),
             responders: HashMap::new(),
             last_tick_ms: last_tick_ms.clone(),
         };
         let address = xtra::spawn_tokio(actor, Mailbox::unbounded());
-        GossipHandle { address, table, view, last_tick_ms }
+        GossipHandle { address, current_view, view_updates, last_tick_ms }
     }
 
     fn perform(&mut self, effects: Vec<Effect>, own_address: &Address<GossipActor>) {
@@ -156,7 +156,7 @@
     }
 
     fn publish(&mut self) {
-        let previous = self.table.load_full();
+        let previous = self.current_view.load_full();
         let established = self.core.read_index().established();
         if let (None, Some(read_index)) = (&previous.read_index, established) {
             self.counters.increment(match read_index.source {
@@ -169,8 +169,8 @@
             log::info!("{line}");
         }
         let view = Arc::new(view);
-        self.table.store(view.clone());
-        self.view.send_replace(view);
+        self.current_view.store(view.clone());
+        self.view_sender.send_replace(view);
     }
 }
 
@@ -186,7 +186,7 @@
         if is_tick {
             self.last_tick_ms.store(now.as_millis() as u64, Ordering::Relaxed);
         }
-        if is_tick && !self.table.load().is_up_to_date(&self.core, now) {
+        if is_tick && !self.current_view.load().is_up_to_date(&self.core, now) {
             self.publish();
         }
     }
--- a/cluster/src/node/mod.rs
+++ b/cluster/src/node/mod.rs
@@ -44,9 +44,9 @@
     /// The gossip actor.
     pub gossip: Address<GossipActor>,
     /// The current cluster view.
-    pub table: Arc<ArcSwap<ClusterView>>,
+    pub current_view: Arc<ArcSwap<ClusterView>>,
     /// Notifies of changes of the cluster view.
-    pub view: watch::Receiver<Arc<ClusterView>>,
+    pub view_updates: watch::Receiver<Arc<ClusterView>>,
     /// Becomes true when the program must shut down.
     pub stop: watch::Receiver<bool>,
     /// This node's identity.
@@ -77,10 +77,10 @@
         let listener = bind("siblingListen", settings.cluster_listen).await?;
         let core =
             Gossip::new(info.clone(), settings.seeds.clone(), new_incarnation(), clock.now());
-        let first_view =
+        let initial_view =
             ClusterView { wire_format: settings.wire_format, ..ClusterView::default() };
         let gossip =
-            GossipActor::start(core, clock, transport.clone(), counters.clone(), first_view);
+            GossipActor::start(core, clock, transport.clone(), counters.clone(), initial_view);
         let signals = runtime::watch_shutdown_signals()?;
         tokio::spawn(peer_server::serve_peers(
             listener,
@@ -105,8 +105,8 @@
             transport,
             transport_counters: counters,
             gossip: gossip.address,
-            table: gossip.table,
-            view: gossip.view,
+            current_view: gossip.current_view,
+            view_updates: gossip.view_updates,
             stop: signals.stop,
             info,
             is_signalled: signals.is_signalled,
--- a/cluster/src/node/pages.rs
+++ b/cluster/src/node/pages.rs
@@ -14,7 +14,7 @@
 ) -> Option<Response<Body>> {
     match path {
         "/v1/live" => Some(json_response(StatusCode::OK, &jzon::object! { "live": true })),
-        "/v1/ready" => Some(readiness(&node.table.load(), ready)),
+        "/v1/ready" => Some(readiness(&node.current_view.load(), ready)),
         "/v1/metrics" => {
             let mut counters = jzon::JsonValue::new_object();
             node.transport_counters.write_json(&mut counters);
--- a/proxy/src/forward/admission.rs
+++ b/proxy/src/forward/admission.rs
@@ -53,7 +53,7 @@
     received_at: Duration,
 ) -> Result<(), Rejection> {
     while !is_ready(proxy) {
-        if proxy.node.table.load().is_stalled {
+        if proxy.node.current_view.load().is_stalled {
             return Err(Rejection::BelowReadIndex);
         }
         if proxy.now().saturating_sub(received_at) >= READINESS_TIMEOUT {
@@ -66,7 +66,7 @@
 
 /// Whether this node knows the committed config by now.
 pub(super) fn is_ready(proxy: &Proxy) -> bool {
-    let view = proxy.node.table.load();
+    let view = proxy.node.current_view.load();
     proxy.node.is_awake()
         && proxy.endpoints.is_ready(proxy.now(), view.is_fresh, revision_of(&view))
 }
--- a/proxy/src/forward/attempt.rs
+++ b/proxy/src/forward/attempt.rs
@@ -153,7 +153,7 @@
     }
 
     fn is_withdrawn(&self) -> bool {
-        let view = self.proxy.node.table.load();
+        let view = self.proxy.node.current_view.load();
         if !self.proxy.node.is_awake() || !view.is_fresh {
             return true;
         }
--- a/proxy/src/forward/hedging.rs
+++ b/proxy/src/forward/hedging.rs
@@ -75,7 +75,7 @@
     ) -> R {
         let proxy = self.proxy;
         let now = proxy.now();
-        let view = proxy.node.table.load();
+        let view = proxy.node.current_view.load();
         let service = self.route.service_index(&self.service_name);
         let drained_zones = &view.committed.drained_zones;
         let context = self.route.selection_context(proxy, service, drained_zones, &self.tried);
--- a/proxy/src/forward/retry.rs
+++ b/proxy/src/forward/retry.rs
@@ -256,7 +256,7 @@
             return Err(Rejection::Late);
         }
         // Zones that were drained since the request came count too.
-        let view = proxy.node.table.load();
+        let view = proxy.node.current_view.load();
         let drained_zones = &view.committed.drained_zones;
         let context = SelectionContext {
             is_past_target: self.timing.is_past_latency_target,
--- a/proxy/src/forward/routing.rs
+++ b/proxy/src/forward/routing.rs
@@ -135,7 +135,7 @@
         .ok_or(Rejection::Unmatched)?;
     let rule = &table.config.rules[index];
     if !rule.may_forward_from(&proxy.node.settings.region) {
-        details.places = eligible_locations(&proxy.node.table.load(), rule);
+        details.places = eligible_locations(&proxy.node.current_view.load(), rule);
         return Err(Rejection::Misplaced);
     }
     Ok(index)
--- a/proxy/src/shell/maintenance.rs
+++ b/proxy/src/shell/maintenance.rs
@@ -20,7 +20,7 @@
 
 /// Starts the actor and its ticks.
 pub(super) fn spawn(proxy: Arc<Proxy>) {
-    let mut view = proxy.node.view.clone();
+    let mut view = proxy.node.view_updates.clone();
     let actor = xtra::spawn_tokio(MaintenanceActor::new(proxy), xtra::Mailbox::unbounded());
     tokio::spawn(async move {
         let mut interval = tokio::time::interval(TICK_INTERVAL);
@@ -57,7 +57,7 @@
     type Return = ();
 
     async fn handle(&mut self, _: Tick, _: &mut xtra::Context<Self>) {
-        let view = self.proxy.node.table.load_full();
+        let view = self.proxy.node.current_view.load_full();
         let now = self.proxy.node.clock.now();
         self.adopt(now, &view);
         self.tick_endpoints(now, &view);
--- a/proxy/src/shell/status.rs
+++ b/proxy/src/shell/status.rs
@@ -26,7 +26,7 @@
 }
 
 fn status(proxy: &Proxy, ready: bool) -> JsonValue {
-    let view = proxy.node.table.load();
+    let view = proxy.node.current_view.load();
     let servers = servers(proxy, &view);
     let classes = classes(proxy);
     let drained_zones: Vec<JsonValue> =
--- a/registry/src/api/status.rs
+++ b/registry/src/api/status.rs
@@ -58,7 +58,7 @@
     let _ = node.gossip.send(HandleEvent(Event::ObservationsWanted)).await;
     let deadline = node.clock.now() + OBSERVATIONS_TIMEOUT;
     loop {
-        let view = node.table.load_full();
+        let view = node.current_view.load_full();
         if view.has_observations || node.clock.now() >= deadline {
             return view;
         }
--- a/registry/src/api/steering.rs
+++ b/registry/src/api/steering.rs
@@ -10,7 +10,7 @@
 /// `GET /v1/steer`: the ranked pathways for a client.
 pub fn steer(registry: &Registry, query: &str) -> Result<ApiResponse, ApiError> {
     registry.counters.increment(Counter::SteerPolls);
-    let view = registry.node.table.load();
+    let view = registry.node.current_view.load();
     let is_ready = registry.is_ready() && registry.node.is_awake();
     let steered = steering::steer(&view, is_ready, registry.own_location(), query, node::random());
     if steered.is_first {
@@ -28,7 +28,7 @@
 /// `GET /v1/addresses`: proxies' addresses, for clients that choose among them by themselves.
 pub fn addresses(registry: &Registry, query: &str) -> Result<ApiResponse, ApiError> {
     registry.counters.increment(Counter::SteerPolls);
-    let view = registry.node.table.load();
+    let view = registry.node.current_view.load();
     // Ready without a configuration too: addresses depend on the proxies alone.
     let is_ready = view.is_fresh && registry.node.is_awake() && !registry.node.is_shutting_down();
     let own = registry.own_location();
--- a/registry/src/api/zones.rs
+++ b/registry/src/api/zones.rs
@@ -40,7 +40,7 @@
 
 /// Whether anything that this registry knows of is in a zone of that name.
 fn is_known_zone(registry: &Registry, zone: &str) -> bool {
-    let view = registry.node.table.load_full();
+    let view = registry.node.current_view.load_full();
     view.live.iter().any(|(info, _)| info.zone == zone)
         || view.endpoints.servers.iter().any(|server| server.zone == zone)
         || view.config.zones.iter().any(|configured| configured.name == zone)
@@ -51,7 +51,7 @@
 /// Whether this registry has heard from the others for long enough, or is isolated so that waiting longer
 /// gains nothing.
 fn has_discovered_all(registry: &Registry) -> bool {
-    let view = registry.node.table.load();
+    let view = registry.node.current_view.load();
     let is_synced = view.live.first().is_some_and(|(_, status)| status.synced);
     is_synced || view.is_isolated || registry.node.clock.now() > DISCOVERY_TIMEOUT
 }
--- a/registry/src/discovery/poller.rs
+++ b/registry/src/discovery/poller.rs
@@ -69,7 +69,7 @@
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
-        let view = node.table.load_full();
+        let view = node.current_view.load_full();
         let started_at = node.clock.now();
         if !poller.is_due(started_at, &view) {
             continue;
@@ -121,7 +121,7 @@
         began_at: Duration,
         read: Result<ListRead, FetchError>,
     ) -> PollOutcome {
-        let view = self.node.table.load_full();
+        let view = self.node.current_view.load_full();
         let (outcome, list) = self.evaluate_read(&view, read);
         if let Some(list) = list {
             if list.revision > view.endpoints.revision {
--- a/registry/src/store_client/execute.rs
+++ b/registry/src/store_client/execute.rs
@@ -10,7 +10,7 @@
     let now = || registry.node.clock.now();
     let mut store_request = StoreRequest::new(request, now());
     loop {
-        let stores = stores(&registry.node.table.load());
+        let stores = stores(&registry.node.current_view.load());
         match store_request.next(now(), stores) {
             NextAction::Pause(pause) => tokio::time::sleep(pause).await,
             NextAction::End(outcome) => return outcome,
@@ -44,7 +44,7 @@
 /// Sends a request that needs no response to all stores.
 fn broadcast(registry: &Registry, request: &Request) {
     let request = wire::Request::Store(wire::encode(request).into());
-    for store in stores(&registry.node.table.load()) {
+    for store in stores(&registry.node.current_view.load()) {
         let (transport, request) = (registry.node.transport.clone(), request.clone());
         let is_other_zone = store.zone != registry.node.settings.zone;
         tokio::spawn(async move {
--- a/store/src/shell/http.rs
+++ b/store/src/shell/http.rs
@@ -28,7 +28,7 @@
 fn status_page(node: &node::Node, summary: &Summary) -> jzon::JsonValue {
     let members: Vec<jzon::JsonValue> =
         summary.members.iter().map(|slot| member_json(slot.as_ref())).collect();
-    let view = node.table.load();
+    let view = node.current_view.load();
     jzon::object! {
         "name": node.settings.name.as_str(),
         "revision": view.active_revision(),
--- a/store/src/shell/ticker.rs
+++ b/store/src/shell/ticker.rs
@@ -33,7 +33,7 @@
         interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             interval.tick().await;
-            let view = self.node.table.load_full();
+            let view = self.node.current_view.load_full();
             if let Some(hints) = hint_writer.step(self.node.clock.now(), &view) {
                 self.save_hints(hints);
             }
