--- a/cluster/src/node/mod.rs
+++ b/cluster/src/node/mod.rs
@@ -121,7 +121,7 @@
 
     /// Whether the gossip core handled a tick recently. False right after a pause of the process, until the
     /// next tick detects the pause (design 5.5).
-    pub fn is_awake(&self) -> bool {
+    pub fn has_recent_tick(&self) -> bool {
         let last_tick_at = Duration::from_millis(self.last_tick_ms.load(Ordering::Relaxed));
         self.clock.now().saturating_sub(last_tick_at) < PAUSE_THRESHOLD
     }
--- a/proxy/src/forward/admission.rs
+++ b/proxy/src/forward/admission.rs
@@ -67,7 +67,7 @@
 /// Whether this node knows the committed config by now.
 pub(super) fn is_ready(proxy: &Proxy) -> bool {
     let view = proxy.node.current_view.load();
-    proxy.node.is_awake()
+    proxy.node.has_recent_tick()
         && proxy.endpoints.is_ready(proxy.now(), view.is_fresh, revision_of(&view))
 }
 
--- a/proxy/src/forward/attempt.rs
+++ b/proxy/src/forward/attempt.rs
@@ -154,7 +154,7 @@
 
     fn is_withdrawn(&self) -> bool {
         let view = self.proxy.node.current_view.load();
-        if !self.proxy.node.is_awake() || !view.is_fresh {
+        if !self.proxy.node.has_recent_tick() || !view.is_fresh {
             return true;
         }
         let drained_zones = &view.committed.drained_zones;
--- a/registry/src/api/steering.rs
+++ b/registry/src/api/steering.rs
@@ -11,7 +11,7 @@
 pub fn steer(registry: &Registry, query: &str) -> Result<ApiResponse, ApiError> {
     registry.counters.increment(Counter::SteerPolls);
     let view = registry.node.current_view.load();
-    let is_ready = registry.is_ready() && registry.node.is_awake();
+    let is_ready = registry.is_ready() && registry.node.has_recent_tick();
     let steered = steering::steer(&view, is_ready, registry.own_location(), query, node::random());
     if steered.is_first {
         registry.counters.increment(Counter::SteerPollsFirst);
@@ -30,7 +30,8 @@
     registry.counters.increment(Counter::SteerPolls);
     let view = registry.node.current_view.load();
     // Ready without a configuration too: addresses depend on the proxies alone.
-    let is_ready = view.is_fresh && registry.node.is_awake() && !registry.node.is_shutting_down();
+    let is_ready =
+        view.is_fresh && registry.node.has_recent_tick() && !registry.node.is_shutting_down();
     let own = registry.own_location();
     let answer = steering::addresses(&view, is_ready, own, query, node::random())
         .map_err(|error| rejected(registry, error))?;
