--- a/cluster/src/node/cluster_view.rs
+++ b/cluster/src/node/cluster_view.rs
@@ -116,8 +116,8 @@
                 "met": true,
                 "floor": read_index.revision,
                 "by": read_index.source.to_string(),
-                "from": read_index.from.as_str(),
-                "waitedMs": read_index.waited.as_millis() as u64,
+                "from": read_index.reporter.as_str(),
+                "waitedMs": read_index.wait_time.as_millis() as u64,
             },
             None => jzon::object! {
                 "met": false,
@@ -171,8 +171,8 @@
                 "revision {active_revision} is active; read index {} established by {} ({}) in {} ms",
                 read_index.revision,
                 read_index.source,
-                read_index.from,
-                read_index.waited.as_millis()
+                read_index.reporter,
+                read_index.wait_time.as_millis()
             ));
         }
         if gossip.is_stalled(now) && !self.is_stalled {
--- a/cluster/src/read_index.rs
+++ b/cluster/src/read_index.rs
@@ -47,15 +47,15 @@
     /// Where the revision came from.
     pub source: ReadIndexSource,
     /// The name of the node that reported the revision.
-    pub from: String,
+    pub reporter: String,
     /// The time from the start until the configuration reached the read index.
-    pub waited: Duration,
+    pub wait_time: Duration,
 }
 
 /// A revision and the name of the node that reported it.
 struct ReportedRevision {
     revision: u64,
-    from: String,
+    reporter: String,
 }
 
 /// The read index of one incarnation. Once established, it stays so until the process ends.
@@ -138,11 +138,11 @@
 
     /// Handles a store's reply to a request of this incarnation. `revision` is the highest revision that a
     /// majority of stores holds; `None`: the store could not determine it.
-    pub fn on_store_reply(&mut self, now: Duration, from: &str, revision: Option<u64>) {
+    pub fn on_store_reply(&mut self, now: Duration, store: &str, revision: Option<u64>) {
         match revision {
             // The first reply suffices: it is at least any revision that was active before this incarnation.
             Some(revision) if self.from_quorum.is_none() => {
-                self.from_quorum = Some(ReportedRevision { revision, from: from.to_string() });
+                self.from_quorum = Some(ReportedRevision { revision, reporter: store.to_string() });
             }
             Some(_) => {}
             None => self.next_request_at = self.next_request_at.min(now + RETRY_DELAY),
@@ -151,9 +151,9 @@
 
     /// Handles a peer's reply to a pull of this incarnation. `revision` is the highest revision that the
     /// peer knows to be active on any node.
-    pub fn on_peer_reply(&mut self, from: &str, revision: u64) {
+    pub fn on_peer_reply(&mut self, peer: &str, revision: u64) {
         if self.from_peers.as_ref().is_none_or(|highest| revision > highest.revision) {
-            self.from_peers = Some(ReportedRevision { revision, from: from.to_string() });
+            self.from_peers = Some(ReportedRevision { revision, reporter: peer.to_string() });
         }
     }
 
@@ -183,8 +183,8 @@
         self.established = Some(EstablishedReadIndex {
             revision: required.revision,
             source,
-            from: required.from.clone(),
-            waited: now.saturating_sub(self.started_at),
+            reporter: required.reporter.clone(),
+            wait_time: now.saturating_sub(self.started_at),
         });
         true
     }
--- a/cluster/tests/read_index.rs
+++ b/cluster/tests/read_index.rs
@@ -116,7 +116,7 @@
     assert_eq!(view.active_revision(), 5);
     let established = view.read_index.unwrap();
     assert_eq!(
-        (established.revision, established.source, established.waited),
+        (established.revision, established.source, established.wait_time),
         (5, ReadIndexSource::Quorum, Duration::from_millis(30))
     );
 }
@@ -170,7 +170,7 @@
     receive_registry_reply(&mut gossip, ms(delay_ms + 50), 7, 7);
     let established = view(&gossip, ms(delay_ms + 50)).read_index.unwrap();
     assert_eq!(
-        (established.revision, established.source, established.from.as_str()),
+        (established.revision, established.source, established.reporter.as_str()),
         (7, ReadIndexSource::Peers, "r")
     );
 }
