--- a/cluster/src/counters.rs
+++ b/cluster/src/counters.rs
@@ -7,7 +7,7 @@
 /// One counter for each variant of the enum `C`, which [`counters!`](crate::counters!) declares.
 pub struct Counters<C> {
     counts: Vec<AtomicU64>,
-    list: PhantomData<fn(C)>,
+    counter_enum: PhantomData<fn(C)>,
 }
 
 impl<C> Default for Counters<C>
@@ -16,7 +16,7 @@
 {
     fn default() -> Counters<C> {
         let counts = C::iter().map(|_| AtomicU64::default()).collect();
-        Counters { counts, list: PhantomData }
+        Counters { counts, counter_enum: PhantomData }
     }
 }
 
--- a/cluster/src/gossip/pull_session.rs
+++ b/cluster/src/gossip/pull_session.rs
@@ -40,7 +40,7 @@
     pub(super) sent_at: Duration,
     next_pull_at: Duration,
     /// Whether the address is still selected. If not, the session ends when the pull in flight completes.
-    is_wanted: bool,
+    is_selected: bool,
     /// The version of this node's observations that the registry was last sent.
     sent_observations_version: u64,
     /// Whether the peer has this node's info and version vector from an earlier pull. A restarted peer has
@@ -58,7 +58,7 @@
             is_in_flight: false,
             sent_at: now,
             next_pull_at: now,
-            is_wanted: true,
+            is_selected: true,
             sent_observations_version: 0,
             peer_has_state: false,
             unreachable: None,
@@ -90,13 +90,13 @@
         suspects: Vec<SocketAddr>,
         effects: &mut Vec<Effect>,
     ) {
-        let mut wanted = self.select_addresses(now, suspects);
-        wanted.remove(&self.own_info.cluster_address);
+        let mut selected = self.select_addresses(now, suspects);
+        selected.remove(&self.own_info.cluster_address);
         for (address, session) in &mut self.sessions {
-            session.is_wanted = wanted.contains(address);
+            session.is_selected = selected.contains(address);
         }
-        self.sessions.retain(|_, session| session.is_in_flight || session.is_wanted);
-        for address in wanted {
+        self.sessions.retain(|_, session| session.is_in_flight || session.is_selected);
+        for address in selected {
             self.sessions.entry(address).or_insert(PullSession::new(now));
         }
         let due: Vec<SocketAddr> = self
@@ -122,37 +122,37 @@
             live.iter().map(|peer| candidate(&peer.info)).collect();
         let registry_targets = self.registry_addresses(now, &live, &candidates);
         let has_live_registry = registry_targets.is_some();
-        let mut wanted: BTreeSet<SocketAddr> = match registry_targets {
+        let mut selected: BTreeSet<SocketAddr> = match registry_targets {
             Some(addresses) => addresses.into_iter().collect(),
             None => select_peers(&candidate(&self.own_info), &candidates)
                 .into_iter()
                 .map(|index| live[index].info.cluster_address)
                 .collect(),
         };
-        if wanted.is_empty() {
-            wanted.extend(&self.seeds);
+        if selected.is_empty() {
+            selected.extend(&self.seeds);
         }
-        wanted.extend(self.peers_with_newer_config(&live));
+        selected.extend(self.peers_with_newer_config(&live));
         if self.freshness.awaits_first_reply() {
             // After a start or a pause the few selected peers may all be down. Until the first reply, all
             // live peers are pulled from, except proxies while a registry is live.
             let initial_targets =
                 live.iter().filter(|peer| !has_live_registry || peer.info.role != Role::Proxy);
-            wanted.extend(initial_targets.map(|peer| peer.info.cluster_address));
+            selected.extend(initial_targets.map(|peer| peer.info.cluster_address));
         }
         // A peer that has just become unreachable is pulled from directly, once: it may be cut off from
         // all nodes except this one, and may not know this one.
-        wanted.extend(suspects);
+        selected.extend(suspects);
         let live: BTreeSet<SocketAddr> =
             live.iter().map(|peer| peer.info.cluster_address).collect();
-        wanted.extend(self.next_retry_address(now, &live));
+        selected.extend(self.next_retry_address(now, &live));
         let had_live_registry = std::mem::replace(&mut self.has_live_registry, has_live_registry);
         if had_live_registry != has_live_registry {
             // The node switches between relying on registries and on heartbeats, so every peer needs its
             // full state again.
             self.sessions.values_mut().for_each(|session| session.peer_has_state = false);
         }
-        wanted
+        selected
     }
 
     /// The addresses to pull from while a registry is live: the nearest registry and one of another region,
@@ -172,20 +172,20 @@
         }
         // A registry that is cut off from the majority may have state that no other registry has.
         let minority = ranked.iter().copied().filter(|index| !hears_majority(*index));
-        let mut wanted: Vec<SocketAddr> = minority.map(address).collect();
+        let mut selected: Vec<SocketAddr> = minority.map(address).collect();
         if self.own_info.role == Role::Registry {
-            wanted.extend(ranked.iter().copied().map(address));
-            wanted.extend(nearest_store(&own, candidates).map(address));
-            return Some(wanted);
+            selected.extend(ranked.iter().copied().map(address));
+            selected.extend(nearest_store(&own, candidates).map(address));
+            return Some(selected);
         }
         if self.own_info.role == Role::Store {
             // Stores pull from each other, so that they learn of a commit at once whichever registry fails.
             let stores = live.iter().filter(|peer| peer.info.role == Role::Store);
-            wanted.extend(stores.map(|peer| peer.info.cluster_address));
+            selected.extend(stores.map(|peer| peer.info.cluster_address));
         }
         let mut healthy_count = 0;
         for address in ranked.into_iter().map(address) {
-            wanted.push(address);
+            selected.push(address);
             let session = self.sessions.get(&address);
             let is_unhealthy = session.is_some_and(|session| session.is_unhealthy(now));
             healthy_count += usize::from(!is_unhealthy);
@@ -193,7 +193,7 @@
                 break;
             }
         }
-        Some(wanted)
+        Some(selected)
     }
 
     /// The addresses of live peers that have, or may have, a newer configuration than this node.
@@ -315,7 +315,7 @@
         if has_failed {
             session.sent_observations_version = 0;
         }
-        if !session.is_wanted {
+        if !session.is_selected {
             self.sessions.remove(&address);
         } else if !has_failed {
             self.start_pull(now, address, effects);
--- a/cluster/src/node/cluster_view.rs
+++ b/cluster/src/node/cluster_view.rs
@@ -165,10 +165,10 @@
     }
 
     fn log_read_index_changes(&self, gossip: &Gossip, now: Duration, log_lines: &mut Vec<String>) {
-        let active_revision = gossip.committed.revision;
+        let committed_revision = gossip.committed.revision;
         if let (None, Some(read_index)) = (&self.read_index, gossip.read_index().established()) {
             log_lines.push(format!(
-                "revision {active_revision} is active; read index {} established by {} ({}) in {} ms",
+                "revision {committed_revision} is active; read index {} established by {} ({}) in {} ms",
                 read_index.revision,
                 read_index.source,
                 read_index.reporter,
@@ -179,7 +179,7 @@
             let required = gossip.read_index().required();
             let required = required.map_or("unknown".into(), |revision| revision.to_string());
             log_lines.push(format!(
-                "read index not established in time: committed revision {active_revision}, read index \
+                "read index not established in time: committed revision {committed_revision}, read index \
                  {required}; accepting no work"
             ));
         }
--- a/cluster/src/node/peer_server.rs
+++ b/cluster/src/node/peer_server.rs
@@ -42,15 +42,15 @@
     gossip: Address<GossipActor>,
     store_handler: Option<StoreHandler>,
 ) {
-    let tickets = Arc::new(AtomicU64::new(0));
+    let next_ticket = Arc::new(AtomicU64::new(0));
     let handler = move |request: Request| {
         let gossip = gossip.clone();
-        let tickets = tickets.clone();
+        let next_ticket = next_ticket.clone();
         let store_handler = store_handler.clone();
         async move {
             match request {
                 Request::Pull(request) => {
-                    let ticket = tickets.fetch_add(1, Ordering::Relaxed);
+                    let ticket = next_ticket.fetch_add(1, Ordering::Relaxed);
                     serve_pull(gossip, ticket, request).await
                 }
                 request => match store_handler {
--- a/cluster/src/peer_selection/tests.rs
+++ b/cluster/src/peer_selection/tests.rs
@@ -57,15 +57,15 @@
                 // A response carries updates from the responder to the requester. The other direction, the
                 // requester's own entry, is not counted here.
                 for rounds in 0..candidates.len() {
-                    let before = reached.clone();
+                    let reached_before = reached.clone();
                     for requester in 0..candidates.len() {
                         for responder in &pulls[requester] {
-                            if before[*responder] {
+                            if reached_before[*responder] {
                                 reached[requester] = true;
                             }
                         }
                     }
-                    if reached == before {
+                    if reached == reached_before {
                         break;
                     }
                     assert!(rounds < 8, "too many rounds");
--- a/cluster/src/read_index.rs
+++ b/cluster/src/read_index.rs
@@ -131,9 +131,9 @@
         self.has_requested = true;
         self.next_request_at = now + NEXT_STORE_DELAY;
         self.request_count += 1;
-        let next = stores[(self.request_count - 1) % stores.len()];
-        let second = nearest.filter(|nearest| is_first && *nearest != next);
-        std::iter::once(next).chain(second).collect()
+        let next_store = stores[(self.request_count - 1) % stores.len()];
+        let nearest_store = nearest.filter(|nearest| is_first && *nearest != next_store);
+        std::iter::once(next_store).chain(nearest_store).collect()
     }
 
     /// Handles a store's reply to a request of this incarnation. `revision` is the highest revision that a
--- a/cluster/tests/observations.rs
+++ b/cluster/tests/observations.rs
@@ -9,13 +9,13 @@
 
 const NOW: Duration = Duration::from_secs(100);
 
-fn observations(count: usize, demand_milli: u32) -> wire::ProxyObservations {
+fn observations(count: usize, server_load_milli: u32) -> wire::ProxyObservations {
     let server = |index: usize| wire::ServerObservation {
         server: format!("server-{index}"),
         phase: wire::ServerPhase::Healthy,
         age_ms: 1_000_000,
         in_contact_ms: 1_000_000,
-        load_milli: demand_milli,
+        load_milli: server_load_milli,
         connection_refused: false,
     };
     wire::ProxyObservations {
--- a/cluster/tests/read_index_model.rs
+++ b/cluster/tests/read_index_model.rs
@@ -53,7 +53,7 @@
     round: Round,
 }
 
-fn majority(disks: &[u8; STORES], revision: u8) -> bool {
+fn is_on_majority(disks: &[u8; STORES], revision: u8) -> bool {
     disks.iter().filter(|held| **held >= revision).count() * 2 > STORES
 }
 
@@ -75,7 +75,7 @@
         // A store that lags catches up.
         add_successor(&|next| next.disks[store] = next.disks[store].max(next.committed));
     }
-    if state.committed < REVISIONS && majority(&state.disks, state.committed + 1) {
+    if state.committed < REVISIONS && is_on_majority(&state.disks, state.committed + 1) {
         add_successor(&|next| next.committed += 1);
     }
     // A committed configuration reaches a peer late or never. Peers may exchange the node's reports.
