--- a/cluster/src/node/cluster_view.rs
+++ b/cluster/src/node/cluster_view.rs
@@ -156,7 +156,7 @@
             }
             Err(faults) => {
                 log_lines.push(format!(
-                    "cannot parse the configuration of revision {revision}, keeping the previous one: {}",
+                    "configuration of revision {revision} cannot be read by this version: {}",
                     faults[0]
                 ));
                 self.config.clone()
@@ -168,7 +168,7 @@
         let committed_revision = gossip.committed.revision;
         if let (None, Some(read_index)) = (&self.read_index, gossip.read_index().established()) {
             log_lines.push(format!(
-                "revision {committed_revision} is active; read index {} established by {} ({}) in {} ms",
+                "revision {committed_revision} is active: the read index is {} by {} ({}), after {} ms",
                 read_index.revision,
                 read_index.source,
                 read_index.reporter,
@@ -177,10 +177,10 @@
         }
         if gossip.is_stalled(now) && !self.is_stalled {
             let required = gossip.read_index().required();
-            let required = required.map_or("unknown".into(), |revision| revision.to_string());
+            let required = required.map_or("not known".into(), |revision| revision.to_string());
             log_lines.push(format!(
-                "read index not established in time: committed revision {committed_revision}, read index \
-                 {required}; accepting no work"
+                "stalled below the read index: has revision {committed_revision}, the read index is \
+                 {required}; takes no work"
             ));
         }
     }
