--- a/cluster/src/node/peer_server.rs
+++ b/cluster/src/node/peer_server.rs
@@ -1,4 +1,4 @@
-//! Serving other nodes: pulls go to the gossip actor, everything else to the program's own handler.
+//! The server for other nodes: pulls go to the gossip actor, all other requests to the program's handler.
 
 use super::gossip_actor::{GossipActor, HandleEvent, HandlePull};
 use crate::gossip::Event;
@@ -11,11 +11,12 @@
 use tokio::sync::oneshot;
 use xtra::Address;
 
-/// Answers the requests that are for the store.
+/// Handles the requests that are for the store.
 pub type StoreHandler =
     Arc<dyn Fn(Request) -> Pin<Box<dyn Future<Output = Reply> + Send>> + Send + Sync>;
 
-/// Reports a pull as abandoned if it is dropped before the response is there: the requester is gone.
+/// Reports a pull as abandoned if it is dropped before the response is ready, because the requester has
+/// disconnected.
 struct AbandonGuard {
     gossip: Address<GossipActor>,
     ticket: u64,
@@ -41,15 +42,15 @@
     gossip: Address<GossipActor>,
     store_handler: Option<StoreHandler>,
 ) {
-    let tickets = Arc::new(AtomicU64::new(0));
+    let next_ticket = Arc::new(AtomicU64::new(0));
     let handler = move |request: Request| {
         let gossip = gossip.clone();
-        let tickets = tickets.clone();
+        let next_ticket = next_ticket.clone();
         let store_handler = store_handler.clone();
         async move {
             match request {
                 Request::Pull(request) => {
-                    let ticket = tickets.fetch_add(1, Ordering::Relaxed);
+                    let ticket = next_ticket.fetch_add(1, Ordering::Relaxed);
                     serve_pull(gossip, ticket, request).await
                 }
                 request => match store_handler {
--- a/registry/src/api/steering.rs
+++ b/registry/src/api/steering.rs
@@ -10,8 +10,8 @@
 /// `GET /v1/steer`: the ranked pathways for a client.
 pub fn steer(registry: &Registry, query: &str) -> Result<ApiResponse, ApiError> {
     registry.counters.increment(Counter::SteerPolls);
-    let view = registry.node.table.load();
-    let is_ready = registry.is_ready() && registry.node.is_awake();
+    let view = registry.node.current_view.load();
+    let is_ready = registry.is_ready() && registry.node.has_recent_tick();
     let outcome = steering::steer(&view, is_ready, registry.own_location(), query, node::random());
     if outcome.is_first {
         registry.counters.increment(Counter::SteerPollsFirst);
@@ -28,9 +28,10 @@
 /// `GET /v1/addresses`: proxy addresses, for clients that balance load between them on their own.
 pub fn addresses(registry: &Registry, query: &str) -> Result<ApiResponse, ApiError> {
     registry.counters.increment(Counter::SteerPolls);
-    let view = registry.node.table.load();
+    let view = registry.node.current_view.load();
     // No configuration is required: without rules, addresses depend on the proxies alone.
-    let is_ready = view.is_fresh && registry.node.is_awake() && !registry.node.is_shutting_down();
+    let is_ready =
+        view.is_fresh && registry.node.has_recent_tick() && !registry.node.is_shutting_down();
     let own_location = registry.own_location();
     let answer = steering::addresses(&view, is_ready, own_location, query, node::random())
         .map_err(|error| count_rejection(registry, error))?;
