--- a/store/src/consensus/acceptor.rs
+++ b/store/src/consensus/acceptor.rs
@@ -209,7 +209,7 @@
     }
 
     /// Stores the batch of an accepted value, from the latest version backwards, up to the first one that is
-    /// not the parent of the version stored before.
+    /// not the parent of the version stored before it.
     fn store_batch(&mut self, value: &Value, batch: Vec<Arc<Value>>, writes: &mut Vec<DiskWrite>) {
         let mut expected = value.parent_id();
         self.batch.clear();
--- a/store/src/consensus/round.rs
+++ b/store/src/consensus/round.rs
@@ -70,7 +70,7 @@
 pub(super) struct AcceptedValue {
     pub accepted: AcceptedProposal,
     pub value: Arc<Value>,
-    /// The versions that were proposed with it in one round, the oldest first.
+    /// The earlier versions that were proposed with it in the same round, oldest first.
     pub batch: Vec<Arc<Value>>,
 }
 
--- a/store/src/retransmission.rs
+++ b/store/src/retransmission.rs
@@ -154,7 +154,7 @@
         let is_in_force = match change {
             Change::ReplaceConfig { .. } => return Classification::New,
             Change::DrainZone { zone } => value.drain_orders(zone) > 0,
-            // If no drain order is in force, there is none that a repeat could withdraw.
+            // Needs no check: without a drain order in force, a repeated withdrawal changes nothing.
             Change::RestoreZone { .. } => true,
         };
         let content_hash = change.content_hash();
--- a/store/src/shell/actor.rs
+++ b/store/src/shell/actor.rs
@@ -21,7 +21,7 @@
 /// Timeout of a call to another store.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Dependencies of the actor.
+/// The replica, and what the actor needs to carry out its effects.
 pub(super) struct Resources {
     pub replica: Replica,
     pub disk: Arc<Disk>,
