--- a/registry/src/discovery/poller/tests.rs
+++ b/registry/src/discovery/poller/tests.rs
@@ -2,7 +2,7 @@
 use vanepath_config::endpoint_list;
 
 #[test]
-fn only_a_valid_nonempty_list_that_is_not_older_replaces_the_last_one() {
+fn only_a_good_list_replaces_the_last_one() {
     let list = |revision: u64, is_empty: bool| {
         let server = r#"{"id": "s", "address": "127.0.0.1:9", "region": "a", "zone": "a1",
                          "state": "ready"}"#;
--- a/registry/src/steering/tests.rs
+++ b/registry/src/steering/tests.rs
@@ -190,7 +190,7 @@
 /// Incident 0016: clients use the addresses for all rules. If any rule is bound to regions, the proxies of
 /// the client's own region must not be supplemented with those of other regions, however few they are.
 #[test]
-fn plain_addresses_stay_in_the_clients_region_if_a_rule_is_bound_to_regions() {
+fn plain_addresses_stay_in_the_region_where_rules_are_bound() {
     let mut bound = view(r#"{"name": "r", "class": "c", "service": "s", "regions": ["a", "c"]}"#);
     assert_eq!(format_addresses(&bound, true, "region=c&zone=c1"), "8005 for 2 s");
     assert_eq!(format_addresses(&bound, true, "region=a&zone=a1"), "8000 8001 8002 for 2 s");
