--- a/proxy/src/client_deadlines/tests.rs
+++ b/proxy/src/client_deadlines/tests.rs
@@ -37,8 +37,8 @@
             usize::from(deadlines.is_past_target(ms(second * 1000), "r", ms(2000), TARGET));
     }
     assert!((15..=30).contains(&past_target_count), "{past_target_count}");
-    for number in 0..3 * MAX_RULES {
-        deadlines.is_past_target(ms(0), &number.to_string(), ms(1), TARGET);
+    for rule in 0..3 * MAX_RULES {
+        deadlines.is_past_target(ms(0), &rule.to_string(), ms(1), TARGET);
     }
     assert!(deadlines.by_rule.len() <= MAX_RULES);
 }
--- a/proxy/src/endpoints/probes.rs
+++ b/proxy/src/endpoints/probes.rs
@@ -47,7 +47,8 @@
         is_near(proxy) == is_near(own_node)
             && RendezvousRank { hash: hash(proxy), name: &proxy.name } < own_rank
     });
-    // More than this many need not be found, which saves most of the hash computations.
+    // The count stops here, since only whether it is below the limit matters. This saves most of the
+    // hash computations.
     let ranked_before = ranked_before.take(REMOTE_WATCHERS).count();
     ranked_before < if is_near(own_node) { NEAR_WATCHERS } else { REMOTE_WATCHERS }
 }
--- a/proxy/src/endpoints/selection/hedging.rs
+++ b/proxy/src/endpoints/selection/hedging.rs
@@ -57,8 +57,8 @@
     }
 
     /// Whether no response to this attempt is expected: since it was sent, the server has responded to
-    /// no request, and connecting to it has timed out. A missing response alone proves nothing, since
-    /// the request may be waiting in the server's queue.
+    /// no request, and connecting to it has timed out or it was removed from the table. A missing
+    /// response alone proves nothing, since the request may be waiting in the server's queue.
     fn is_presumed_lost(&self, attempt: &PendingAttempt) -> bool {
         let is_unreachable = self
             .with_state(attempt.slot, |state| state.health.is_unreachable_since(attempt.sent_at));
--- a/proxy/src/endpoints/selection/least_cost.rs
+++ b/proxy/src/endpoints/selection/least_cost.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 use vanepath_config::model::{Class, Rule, Service};
 
-/// Maximum number of candidates that are tried in turn, if the chosen one no longer accepts a request
-/// when the request is to be reserved there.
+/// Maximum number of candidates that are tried in turn. Since the candidates were collected, other
+/// requests may have used the capacity of the chosen one.
 const RESERVATION_ATTEMPTS: usize = 3;
 
 /// The candidates of each pass, which depends on the health of their servers.
--- a/proxy/src/endpoints/selection/mod.rs
+++ b/proxy/src/endpoints/selection/mod.rs
@@ -33,8 +33,9 @@
     /// Slots of the endpoints that were already tried for this request.
     pub tried: &'w [usize],
     /// If set, the selection only determines whether there is another endpoint for a request that is
-    /// waiting at its server, and reserves nothing. The endpoint must have free capacity if that
-    /// server is slow; it must only not be suspect if the request seems lost there.
+    /// waiting at its server, and reserves nothing. If that server is slow, the endpoint must
+    /// have free capacity. If the request seems lost there, a full endpoint counts too, but not a
+    /// suspect one.
     pub only_alternative_for: Option<RetryReason>,
     /// Whether earlier attempts took so long that the latency target is already missed.
     pub is_past_target: bool,
--- a/proxy/src/health/mod.rs
+++ b/proxy/src/health/mod.rs
@@ -123,8 +123,8 @@
         self.slow_start_since = Some(since);
     }
 
-    /// Restarts with a slow start: the server was added while this proxy was running, reported itself
-    /// that it is warming up, or was seen by another proxy to recover `age` ago.
+    /// Restarts with a slow start: the server was added while this proxy was running, reported that
+    /// it is warming up, or was seen by another proxy to recover `age` ago.
     pub fn restart_slow_start(&mut self, now: Duration, age: Duration) {
         self.start_warm_up(now, now.saturating_sub(age));
         if age > Duration::ZERO {
@@ -147,7 +147,7 @@
     }
 
     /// Lets a suspect server that only other proxies probe get requests again after
-    /// [`SUSPECT_RETRY_DELAY`], at its slow-start rate if it was limited to that when it failed.
+    /// `SUSPECT_RETRY_DELAY`, at its slow-start rate if it was limited to that when it failed.
     pub fn retry_suspect(&mut self, now: Duration) {
         let is_too_early = now.saturating_sub(self.since) < SUSPECT_RETRY_DELAY;
         if self.phase != ServerPhase::Suspect || is_too_early {
@@ -346,7 +346,7 @@
     }
 
     /// Counts a request against this proxy's share of the slow-start rate. After the warm-up the share
-    /// doubles [`RATE_DOUBLINGS`] times.
+    /// doubles `RATE_DOUBLINGS` times.
     pub fn record_request(&mut self, now: Duration) {
         let Some(interval) = self.slow_start_rate.interval else { return };
         let doublings = match self.phase {
--- a/proxy/src/health/tests.rs
+++ b/proxy/src/health/tests.rs
@@ -38,10 +38,10 @@
     let mut degraded_counts = [0, 0];
     for (index, failure_interval) in [3, 10].into_iter().enumerate() {
         let mut server = ServerHealth::new(second(0.0));
-        for turn in 1..=200 {
-            let now = second(f64::from(turn) * 0.01);
+        for request in 1..=200 {
+            let now = second(f64::from(request) * 0.01);
             server.record_success(now);
-            server.record_request_result(now, turn % failure_interval != 0);
+            server.record_request_result(now, request % failure_interval != 0);
             degraded_counts[index] += u32::from(server.is_degraded(now, false));
         }
     }
@@ -77,9 +77,9 @@
     let mut summary = String::new();
     for (per_second, proxies) in [(10.0, 8), (10.0, 12), (5.0, 8), (2.5, 8), (0.5, 8), (40.0, 3)] {
         let period = second(8.0);
-        let mut all: Vec<ServerHealth> =
+        let mut proxy_views: Vec<ServerHealth> =
             (0..proxies).map(|_| ServerHealth::new(second(0.0))).collect();
-        for (rank, proxy) in all.iter_mut().enumerate() {
+        for (rank, proxy) in proxy_views.iter_mut().enumerate() {
             let rate = SlowStartRate::new(per_second, period, rank, proxies);
             // Each proxy saw the server recover at another time.
             let seen_at = second(0.37 * rank as f64);
@@ -89,7 +89,7 @@
         let mut sent_at_s: Vec<f64> = Vec::new();
         for tick in 0..3200 {
             let now = second(f64::from(tick) * 0.005);
-            for (rank, proxy) in all.iter_mut().enumerate() {
+            for (rank, proxy) in proxy_views.iter_mut().enumerate() {
                 proxy.tick(now, SlowStartRate::new(per_second, period, rank, proxies));
                 if proxy.accepts_request(now) {
                     proxy.record_request(now);
@@ -101,10 +101,10 @@
             |low: f64, high: f64| sent_at_s.iter().filter(|at| **at >= low && **at < high).count();
         let counts =
             (0..140).map(|step| sent_between(f64::from(step) / 20.0, f64::from(step) / 20.0 + 1.0));
-        let most = counts.max().unwrap_or(0);
+        let max_count = counts.max().unwrap_or(0);
         assert!(
-            most as f64 <= per_second.max(1.0),
-            "{per_second} per second: {most} in one second"
+            max_count as f64 <= per_second.max(1.0),
+            "{per_second} per second: {max_count} in one second"
         );
         summary += &format!(
             "{per_second}/s among {proxies} proxies: {} requests in 4 s once all have started, then {}\n",
@@ -229,8 +229,8 @@
                 sent += 1;
             }
         }
-        let most = (2400.0 / interval.as_millis() as f64).ceil() as u32;
-        assert!(sent <= most, "{sent} requests in 2.4 s, but its rate allows {most}");
+        let max_sent = (2400.0 / interval.as_millis() as f64).ceil() as u32;
+        assert!(sent <= max_sent, "{sent} requests in 2.4 s, but its rate allows {max_sent}");
         assert_eq!(server.phase, ServerPhase::WarmingUp);
         server.tick(second(3.0), rate);
         assert_eq!(server.phase, ServerPhase::SlowStart, "the warm-up counts from when it began");
--- a/proxy/src/latency_model/relative_latency.rs
+++ b/proxy/src/latency_model/relative_latency.rs
@@ -4,7 +4,7 @@
 
 /// Minimum weight of a response in the average.
 const MIN_RESPONSE_WEIGHT: f64 = 0.12;
-/// Number of responses whose weight the initial estimate has.
+/// Weight of the initial estimate, as a number of responses.
 const INITIAL_RESPONSES: f64 = 2.0;
 /// How long after its last response the relative latency of a server has decayed to the usual one.
 const EXPIRY_TIME: Duration = Duration::from_secs(6);
--- a/proxy/src/latency_model/zone_pool.rs
+++ b/proxy/src/latency_model/zone_pool.rs
@@ -90,8 +90,8 @@
 /// All pools of a proxy, found by service and zone.
 #[derive(Debug, Default)]
 pub struct ZonePools {
-    all: Vec<ServicePool>,
-    /// Indices into `all`, by service and zone.
+    entries: Vec<ServicePool>,
+    /// Indices into `entries`, by service and zone.
     by_service: HashMap<String, HashMap<String, usize>>,
 }
 
@@ -101,27 +101,27 @@
         if let Some(index) = self.by_service.get(service).and_then(|zones| zones.get(zone)) {
             return *index;
         }
-        let index = self.all.len();
+        let index = self.entries.len();
         let zones = self.by_service.entry(service.to_string()).or_default();
         zones.insert(zone.to_string(), index);
-        self.all.push(ServicePool { service: service.to_string(), pool: ZonePool::default() });
+        self.entries.push(ServicePool { service: service.to_string(), pool: ZonePool::default() });
         index
     }
 
     /// The pool at an index that [`ZonePools::find_or_insert`] returned.
     pub fn get(&self, index: usize) -> &ZonePool {
-        &self.all[index].pool
+        &self.entries[index].pool
     }
 
     /// The same, for updates.
     pub fn get_mut(&mut self, index: usize) -> &mut ZonePool {
-        &mut self.all[index].pool
+        &mut self.entries[index].pool
     }
 
     /// Utilization of a pool's servers by other proxies. Tends to the service's mean as the pool's last
     /// load report ages.
     pub fn utilization(&self, now: Duration, index: usize) -> f64 {
-        let ServicePool { service, pool } = &self.all[index];
+        let ServicePool { service, pool } = &self.entries[index];
         pool.utilization(now, self.mean_utilization(now, service))
     }
 
--- a/proxy/src/load_balancing/tests.rs
+++ b/proxy/src/load_balancing/tests.rs
@@ -39,7 +39,7 @@
 const SMALL: RequestCost = RequestCost { service_time_ms: 150.0, kilobytes: 4.0 };
 const LARGE: RequestCost = RequestCost { service_time_ms: 130.0, kilobytes: 90.0 };
 
-fn each_case(mut check: impl FnMut(&[Candidate], &RequestCost, u64, Option<&Candidate>)) {
+fn for_each_case(mut check: impl FnMut(&[Candidate], &RequestCost, u64, Option<&Candidate>)) {
     let mut rng = TestRng(11);
     for case in 0..CASES {
         let candidates = rng.candidates();
@@ -60,7 +60,7 @@
 #[test]
 fn a_candidate_with_capacity_is_chosen_and_a_full_one_is_not() {
     let mut without_capacity = 0;
-    each_case(|candidates, _, _, chosen| {
+    for_each_case(|candidates, _, _, chosen| {
         let has_capacity =
             candidates.iter().any(|candidate| candidate.utilization() <= MAX_UTILIZATION);
         assert_eq!(chosen.is_some(), has_capacity, "{candidates:?}");
@@ -80,7 +80,7 @@
 /// No request goes to a farther server while an equal server nearer has free capacity.
 #[test]
 fn the_candidate_of_least_cost_is_chosen_and_so_near_capacity_comes_first() {
-    each_case(|candidates, request, _, chosen| {
+    for_each_case(|candidates, request, _, chosen| {
         let Some(chosen) = chosen else { return };
         let with_capacity =
             || candidates.iter().filter(|candidate| candidate.utilization() <= MAX_UTILIZATION);
@@ -126,7 +126,7 @@
 /// Large responses stay in the zone until its servers have twice as many requests as their concurrency.
 #[test]
 fn large_responses_stay_in_the_zone() {
-    each_case(|candidates, request, _, chosen| {
+    for_each_case(|candidates, request, _, chosen| {
         let Some(chosen) = chosen else { return };
         if *request != LARGE || chosen.distance < Distance::Region {
             return;
@@ -181,7 +181,7 @@
 #[test]
 fn the_random_number_decides_only_among_equal_candidates() {
     let mut rng = TestRng(5);
-    each_case(|candidates, request, random, chosen| {
+    for_each_case(|candidates, request, random, chosen| {
         let Some(chosen) = chosen else { return };
         let mut shuffled = candidates.to_vec();
         for index in (1..shuffled.len()).rev() {
@@ -218,7 +218,7 @@
 #[test]
 fn more_load_never_attracts_requests() {
     let mut rng = TestRng(17);
-    each_case(|candidates, request, random, chosen| {
+    for_each_case(|candidates, request, random, chosen| {
         if candidates.is_empty() {
             return;
         }
@@ -244,8 +244,8 @@
 fn a_rising_load_spreads_from_near_to_far_servers() {
     let mut summary = String::new();
     for request in [SMALL, LARGE] {
-        let all = [Distance::Subset, Distance::Zone, Distance::Region, Distance::OtherRegion];
-        let mut candidates: Vec<Candidate> = all
+        let distances = [Distance::Subset, Distance::Zone, Distance::Region, Distance::OtherRegion];
+        let mut candidates: Vec<Candidate> = distances
             .into_iter()
             .enumerate()
             .map(|(index, distance)| Candidate {
--- a/proxy/src/retry_budget/tests.rs
+++ b/proxy/src/retry_budget/tests.rs
@@ -23,17 +23,18 @@
         }
         history.push((now_ms, requests, retries));
     }
-    let mut worst: f64 = 0.0;
-    let mut total = 0;
+    let mut max_excess: f64 = 0.0;
+    let mut max_retries = 0;
     for (start_ms, ..) in &history {
-        let window = history.iter().filter(|one| one.0 >= *start_ms && one.0 < start_ms + 10_000);
-        let requests: u64 = window.clone().map(|one| one.1).sum();
-        let retries: u64 = window.map(|one| one.2).sum();
-        worst = worst.max(retries as f64 - 0.2 * requests as f64);
-        total = total.max(retries);
+        let window =
+            history.iter().filter(|step| step.0 >= *start_ms && step.0 < start_ms + 10_000);
+        let requests: u64 = window.clone().map(|step| step.1).sum();
+        let retries: u64 = window.map(|step| step.2).sum();
+        max_excess = max_excess.max(retries as f64 - 0.2 * requests as f64);
+        max_retries = max_retries.max(retries);
     }
-    assert!(worst <= 24.0, "{worst} retries more than a fifth of the requests");
-    assert!(total > 20, "too little of the budget was used");
+    assert!(max_excess <= 24.0, "{max_excess} retries more than a fifth of the requests");
+    assert!(max_retries > 20, "too little of the budget was used");
 }
 
 const SETTINGS: RetryBudgetSettings =
@@ -58,17 +59,17 @@
             }
         }
     }
-    let mut worst: f64 = f64::MIN;
-    let mut total = 0;
+    let mut max_excess: f64 = f64::MIN;
+    let mut total_retries = 0;
     for start_ms in (0..36_000).step_by(50) {
-        let within = events.iter().filter(|one| one.0 >= start_ms && one.0 < start_ms + 4000);
-        let retries = within.clone().filter(|one| one.1).count() as f64;
-        let requests = within.filter(|one| !one.1).count() as f64;
-        worst = worst.max(retries - 0.4 * requests - 40.0 / 4.0);
-        total += retries as u64;
+        let window = events.iter().filter(|event| event.0 >= start_ms && event.0 < start_ms + 4000);
+        let retries = window.clone().filter(|event| event.1).count() as f64;
+        let requests = window.filter(|event| !event.1).count() as f64;
+        max_excess = max_excess.max(retries - 0.4 * requests - 40.0 / 4.0);
+        total_retries += retries as u64;
     }
-    assert!(worst <= 0.0, "{worst} retries over the limit");
-    assert!(total > 1000, "{total}: too little of the budget was used");
+    assert!(max_excess <= 0.0, "{max_excess} retries over the limit");
+    assert!(total_retries > 1000, "{total_retries}: too little of the budget was used");
 }
 
 /// Each service has its own budget, found by name.
