--- a/proxy/src/endpoints/outcomes.rs
+++ b/proxy/src/endpoints/outcomes.rs
@@ -67,7 +67,7 @@
                 | AttemptError::MismatchedResponse,
             ) => self.record_failure(now, slot, Failure::Broken),
             // No proof of a failure: the server may just be busy. A probe will show.
-            Err(AttemptError::Silent) => self.update_health(slot, ServerHealth::request_probe),
+            Err(AttemptError::TimedOut) => self.update_health(slot, ServerHealth::request_probe),
             Err(
                 AttemptError::NotConnected
                 | AttemptError::Withdrawn
@@ -91,9 +91,9 @@
                     state.last_response_at = now;
                     state.health.record_request_result(now, true);
                 }
-                Err(AttemptError::Silent) if is_busy => {}
+                Err(AttemptError::TimedOut) if is_busy => {}
                 Err(
-                    AttemptError::Silent
+                    AttemptError::TimedOut
                     | AttemptError::Truncated
                     | AttemptError::LostAfterSend
                     | AttemptError::MismatchedResponse,
@@ -123,7 +123,7 @@
         sent_at: Duration,
     ) -> RetryReason {
         match error {
-            AttemptError::Silent => self.retry_reason(slot, sent_at),
+            AttemptError::TimedOut => self.retry_reason(slot, sent_at),
             _ => RetryReason::Lost,
         }
     }
--- a/proxy/src/forward/admission.rs
+++ b/proxy/src/forward/admission.rs
@@ -95,7 +95,7 @@
 ///
 /// # Errors
 /// [`Rejection::NotReady`] if the class is not known here yet, [`Rejection::QueueFull`], and
-/// [`Rejection::Late`] if the deadline passes first.
+/// [`Rejection::DeadlineExceeded`] if the deadline passes first.
 pub(super) async fn admit(
     proxy: &Arc<Proxy>,
     class: &str,
@@ -133,5 +133,6 @@
         Ok(Ok(slot)) => Some(slot),
         _ => receiver.try_recv().ok(),
     };
-    slot.map(|slot| AdmissionPermit { proxy: proxy.clone(), slot }).ok_or(Rejection::Late)
+    slot.map(|slot| AdmissionPermit { proxy: proxy.clone(), slot })
+        .ok_or(Rejection::DeadlineExceeded)
 }
--- a/proxy/src/forward/attempt.rs
+++ b/proxy/src/forward/attempt.rs
@@ -113,7 +113,7 @@
         let OutgoingRequest { message, method, id, content_length } = request;
         let sending = connection.sender.try_send_request(message);
         let sent = tokio::time::timeout_at(deadline, sending).await;
-        let sent = sent.map_err(|_| AttemptError::Silent)?;
+        let sent = sent.map_err(|_| AttemptError::TimedOut)?;
         let response = sent.map_err(|mut error| match error.take_message() {
             // The library gives the message back if it had not begun to write it.
             Some(_) => AttemptError::NotSent,
--- a/proxy/src/forward/hedging.rs
+++ b/proxy/src/forward/hedging.rs
@@ -27,7 +27,7 @@
     /// attempt that is in progress.
     ///
     /// # Errors
-    /// [`Rejection::Late`] if it is given up: it waits in vain, and a new request of the client may
+    /// [`Rejection::DeadlineExceeded`] if it is given up: it waits in vain, and a new request of the client may
     /// be served in time.
     pub fn hedge(
         &mut self,
@@ -38,7 +38,7 @@
             HedgeDecision::Hedge(reason) if self.begin_hedge(reason, lifecycle) => return Ok(()),
             HedgeDecision::GiveUp => {
                 self.note_unanswered(details);
-                return Err(Rejection::Late);
+                return Err(Rejection::DeadlineExceeded);
             }
             HedgeDecision::Hedge(_) | HedgeDecision::Wait => {}
         }
--- a/proxy/src/forward/request_body.rs
+++ b/proxy/src/forward/request_body.rs
@@ -46,7 +46,7 @@
 /// Reads the body until it is complete or too large to buffer, but not beyond the deadline.
 ///
 /// # Errors
-/// [`Rejection::Late`]; [`Rejection::TooLarge`] above `max_bytes` and [`Rejection::Malformed`] if the
+/// [`Rejection::DeadlineExceeded`]; [`Rejection::TooLarge`] above `max_bytes` and [`Rejection::Malformed`] if the
 /// body breaks off, after which the connection is to be closed.
 pub(super) async fn read_body_before(
     proxy: &Proxy,
@@ -58,7 +58,7 @@
     let reading = read_body(incoming, max_bytes);
     tokio::time::timeout_at(proxy.timer_instant(deadline), reading)
         .await
-        .map_err(|_| Rejection::Late)?
+        .map_err(|_| Rejection::DeadlineExceeded)?
         .inspect_err(|_| details.closes_connection = true)
 }
 
--- a/proxy/src/forward/retry.rs
+++ b/proxy/src/forward/retry.rs
@@ -224,7 +224,7 @@
     async fn wait_until_ready_again(&mut self) -> Result<(), Rejection> {
         let ready = wait_until_ready(self.proxy, self.proxy.now());
         let deadline = self.proxy.timer_instant(self.timing.deadline);
-        tokio::time::timeout_at(deadline, ready).await.map_err(|_| Rejection::Late)?
+        tokio::time::timeout_at(deadline, ready).await.map_err(|_| Rejection::DeadlineExceeded)?
     }
 
     /// Selects a server by the newest table, waiting for the turn of one that is warming up where
@@ -253,7 +253,7 @@
         let now = proxy.now();
         let deadline = self.timing.deadline;
         if now >= deadline {
-            return Err(Rejection::Late);
+            return Err(Rejection::DeadlineExceeded);
         }
         // Zones that were drained since the request came count too.
         let view = proxy.node.table.load();
@@ -270,7 +270,7 @@
                 Ok(Turn::Now(ReservedEndpoint { selected, in_flight }))
             }
             Selection::Wait(until) if until < deadline => Ok(Turn::At(until)),
-            Selection::Crowded => Err(Rejection::Crowded),
+            Selection::Crowded => Err(Rejection::Congested),
             // All that are left were tried, or there is none, or none has its turn in time.
             Selection::Wait(_) | Selection::None => Err(Rejection::NoServer),
         }
@@ -303,7 +303,7 @@
         let is_overdue = sent.is_some_and(|sent| sent.is_overdue);
         match result {
             Ok(()) if is_overdue => self.proxy.record_late_response(slot, id),
-            Err(AttemptError::Silent) if is_overdue => {}
+            Err(AttemptError::TimedOut) if is_overdue => {}
             _ => self.proxy.record_outcome(slot, id, result),
         }
     }
--- a/proxy/src/forward/routing.rs
+++ b/proxy/src/forward/routing.rs
@@ -43,7 +43,7 @@
     /// Finds the rule in the newest table.
     ///
     /// # Errors
-    /// [`Rejection::Unmatched`], and [`Rejection::Misplaced`] where the rule does not allow this
+    /// [`Rejection::Unmatched`], and [`Rejection::WrongRegion`] where the rule does not allow this
     /// proxy to forward; `details` names proxies that may.
     pub fn find(
         proxy: &Proxy,
@@ -136,7 +136,7 @@
     let rule = &table.config.rules[index];
     if !rule.may_forward_from(&proxy.node.settings.region) {
         details.places = eligible_locations(&proxy.node.table.load(), rule);
-        return Err(Rejection::Misplaced);
+        return Err(Rejection::WrongRegion);
     }
     Ok(index)
 }
--- a/proxy/src/forward/state.rs
+++ b/proxy/src/forward/state.rs
@@ -43,7 +43,7 @@
         RejectedTooLarge,
         /// Requests that may not be forwarded from this region.
         #[strum(serialize = "refusedMisplaced")]
-        RejectedMisplaced,
+        RejectedWrongRegion,
         /// Requests that came before this proxy was ready.
         #[strum(serialize = "refusedNotReady")]
         RejectedNotReady,
@@ -58,16 +58,16 @@
         RejectedNoServer,
         /// Requests that would have missed their deadline in every server's queue.
         #[strum(serialize = "refusedCrowded")]
-        RejectedCrowded,
+        RejectedCongested,
         /// Requests that the retry budget had nothing left for.
         #[strum(serialize = "refusedNoBudget")]
         RejectedNoBudget,
         /// Requests whose deadline passed.
         #[strum(serialize = "refusedLate")]
-        RejectedLate,
+        RejectedDeadlineExceeded,
         /// Requests whose response was lost.
         #[strum(serialize = "refusedLost")]
-        RejectedLost,
+        RejectedResponseLost,
         /// Rejections of requests that did not run.
         #[strum(serialize = "verdictNotRun")]
         StatusNotRun,
@@ -266,7 +266,7 @@
 
     /// Records that the server with this slot and id has had a request for long.
     pub(super) fn record_overdue(&self, slot: usize, id: &str) {
-        self.record_outcome(slot, id, Err(AttemptError::Silent));
+        self.record_outcome(slot, id, Err(AttemptError::TimedOut));
     }
 
     /// Records the response to a request that was overdue.
--- a/proxy/src/lifecycle.rs
+++ b/proxy/src/lifecycle.rs
@@ -45,7 +45,8 @@
     /// Its body is over the limit of its class.
     TooLarge,
     /// Its rule does not allow forwarding from this proxy's region.
-    Misplaced,
+    #[strum(serialize = "misplaced")]
+    WrongRegion,
     /// This proxy does not know the committed config yet.
     NotReady,
     /// This proxy just started and cannot learn the read index of its earlier incarnation, while
@@ -58,13 +59,16 @@
     /// No server is left that could be tried.
     NoServer,
     /// Every server has a queue in which the request would miss its deadline.
-    Crowded,
+    #[strum(serialize = "crowded")]
+    Congested,
     /// The retry budget is used up.
     NoBudget,
     /// Its deadline passed.
-    Late,
+    #[strum(serialize = "late")]
+    DeadlineExceeded,
     /// A server received it, and the response was lost.
-    Lost,
+    #[strum(serialize = "lost")]
+    ResponseLost,
 }
 
 /// How an attempt ended without a response that can be relayed.
@@ -87,7 +91,8 @@
     #[strum(serialize = "misanswered")]
     MismatchedResponse,
     /// No response came in time after the request was sent.
-    Silent,
+    #[strum(serialize = "silent")]
+    TimedOut,
     /// The response was cut short or its end could not be proved, before any of it was relayed.
     Truncated,
 }
@@ -211,10 +216,10 @@
             self.may_have_run = true;
         }
         let rejection = match error {
-            _ if is_late => Rejection::Late,
+            _ if is_late => Rejection::DeadlineExceeded,
             _ if is_not_sent => Rejection::NoServer,
-            AttemptError::Silent => Rejection::Late,
-            _ => Rejection::Lost,
+            AttemptError::TimedOut => Rejection::DeadlineExceeded,
+            _ => Rejection::ResponseLost,
         };
         let may_repeat = match self.idempotency {
             Idempotency::Idempotent => self.is_replayable || is_not_sent,
@@ -252,9 +257,9 @@
             Rejection::Unmatched => StatusCode::NOT_FOUND,
             Rejection::HeadTooLarge => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             Rejection::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Rejection::Misplaced | Rejection::BelowReadIndex => StatusCode::MISDIRECTED_REQUEST,
+            Rejection::WrongRegion | Rejection::BelowReadIndex => StatusCode::MISDIRECTED_REQUEST,
             _ if execution_status == ExecutionStatus::NotRun => StatusCode::SERVICE_UNAVAILABLE,
-            Rejection::Late => StatusCode::GATEWAY_TIMEOUT,
+            Rejection::DeadlineExceeded => StatusCode::GATEWAY_TIMEOUT,
             _ => StatusCode::BAD_GATEWAY,
         }
     }
@@ -263,14 +268,14 @@
     /// overloaded servers are spread by `draw`, a random number, and retry early enough to be served.
     pub fn retry_after(self, left: Duration, draw: u64) -> Option<Duration> {
         let delay_ms = match self {
-            Rejection::Crowded => {
+            Rejection::Congested => {
                 let drawn_ms = 600 + draw % 401;
                 drawn_ms.min(left.as_millis() as u64 / 4)
             }
             Rejection::NoServer | Rejection::QueueFull => 100,
             Rejection::NotReady | Rejection::BelowReadIndex => 300,
             Rejection::NoBudget => 500,
-            Rejection::Late => 1000,
+            Rejection::DeadlineExceeded => 1000,
             _ => return None,
         };
         Some(Duration::from_millis(delay_ms))
--- a/proxy/src/lifecycle/tests.rs
+++ b/proxy/src/lifecycle/tests.rs
@@ -8,7 +8,7 @@
 #[test]
 fn retries_after_overload_are_spread() {
     let ms = Duration::from_millis;
-    let after = |left, draw| Rejection::Crowded.retry_after(ms(left), draw).unwrap();
+    let after = |left, draw| Rejection::Congested.retry_after(ms(left), draw).unwrap();
     assert_eq!((after(5000, 0), after(5000, 400)), (ms(600), ms(1000)));
     assert!((0..1000).all(|draw| after(1200, draw) <= ms(300)));
     assert_eq!(Rejection::NoServer.retry_after(ms(10), 7), Some(ms(100)));
@@ -76,7 +76,7 @@
         attempts: 1,
         ..RequestLifecycle::new()
     };
-    lifecycle.attempt_failed(AttemptError::Silent, false, false, || true);
+    lifecycle.attempt_failed(AttemptError::TimedOut, false, false, || true);
     assert_ne!(
         lifecycle.attempt_failed(AttemptError::NotConnected, false, false, || true),
         AfterFailure::Retry
--- a/testbed/src/sim/traffic/attempts.rs
+++ b/testbed/src/sim/traffic/attempts.rs
@@ -23,7 +23,7 @@
         let RoleState::Proxy(proxy) = &mut self.nodes[index].role_state else { return };
         let Some(progress) = proxy.in_progress.get_mut(&progress_id) else { return };
         if now >= progress.deadline {
-            return self.answer_client(index, progress_id, Err(Rejection::Late));
+            return self.answer_client(index, progress_id, Err(Rejection::DeadlineExceeded));
         }
         progress.lifecycle.state = RequestState::Selecting;
         if let Err(rejection) = adopt_latest_table(proxy, progress_id, &self.world, &region) {
@@ -39,7 +39,7 @@
                 let pause = pause.min(Duration::from_millis(50));
                 self.net.set_timer(host, pause, Timer::SelectServer(progress_id));
             }
-            Selection::Crowded => self.answer_client(index, progress_id, Err(Rejection::Crowded)),
+            Selection::Crowded => self.answer_client(index, progress_id, Err(Rejection::Congested)),
             _ => self.answer_client(index, progress_id, Err(Rejection::NoServer)),
         }
     }
@@ -244,7 +244,7 @@
             HedgeDecision::Hedge(reason) if self.begin_hedge(index, progress_id, reason) => return,
             HedgeDecision::GiveUp => {
                 self.mark_overdue(index, progress_id);
-                return self.answer_client(index, progress_id, Err(Rejection::Late));
+                return self.answer_client(index, progress_id, Err(Rejection::DeadlineExceeded));
             }
             HedgeDecision::Hedge(_) | HedgeDecision::Wait => {}
         }
@@ -294,7 +294,7 @@
         let mut sent = progress.attempts.iter_mut().filter(|one| one.upstream_call.is_some());
         if let Some(latest) = sent.next_back().filter(|latest| !latest.is_overdue) {
             latest.is_overdue = true;
-            proxy.endpoints.record_outcome(now, latest.slot, Err(AttemptError::Silent));
+            proxy.endpoints.record_outcome(now, latest.slot, Err(AttemptError::TimedOut));
         }
     }
 
@@ -336,13 +336,13 @@
             }
             Some(_) => Err(AttemptError::Truncated),
             None if is_reset => Err(AttemptError::LostAfterSend),
-            None => Err(AttemptError::Silent),
+            None => Err(AttemptError::TimedOut),
         };
         match outcome {
             Ok(()) if attempt.is_overdue => {
                 proxy.endpoints.record_late_response(now, slot);
             }
-            Err(AttemptError::Silent) if attempt.is_overdue => {}
+            Err(AttemptError::TimedOut) if attempt.is_overdue => {}
             _ => {
                 proxy.endpoints.record_outcome(now, slot, outcome);
             }
@@ -445,5 +445,5 @@
         progress.rule = rule;
         progress.table = latest;
     }
-    if is_misplaced { Err(Rejection::Misplaced) } else { Ok(()) }
+    if is_misplaced { Err(Rejection::WrongRegion) } else { Ok(()) }
 }
--- a/testbed/src/sim/traffic/requests.rs
+++ b/testbed/src/sim/traffic/requests.rs
@@ -91,7 +91,7 @@
         progress.lifecycle.is_replayable = true;
         progress.deadline = progress.received_at + class.deadline;
         if !rule_config.allows_region(&region) {
-            return self.answer_client(index, progress_id, Err(Rejection::Misplaced));
+            return self.answer_client(index, progress_id, Err(Rejection::WrongRegion));
         }
         let is_affected =
             class.idempotency == Idempotency::NonIdempotent && progress.request.is_multiple_of(50);
@@ -147,7 +147,7 @@
             .get(&progress_id)
             .is_some_and(|progress| progress.queue_ticket.is_some())
         {
-            self.answer_client(index, progress_id, Err(Rejection::Late));
+            self.answer_client(index, progress_id, Err(Rejection::DeadlineExceeded));
         }
     }
 
@@ -179,7 +179,7 @@
             Some(Mutation::ReportsFilingsUnknown) if is_affected => ExecutionStatus::MayHaveRun,
             _ => progress.lifecycle.execution_status(),
         };
-        let is_misplaced = result == Err(Rejection::Misplaced);
+        let is_misplaced = result == Err(Rejection::WrongRegion);
         let view = &self.nodes[index].view;
         let eligible: Vec<SocketAddr> = if is_misplaced {
             let rule = &progress.table.config.rules[progress.rule];
