--- a/proxy/src/admission.rs
+++ b/proxy/src/admission.rs
@@ -111,7 +111,7 @@
     /// Switches to a new config. A class keeps its index for as long as any of its requests is in
     /// flight or queued, whatever the order of the config's classes, because slots in use refer to
     /// indices. A class that is gone keeps its index until it is idle.
-    pub fn adopt(&mut self, config: &Config) {
+    pub fn apply_config(&mut self, config: &Config) {
         for class in &mut self.classes {
             class.close();
         }
@@ -178,7 +178,7 @@
 
     /// Admits a request of this class (an index) or queues it. `deadline` is a time on the clock of
     /// the node.
-    pub fn enter(&mut self, class: usize, deadline: Duration) -> Admission {
+    pub fn request_slot(&mut self, class: usize, deadline: Duration) -> Admission {
         if let Some(slot) = self.free_slot(class) {
             self.occupy(slot);
             return Admission::Admitted(slot);
@@ -196,7 +196,7 @@
     }
 
     /// Removes a queued request whose client disconnected or whose deadline passed.
-    pub fn leave(&mut self, ticket: u64) {
+    pub fn remove_queued(&mut self, ticket: u64) {
         let found = self.queue.iter().find(|(position, _)| position.ticket == ticket);
         if let Some((position, class)) = found.map(|(position, class)| (*position, *class)) {
             self.queue.remove(&position);
--- a/proxy/src/admission/tests.rs
+++ b/proxy/src/admission/tests.rs
@@ -12,7 +12,7 @@
           "rules": [{"name": "r", "class": "lookup", "service": "s"}]}"#,
     );
     let mut classes = AdmissionControl::default();
-    classes.adopt(&config.unwrap());
+    classes.apply_config(&config.unwrap());
     classes
 }
 
@@ -20,7 +20,7 @@
 fn bulk_borrows_spare_slots_and_never_the_reserved_ones() {
     let mut classes = classes();
     let soon = Duration::from_secs(1);
-    let answers: Vec<Admission> = (0..5).map(|_| classes.enter(1, soon)).collect();
+    let answers: Vec<Admission> = (0..5).map(|_| classes.request_slot(1, soon)).collect();
     let lenders: Vec<Option<usize>> = answers
         .iter()
         .map(|answer| match answer {
@@ -29,7 +29,8 @@
         })
         .collect();
     assert_eq!(lenders, [Some(1), Some(0), Some(0), Some(0), None]);
-    let lookups = (0..20).filter(|_| matches!(classes.enter(0, soon), Admission::Admitted(_)));
+    let lookups =
+        (0..20).filter(|_| matches!(classes.request_slot(0, soon), Admission::Admitted(_)));
     assert_eq!(lookups.count(), 13);
 }
 
@@ -39,20 +40,20 @@
     let second = Duration::from_secs;
     let mut slots = Vec::new();
     for _ in 0..16 {
-        match classes.enter(0, second(1)) {
+        match classes.request_slot(0, second(1)) {
             Admission::Admitted(slot) => slots.push(slot),
             other => panic!("{other:?}"),
         }
     }
-    let Admission::Admitted(bulk) = classes.enter(1, second(1)) else { panic!() };
-    let Admission::Queued(bulk_queued) = classes.enter(1, second(1)) else { panic!() };
-    let Admission::Queued(late) = classes.enter(0, second(9)) else { panic!() };
-    let Admission::Queued(early) = classes.enter(0, second(5)) else { panic!() };
-    assert_eq!(classes.enter(0, second(5)), Admission::QueueFull);
+    let Admission::Admitted(bulk) = classes.request_slot(1, second(1)) else { panic!() };
+    let Admission::Queued(bulk_queued) = classes.request_slot(1, second(1)) else { panic!() };
+    let Admission::Queued(late) = classes.request_slot(0, second(9)) else { panic!() };
+    let Admission::Queued(early) = classes.request_slot(0, second(5)) else { panic!() };
+    assert_eq!(classes.request_slot(0, second(5)), Admission::QueueFull);
     let first = classes.release(slots[0]);
     assert_eq!(first.iter().map(|woken| woken.ticket).collect::<Vec<_>>(), [early]);
     // A request that left the queue is never woken.
-    classes.leave(late);
+    classes.remove_queued(late);
     assert_eq!(classes.release(slots[1]), []);
     let last = classes.release(bulk);
     assert_eq!(last.iter().map(|woken| woken.ticket).collect::<Vec<_>>(), [bulk_queued]);
@@ -77,10 +78,10 @@
 
 fn admitted(classes: &mut AdmissionControl, name: &str) -> Option<AdmissionSlot> {
     let index = classes.index(name)?;
-    match classes.enter(index, Duration::from_secs(1)) {
+    match classes.request_slot(index, Duration::from_secs(1)) {
         Admission::Admitted(slot) => Some(slot),
         Admission::Queued(ticket) => {
-            classes.leave(ticket);
+            classes.remove_queued(ticket);
             None
         }
         Admission::QueueFull => None,
@@ -91,10 +92,10 @@
 #[test]
 fn a_slot_returns_to_its_own_class_after_the_config_order_changes() {
     let mut classes = AdmissionControl::default();
-    classes.adopt(&config_of(&["lookup", "filing"]));
+    classes.apply_config(&config_of(&["lookup", "filing"]));
     let lookup = admitted(&mut classes, "lookup").unwrap();
     let filing = admitted(&mut classes, "filing").unwrap();
-    classes.adopt(&config_of(&["added", "filing", "lookup"]));
+    classes.apply_config(&config_of(&["added", "filing", "lookup"]));
     classes.release(lookup);
     classes.release(filing);
     for name in ["added", "filing", "lookup"] {
@@ -107,9 +108,9 @@
 #[test]
 fn usage_is_listed_in_the_order_of_the_config() {
     let mut classes = AdmissionControl::default();
-    classes.adopt(&config_of(&["lookup", "filing"]));
+    classes.apply_config(&config_of(&["lookup", "filing"]));
     let _slot = admitted(&mut classes, "filing").unwrap();
-    classes.adopt(&config_of(&["filing", "added"]));
+    classes.apply_config(&config_of(&["filing", "added"]));
     let usage = classes.usage();
     let in_flight: Vec<(&str, u64)> =
         usage.iter().map(|class| (class.name.as_str(), class.in_flight)).collect();
@@ -138,7 +139,7 @@
                     let count = 1 + draw(4) as usize;
                     let step = if draw(2) == 0 { 1 } else { 2 };
                     let order = (0..count).map(|at| names[(first + at * step) % 5]);
-                    classes.adopt(&config_of(&order.collect::<Vec<_>>()));
+                    classes.apply_config(&config_of(&order.collect::<Vec<_>>()));
                 }
                 1 => slots.extend(admitted(&mut classes, names[draw(5) as usize])),
                 _ if slots.is_empty() => {}
@@ -151,7 +152,7 @@
         for slot in slots {
             classes.release(slot);
         }
-        classes.adopt(&config_of(&names));
+        classes.apply_config(&config_of(&names));
         for name in names {
             let count = (0..3).filter(|_| admitted(&mut classes, name).is_some()).count();
             assert_eq!(count, 2, "seed {seed}: {name}");
--- a/proxy/src/forward/admission.rs
+++ b/proxy/src/forward/admission.rs
@@ -37,7 +37,7 @@
         drop(queued);
         if was_queued {
             let mut admission = self.proxy.admission.lock().expect("no panic under this lock");
-            admission.leave(self.ticket);
+            admission.remove_queued(self.ticket);
         }
     }
 }
@@ -107,7 +107,7 @@
         let Some(index) = admission.index(class) else {
             return Err(Rejection::NotReady);
         };
-        match admission.enter(index, deadline) {
+        match admission.request_slot(index, deadline) {
             Admission::Admitted(slot) => {
                 if slot.class != slot.lender {
                     proxy.counters.increment(Counter::Borrowed);
--- a/proxy/src/shell/maintenance.rs
+++ b/proxy/src/shell/maintenance.rs
@@ -108,7 +108,7 @@
 
     fn adopt_config(&self, view: &ClusterView) {
         let mut admission = self.proxy.admission.lock().expect("no panic under this lock");
-        admission.adopt(&view.config);
+        admission.apply_config(&view.config);
         let woken = admission.wake();
         drop(admission);
         self.proxy.wake(woken);
--- a/testbed/src/sim/traffic/proxies.rs
+++ b/testbed/src/sim/traffic/proxies.rs
@@ -23,7 +23,7 @@
         }
         let mut woken = Vec::new();
         if proxy.table_revision.is_none_or(|old| old.config != revision.config) {
-            proxy.admission.adopt(&view.config);
+            proxy.admission.apply_config(&view.config);
             woken = proxy.admission.wake();
             proxy
                 .request_rates
--- a/testbed/src/sim/traffic/requests.rs
+++ b/testbed/src/sim/traffic/requests.rs
@@ -107,7 +107,7 @@
         let Some(class_index) = class_index else {
             return self.answer_client(index, progress_id, Err(Rejection::NotReady));
         };
-        let admission = proxy.admission.enter(class_index, progress.deadline);
+        let admission = proxy.admission.request_slot(class_index, progress.deadline);
         match admission {
             Admission::Admitted(slot) => progress.permit = Some(slot),
             Admission::QueueFull => {
@@ -167,7 +167,7 @@
             }
         }
         if let Some(ticket) = progress.queue_ticket {
-            proxy.admission.leave(ticket);
+            proxy.admission.remove_queued(ticket);
             proxy.queued.remove(&ticket);
         }
         let woken = progress.permit.map(|slot| proxy.admission.release(slot)).unwrap_or_default();
