--- a/proxy/src/admission.rs
+++ b/proxy/src/admission.rs
@@ -1,12 +1,12 @@
 //! Admission control by class of service: concurrency limits, borrowing between classes, and bounded
-//! queues ordered by priority and deadline (design 8.4). Pure: the user of this module supplies the
-//! time and wakes the requests that are returned to it.
+//! queues ordered by priority and deadline (design 8.4). Pure: the caller supplies the time and wakes
+//! the requests that are returned to it.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 use vanepath_config::model::Config;
 
-/// One part in so many of a lending class's concurrency limit is never lent.
+/// The concurrency limit of a lending class is divided by this; the result is never lent.
 const RESERVED_FRACTION_DIVISOR: u64 = 8;
 
 /// A slot in use: one request in flight.
@@ -28,7 +28,7 @@
     pub slot: AdmissionSlot,
 }
 
-/// How much of a class is in use.
+/// The usage of a class.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClassUsage {
     /// The name of the class.
@@ -41,7 +41,7 @@
     pub queued: u64,
 }
 
-/// How much of another class's limit a class may use.
+/// How many slots a class may borrow from another one.
 #[derive(Clone, Debug)]
 struct BorrowLimit {
     lender: usize,
@@ -57,12 +57,12 @@
     borrow_limits: Vec<BorrowLimit>,
     in_flight: u64,
     queued: u64,
-    /// Slots that requests of this class hold, by lending class.
+    /// The number of slots that requests of this class have borrowed, by lending class.
     borrowed: BTreeMap<usize, u64>,
 }
 
 impl ClassSlots {
-    /// Admits nothing more until a config sets limits again.
+    /// Stops admission to this class until a config sets limits again.
     fn close(&mut self) {
         self.max_in_flight = 0;
         self.max_queued = 0;
@@ -101,7 +101,7 @@
 pub enum Admission {
     /// The request holds this slot until it is released.
     Admitted(AdmissionSlot),
-    /// The request waits under this ticket until it is woken, leaves, or its deadline passes.
+    /// The request waits under this ticket until it is admitted or removed from the queue.
     Queued(u64),
     /// The queue of the class is full.
     QueueFull,
@@ -110,12 +110,12 @@
 impl AdmissionControl {
     /// Switches to a new config. A class keeps its index for as long as any of its requests is in
     /// flight or queued, whatever the order of the config's classes, because slots in use refer to
-    /// indices. A class that is gone keeps its index until it is idle.
+    /// indices. A class that the config no longer has keeps its index until it is idle.
     pub fn apply_config(&mut self, config: &Config) {
         for class in &mut self.classes {
             class.close();
         }
-        // Classes that continue keep their index before a new one reuses that of an idle class.
+        // The indices of existing classes are reserved before new classes reuse those of idle ones.
         let known: Vec<Option<usize>> =
             config.classes.iter().map(|class| self.index(&class.name)).collect();
         let mut reserved: HashSet<usize> = known.iter().flatten().copied().collect();
@@ -176,8 +176,8 @@
         }
     }
 
-    /// Admits a request of this class (an index) or queues it. `deadline` is a time on the clock of
-    /// the node.
+    /// Admits a request of the class with this index, or queues it. `deadline` is a time on the clock
+    /// of the node.
     pub fn request_slot(&mut self, class: usize, deadline: Duration) -> Admission {
         if let Some(slot) = self.free_slot(class) {
             self.occupy(slot);
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Frees a slot and admits whichever queued requests now fit.
+    /// Releases a slot and admits the queued requests that fit now.
     pub fn release(&mut self, slot: AdmissionSlot) -> Vec<Woken> {
         self.classes[slot.lender].in_flight -= 1;
         if slot.lender != slot.class
--- a/proxy/src/admission/tests.rs
+++ b/proxy/src/admission/tests.rs
@@ -88,7 +88,8 @@
     }
 }
 
-/// Incident 0010: a slot was released to whichever class had its index by then.
+/// Incident 0010: slots referred to classes by their index in the config, so that after a change of
+/// the order a slot was released to another class.
 #[test]
 fn a_slot_returns_to_its_own_class_after_the_config_order_changes() {
     let mut classes = AdmissionControl::default();
@@ -117,8 +118,8 @@
     assert_eq!(in_flight, [("filing", 1), ("added", 0)]);
 }
 
-/// Many orders, by seed, in which slots are occupied, configs change and slots are released: once all
-/// slots are released every class has its whole limit.
+/// Random sequences, by seed, of occupied slots, config changes and released slots: once all slots are
+/// released, every class has its whole limit.
 #[test]
 fn no_slot_is_lost_over_many_config_changes() {
     let names = ["a", "b", "c", "d", "e"];
--- a/proxy/src/bandwidth_limiter/tests.rs
+++ b/proxy/src/bandwidth_limiter/tests.rs
@@ -1,8 +1,8 @@
 use super::{BandwidthLimiter, MAX_CHUNK_BYTES, Throttled};
 use std::time::Duration;
 
-/// However many large responses there are, they use their share of the link and no more, and the
-/// backlog is never more than a small response may wait for.
+/// Under constant demand, large responses use their share of the link and no more, and the backlog
+/// never exceeds its bound by more than one chunk.
 #[test]
 fn large_responses_use_their_share_of_the_link() {
     let mut limiter = BandwidthLimiter::new(5.2);
@@ -13,7 +13,7 @@
         match limiter.try_pass(now, MAX_CHUNK_BYTES) {
             Ok(()) => bytes += MAX_CHUNK_BYTES,
             Err(Throttled { retry_at: until }) => {
-                assert!(until > now, "it says when to come back");
+                assert!(until > now, "the time to retry is in the future");
                 now = until;
             }
         }
@@ -25,8 +25,8 @@
     }
     let part = bytes as f64 / (rate * 10.0);
     assert!((0.79..=0.81).contains(&part), "{part} of the link");
-    // Idle time is not made up for.
+    // Unused bandwidth from an idle period is not made up for by a burst.
     let later = now + Duration::from_secs(5);
     let burst = (0..1000).take_while(|_| limiter.try_pass(later, MAX_CHUNK_BYTES).is_ok()).count();
-    assert!(burst <= 2, "{burst} pieces at once");
+    assert!(burst <= 2, "{burst} chunks at once");
 }
--- a/proxy/src/connector.rs
+++ b/proxy/src/connector.rs
@@ -1,6 +1,6 @@
-//! Connections to servers. Where the wire format has no header that names the target, the first
-//! exchange on each connection is a health check in which the server names itself, and the
-//! connection belongs to that server from then on (design 8.6).
+//! Connections to servers. If the wire format has no header that names the target server, the first
+//! exchange on each connection is a health check in which the server states its identity; from then on
+//! the connection counts as one to that server (design 8.6).
 
 use crate::endpoints::{Endpoint, MAX_IDLE_TIME};
 use crate::health::Failure;
@@ -22,33 +22,33 @@
 /// Sends requests over one connection.
 pub type Sender = http1::SendRequest<node::Body>;
 
-/// The time-out for a connection, and for a health check on it: many times the round trip to the
-/// farthest region.
+/// The time-out for opening a connection, and for a health check on it: many times the round trip to
+/// the farthest region.
 pub const TIMEOUT: Duration = Duration::from_millis(600);
-/// The time-out for a connection within the region.
+/// The time-out for opening a connection within the region.
 const SAME_REGION_TIMEOUT: Duration = Duration::from_millis(250);
-/// The largest body of a response to a health check, in bytes.
+/// The maximum size of the body of a response to a health check, in bytes.
 const MAX_HEALTH_CHECK_BYTES: usize = 64 << 10;
-/// The receive buffer where the link is narrow, in bytes: how much a server may send ahead of the
+/// The size of the receive buffer on a narrow link, in bytes: how much a server may send ahead of the
 /// reader (design 8.10).
 const NARROW_LINK_RECEIVE_BUFFER: u32 = 16 << 10;
-/// The buffer of the HTTP library, in bytes.
+/// The maximum size of the HTTP library's buffer, in bytes.
 const MAX_BUFFER_BYTES: usize = 64 << 10;
 
 /// What a server stated in its response to a health check.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HandshakeResponse {
-    /// It is still warming up.
+    /// Whether the server is still warming up.
     pub is_warming_up: bool,
-    /// Its load in thousandths of its capacity, where it stated one.
+    /// The load in thousandths of the server's capacity, if it stated one.
     pub load_milli: Option<u32>,
 }
 
-/// Makes a connection and verifies the identity of the server. `on_surplus_bytes` is called if the
-/// connection ever brings bytes that belong to no request.
+/// Opens a connection and verifies the identity of the server. `on_surplus_bytes` is called if bytes
+/// arrive on the connection that belong to no request.
 ///
 /// # Errors
-/// The sign that this gives against the server.
+/// The failure to record for the server.
 pub async fn connect(
     format: SelectedFormat,
     endpoint: &Endpoint,
@@ -60,12 +60,12 @@
     Ok((sender, response))
 }
 
-/// Makes a connection on which nothing is sent yet. `on_surplus_bytes` is called if it ever brings
-/// bytes that belong to no request.
+/// Opens a connection without sending anything on it. `on_surplus_bytes` is called if bytes arrive on
+/// it that belong to no request.
 ///
 /// # Errors
-/// [`Failure::Refused`] if nobody accepts, [`Failure::Unreachable`] after the time-out,
-/// [`Failure::Broken`] if the connection ends at once, and [`Failure::Silent`] if this process has no
+/// [`Failure::Refused`] if connecting fails, [`Failure::Unreachable`] after the time-out,
+/// [`Failure::Broken`] if the connection closes at once, and [`Failure::Silent`] if this process has no
 /// file descriptor left.
 pub async fn open(
     endpoint: &Endpoint,
@@ -78,7 +78,7 @@
         SocketAddr::V4(_) => TcpSocket::new_v4(),
         SocketAddr::V6(_) => TcpSocket::new_v6(),
     };
-    // This process has no file descriptor left: no sign against the server, and it may pass.
+    // This process has no file descriptor left, which is no failure of the server and may be temporary.
     let socket = socket.map_err(|_| Failure::Silent)?;
     if is_narrow {
         let _ = socket.set_recv_buffer_size(NARROW_LINK_RECEIVE_BUFFER);
@@ -94,7 +94,7 @@
     let handshake = builder.handshake(TokioIo::new(stream)).await;
     let (sender, connection) = handshake.map_err(|_| Failure::Broken)?;
     tokio::spawn(async move {
-        // Ends when either side closes, or on the first byte that belongs to no request.
+        // Completes when either side closes, or at the first byte that belongs to no request.
         if connection.await.is_err_and(|error| is_surplus(&error)) {
             on_surplus_bytes();
         }
@@ -102,8 +102,8 @@
     Ok(sender)
 }
 
-/// For how long the server keeps an idle connection, by its `Keep-Alive` header (RFC 2068,
-/// section 19.7.1).
+/// How long the server keeps an idle connection by its `Keep-Alive` header (RFC 2068, section 19.7.1);
+/// [`MAX_IDLE_TIME`] if it does not state this.
 pub fn keep_alive_timeout(headers: &HeaderMap) -> Duration {
     let stated = headers.get("keep-alive").and_then(|value| value.to_str().ok());
     let stated = stated.and_then(|text| {
@@ -113,8 +113,8 @@
     stated.map_or(MAX_IDLE_TIME, Duration::from_secs)
 }
 
-/// Whether the connection ended on bytes that belong to no request. The library has a name for every
-/// other end; this one comes without a name and a cause.
+/// Whether the connection ended because of bytes that belong to no request. The HTTP library has a
+/// predicate for every other kind of error; this kind matches none of them and has no cause.
 fn is_surplus(error: &hyper::Error) -> bool {
     let is_named = error.is_closed()
         || error.is_canceled()
@@ -127,12 +127,12 @@
     !is_named && error.source().is_none()
 }
 
-/// Checks over an open connection that its server is healthy and is the one that is meant.
+/// Checks over an open connection that the server is healthy and is the expected one.
 ///
 /// # Errors
-/// [`Failure::Broken`] if the connection ends, [`Failure::Silent`] after the time-out,
-/// [`Failure::Unwell`] if the server answers that it is unhealthy, and [`Failure::Refused`] if
-/// another server has the address.
+/// [`Failure::Broken`] if the connection closes, [`Failure::Silent`] after the time-out,
+/// [`Failure::Unwell`] if the server responds that it is unhealthy or its response is invalid, and
+/// [`Failure::Refused`] if another server has the address.
 pub async fn verify_identity(
     format: SelectedFormat,
     sender: &mut Sender,
@@ -177,7 +177,7 @@
     Ok(read_server_state(format, &head.headers))
 }
 
-/// Whether the server names itself as the one that is meant; otherwise another has its address now.
+/// Whether the server states that it is the expected one; otherwise another server has the address now.
 fn names_endpoint(headers: &HeaderMap, endpoint: &Endpoint, service: &Service) -> bool {
     if service.identity_header.is_empty() {
         return true;
@@ -197,8 +197,8 @@
     }
 }
 
-/// Whether the end of the response's body can be distinguished from a broken connection: by its length,
-/// by chunks, or because there is no body (RFC 9112, section 6.3).
+/// Whether the end of the response's body can be distinguished from a broken connection: by its
+/// length, by the chunked coding, or because there is no body (RFC 9112, section 6.3).
 pub fn is_framed(head: &response::Parts) -> bool {
     let is_bodiless =
         head.status == StatusCode::NO_CONTENT || head.status == StatusCode::NOT_MODIFIED;
--- a/proxy/src/forward/admission.rs
+++ b/proxy/src/forward/admission.rs
@@ -1,4 +1,4 @@
-//! Waiting until this proxy is ready, and for a slot of the request's class (design 5.5, 8.4).
+//! Waits of a request for the readiness of this proxy and for a slot of its class (design 5.5, 8.4).
 
 use super::{Counter, Proxy};
 use crate::admission::{Admission, AdmissionSlot};
@@ -9,10 +9,10 @@
 use tokio::sync::oneshot;
 use vanepath_cluster::gossip::READINESS_TIMEOUT;
 
-/// How often readiness is checked again.
+/// The interval between two checks of readiness.
 const READINESS_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A slot of a class in use; released when dropped, however the request ends.
+/// A slot of a class that a request holds. Dropping it releases the slot, however the request ends.
 pub(super) struct AdmissionPermit {
     proxy: Arc<Proxy>,
     slot: AdmissionSlot,
@@ -24,7 +24,7 @@
     }
 }
 
-/// A request in the queue of its class; leaves the queue when dropped.
+/// A request in the queue of its class. Dropping it removes the request from the queue.
 struct QueueEntry {
     proxy: Arc<Proxy>,
     ticket: u64,
@@ -42,8 +42,8 @@
     }
 }
 
-/// Waits until this node knows the committed config, and after a pause of the process has heard
-/// from its peers again (design 5.5).
+/// Waits until this node knows the committed config and, after a pause of the process, has heard from
+/// its peers again (design 5.5).
 ///
 /// # Errors
 /// [`Rejection::BelowReadIndex`] while the node is stalled, [`Rejection::NotReady`] after
@@ -64,18 +64,18 @@
     Ok(())
 }
 
-/// Whether this node knows the committed config by now.
+/// Whether this node knows the committed config; false right after a pause of the process.
 pub(super) fn is_ready(proxy: &Proxy) -> bool {
     let view = proxy.node.table.load();
     proxy.node.is_awake()
         && proxy.endpoints.is_ready(proxy.now(), view.is_fresh, revision_of(&view))
 }
 
-/// Waits for something other than a server, at most until the grace period of a shutdown is nearly
-/// over: the request then gets an answer while there is time for one.
+/// Awaits `wait` for a request that no server has received. During a shutdown it gives up shortly
+/// before the end of the grace period, so that there is time left to reject the request.
 ///
 /// # Errors
-/// Those of `wait`, and [`Rejection::NotReady`].
+/// Those of `wait`, and [`Rejection::NotReady`] if the shutdown ends the wait.
 pub(super) async fn before_shutdown<T>(
     proxy: &Proxy,
     wait: impl Future<Output = Result<T, Rejection>>,
@@ -91,10 +91,11 @@
     }
 }
 
-/// Takes a slot of the class, waiting in its queue until the deadline if need be.
+/// Takes a slot of the class. If none is free, waits in the queue of the class until the deadline.
 ///
 /// # Errors
-/// [`Rejection::NotReady`] if the class is not known here yet, [`Rejection::QueueFull`], and
+/// [`Rejection::NotReady`] if admission control does not know the class yet,
+/// [`Rejection::QueueFull`] if a slot would have to be waited for and the queue is full, and
 /// [`Rejection::DeadlineExceeded`] if the deadline passes first.
 pub(super) async fn admit(
     proxy: &Arc<Proxy>,
@@ -116,7 +117,8 @@
             }
             Admission::QueueFull => return Err(Rejection::QueueFull),
             Admission::Queued(ticket) => {
-                // Under the same lock, so that no request is woken before it can be reached.
+                // Still under the lock of admission control: the request cannot be admitted from the
+                // queue before its sender is registered.
                 let mut queued = proxy.queued.lock().expect("no panic under this lock");
                 queued.insert(ticket, sender);
                 ticket
@@ -127,7 +129,7 @@
     let entry = QueueEntry { proxy: proxy.clone(), ticket };
     let limit = deadline.saturating_sub(proxy.now());
     let woken = tokio::time::timeout(limit, &mut receiver).await;
-    // Out of the queue from here on; a slot that came at the last moment is in the channel.
+    // Removes the request from the queue. A slot that was granted just before is in the channel.
     drop(entry);
     let slot = match woken {
         Ok(Ok(slot)) => Some(slot),
--- a/proxy/src/forward/attempt.rs
+++ b/proxy/src/forward/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt: connect, send, wait for the response, and prove that it belongs to the request.
+//! One attempt at a server: connects, sends the request, waits for the response, and checks that the
+//! response belongs to the request.
 
 use super::connection::VerifiedConnection;
 use super::guards::InFlightGuard;
@@ -20,20 +21,20 @@
 use vanepath_cluster::node::Body;
 use vanepath_config::model::{Idempotency, Service};
 
-/// The load that is assumed of a server that rejects a request without stating its load: full, in
-/// thousandths of its capacity.
+/// The load that is assumed of a server that rejects a request without stating its load: its full
+/// capacity, in thousandths.
 const FULL_LOAD_MILLI: u32 = 1000;
 
 const BYTES_PER_KILOBYTE: f64 = 1000.0;
 
-/// One attempt of a request at one server. It owns what it needs, so that it can be in progress beside
-/// another attempt of the same request.
+/// One attempt of a request at one server. It owns its data, so that several attempts of a request can
+/// be in progress at the same time.
 pub(super) struct Attempt {
     pub proxy: Arc<Proxy>,
-    /// The route by the table that the server was selected from.
+    /// The route, with the routing table from which the server was selected.
     pub route: Route,
     pub selected: SelectedEndpoint,
-    /// The end of the request's time on the clock of the node.
+    /// The deadline of the request, on the clock of the node.
     pub deadline: Duration,
     /// Counts the request as in flight at the server while the attempt lasts.
     pub in_flight: InFlightGuard,
@@ -48,17 +49,17 @@
     pub service: usize,
 }
 
-/// A request on its way to a server, and what its response is checked against.
+/// A request that is ready to be sent to a server, and what its response is checked against.
 pub(super) struct OutgoingRequest {
     message: Request<Body>,
     method: Method,
-    /// The request's id, where the wire format has ids.
+    /// The id of the request, if the wire format has request ids.
     id: Option<HeaderValue>,
-    /// Length of the body in bytes, as far as it is stated.
+    /// Length of the body in bytes; 0 if it is not stated.
     content_length: f64,
 }
 
-/// When a request was sent, and how late the server was expected to be then.
+/// When a request was sent, and the slowdown of the server by its load at that time.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SendRecord {
     pub sent_at: Duration,
@@ -74,7 +75,7 @@
         &self.route.table.config.services[self.selected.service]
     }
 
-    /// Takes a connection to the server, within the request's time.
+    /// Obtains a connection to the server before the deadline of the request.
     pub async fn connect(
         &self,
         idempotency: Idempotency,
@@ -84,7 +85,11 @@
         connected.unwrap_or(Err(AttemptError::NotConnected))
     }
 
-    /// The request as it is sent to this server, if the server may still get it.
+    /// Builds the request for this server.
+    ///
+    /// # Errors
+    /// [`AttemptError::Withdrawn`] if the server may no longer be used, and [`AttemptError::NotSent`] if
+    /// the body cannot be sent again.
     pub fn prepare(&self, request: &mut UpstreamRequest) -> Result<OutgoingRequest, AttemptError> {
         self.check_not_withdrawn()?;
         let names = self.proxy.node.settings.wire_format.headers();
@@ -142,8 +147,8 @@
         Ok(response)
     }
 
-    /// Whether the server may still get the request, by what is known now: making the connection
-    /// may have taken long, and the process may have been paused meanwhile (incident 0017).
+    /// Checks by the latest view of the cluster that the server may still be used: connecting may have
+    /// taken long, and the process may have been paused in the meantime (incident 0017).
     fn check_not_withdrawn(&self) -> Result<(), AttemptError> {
         if self.is_withdrawn() {
             self.proxy.counters.increment(Counter::AttemptsWithdrawn);
@@ -161,7 +166,8 @@
         self.proxy.endpoints.is_withdrawn(&self.route.table, self.endpoint(), drained_zones)
     }
 
-    /// Names the server that the request is for, and what is left of the time.
+    /// Adds the headers that differ between attempts: the target server, and the time left until the
+    /// deadline.
     fn add_attempt_headers(&self, headers: &mut HeaderMap) {
         let names = self.proxy.node.settings.wire_format.headers();
         if let Some(target) = names.target
@@ -175,7 +181,7 @@
         }
     }
 
-    /// Records the load that the server states.
+    /// Records the load that the server states in its response.
     fn observe_load(&self, headers: &HeaderMap) {
         let format = self.proxy.node.settings.wire_format;
         let Some(value) = headers.get(format.headers().load) else {
@@ -190,7 +196,8 @@
         }
     }
 
-    /// Whether this is the response to this request, and whether the server ran it (design 8.2).
+    /// Checks that this is the response to this request and that the server has not rejected the request
+    /// (design 8.2).
     fn check_belongs(
         &self,
         head: &response::Parts,
@@ -212,8 +219,8 @@
             }
             return Err(AttemptError::RejectedByServer);
         }
-        // Without the id it may be the response to another request, and without its seal it is no
-        // success.
+        // A response without the id may belong to another request, and a success without the seal is
+        // not relayed.
         let has_seal = names.response_seal.is_none_or(|seal| head.headers.contains_key(seal));
         let lacks_id = sent_id.is_some() && returned_id.is_none();
         if lacks_id || (head.status.is_success() && !has_seal) {
@@ -222,7 +229,7 @@
         Ok(())
     }
 
-    /// Whether the end of the response can be distinguished from a broken connection.
+    /// Checks that the end of the response can be distinguished from a broken connection.
     fn check_framing(&self, head: &response::Parts, method: &Method) -> Result<(), AttemptError> {
         let is_bodiless = *method == Method::HEAD;
         let may_close = self.proxy.node.settings.wire_format.headers().close_ends_response;
@@ -236,7 +243,7 @@
         Ok(())
     }
 
-    /// Records how long the server took (design 8.7).
+    /// Records the response time of the server (design 8.7).
     fn observe_latency(&self, headers: &HeaderMap, request_length: f64, record: SendRecord) {
         let class = self.route.class();
         let now = self.proxy.now();
@@ -253,8 +260,8 @@
         self.proxy.endpoints.record_response(now, served);
     }
 
-    /// Buffers the response while it is small. One that is slow, but under way, is relayed as it
-    /// comes: an idempotent request is given the rest of its time too.
+    /// Buffers the response while it is small. One that is not complete by the deadline is relayed as it
+    /// arrives: an idempotent request has its whole time for this as well.
     async fn buffer(
         &self,
         response: &mut UpstreamResponse,
--- a/proxy/src/forward/connection.rs
+++ b/proxy/src/forward/connection.rs
@@ -1,4 +1,4 @@
-//! The connection of an attempt: an idle one, or else a new one (design 8.6).
+//! Obtains the connection for an attempt: an idle one, or else a new one (design 8.6).
 
 use super::Counter;
 use super::attempt::Attempt;
@@ -9,19 +9,23 @@
 use std::time::Duration;
 use vanepath_config::model::Idempotency;
 
-/// A non-idempotent request uses only connections whose server was verified within this time.
+/// A non-idempotent request uses only connections on which the server proved its identity within
+/// this time, where servers do so at all.
 const MAX_VERIFICATION_AGE: Duration = Duration::from_secs(1);
 
-/// A connection that leads to the server that was meant.
+/// A connection to the selected server. The server has proved its identity on it, unless the wire
+/// format names the target server in each request.
 pub(super) struct VerifiedConnection {
     pub sender: Sender,
-    /// When the server last proved its identity, on the clock of the node.
+    /// When the server last proved its identity, or else when the connection was opened, on the clock
+    /// of the node.
     pub verified_at: Duration,
 }
 
 impl Attempt {
-    /// A connection on which the server named itself, where the wire format does not name the target
-    /// in each request; for a non-idempotent request it did so moments ago.
+    /// Returns an idle connection or opens a new one. Unless the wire format names the target server in
+    /// each request, the server has proved its identity on the connection, for a non-idempotent request
+    /// within `MAX_VERIFICATION_AGE`.
     pub(super) async fn connection(
         &self,
         idempotency: Idempotency,
@@ -33,12 +37,12 @@
         }
     }
 
-    /// Whether servers name themselves at the start of a connection.
+    /// Whether servers prove their identity at the start of each connection.
     fn verifies_identity(&self) -> bool {
         self.proxy.node.settings.wire_format.headers().target.is_none()
     }
 
-    /// An idle connection that fits, if there is one.
+    /// Takes an idle connection that the request may use, if there is one.
     async fn reuse_connection(
         &self,
         now: Duration,
@@ -48,7 +52,7 @@
         let is_usable = |idle: &IdleConnection<Sender>| idle.connection.is_ready();
         let verifies_identity = self.verifies_identity();
         let runs_once = idempotency == Idempotency::NonIdempotent;
-        // A late response may be pending on an idle connection of a desynchronized server.
+        // A desynchronized server may still send a late response on an idle connection.
         let may_be_stale =
             runs_once && !verifies_identity && proxy.endpoints.is_desynchronized(slot);
         while let Some(mut idle) = proxy.endpoints.take_idle(now, slot, is_usable) {
@@ -63,7 +67,7 @@
             if verifies_identity && runs_once && verification_age > MAX_VERIFICATION_AGE {
                 match self.verify_again(&mut idle.connection).await {
                     Ok(_) => idle.verified_at = proxy.now(),
-                    // Closed while it was idle: no sign against the server.
+                    // The connection was closed while it was idle, which is no failure of the server.
                     Err(Failure::Broken) => continue,
                     Err(failure) => {
                         self.record_failure(failure);
@@ -83,7 +87,7 @@
         connector::verify_identity(format, sender, self.endpoint(), self.service()).await
     }
 
-    /// A new connection; `now` is when the attempt began to look for one.
+    /// Opens a new connection. `now` is the time at which the attempt began to look for one.
     async fn open_connection(&self, now: Duration) -> Result<VerifiedConnection, AttemptError> {
         let (proxy, slot) = (&self.proxy, self.endpoint().slot);
         proxy.counters.increment(Counter::ConnectionsOpened);
@@ -93,7 +97,8 @@
             AttemptError::NotConnected
         })?;
         if self.verifies_identity() && proxy.endpoints.is_desynchronized(slot) {
-            // Surplus bytes after the health check show first.
+            // If the server sends surplus bytes after the health check, they close the connection within
+            // this time.
             tokio::time::sleep(SETTLE_TIME).await;
             if !sender.is_ready() {
                 return Err(AttemptError::NotConnected);
--- a/proxy/src/forward/guards.rs
+++ b/proxy/src/forward/guards.rs
@@ -1,9 +1,9 @@
-//! Guards that undo or count something when a request ends, however it ends.
+//! Guards that release or count something when a request ends, however it ends.
 
 use super::{Counter, Proxy};
 use std::sync::Arc;
 
-/// One request in flight at a server; the server is free for another one when this is dropped.
+/// Counts a request as in flight at a server until it is dropped.
 pub(super) struct InFlightGuard {
     pub proxy: Arc<Proxy>,
     /// The slot of the server.
@@ -16,8 +16,8 @@
     }
 }
 
-/// Counts a client that disconnected before it got anything: dropped while armed, it was dropped
-/// with the future of its request.
+/// Counts a client that disconnected before there was a response to send: the future of its request
+/// is then dropped, and with it this guard while it is still armed.
 pub(super) struct ClientDisconnectGuard<'p> {
     proxy: &'p Proxy,
     is_armed: bool,
@@ -28,7 +28,7 @@
         ClientDisconnectGuard { proxy, is_armed: true }
     }
 
-    /// The client gets an answer.
+    /// To be called as soon as there is a response to send.
     pub fn disarm(&mut self) {
         self.is_armed = false;
     }
--- a/proxy/src/forward/headers.rs
+++ b/proxy/src/forward/headers.rs
@@ -1,4 +1,4 @@
-//! Header fields that concern one connection only (RFC 9110, section 7.6.1).
+//! Hop-by-hop header fields, which apply to a single connection (RFC 9110, section 7.6.1).
 
 use hyper::header::{self, HeaderMap, HeaderName};
 
@@ -13,7 +13,7 @@
     header::EXPECT,
 ];
 
-/// Removes the hop-by-hop fields, and those that `Connection` names.
+/// Removes the hop-by-hop fields and the fields that `Connection` names.
 pub(super) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/proxy/src/forward/hedging.rs
+++ b/proxy/src/forward/hedging.rs
@@ -1,5 +1,5 @@
-//! The search for another server while one may be at work on the request (hedged requests, design
-//! 8.2): the server that has it keeps it until one of them has responded.
+//! Hedged requests (design 8.2): a request is sent to another server while one may still be processing
+//! it. The earlier attempts are not cancelled until one of the servers has responded.
 
 use super::admission::is_ready;
 use super::rejection::{RejectionDetails, UnansweredAttempt};
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 impl AttemptLoop<'_> {
-    /// When to look for another server next; `None` while a connection to one is being made, and
-    /// where the request must not be sent again.
+    /// When to try another server in addition; `None` while a connection to one is being made, if the
+    /// request must not be sent again, and if too little of its time is left.
     pub fn next_hedge_at(&self, lifecycle: &RequestLifecycle) -> Option<Duration> {
         if self.pending.is_connecting() {
             return None;
@@ -23,12 +23,12 @@
         lifecycle.hedge_after(left).map(|delay| now + delay)
     }
 
-    /// Sends the request to another server too if that is due and possible; what prevents it ends no
-    /// attempt that is in progress.
+    /// Sends the request to another server in addition if that is possible now. If it is not, the
+    /// attempts in progress continue.
     ///
     /// # Errors
-    /// [`Rejection::DeadlineExceeded`] if it is given up: it waits in vain, and a new request of the client may
-    /// be served in time.
+    /// [`Rejection::DeadlineExceeded`] if the request is given up because the servers that have it are
+    /// not expected to respond in time, while a new request of the client may be served.
     pub fn hedge(
         &mut self,
         lifecycle: &mut RequestLifecycle,
@@ -58,7 +58,7 @@
         })
     }
 
-    /// Whether a retry would find another server and be within the budget.
+    /// Whether a retry would find another server and the budget allows it.
     pub fn has_alternative(&self) -> bool {
         let endpoints = &self.proxy.endpoints;
         self.with_selection(|now, context, would_allow| {
@@ -67,8 +67,8 @@
         })
     }
 
-    /// Calls `query` with what is needed to look for another server, and with whether the retry
-    /// budget would allow that.
+    /// Calls `query` with the current time, the context for the selection of another server, and a
+    /// function that tells whether the retry budget would allow a retry for a given reason.
     fn with_selection<R>(
         &self,
         query: impl FnOnce(Duration, &SelectionContext<'_>, &dyn Fn(RetryReason) -> bool) -> R,
@@ -87,11 +87,12 @@
         query(now, &context, &would_allow)
     }
 
-    /// Begins an attempt at another server by the newest table, within the budget. Returns whether
-    /// it did.
+    /// Begins an attempt at another server from the latest routing table, if the budget allows it.
+    /// Returns whether it did.
     fn begin_hedge(&mut self, reason: RetryReason, lifecycle: &mut RequestLifecycle) -> bool {
         let mut route = self.route.clone();
-        // The newest config may have no rule for the request any more: it still ends as it began.
+        // The latest config may have no rule for the request any more. The attempts in progress then
+        // continue by the earlier one.
         let refreshed = route.refresh(self.proxy, &mut RejectionDetails::default());
         if refreshed.is_err() || !is_ready(self.proxy) {
             return false;
@@ -106,7 +107,7 @@
         true
     }
 
-    /// The server that got the request last has had it for long.
+    /// Records that the server of the latest attempt has not responded for a long time.
     fn mark_overdue(&mut self) {
         let Some(latest) = self.pending.latest_mut().filter(|latest| !latest.is_overdue) else {
             return;
--- a/proxy/src/forward/mod.rs
+++ b/proxy/src/forward/mod.rs
@@ -1,6 +1,6 @@
-//! Forwards one request to a server and relays the response (design 8.1). The decisions are made by
-//! the pure modules ([`crate::lifecycle`], [`crate::admission`], [`crate::endpoints`],
-//! [`crate::retry_budget`]); this module carries them out.
+//! Forwards requests to servers and relays their responses (design 8.1). The pure modules
+//! ([`crate::lifecycle`], [`crate::admission`], [`crate::endpoints`], [`crate::retry_budget`]) make
+//! the decisions; this module does the input and output.
 
 mod admission;
 mod attempt;
@@ -36,10 +36,10 @@
 use vanepath_cluster::node::Body;
 use vanepath_config::model::Idempotency;
 
-/// Paths that start with this are the proxy's own pages.
+/// The prefix of the paths of the proxy's admin pages.
 pub const OWN_PREFIX: &str = "/vanepath/";
 
-/// Forwards a request. Always answers: with the response of a server, or with a rejection.
+/// Forwards a request. Always returns a response: that of a server, or a rejection.
 pub async fn forward(proxy: Arc<Proxy>, request: Request<Body>) -> Response<Body> {
     proxy.counters.increment(Counter::Requests);
     let mut disconnect_guard = ClientDisconnectGuard::new(&proxy);
@@ -52,8 +52,8 @@
     })
 }
 
-/// The phases of a request, from its head to the response that is relayed. On an error `lifecycle`
-/// and `details` hold what else the answer states.
+/// Takes a request through all its phases, from the validation of its head to the response that is
+/// relayed. On an error, `lifecycle` and `details` hold what else the rejection states.
 async fn handle(
     proxy: &Arc<Proxy>,
     request: Request<Body>,
@@ -84,7 +84,7 @@
     attempts.run(lifecycle, details, &mut upstream_request).await
 }
 
-/// Notes what the matched rule says of the request.
+/// Sets the lifecycle according to the matched rule, and counts the request in the request rates.
 fn record_match(proxy: &Proxy, route: &Route, lifecycle: &mut RequestLifecycle) {
     lifecycle.state = RequestState::Matched;
     lifecycle.idempotency = route.class().idempotency;
@@ -93,8 +93,9 @@
     request_rates.record_request(route.rule().service);
 }
 
-/// Starts an idempotent request that stands behind another one on its connection (design 8.9);
-/// `None` for any other, and from a shutdown on, which waits for its turn.
+/// Starts a pipelined request before its turn, while an earlier one on its connection is in flight
+/// (design 8.9). Only `GET` and `HEAD` requests of idempotent classes are started, and none while the
+/// proxy drains; `None` for all others, which wait for their turn.
 pub fn start_pipelined(
     proxy: &Arc<Proxy>,
     head: &RequestHead,
--- a/proxy/src/forward/pending.rs
+++ b/proxy/src/forward/pending.rs
@@ -12,21 +12,21 @@
 use tokio::time::Instant;
 use vanepath_config::model::Idempotency;
 
-/// How far an attempt has come.
+/// A step that an attempt has completed.
 pub(super) enum AttemptEvent {
-    /// There is a connection to its server, or none came about.
+    /// A connection to its server was obtained, or that failed.
     Connected { attempt: Attempt, outcome: Result<VerifiedConnection, AttemptError> },
-    /// Its server has responded, or no response can come any more.
+    /// Its server has responded, or the attempt failed after it was sent.
     Ended { attempt: Attempt, sent: SentAttempt, outcome: Result<UpstreamResponse, AttemptError> },
 }
 
-/// An attempt that was sent.
+/// An attempt in which the request was sent.
 pub(super) struct SentAttempt {
     pub pending: PendingAttempt,
-    /// It counts as silent at its server already: another server was looked for.
+    /// Whether it was recorded at its server as overdue, because another server was tried in addition.
     pub is_overdue: bool,
     table: Arc<RoutingTable>,
-    /// The index of the server in the table.
+    /// The index of the server in `table`.
     index: usize,
 }
 
@@ -36,7 +36,7 @@
         &self.table.endpoints[self.index].server.id
     }
 
-    /// For how long the server has had the request.
+    /// How long ago the request was sent to the server.
     pub fn waited(&self, now: Duration) -> Duration {
         now.saturating_sub(self.pending.sent_at)
     }
@@ -50,17 +50,17 @@
 
 type AttemptFuture = Pin<Box<dyn Future<Output = Progress> + Send>>;
 
-/// The attempts of one request that are in progress. Those that are left when it is dropped are
-/// cut off: their connections close.
+/// The attempts of one request that are in progress. Dropping this cancels them and closes their
+/// connections.
 #[derive(Default)]
 pub(super) struct PendingAttempts {
     in_progress: FuturesUnordered<AttemptFuture>,
-    /// Those that were sent, the latest last.
+    /// The attempts that were sent, the latest last.
     sent: Vec<SentAttempt>,
 }
 
 impl PendingAttempts {
-    /// Begins to connect to the server of an attempt.
+    /// Starts to connect to the server of an attempt.
     pub fn connect(&mut self, attempt: Attempt, idempotency: Idempotency) {
         self.in_progress.push(Box::pin(async move {
             let outcome = attempt.connect(idempotency).await;
@@ -88,7 +88,8 @@
         }));
     }
 
-    /// The next event of any attempt; `None` if `until` comes first, or nothing is in progress.
+    /// Waits for the next event of any attempt. Returns `None` at the time `until`, or if nothing is in
+    /// progress.
     pub async fn next(&mut self, until: Option<Instant>) -> Option<AttemptEvent> {
         let progress = match until {
             Some(until) => tokio::time::timeout_at(until, self.in_progress.next()).await.ok()?,
@@ -117,7 +118,7 @@
         self.in_progress.len() > self.sent.len()
     }
 
-    /// The attempts whose servers may be at work, the latest last.
+    /// The attempts whose servers may be processing the request, the latest last.
     pub fn sent(&self) -> &[SentAttempt] {
         &self.sent
     }
--- a/proxy/src/forward/rejection.rs
+++ b/proxy/src/forward/rejection.rs
@@ -9,31 +9,31 @@
 use vanepath_cluster::node::{self, Body};
 use vanepath_config::ExecutionStatus;
 
-/// An attempt whose server may be at work on a request that is rejected.
+/// An attempt whose server may be processing a request that is rejected.
 #[derive(Clone, Debug)]
 pub(super) struct UnansweredAttempt {
     /// The id of the server.
     pub server: String,
-    /// For how long the server has had the request.
+    /// How long ago the request was sent to the server.
     pub waited: Duration,
 }
 
-/// What the answer to a rejected request states besides the reason.
+/// What a rejection states besides its reason, and what is logged about it.
 #[derive(Default)]
 pub(super) struct RejectionDetails {
     /// Proxies that may forward the request instead.
     pub places: Vec<JsonValue>,
-    /// What happened, for people.
+    /// A description of what happened, for human readers.
     pub detail: String,
-    /// The client's connection ends with the answer.
+    /// Whether the client's connection is closed after the response.
     pub closes_connection: bool,
-    /// What is left of the request's time.
+    /// The time limit of the request; zero until its rule is known.
     pub time_left: Duration,
-    /// The attempt that was given up for the rejection, if any; for the log only.
+    /// The attempt that the rejection gives up, if any; for the log only.
     pub unanswered: Option<UnansweredAttempt>,
 }
 
-/// Counts the rejection and answers it.
+/// Counts the rejection and builds the response for it.
 pub(super) fn respond(
     proxy: &Proxy,
     rejection: Rejection,
@@ -62,8 +62,9 @@
     response
 }
 
-/// A request that a server has should end with that server's response, above all in planned work: the
-/// log says which did not (incident 0019).
+/// Counts a request that was rejected although a server had received it, and logs it while this proxy
+/// drains. Such a request should end with the response of that server, above all during planned
+/// maintenance (incident 0019).
 fn report_unanswered(proxy: &Proxy, rejection: Rejection, details: &RejectionDetails) {
     let Some(UnansweredAttempt { server, waited }) = &details.unanswered else { return };
     proxy.counters.increment(Counter::RejectedWhilePending);
--- a/proxy/src/forward/request_body.rs
+++ b/proxy/src/forward/request_body.rs
@@ -1,5 +1,5 @@
-//! The body of a request: buffered while it is small, so that it can be sent again, and streamed
-//! otherwise.
+//! Bodies of requests. Small ones are buffered, so that they can be sent again; larger ones are
+//! streamed.
 
 use super::Proxy;
 use super::rejection::RejectionDetails;
@@ -12,19 +12,19 @@
 use std::time::Duration;
 use vanepath_cluster::node::{self, Body, BodyError};
 
-/// Bodies up to this size, in bytes, can be sent a second time.
+/// Bodies up to this size, in bytes, are buffered and can be sent again.
 const MAX_REPLAYABLE_BYTES: usize = 64 << 10;
 
 /// The body of a request for one or more attempts.
 pub(super) enum ReplayableBody {
-    /// All of it, for any number of attempts.
+    /// The whole body, for any number of attempts.
     Buffered(Bytes),
-    /// For one attempt; gone once an attempt has sent any of it.
+    /// The body for a single attempt; `None` once an attempt has taken it.
     Streaming(Option<StreamingBody>),
 }
 
 impl ReplayableBody {
-    /// Whether it can be sent more than once.
+    /// Whether the body can be sent more than once.
     pub fn is_replayable(&self) -> bool {
         matches!(self, ReplayableBody::Buffered(_))
     }
@@ -32,7 +32,7 @@
     /// The body for the next attempt.
     ///
     /// # Errors
-    /// [`AttemptError::NotSent`] if it was streamed already.
+    /// [`AttemptError::NotSent`] if the body is streamed and an attempt has taken it already.
     pub fn next(&mut self) -> Result<Body, AttemptError> {
         match self {
             ReplayableBody::Buffered(bytes) => Ok(node::body(bytes.clone())),
@@ -43,11 +43,12 @@
     }
 }
 
-/// Reads the body until it is complete or too large to buffer, but not beyond the deadline.
+/// Reads the body until it is complete or too large to buffer, at most until the deadline.
 ///
 /// # Errors
-/// [`Rejection::DeadlineExceeded`]; [`Rejection::TooLarge`] above `max_bytes` and [`Rejection::Malformed`] if the
-/// body breaks off, after which the connection is to be closed.
+/// [`Rejection::DeadlineExceeded`] after the deadline, [`Rejection::TooLarge`] above `max_bytes`, and
+/// [`Rejection::Malformed`] if the body is cut short or invalid. After the latter two the client's
+/// connection has to be closed, which `details` then states.
 pub(super) async fn read_body_before(
     proxy: &Proxy,
     deadline: Duration,
@@ -70,7 +71,7 @@
     loop {
         match incoming.frame().await {
             None => return Ok(ReplayableBody::Buffered(buffered.freeze())),
-            // The client broke off, or its chunks are invalid: no server has seen the request.
+            // The client disconnected, or its chunks are invalid. No server has received the request.
             Some(Err(_)) => return Err(Rejection::Malformed),
             Some(Ok(frame)) => {
                 if let Ok(data) = frame.into_data() {
@@ -88,11 +89,11 @@
     }
 }
 
-/// What was read of a body, then the rest as it comes.
+/// A body that yields the part that was read already, then the rest as it arrives.
 pub(super) struct StreamingBody {
     buffered: Option<Bytes>,
     rest: Body,
-    /// How many bytes `rest` may still have.
+    /// How many more bytes `rest` may yield.
     rest_limit: u64,
 }
 
--- a/proxy/src/forward/response.rs
+++ b/proxy/src/forward/response.rs
@@ -1,5 +1,5 @@
-//! The response of a server on its way to the client: small ones are buffered first, so that one
-//! that breaks off can still be fetched elsewhere; the others are relayed as they come.
+//! Relays the responses of servers to clients. Small ones are buffered first, so that one that is cut
+//! short can still be fetched from another server; larger ones are relayed as they arrive.
 
 use super::admission::AdmissionPermit;
 use super::guards::InFlightGuard;
@@ -33,25 +33,25 @@
     pub body: UpstreamBody,
 }
 
-/// A response's body that was received in part or completely, and the connection that it comes on.
+/// The body of a response, received in part or completely, and the connection on which it arrives.
 pub(super) struct UpstreamBody {
     pub buffered: VecDeque<Frame<Bytes>>,
-    /// What is not received yet; `None` once the body is complete or broken off.
+    /// The part not received yet; `None` once the body is complete or was cut short.
     pub rest: Option<Incoming>,
-    /// Idle again after the body, unless it breaks off.
+    /// Becomes idle again after the body; closed if the body is cut short.
     pub connection: Option<Sender>,
-    /// When the server last proved its identity on the connection.
+    /// See [`VerifiedConnection::verified_at`](super::connection::VerifiedConnection::verified_at).
     pub verified_at: Duration,
     /// How long the server keeps the connection while it is idle.
     pub keep_alive: Duration,
     /// The slot of the server.
     pub slot: usize,
-    /// The server is in another zone than this proxy.
+    /// Whether the server is in another zone than this proxy.
     pub is_other_zone: bool,
 }
 
 impl UpstreamBody {
-    /// Gives the connection back once the body is received.
+    /// Returns the connection to the idle ones if the body has been received.
     pub fn release_connection(&mut self, proxy: &Proxy) {
         if self.rest.is_some() {
             return;
@@ -69,11 +69,11 @@
     }
 }
 
-/// Reads frames until the body is complete or too large to buffer; those of large responses as the
-/// bandwidth allows. May be cancelled between frames.
+/// Reads frames until the body is complete or too large to buffer; for a bulk class only as fast as
+/// the bandwidth allows. Can be cancelled between frames without loss.
 ///
 /// # Errors
-/// [`AttemptError::Truncated`] if the body breaks off.
+/// [`AttemptError::Truncated`] if the body is cut short.
 pub(super) async fn buffer_response(
     proxy: &Proxy,
     body: &mut UpstreamBody,
@@ -100,7 +100,7 @@
     Ok(())
 }
 
-/// Waits until so many bytes may pass the limiter, where there is one.
+/// Waits until the limiter, if there is one, lets this many bytes pass.
 async fn wait_for_bandwidth(
     proxy: &Proxy,
     limiter: &Option<Mutex<BandwidthLimiter>>,
@@ -123,7 +123,8 @@
     frame.data_ref().map_or(0, Bytes::len)
 }
 
-/// Relays a response; its body holds the guards until it is complete or given up.
+/// Builds the response for the client. Its body holds the guards until it has been received completely
+/// or is dropped.
 pub(super) fn relay(
     proxy: &Arc<Proxy>,
     response: UpstreamResponse,
@@ -146,7 +147,8 @@
         guards: Some(guards),
     };
     if body.upstream.rest.is_none() {
-        // Received already: the server and the class are free, however slow the client is.
+        // The body has been received: the server and the slot of the class are released at once, however
+        // slowly the client reads.
         body.complete();
     }
     Response::from_parts(
@@ -155,7 +157,7 @@
     )
 }
 
-/// Writes the body to the client as the bandwidth allows.
+/// Limits the rate at which the body is written to the client to the available bandwidth.
 fn throttle(proxy: &Arc<Proxy>, body: RelayedBody) -> Body {
     let proxy = proxy.clone();
     let request_permit = move |bytes| -> BandwidthPermit {
@@ -165,24 +167,25 @@
     ThrottledBody::new(body, request_permit).boxed_unsync()
 }
 
-/// The body of a response on its way to the client.
+/// The body of a response that is being relayed to the client.
 struct RelayedBody {
     proxy: Arc<Proxy>,
     upstream: UpstreamBody,
     content_length: Option<u64>,
-    /// Of the server and of the class; gone once the body is received.
+    /// The guards of the server and of the class; `None` once the body is received.
     guards: Option<(InFlightGuard, AdmissionPermit)>,
 }
 
 impl RelayedBody {
-    /// The body is received: its connection is idle, and the guards are released.
+    /// To be called when the body is received: releases its connection and the guards.
     fn complete(&mut self) {
         self.upstream.rest = None;
         self.upstream.release_connection(&self.proxy);
         self.guards = None;
     }
 
-    /// The body broke off. The client must see that, so its connection breaks too.
+    /// To be called when the body is cut short. The error that is passed on then also breaks the client's
+    /// connection, by which the client notices it.
     fn abort(&mut self) {
         self.upstream.rest = None;
         self.upstream.connection = None;
--- a/proxy/src/forward/retry.rs
+++ b/proxy/src/forward/retry.rs
@@ -1,6 +1,6 @@
-//! Attempts at servers until one of them has a response to relay or the request is rejected
-//! (design 8.2). A server that may be at work on the request keeps it until then, also while
-//! another one is tried ([`super::hedging`]).
+//! Makes attempts at servers until there is a response to relay or the request is rejected
+//! (design 8.2). An attempt whose server may be processing the request is not cancelled before then,
+//! even while another server is tried ([`super::hedging`]).
 
 use super::admission::{AdmissionPermit, before_shutdown, wait_until_ready};
 use super::attempt::{Attempt, SelectedEndpoint};
@@ -21,45 +21,45 @@
 use vanepath_cluster::node::Body;
 use vanepath_config::model::{Class, Idempotency};
 
-/// The bounds of one wait for the turn of a server that is warming up.
+/// The bounds of one wait until a server that is warming up may take another request.
 const MIN_TURN_WAIT: Duration = Duration::from_millis(1);
 const MAX_TURN_WAIT: Duration = Duration::from_millis(50);
 
-/// A server that was selected for an attempt, and on which the request counts as in flight.
+/// A server that was selected for an attempt and on which the request counts as in flight.
 pub(super) struct ReservedEndpoint {
     selected: SelectedEndpoint,
     in_flight: InFlightGuard,
 }
 
-/// Whether a server can take the request now.
+/// The outcome of a selection that found servers.
 pub(super) enum Turn {
     Now(ReservedEndpoint),
-    /// Only servers that are warming up are left; the first takes a request at this time.
+    /// Only servers that are warming up are left; the first of them may take a request at this time.
     At(Duration),
 }
 
-/// The response of a server, and the request's place there.
+/// The response of a server, and the guard that counts the request as in flight there.
 struct ServedAttempt {
     response: UpstreamResponse,
     in_flight: InFlightGuard,
 }
 
-/// One request after its admission.
+/// One admitted request, and its attempts until there is a response to relay.
 pub(super) struct AttemptLoop<'p> {
     pub proxy: &'p Arc<Proxy>,
     pub route: Route,
-    /// The class at the time of the request's match.
+    /// The class of the rule that the request matched first, before any change of the config.
     class: Class,
     pub timing: RequestTiming,
-    /// The service that was drawn for the request.
+    /// The service that was picked for the request.
     pub service_name: String,
     permit: AdmissionPermit,
     /// The slots of the servers that were tried.
     pub tried: Vec<usize>,
     pub pending: PendingAttempts,
-    /// When to look for another server beside those that have the request.
+    /// When to try another server in addition to those that have the request.
     pub hedge_at: Option<Duration>,
-    /// The response of a server that failed, for the client if no other server serves the request.
+    /// An error response, which is relayed if no other server serves the request.
     failed: Option<ServedAttempt>,
 }
 
@@ -86,7 +86,10 @@
         }
     }
 
-    /// Makes attempts until one ends the request.
+    /// Makes attempts until there is a response to relay.
+    ///
+    /// # Errors
+    /// The rejection of the request, if no server responded to it at all.
     pub async fn run(
         mut self,
         lifecycle: &mut RequestLifecycle,
@@ -107,7 +110,7 @@
         Ok(relay(self.proxy, served.response, guards, is_throttled))
     }
 
-    /// The first response that serves the request, of whichever attempt.
+    /// Returns the first response of any attempt after which no other server is to be tried.
     async fn first_response(
         &mut self,
         lifecycle: &mut RequestLifecycle,
@@ -132,7 +135,7 @@
         }
     }
 
-    /// Sends the request over the connection to the server of an attempt.
+    /// Sends the request over the connection of an attempt, or handles the failure to connect.
     async fn on_connected(
         &mut self,
         attempt: Attempt,
@@ -157,7 +160,7 @@
         }
     }
 
-    /// Returns the response of an attempt that was sent, if it ends the request.
+    /// Handles the end of an attempt that was sent. Returns its response if that ends the request.
     async fn on_ended(
         &mut self,
         attempt: Attempt,
@@ -186,7 +189,7 @@
         Ok(None)
     }
 
-    /// Selects a server, waiting for one if need be, and begins an attempt there.
+    /// Selects a server, waiting for one if necessary, and begins an attempt at it.
     async fn start_attempt(
         &mut self,
         lifecycle: &mut RequestLifecycle,
@@ -202,7 +205,7 @@
         Ok(())
     }
 
-    /// Begins an attempt at a server that was selected by the present table.
+    /// Begins an attempt at a server that was selected from the current routing table.
     pub fn begin_attempt(&mut self, reserved: ReservedEndpoint, lifecycle: &mut RequestLifecycle) {
         let ReservedEndpoint { selected, in_flight } = reserved;
         self.tried.push(in_flight.slot);
@@ -220,21 +223,22 @@
         self.pending.connect(attempt, lifecycle.idempotency);
     }
 
-    /// The process may have been paused since the first attempt.
+    /// Waits for the readiness of this proxy again: the process may have been paused since the first
+    /// attempt.
     async fn wait_until_ready_again(&mut self) -> Result<(), Rejection> {
         let ready = wait_until_ready(self.proxy, self.proxy.now());
         let deadline = self.proxy.timer_instant(self.timing.deadline);
         tokio::time::timeout_at(deadline, ready).await.map_err(|_| Rejection::DeadlineExceeded)?
     }
 
-    /// Selects a server by the newest table, waiting for the turn of one that is warming up where
-    /// no other is left.
+    /// Selects a server from the latest routing table. If only servers that are warming up are left,
+    /// waits until one of them may take a request.
     async fn select(
         &mut self,
         details: &mut RejectionDetails,
     ) -> Result<ReservedEndpoint, Rejection> {
         loop {
-            // From here on the request goes by the config that is active now.
+            // From here on the request is handled by the config that is active now.
             self.route.refresh(self.proxy, details)?;
             match self.select_now()? {
                 Turn::Now(reserved) => return Ok(reserved),
@@ -246,7 +250,7 @@
         }
     }
 
-    /// Selects a server by the present table.
+    /// Selects a server from the current routing table without waiting.
     pub fn select_now(&self) -> Result<Turn, Rejection> {
         let proxy = self.proxy;
         let service = self.route.service_index(&self.service_name);
@@ -255,7 +259,7 @@
         if now >= deadline {
             return Err(Rejection::DeadlineExceeded);
         }
-        // Zones that were drained since the request came count too.
+        // The latest view, for zones that were drained after the request arrived.
         let view = proxy.node.table.load();
         let drained_zones = &view.committed.drained_zones;
         let context = SelectionContext {
@@ -271,7 +275,7 @@
             }
             Selection::Wait(until) if until < deadline => Ok(Turn::At(until)),
             Selection::Crowded => Err(Rejection::Congested),
-            // All that are left were tried, or there is none, or none has its turn in time.
+            // All servers were tried, there are none, or none may take the request in time.
             Selection::Wait(_) | Selection::None => Err(Rejection::NoServer),
         }
     }
@@ -291,7 +295,8 @@
         }
     }
 
-    /// Records how an attempt ended for the health of its server; `sent` if the request was sent.
+    /// Records the outcome of an attempt in the health of its server; `sent` is `None` if the request
+    /// was not sent.
     fn record_outcome(
         &self,
         attempt: &Attempt,
@@ -308,8 +313,9 @@
         }
     }
 
-    /// Whether an idempotent request that a server failed waits for another one that has it, or is
-    /// given to another one; takes a retry from the budget in the latter case.
+    /// Whether to try for a better response than this one: for an idempotent request that got a server
+    /// error, if another attempt is in progress or a retry is possible. Takes a retry from the budget
+    /// in the latter case.
     fn is_better_elsewhere(&self, served: &ServedAttempt, lifecycle: &RequestLifecycle) -> bool {
         let may_repeat = lifecycle.idempotency == Idempotency::Idempotent
             && lifecycle.is_replayable
@@ -322,15 +328,15 @@
             && self.proxy.try_take_retry(&self.service_name, RetryReason::Lost)
     }
 
-    /// Keeps the response of a server that failed for the case that no other server serves the
-    /// request.
+    /// Keeps an error response in case no other server serves the request.
     fn keep_failed(&mut self, mut served: ServedAttempt, lifecycle: &mut RequestLifecycle) {
         lifecycle.may_have_run = true;
         served.response.body.release_connection(self.proxy);
         self.failed = Some(served);
     }
 
-    /// Goes on after a failure: another attempt is in progress, or one is started.
+    /// Continues after a failure. If other attempts are in progress, the next hedge is due at once;
+    /// otherwise a new attempt is started.
     async fn try_elsewhere(
         &mut self,
         lifecycle: &mut RequestLifecycle,
@@ -343,7 +349,7 @@
         Ok(())
     }
 
-    /// Returns if the request goes on.
+    /// Handles a failed attempt. Returns `Ok` if the request continues.
     async fn after_failure(
         &mut self,
         attempt: Attempt,
--- a/proxy/src/forward/routing.rs
+++ b/proxy/src/forward/routing.rs
@@ -1,4 +1,4 @@
-//! The rule, the service and the deadline of a request.
+//! Determines the rule, the service and the deadline of a request.
 
 use super::Proxy;
 use super::rejection::RejectionDetails;
@@ -14,23 +14,23 @@
 use vanepath_cluster::wire::NodeInfo;
 use vanepath_config::model::{Class, Rule};
 
-/// What rules are matched against.
+/// The parts of a request that rules are matched against.
 pub(super) struct RequestTarget {
     method: String,
     host: String,
-    /// With the query.
+    /// Path and query.
     path: String,
 }
 
 impl RequestTarget {
-    /// `host` comes without a port.
+    /// `host` is the name of the host without a port.
     pub fn new(head: &request::Parts, host: String) -> RequestTarget {
         let path = head.uri.path_and_query().map_or("/", |path| path.as_str()).to_string();
         RequestTarget { method: head.method.to_string(), host, path }
     }
 }
 
-/// The rule that a request goes by, in the routing table that it was found in.
+/// The rule that applies to a request, and the routing table in which it was found.
 #[derive(Clone)]
 pub(super) struct Route {
     pub table: Arc<RoutingTable>,
@@ -40,11 +40,11 @@
 }
 
 impl Route {
-    /// Finds the rule in the newest table.
+    /// Finds the rule for a request in the latest routing table.
     ///
     /// # Errors
-    /// [`Rejection::Unmatched`], and [`Rejection::WrongRegion`] where the rule does not allow this
-    /// proxy to forward; `details` names proxies that may.
+    /// [`Rejection::Unmatched`] if no rule matches, and [`Rejection::WrongRegion`] if the rule does
+    /// not allow forwarding from this proxy's region; `details` then lists the proxies that may forward.
     pub fn find(
         proxy: &Proxy,
         target: RequestTarget,
@@ -55,7 +55,7 @@
         Ok(Route { table, rule, target: Arc::new(target) })
     }
 
-    /// Switches to the newest table, and finds the rule again if it has another config.
+    /// Switches to the latest routing table, and finds the rule again if the config has changed.
     ///
     /// # Errors
     /// As for [`Route::find`].
@@ -82,8 +82,8 @@
         &self.table.config.classes[self.rule().class]
     }
 
-    /// Draws a service by the weights of the rule and counts the request towards its retry budget.
-    /// Returns the name, which outlives a change of the config.
+    /// Picks a service at random by the weights of the rule, and counts the request towards the retry
+    /// budget of the service. Returns its name, which remains valid when the config changes.
     pub fn pick_service(&self, proxy: &Proxy) -> String {
         let service = self.rule().pick_service(proxy.random());
         let name = self.table.config.services[service].name.clone();
@@ -92,8 +92,8 @@
         name
     }
 
-    /// The index of the drawn service in this table, or of the rule's main service if the rule does
-    /// not have the drawn one any more.
+    /// The index in this table of the service that was picked, or of the rule's main service if the
+    /// rule no longer lists the one that was picked.
     pub fn service_index(&self, name: &str) -> usize {
         let rule = self.rule();
         let services = &self.table.config.services;
@@ -102,7 +102,7 @@
         named.next().unwrap_or(rule.service)
     }
 
-    /// What the selection of a server for this request goes by.
+    /// The input to the selection of a server for this request.
     pub fn selection_context<'c>(
         &self,
         proxy: &'c Proxy,
@@ -141,7 +141,7 @@
     Ok(index)
 }
 
-/// The proxies that may forward requests of this rule, as the answer to a rejected one lists them.
+/// The proxies that may forward requests of this rule, in the form in which a rejection lists them.
 fn eligible_locations(view: &ClusterView, rule: &Rule) -> Vec<JsonValue> {
     let location = |node: &NodeInfo| {
         jzon::object! {
@@ -153,19 +153,20 @@
     eligible_proxies(view, rule).map(location).collect()
 }
 
-/// How much time a request has.
+/// The time limit of a request.
 #[derive(Clone, Copy)]
 pub(super) struct RequestTiming {
-    /// Counted from its arrival: the limit of its rule or class, or the client's own if that is shorter.
+    /// Time from the arrival of the request: the limit of its rule, or else of its class, or the limit
+    /// that the client states if that is shorter.
     pub limit: Duration,
-    /// The end of that time on the clock of the node.
+    /// When the limit is reached, on the clock of the node.
     pub deadline: Duration,
-    /// Earlier attempts of the client have used up the latency target, as far as is known.
+    /// Whether earlier attempts of the client have probably used up the latency target.
     pub is_past_latency_target: bool,
 }
 
 impl RequestTiming {
-    /// Reads the client's own limit from the headers and records it.
+    /// Reads the limit that the client states from the headers, and records it.
     pub fn new(
         proxy: &Proxy,
         route: &Route,
--- a/proxy/src/forward/state.rs
+++ b/proxy/src/forward/state.rs
@@ -1,4 +1,4 @@
-//! What all requests of a proxy share, and what it counts.
+//! The state that all requests of a proxy share, and its counters.
 
 use crate::admission::{AdmissionControl, AdmissionSlot, Woken};
 use crate::bandwidth_limiter::BandwidthLimiter;
@@ -19,104 +19,104 @@
 use vanepath_cluster::node::{self, Node};
 
 vanepath_cluster::counters! {
-    /// What a proxy counts. The names in the metrics are those of earlier versions.
+    /// The counters of a proxy. Their names in the metrics are those of earlier versions.
     pub enum Counter {
         /// Requests received.
         Requests,
         /// Requests answered with the response of a server.
         #[strum(serialize = "done")]
         Completed,
-        /// Requests whose client disconnected before it got anything.
+        /// Requests whose client disconnected before there was a response to send.
         #[strum(serialize = "callersLeft")]
         ClientDisconnects,
         /// Requests rejected as invalid.
         #[strum(serialize = "refusedMalformed")]
         RejectedMalformed,
-        /// Requests that no rule matches.
+        /// Requests rejected because no rule matches them.
         #[strum(serialize = "refusedUnmatched")]
         RejectedUnmatched,
-        /// Requests whose head is over the limit.
+        /// Requests rejected because their head is over the limit.
         #[strum(serialize = "refusedHeadTooLarge")]
         RejectedHeadTooLarge,
-        /// Requests whose body is over the limit.
+        /// Requests rejected because their body is over the limit.
         #[strum(serialize = "refusedTooLarge")]
         RejectedTooLarge,
-        /// Requests that may not be forwarded from this region.
+        /// Requests rejected because their rule does not allow forwarding from this region.
         #[strum(serialize = "refusedMisplaced")]
         RejectedWrongRegion,
-        /// Requests that came before this proxy was ready.
+        /// Requests rejected because this proxy was not ready.
         #[strum(serialize = "refusedNotReady")]
         RejectedNotReady,
-        /// Requests that came while the read index was not reached.
+        /// Requests rejected because this node could not establish its read index.
         #[strum(serialize = "refusedBelowFloor")]
         RejectedBelowReadIndex,
-        /// Requests that found the queue of their class full.
+        /// Requests rejected because the queue of their class was full.
         #[strum(serialize = "refusedNoRoom")]
         RejectedQueueFull,
-        /// Requests for which no server was left.
+        /// Requests rejected because no server was left to try.
         #[strum(serialize = "refusedNoServer")]
         RejectedNoServer,
-        /// Requests that would have missed their deadline in every server's queue.
+        /// Requests rejected because they would have missed their deadline in the queue of every server.
         #[strum(serialize = "refusedCrowded")]
         RejectedCongested,
-        /// Requests that the retry budget had nothing left for.
+        /// Requests rejected because the retry budget was used up.
         #[strum(serialize = "refusedNoBudget")]
         RejectedNoBudget,
-        /// Requests whose deadline passed.
+        /// Requests rejected because their deadline passed.
         #[strum(serialize = "refusedLate")]
         RejectedDeadlineExceeded,
-        /// Requests whose response was lost.
+        /// Requests rejected because their response was lost.
         #[strum(serialize = "refusedLost")]
         RejectedResponseLost,
-        /// Rejections of requests that did not run.
+        /// Rejections that state that the request did not run.
         #[strum(serialize = "verdictNotRun")]
         StatusNotRun,
-        /// Rejections of requests that may have run.
+        /// Rejections that state that the request may have run.
         #[strum(serialize = "verdictMayHaveRun")]
         StatusMayHaveRun,
-        /// Attempts, the first of each request included.
+        /// Attempts, including the first of each request.
         #[strum(serialize = "goes")]
         Attempts,
-        /// Attempts after the first of their request.
+        /// Attempts other than the first of their request.
         #[strum(serialize = "furtherGoes")]
         Retries,
-        /// Attempts whose server may have been at work on the request when another one responded.
+        /// Attempts that were still waiting for their server when the response of another one was relayed.
         AttemptsSuperseded,
-        /// Requests rejected before their deadline while a server may have been at work on them.
+        /// Requests rejected before their deadline while a server may have been processing them.
         RejectedWhilePending,
-        /// Attempts given up before anything was sent, since the server was withdrawn.
+        /// Attempts given up before anything was sent because the server was withdrawn.
         #[strum(serialize = "goesWithdrawn")]
         AttemptsWithdrawn,
-        /// Attempts at servers of another zone.
+        /// Attempts at servers in another zone.
         #[strum(serialize = "goesOtherZone")]
         AttemptsOtherZone,
-        /// Attempts at servers of another region.
+        /// Attempts at servers in another region.
         #[strum(serialize = "goesOtherRegion")]
         AttemptsOtherRegion,
         /// Bytes of response bodies from other zones.
         BytesOtherZone,
-        /// Connections to servers that were begun.
+        /// Connections to servers that this proxy tried to open for requests.
         ConnectionsOpened,
-        /// Connections to servers that were not made.
+        /// Connections to servers that could not be established for requests.
         ConnectionsFailed,
-        /// Idle connections used again.
+        /// Idle connections that were reused for requests.
         ConnectionsReused,
         /// Health checks.
         Probes,
         /// Health checks that failed.
         ProbesFailed,
-        /// Responses cut short before any of it was relayed.
+        /// Responses that were cut short, or whose end could not be proved, before any part was relayed.
         #[strum(serialize = "receiptsTruncated")]
         ResponsesTruncated,
-        /// Responses cut short while they were relayed.
+        /// Responses that were cut short while they were relayed.
         #[strum(serialize = "receiptsAborted")]
         ResponsesAborted,
-        /// Connections that brought bytes that belong to no request.
+        /// Connections on which a server sent bytes that belong to no request.
         SurplusBytes,
         /// Load reports that could not be read.
         #[strum(serialize = "demandReportsBad")]
         LoadReportsInvalid,
-        /// Requests admitted to another class's slot at once.
+        /// Requests admitted at once to a slot borrowed from another class.
         Borrowed,
         /// Requests that waited for a slot.
         Queued,
@@ -126,43 +126,43 @@
 /// The counters of a proxy.
 pub type Counters = vanepath_cluster::counters::Counters<Counter>;
 
-/// From this rate of the link on, in megabits per second, large responses are not throttled.
+/// The rate of the link, in megabits per second, from which on large responses are not throttled.
 const WIDE_LINK_MEGABITS: f64 = 100.0;
 
-/// What all requests of a proxy share.
+/// The state that all requests of a proxy share.
 pub struct Proxy {
-    /// This program as a member of the cluster.
+    /// This process as a node of the cluster.
     pub node: Arc<Node>,
     /// The servers and the routing table.
     pub endpoints: Endpoints<Sender>,
     /// Concurrency limits and queues of the classes.
     pub admission: Mutex<AdmissionControl>,
-    /// Queued requests by ticket.
+    /// The channels that pass slots to queued requests, by ticket.
     pub(super) queued: Mutex<HashMap<u64, oneshot::Sender<AdmissionSlot>>>,
     /// The retry budgets of the services.
     pub retry_budgets: Mutex<RetryBudgets>,
-    /// What the metrics show.
+    /// The counters that the metrics show.
     pub counters: Arc<Counters>,
     /// Whether this proxy accepts requests.
     pub is_ready: AtomicBool,
     /// The steps of a graceful shutdown.
     pub drain: DrainSchedule,
-    /// Whether a server's phase changed that registries do not know of yet.
+    /// Whether the phase of a server has changed since the last report to the registries.
     pub has_unreported_changes: AtomicBool,
-    /// How many proxies share the retry budgets.
+    /// The number of live proxies, which share the retry budgets.
     pub live_proxies: AtomicUsize,
     /// Requests per second by service.
     pub request_rates: Mutex<RequestRates>,
     pub(super) client_deadlines: Mutex<ClientDeadlines>,
-    /// Throttles large responses to clients, where the link is narrow.
+    /// Throttles large responses to clients; `None` unless the link is narrow.
     pub(super) downstream_limiter: Option<Mutex<BandwidthLimiter>>,
-    /// Throttles the reading of large responses from servers, where the link is narrow.
+    /// Throttles the reading of large responses from servers; `None` unless the link is narrow.
     pub(super) upstream_limiter: Option<Mutex<BandwidthLimiter>>,
     random_state: AtomicU64,
 }
 
 impl Proxy {
-    /// A proxy without servers and classes, which the maintenance actor brings.
+    /// Creates a proxy without servers and classes; the maintenance actor adds them.
     pub fn new(node: Arc<Node>, drain: DrainSchedule) -> Proxy {
         let proves_answers = node.settings.wire_format.headers().request_id.is_some();
         let mut endpoints = Endpoints::default();
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Whether this proxy shuts down.
+    /// Whether this proxy is shutting down.
     pub fn is_draining(&self) -> bool {
         self.node.is_shutting_down()
     }
@@ -202,18 +202,18 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// The time on the clock of the node.
+    /// The current time on the clock of the node.
     pub(super) fn now(&self) -> Duration {
         self.node.clock.now()
     }
 
-    /// A time on the clock of the node as one of the runtime's timers; at once if it has passed.
+    /// Converts a time on the clock of the node for the runtime's timers; a past time becomes the present.
     pub(super) fn timer_instant(&self, at: Duration) -> Instant {
         Instant::now() + at.saturating_sub(self.now())
     }
 
-    /// Hands slots to the requests that admission control has woken. The slot of a request whose
-    /// client disconnected meanwhile is released again.
+    /// Passes slots to the queued requests that admission control has admitted. The slot of a request
+    /// whose client has disconnected in the meantime is released again.
     pub fn wake(&self, mut woken: Vec<Woken>) {
         while let Some(Woken { ticket, slot }) = woken.pop() {
             let request = self.queued.lock().expect("no panic under this lock").remove(&ticket);
@@ -237,7 +237,7 @@
         budgets.try_take(self.now(), service, live_proxies, reason)
     }
 
-    /// Records a sign against the server with this slot and id.
+    /// Records a failure of the server with this slot and id.
     pub fn record_failure(&self, slot: usize, id: &str, failure: Failure) {
         if let Some(phase) = self.endpoints.record_failure(self.now(), slot, failure) {
             self.has_unreported_changes.store(true, Ordering::Relaxed);
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Records what became of a request that was given to the server with this slot and id.
+    /// Records the outcome of an attempt at the server with this slot and id.
     pub(super) fn record_outcome(&self, slot: usize, id: &str, outcome: Result<(), AttemptError>) {
         if let Some(phase) = self.endpoints.record_outcome(self.now(), slot, outcome) {
             self.has_unreported_changes.store(true, Ordering::Relaxed);
@@ -264,7 +264,7 @@
         }
     }
 
-    /// Records that the server with this slot and id has had a request for long.
+    /// Records that the server with this slot and id has not responded to a request for a long time.
     pub(super) fn record_overdue(&self, slot: usize, id: &str) {
         self.record_outcome(slot, id, Err(AttemptError::TimedOut));
     }
@@ -277,8 +277,8 @@
         }
     }
 
-    /// What to do when a connection to this server brings bytes that belong to no request: the
-    /// server counts as desynchronized.
+    /// Returns the callback for a connection to this server on which bytes arrive that belong to no
+    /// request: it counts them and marks the server as desynchronized.
     pub fn on_surplus_bytes(
         self: &Arc<Self>,
         slot: usize,
--- a/proxy/src/forward/upstream_request.rs
+++ b/proxy/src/forward/upstream_request.rs
@@ -1,4 +1,4 @@
-//! The request as it is sent to servers.
+//! Requests in the form in which they are sent to servers.
 
 use super::Proxy;
 use super::headers::strip_hop_by_hop;
@@ -9,23 +9,25 @@
 use hyper::{Method, Request, Uri};
 use vanepath_cluster::node::Body;
 
-/// A request in the form in which it is sent to a server, once or several times.
+/// A request in the form in which it is sent to servers, in one or more attempts.
 pub(super) struct UpstreamRequest {
     pub method: Method,
     uri: Uri,
-    /// Without those that name the server or the time that is left, which differ by attempt.
+    /// The headers that are the same in each attempt: without those that state the target server and
+    /// the time left.
     pub headers: HeaderMap,
     body: ReplayableBody,
 }
 
 impl UpstreamRequest {
-    /// Removes the headers that concern only the client's connection.
+    /// Prepares the head of a client's request: removes the hop-by-hop fields and the client's deadline,
+    /// and states the length of a buffered body.
     pub fn new(proxy: &Proxy, head: request::Parts, body: ReplayableBody) -> UpstreamRequest {
         let mut headers = head.headers;
         strip_hop_by_hop(&mut headers);
         headers.remove(proxy.node.settings.wire_format.headers().deadline);
         if let ReplayableBody::Buffered(bytes) = &body {
-            // The length that was read counts, not the one that was stated.
+            // The length of the body that was read replaces the declared one.
             let had_length = headers.remove(header::CONTENT_LENGTH).is_some();
             if had_length || !bytes.is_empty() {
                 headers.insert(header::CONTENT_LENGTH, HeaderValue::from(bytes.len()));
--- a/proxy/src/forward/validation.rs
+++ b/proxy/src/forward/validation.rs
@@ -1,5 +1,5 @@
-//! Checks of a request's head beyond those of the HTTP library: what could be read in two ways is
-//! rejected (design 8.3; RFC 9110, section 7.2; RFC 9112, sections 3.2 and 6).
+//! Validates the heads of requests beyond the checks of the HTTP library: rejects those that could be
+//! interpreted in two ways (design 8.3; RFC 9110, section 7.2; RFC 9112, sections 3.2 and 6).
 
 use crate::lifecycle::Rejection;
 use hyper::header::{self, HeaderMap, HeaderValue};
@@ -10,14 +10,15 @@
 
 /// The largest head of a request, in bytes.
 const MAX_HEAD_BYTES: usize = 64 << 10;
-/// The separators and the line end of a header field, in bytes.
+/// What each header field adds to its name and value, in bytes: separator and end of line.
 const HEADER_OVERHEAD_BYTES: usize = 4;
 
-/// Checks the head and puts its target into origin form. Returns the name of the host that the
-/// request is for, without a port.
+/// Checks the head and converts its target to origin form. Returns the name of the target host without
+/// a port.
 ///
 /// # Errors
-/// [`Rejection::HeadTooLarge`] and [`Rejection::Malformed`].
+/// [`Rejection::HeadTooLarge`] if the head is over the limit, and [`Rejection::Malformed`] if it is
+/// invalid or ambiguous.
 pub(super) fn validate_head(head: &mut request::Parts) -> Result<String, Rejection> {
     if head.method == Method::CONNECT {
         return Err(Rejection::Malformed);
@@ -40,7 +41,7 @@
     Ok(())
 }
 
-/// Exactly one `Host` in HTTP/1.1, at most one before.
+/// Requires exactly one `Host` field in HTTP/1.1, and at most one in earlier versions.
 fn check_host_count(head: &request::Parts) -> Result<(), Rejection> {
     let hosts = head.headers.get_all(header::HOST).iter().count();
     if hosts > 1 || (hosts == 0 && head.version == Version::HTTP_11) {
@@ -49,7 +50,8 @@
     Ok(())
 }
 
-/// The length of the body is stated once, and as a length or by chunks.
+/// Requires that the length of the body is given at most once: either by `Content-Length` or by the
+/// chunked transfer coding.
 fn check_framing(headers: &HeaderMap) -> Result<(), Rejection> {
     let lengths = headers.get_all(header::CONTENT_LENGTH).iter().count();
     let codings = headers.get_all(header::TRANSFER_ENCODING).iter().count();
@@ -64,7 +66,8 @@
     Ok(())
 }
 
-/// The authority of a target in absolute form replaces `Host` (RFC 9112, section 3.2.2).
+/// Converts a target in absolute form to origin form. Its authority replaces `Host` (RFC 9112,
+/// section 3.2.2).
 fn convert_to_origin_form(head: &mut request::Parts) -> Result<(), Rejection> {
     if let Some(authority) = head.uri.authority() {
         let host = HeaderValue::from_str(authority.as_str()).map_err(|_| Rejection::Malformed)?;
@@ -75,7 +78,7 @@
     Ok(())
 }
 
-/// The value of `Host` without its port; empty if there is none.
+/// The value of `Host` without its port; empty if there is no such field.
 fn host_name(headers: &HeaderMap) -> Result<String, Rejection> {
     let host = headers.get(header::HOST).map_or(Ok(""), |host| host.to_str());
     let host = host.map_err(|_| Rejection::Malformed)?;
@@ -86,7 +89,7 @@
     Ok(name.to_string())
 }
 
-/// Checks the stated length of the body, if there is one, before any of it is read.
+/// Checks the declared length of the body, if there is one, before any of it is read.
 ///
 /// # Errors
 /// [`Rejection::TooLarge`] above the limit of the class.
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -1,4 +1,4 @@
-//! The proxy: forwards requests to servers, stores nothing on disk (design 8).
+//! The proxy forwards requests of clients to servers. It stores nothing on disk (design 8).
 
 #![warn(missing_docs)]
 
--- a/proxy/src/lifecycle.rs
+++ b/proxy/src/lifecycle.rs
@@ -1,72 +1,73 @@
 //! The lifecycle of a request in the proxy: its states, and what follows from each outcome of an
-//! attempt (design 8.1, 8.2). Pure; [`crate::forward`] moves along it.
+//! attempt (design 8.1, 8.2). Pure; [`crate::forward`] drives it.
 
 use hyper::StatusCode;
 use std::time::Duration;
 use vanepath_config::ExecutionStatus;
 use vanepath_config::model::{DEFAULT_MAX_ATTEMPTS, Idempotency};
 
-/// Where a request is on its way.
+/// The state of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum RequestState {
-    /// Its head was read.
+    /// The head has been read.
     Received,
-    /// A rule was found for it.
+    /// A rule has been found for the request.
     Matched,
-    /// It waits for a slot of its class, or its body is being read.
+    /// The request waits for a slot of its class, or its body is being read.
     Queued,
     /// A server is being selected.
     Selecting,
-    /// A connection to the selected server is being made or taken from the idle ones.
+    /// A connection to the selected server is being opened, or an idle one taken.
     Connecting,
-    /// The connection leads to the server that was meant.
+    /// The connection is known to lead to the selected server.
     Verified,
-    /// Some of it may have been written to the connection.
+    /// A part of the request may have been written to the connection.
     Sent,
     /// The response is being relayed to the client.
     Responding,
-    /// The response was relayed.
+    /// The response has been relayed.
     Done,
 }
 
-/// Why a request ends without a response of a server. The names are part of the protocol: clients
-/// read them in the field "error" of the answer.
+/// Why a request ends without a response of a server. The serialized names are part of the protocol:
+/// clients read them in the field "error" of the response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Rejection {
-    /// The request is invalid, or could be read in two ways.
+    /// The request is invalid, or could be interpreted in two ways.
     #[default]
     Malformed,
-    /// No rule matches it.
+    /// No rule matches the request.
     Unmatched,
-    /// Its head is over the limit.
+    /// The head of the request is over the limit.
     HeadTooLarge,
-    /// Its body is over the limit of its class.
+    /// The body of the request is over the limit of its class.
     TooLarge,
-    /// Its rule does not allow forwarding from this proxy's region.
+    /// The rule of the request does not allow forwarding from this proxy's region.
     #[strum(serialize = "misplaced")]
     WrongRegion,
-    /// This proxy does not know the committed config yet.
+    /// This proxy does not know the committed config yet, or is about to stop before any server has
+    /// received the request.
     NotReady,
     /// This proxy just started and cannot learn the read index of its earlier incarnation, while
     /// others accept work (design 5.8).
     #[strum(serialize = "below-floor")]
     BelowReadIndex,
-    /// The queue of its class is full.
+    /// The queue of the request's class is full.
     #[strum(serialize = "no-room")]
     QueueFull,
     /// No server is left that could be tried.
     NoServer,
-    /// Every server has a queue in which the request would miss its deadline.
+    /// The request would miss its deadline in the queue of every server.
     #[strum(serialize = "crowded")]
     Congested,
     /// The retry budget is used up.
     NoBudget,
-    /// Its deadline passed.
+    /// The deadline of the request passed, or no response is expected before it.
     #[strum(serialize = "late")]
     DeadlineExceeded,
-    /// A server received it, and the response was lost.
+    /// A server may have received the request, and its response was lost.
     #[strum(serialize = "lost")]
     ResponseLost,
 }
@@ -75,14 +76,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumIter)]
 #[strum(serialize_all = "kebab-case")]
 pub enum AttemptError {
-    /// No connection, or not to the server that was meant.
+    /// There is no connection, or it does not lead to the selected server.
     NotConnected,
-    /// The server may not be used any more: it began to drain, or its zone was drained, while the
-    /// connection to it was made.
+    /// The server may no longer be used: while the connection to it was made, it began to drain or was
+    /// removed, its zone was drained, or this proxy lost its view of the cluster.
     Withdrawn,
     /// The connection ended before any byte of the request was written.
     NotSent,
-    /// The server states that it did not run the request and never will, or that it is another server.
+    /// The server states that it did not run the request and never will, or that it is not the target.
     #[strum(serialize = "turned-away")]
     RejectedByServer,
     /// The connection was lost after at least one byte may have been written.
@@ -90,7 +91,7 @@
     /// The response does not belong to this request.
     #[strum(serialize = "misanswered")]
     MismatchedResponse,
-    /// No response came in time after the request was sent.
+    /// No response arrived in time after the request was sent.
     #[strum(serialize = "silent")]
     TimedOut,
     /// The response was cut short or its end could not be proved, before any of it was relayed.
@@ -100,7 +101,7 @@
 impl std::error::Error for AttemptError {}
 
 impl AttemptError {
-    /// Whether the server has surely not run the request, and never will.
+    /// Whether it is certain that the server has not run the request and never will.
     pub fn is_not_sent(self) -> bool {
         matches!(
             self,
@@ -117,40 +118,41 @@
 pub enum AfterFailure {
     /// Another attempt is made.
     Retry,
-    /// The request waits for another attempt, which is in progress.
+    /// The request waits for another attempt that is in progress.
     Await,
-    /// The request ends.
+    /// The request is rejected.
     Reject(Rejection),
 }
 
-/// What is known of one request.
+/// What is known about a request.
 #[derive(Debug)]
 pub struct RequestLifecycle {
-    /// Where it is.
+    /// The state of the request.
     pub state: RequestState,
-    /// Whether it may run more than once, by its class.
+    /// Whether the request may run more than once, by its class.
     pub idempotency: Idempotency,
-    /// Whether all of it is kept, so that it can be sent a second time.
+    /// Whether the whole request is buffered, so that it can be sent again.
     pub is_replayable: bool,
-    /// Attempts so far, those that reached no server included.
+    /// The number of attempts so far, including those that reached no server.
     pub attempts: u32,
-    /// Attempts in which the request was sent to a server.
+    /// The number of attempts in which the request was sent to a server.
     pub sends: u32,
-    /// How many such attempts the rule allows.
+    /// The number of such attempts that the rule allows.
     pub max_sends: u32,
-    /// Attempts that were sent and have not ended: their servers may be at work.
+    /// The number of attempts that were sent and have not ended: their servers may be processing the
+    /// request.
     pub pending: u32,
-    /// Whether any byte of it may have reached a server that may have run it.
+    /// Whether any byte of the request may have reached a server that may have run it.
     pub may_have_run: bool,
 }
 
-/// Attempts that reach no server come on top of those that a rule allows.
+/// The maximum number of attempts that reach no server, in addition to those that a rule allows.
 const MAX_UNSENT_ATTEMPTS: u32 = 4;
-/// The least time before a request at a slow server is sent to another one too.
+/// The minimum time before a request at a slow server is sent to another one in addition.
 const MIN_HEDGE_DELAY: Duration = Duration::from_millis(300);
 
 impl RequestLifecycle {
-    /// A request that was just received.
+    /// Creates the lifecycle of a request that was just received.
     pub fn new() -> RequestLifecycle {
         RequestLifecycle {
             state: RequestState::Received,
@@ -164,12 +166,12 @@
         }
     }
 
-    /// Whether one more attempt is within the rule's bound.
+    /// Whether the bounds on attempts allow one more.
     pub fn may_retry(&self) -> bool {
         self.sends < self.max_sends && self.attempts < self.max_sends + MAX_UNSENT_ATTEMPTS
     }
 
-    /// What can be said of the request having run.
+    /// Whether the request has run, as far as that is known.
     pub fn execution_status(&self) -> ExecutionStatus {
         match self.state {
             RequestState::Responding | RequestState::Done => ExecutionStatus::Ran,
@@ -178,9 +180,9 @@
         }
     }
 
-    /// After how long without a response a request that was sent looks for another server, again and
-    /// again: a third of `left`, what remains of its time. `None` for one that must not be sent
-    /// twice, or whose time is too short.
+    /// How long to wait for a response before another server is tried in addition: a third of `left`,
+    /// the time that is left to the request. Applies again after each such wait. `None` for a request
+    /// that must not be sent again, or whose time is too short.
     pub fn hedge_after(&self, left: Duration) -> Option<Duration> {
         let may_hedge =
             self.idempotency == Idempotency::Idempotent && self.is_replayable && self.may_retry();
@@ -188,7 +190,7 @@
         (may_hedge && delay < left).then_some(delay)
     }
 
-    /// Records that an attempt is sent now.
+    /// Records that the request is sent in an attempt now.
     pub fn record_sent(&mut self) {
         self.state = RequestState::Sent;
         self.sends += 1;
@@ -200,10 +202,11 @@
         self.pending -= 1;
     }
 
-    /// Records a failed attempt and decides what follows. While others are in progress (`has_others`)
-    /// the request is not ended: their servers may be at work on it (incident 0019). `try_take_retry` takes
-    /// one retry from the budget; it is called last, and not at all where this proxy itself withdrew
-    /// from a server that nothing was sent to.
+    /// Records a failed attempt and decides what follows. While other attempts are in progress
+    /// (`has_others`) the request is not ended: their servers may be processing it (incident 0019).
+    /// `try_take_retry` takes one retry from the budget. It is called only after all other conditions
+    /// for a retry are met, and not at all after [`AttemptError::Withdrawn`], where this proxy itself
+    /// gave up the server before anything was sent.
     pub fn attempt_failed(
         &mut self,
         error: AttemptError,
@@ -223,7 +226,7 @@
         };
         let may_repeat = match self.idempotency {
             Idempotency::Idempotent => self.is_replayable || is_not_sent,
-            // Retried only while provably no server has received it.
+            // Retried only as long as it is certain that no server has run it.
             Idempotency::NonIdempotent => is_not_sent && !self.may_have_run,
         };
         if has_others {
@@ -250,7 +253,7 @@
 }
 
 impl Rejection {
-    /// The HTTP status, given whether the request may have run (design 8.3).
+    /// The HTTP status for a request with this execution status (design 8.3).
     pub fn status(self, execution_status: ExecutionStatus) -> StatusCode {
         match self {
             Rejection::Malformed => StatusCode::BAD_REQUEST,
@@ -264,8 +267,9 @@
         }
     }
 
-    /// When it makes sense to retry, with `left` remaining of the request's time. Clients that met
-    /// overloaded servers are spread by `draw`, a random number, and retry early enough to be served.
+    /// The time after which a retry makes sense, if the request has the time `left`. The random number
+    /// `draw` spreads the retries of clients after an overload of the servers; they come early enough
+    /// for the request to be served in its time.
     pub fn retry_after(self, left: Duration, draw: u64) -> Option<Duration> {
         let delay_ms = match self {
             Rejection::Congested => {
--- a/proxy/src/lifecycle/tests.rs
+++ b/proxy/src/lifecycle/tests.rs
@@ -4,7 +4,7 @@
 use vanepath_config::ExecutionStatus;
 use vanepath_config::model::Idempotency;
 
-/// Clients that met overloaded servers retry apart from each other, with most of their time left.
+/// After an overload of the servers, clients retry at different times and with most of their time left.
 #[test]
 fn retries_after_overload_are_spread() {
     let ms = Duration::from_millis;
@@ -14,8 +14,8 @@
     assert_eq!(Rejection::NoServer.retry_after(ms(10), 7), Some(ms(100)));
 }
 
-/// An idempotent request looks for another server after a third of what remains, then a third of the
-/// rest; a non-idempotent request and the last attempt stay where they are.
+/// An idempotent request is sent to another server after a third of its remaining time, then after a
+/// third of the rest; a non-idempotent request, and any request after its last attempt, is not.
 #[test]
 fn an_idempotent_request_is_hedged_at_slow_servers() {
     let ms = Duration::from_millis;
@@ -39,7 +39,7 @@
     assert_eq!(non_idempotent.hedge_after(ms(6000)), None);
 }
 
-/// What follows from each attempt error, with and without budget, and what the client is answered.
+/// What follows from each attempt error, with and without budget, and the response to the client.
 #[test]
 fn what_follows_from_each_attempt_error() {
     let mut shown = String::new();
@@ -70,7 +70,7 @@
             }
         }
     }
-    // A non-idempotent request that was sent is never sent again, whatever comes after.
+    // A non-idempotent request that a server may have run is never sent again, whatever happens next.
     let mut lifecycle = RequestLifecycle {
         idempotency: Idempotency::NonIdempotent,
         attempts: 1,
@@ -118,9 +118,9 @@
     .assert_eq(&shown);
 }
 
-/// Every sequence of up to four attempt errors, for each kind of request, buffered or streamed, within its
-/// time or late, with a budget or without. A non-idempotent request is never sent again once any byte of
-/// it may have reached a server; a promise that it did not run is made only where that is so; a streamed
+/// Every sequence of up to four attempt errors, for each kind of request, buffered or streamed, before or
+/// after its deadline, with or without budget. A non-idempotent request is never sent again once a server
+/// may have run it; the response states that the request did not run only if that is certain; a streamed
 /// body is not sent twice.
 #[test]
 fn no_sequence_of_errors_sends_a_non_idempotent_request_twice_or_promises_wrongly() {
@@ -176,8 +176,8 @@
     assert!(ended > count, "most sequences end");
 }
 
-/// Incident 0019: whatever becomes of one attempt, the request is not ended while another one is in
-/// progress, and takes nothing from the budget; if it ends all the same, nothing is promised.
+/// Incident 0019: however one attempt ends, the request does not end while another attempt is in
+/// progress, and takes nothing from the budget. Its status remains that it may have run.
 #[test]
 fn no_error_ends_a_request_whose_other_attempt_is_in_progress() {
     for error in AttemptError::iter() {
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `vanepath-proxy`: forwards requests to servers.
+//! The program `vanepath-proxy`, which forwards requests of clients to servers.
 
 use vanepath_cluster::node;
 use vanepath_config::settings::{self, Invocation, Role};
--- a/proxy/src/pipelining/mod.rs
+++ b/proxy/src/pipelining/mod.rs
@@ -1,8 +1,8 @@
-//! HTTP pipelining: requests that a client sends before the response to an earlier one (design 8.9,
+//! HTTP pipelining: a client sends requests before it has the response to an earlier one (design 8.9,
 //! RFC 9112, section 9.3.2). The HTTP library reads the requests of a connection one after the other.
-//! Bytes behind the present request are therefore scanned while it is in flight, and idempotent
+//! The bytes behind the current request are therefore scanned while it is in flight, and idempotent
 //! requests among them are started at once. The library still reads every request itself, in order,
-//! and receives the response of one that was started here.
+//! and is given the response of a request that was started here.
 
 mod scanner;
 mod stream;
@@ -21,9 +21,9 @@
 use tokio::task::JoinHandle;
 use vanepath_cluster::node::Body;
 
-/// The most bytes that are read ahead of the library.
+/// The maximum number of bytes that are read ahead of the HTTP library.
 const MAX_READ_AHEAD_BYTES: usize = 64 << 10;
-/// The most requests of one connection that are started before their turn.
+/// The maximum number of requests of a connection that are started before their turn.
 const MAX_STARTED_REQUESTS: u64 = 16;
 /// The size of one read from the connection, in bytes.
 const READ_CHUNK_BYTES: usize = 4096;
@@ -31,7 +31,7 @@
 /// The response to a request that was started before its turn.
 pub type Response = hyper::Response<Body>;
 
-/// Starts a request that need not wait for its turn; `None` for any other.
+/// Starts a request that need not wait for its turn; returns `None` for any other.
 pub type StartRequest = dyn Fn(&RequestHead) -> Option<JoinHandle<Response>> + Send + Sync;
 
 /// A request that was started before its turn; dropping it cancels the request.
@@ -51,8 +51,9 @@
 
 struct ConnectionState {
     stream: TcpStream,
-    /// What was read ahead of the library.
+    /// The bytes that were read ahead and that the library has not read yet.
     unread: BytesMut,
+    /// Whether the client has closed its side, or reading has failed with `error`.
     is_closed: bool,
     error: Option<io::Error>,
     scanner: RequestScanner,
@@ -60,16 +61,16 @@
     received: u64,
     /// Whether the last of them is still in flight.
     is_busy: bool,
-    /// By number of the request on the connection.
+    /// The requests that were started before their turn, by their number on the connection.
     started: BTreeMap<u64, StartedRequest>,
 }
 
-/// One client's connection, read ahead of the library.
+/// A client's connection, which is read ahead of the HTTP library.
 #[derive(Clone)]
 pub struct Pipeline(Arc<Mutex<ConnectionState>>);
 
 impl Pipeline {
-    /// Takes over a connection on which nothing was read yet.
+    /// Takes over a connection from which nothing has been read yet.
     pub fn new(stream: TcpStream) -> Pipeline {
         Pipeline(Arc::new(Mutex::new(ConnectionState {
             stream,
@@ -87,9 +88,8 @@
         self.0.lock().expect("no panic under this lock")
     }
 
-    /// Reads what is available while a request is in flight, and starts with `start` the requests
-    /// that need not wait for their turn. To be polled by the task that polls the library's
-    /// connection.
+    /// While a request is in flight, reads the bytes that are available and calls `start` for the
+    /// requests among them. To be polled by the task that polls the connection of the library.
     pub fn poll(
         &self,
         context: &mut Context<'_>,
@@ -116,7 +116,7 @@
     }
 
     /// Records that the library passes its next request to the service. Returns the task of the
-    /// request if it was started already.
+    /// request if it was started already, unless its method or target differ from those found then.
     pub fn receive(&self, method: &str, target: &str) -> Option<JoinHandle<Response>> {
         let mut state = self.state();
         state.received += 1;
@@ -127,13 +127,13 @@
         if is_same { started.task.take() } else { None }
     }
 
-    /// Whether requests behind the present one were started: the connection must not be closed before
-    /// their responses (incident 0019).
+    /// Whether requests behind the current one have been started. The connection must then not be closed
+    /// before their responses are sent (incident 0019).
     pub fn has_started(&self) -> bool {
         !self.state().started.is_empty()
     }
 
-    /// Records that the response to the request in flight was written or given up.
+    /// Records that the response to the request in flight was written or abandoned.
     pub fn finish(&self) {
         self.state().is_busy = false;
     }
@@ -146,7 +146,7 @@
         start: &dyn Fn(&RequestHead) -> Option<JoinHandle<Response>>,
     ) {
         for head in heads {
-            // The library reaches the next request by itself where none is in flight.
+            // If no request is in flight, the library is about to read the next one itself.
             let is_next = !self.is_busy && head.number == self.received + 1;
             let is_in_range =
                 head.number > self.received && head.number <= self.received + MAX_STARTED_REQUESTS;
--- a/proxy/src/pipelining/scanner.rs
+++ b/proxy/src/pipelining/scanner.rs
@@ -1,10 +1,10 @@
-//! Finds the heads of requests in the bytes of a connection. Pure.
+//! Finds the heads of requests in the bytes that arrive on a connection. Pure.
 
 use super::MAX_READ_AHEAD_BYTES;
 use bytes::{Buf, Bytes, BytesMut};
 use vanepath_cluster::node::{self, Body};
 
-/// The most header fields of one head.
+/// The maximum number of header fields in a head.
 const MAX_HEADERS: usize = 64;
 
 /// The head of a request without a body.
@@ -20,22 +20,22 @@
     pub headers: Vec<(String, Vec<u8>)>,
 }
 
-/// Follows the requests of one connection through its bytes.
+/// Follows the boundaries of requests in the bytes of one connection.
 #[derive(Debug, Default)]
 pub struct RequestScanner {
-    /// The head that is not complete yet.
+    /// The bytes of a head that is not complete yet.
     partial_head: BytesMut,
-    /// The bytes that are left of a body.
+    /// The number of bytes that are still to come of the current body.
     body_left: u64,
-    /// The requests so far.
+    /// The number of requests found so far.
     count: u64,
-    /// Where the next request begins is not known any more.
+    /// Whether it is unknown where the next request begins. Nothing more is scanned then.
     has_lost_track: bool,
 }
 
 impl RequestScanner {
-    /// Scans the next bytes. Returns the heads without bodies that became complete; all others are
-    /// counted.
+    /// Scans the next bytes of the connection. Returns the heads that became complete, of requests
+    /// without a body in HTTP/1.1; other requests are only counted.
     pub fn scan(&mut self, mut bytes: &[u8]) -> Vec<RequestHead> {
         let mut found = Vec::new();
         while !bytes.is_empty() && !self.has_lost_track {
@@ -56,7 +56,7 @@
         found
     }
 
-    /// Consumes the complete heads that were read, and what is there of their bodies.
+    /// Consumes the complete heads that were read, and the parts of their bodies that were read.
     fn scan_heads(&mut self, found: &mut Vec<RequestHead>) {
         while !self.has_lost_track && self.body_left == 0 && !self.partial_head.is_empty() {
             let Some(length) = self.parse_head(found) else { break };
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The length of the first head, if it is complete.
+    /// Parses the first head. Returns its length, or `None` if it is incomplete or invalid.
     fn parse_head(&mut self, found: &mut Vec<RequestHead>) -> Option<usize> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
@@ -91,7 +91,7 @@
                     Err(_) => self.has_lost_track = true,
                 }
             }
-            // Only the library knows whether and where more requests follow.
+            // Only the HTTP library can tell whether and where more requests follow.
             let is_last = is("connection") && header.value.eq_ignore_ascii_case(b"close");
             if is("transfer-encoding") || is("upgrade") || is("expect") || is_last {
                 has_body = true;
@@ -114,7 +114,7 @@
 }
 
 impl RequestHead {
-    /// The request as the library would give it; `None` where the library would reject it.
+    /// Builds the request as the HTTP library would pass it on; `None` if the library would reject it.
     pub fn to_request(&self) -> Option<hyper::Request<Body>> {
         let mut request =
             hyper::Request::builder().method(self.method.as_str()).uri(self.target.as_str());
--- a/proxy/src/pipelining/stream.rs
+++ b/proxy/src/pipelining/stream.rs
@@ -1,4 +1,4 @@
-//! The connection as the library reads and writes it, and the end of each response.
+//! The stream that the HTTP library reads and writes, and bodies that report the end of each response.
 
 use super::{Pipeline, StartRequest};
 use bytes::{Buf, Bytes};
@@ -9,11 +9,12 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use vanepath_cluster::node::{Body, BodyError};
 
-/// The connection for the library: first what was read ahead, then what the client sends.
+/// The client's connection as a stream for the HTTP library, which reads the bytes that were read
+/// ahead, then those that arrive.
 pub struct PipelinedStream {
     /// The connection.
     pub pipeline: Pipeline,
-    /// Starts the requests that are found in what the library reads.
+    /// Starts the requests that are found in the bytes that the library reads.
     pub start: Box<StartRequest>,
 }
 
@@ -71,7 +72,8 @@
     }
 }
 
-/// The body of a response; finishes its request on the pipeline when it is dropped, written or not.
+/// The body of a response. Dropping it marks its request in the pipeline as finished, whether the body
+/// was written or not.
 pub struct TrackedBody {
     /// The body itself.
     pub body: Body,
--- a/proxy/src/shell/connections.rs
+++ b/proxy/src/shell/connections.rs
@@ -1,4 +1,5 @@
-//! Serves the connections of clients, read ahead of the HTTP library (design 8.9).
+//! Serves the connections of clients, and reads them ahead of the HTTP library to find pipelined
+//! requests (design 8.9).
 
 use super::status;
 use crate::forward::{self, OWN_PREFIX, Proxy};
@@ -19,7 +20,8 @@
 use tokio::task::{JoinError, JoinHandle};
 use vanepath_cluster::node::{BodyError, HttpSettings};
 
-/// Serves one client's connection until it ends; `stop` ends it after the request in flight.
+/// Serves a client's connection until it closes. Once `stop` turns true, the connection is closed after
+/// the request in flight.
 pub(super) async fn serve_connection(
     proxy: Arc<Proxy>,
     stream: TcpStream,
@@ -54,14 +56,15 @@
         pipeline.poll(context, &start);
         let mut polled = connection.as_mut().poll(context).map(|_| ());
         is_stopped = is_stopped || stopping.as_mut().poll(context).is_ready();
-        // What the client has sent by now is with the service: it is answered before the end.
+        // The service has received all requests that the client has sent so far, and responds to them
+        // before the connection closes.
         if polled.is_pending() && is_stopped && !is_closing && !pipeline.has_started() {
             is_closing = true;
             connection.as_mut().graceful_shutdown();
             polled = connection.as_mut().poll(context).map(|_| ());
         }
         if polled.is_pending() {
-            // The library may have received a request just now: read ahead of it too.
+            // The library may just have passed on a request: read ahead what follows it.
             pipeline.poll(context, &start);
         }
         polled
@@ -69,8 +72,8 @@
     .await;
 }
 
-/// Answers one request as the library passes it. While the proxy drains, the connection ends with the
-/// response, unless servers have requests behind this one.
+/// Responds to a request that the HTTP library has read. While the proxy drains, the response closes
+/// the connection, unless pipelined requests behind this one have been started.
 async fn respond(
     proxy: &Arc<Proxy>,
     pipeline: &Pipeline,
@@ -105,7 +108,7 @@
     forward::forward(proxy.clone(), request).await
 }
 
-/// A request that was started before its turn, and is cancelled when nobody waits for it any more.
+/// The task of a request that was started before its turn. Dropping it cancels the request.
 struct AbortOnDrop {
     task: JoinHandle<Response>,
 }
--- a/proxy/src/shell/maintenance.rs
+++ b/proxy/src/shell/maintenance.rs
@@ -1,5 +1,5 @@
-//! The maintenance actor: on each tick it brings servers, classes and readiness to what the
-//! cluster's view says, starts the health checks that are due, and reports what this proxy observes.
+//! The maintenance actor. On each tick it updates servers, classes and readiness from the cluster
+//! view, starts the health checks that are due, and reports the observations of this proxy.
 
 use super::probing::probe;
 use crate::endpoints::{
@@ -13,9 +13,9 @@
 use vanepath_cluster::node::{ClusterView, HandleEvent};
 use vanepath_cluster::{gossip, wire};
 
-/// The time between two ticks; a change of the view brings one at once.
+/// The interval between two ticks. A change of the cluster view causes a tick at once.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// How often this proxy's subset of the servers is assigned again.
+/// The interval at which this proxy's subset of the servers is assigned again.
 const SUBSET_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Starts the actor and its ticks.
@@ -40,13 +40,14 @@
 #[derive(xtra::Actor)]
 struct MaintenanceActor {
     proxy: Arc<Proxy>,
-    /// What the routing table was made from.
+    /// The revisions of the config and the endpoint list that the routing table was made from.
     revision: TableRevision,
-    /// The traffic-shift plan that was applied last, and to which table.
+    /// The version of the traffic-shift plan that was applied last, and the revision of the routing
+    /// table to which it was applied.
     plan: Option<(wire::PlanVersion, TableRevision)>,
     probe_schedule: ProbeSchedule,
     reporter: ObservationReporter,
-    /// The table and the number of live nodes for which the subset was assigned last.
+    /// The revision of the table and the number of live nodes for which the subset was assigned last.
     subset: Option<(TableRevision, usize)>,
     subset_due_at: Duration,
 }
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Brings classes and the routing table to a new config or endpoint list.
+    /// Updates the classes and the routing table if there is a new config or endpoint list.
     fn adopt(&mut self, now: Duration, view: &ClusterView) {
         let revision = revision_of(view);
         if revision == self.revision {
@@ -99,7 +100,7 @@
         );
         if let Some(read_at) = view.endpoint_list_read_at.filter(|_| !log_lines.is_empty()) {
             let age_ms = now.saturating_sub(read_at).as_millis();
-            log::info!("endpoint list {}, read {age_ms} ms ago", view.endpoints.revision);
+            log::info!("endpoint list {} applied, read {age_ms} ms ago", view.endpoints.revision);
         }
         for line in log_lines {
             log::info!("{line}");
@@ -170,7 +171,7 @@
             log::info!("{}", if ready { "ready" } else { "not ready" });
         }
         let revision = view.committed.revision;
-        // A proxy that drains still serves while it accepts clients (incident 0020).
+        // A draining proxy is reported as ready for as long as it accepts connections (incident 0020).
         let accepts = is_current && !*proxy.drain.stop_accepting.borrow();
         let status =
             wire::NodeStatus { ready: accepts, draining, revision, ..wire::NodeStatus::default() };
@@ -182,7 +183,8 @@
         let servers = proxy.endpoints.observations(now);
         let services = &proxy.endpoints.table.load().config.services;
         if services.iter().all(|service| service.probes_suspects_only) {
-            // No plan is made from stated load where servers are judged by traffic.
+            // Where servers are judged by the traffic that they get, no traffic-shift plan is made from
+            // reported load.
             return wire::ProxyObservations { servers, ..wire::ProxyObservations::default() };
         }
         let usage = proxy.admission.lock().expect("no panic under this lock").usage();
--- a/proxy/src/shell/mod.rs
+++ b/proxy/src/shell/mod.rs
@@ -1,4 +1,4 @@
-//! The program: it starts the maintenance actor, serves clients and its own pages, and shuts down
+//! The process: starts the maintenance actor, serves clients and the admin pages, and shuts down
 //! gracefully (design 8.8).
 
 mod connections;
@@ -16,10 +16,10 @@
 use vanepath_cluster::node::{self, HttpSettings, Node};
 use vanepath_config::settings::Settings;
 
-/// For how long clients are still accepted after the signal to stop, as long as a steering answer
-/// may be cached; at most half of the grace period.
+/// How long connections are still accepted after the signal to stop: as long as clients may cache a
+/// steering response, but at most half of the grace period.
 const DRAIN_DELAY: Duration = Duration::from_millis(3500);
-/// How long before the end of the grace period a request that no server has is answered.
+/// How long before the end of the grace period the requests that no server has received are rejected.
 const LAST_CALL_MARGIN: Duration = Duration::from_millis(400);
 /// How long a client may take to send the head of a request.
 const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(30);
@@ -59,13 +59,13 @@
     Ok(())
 }
 
-/// The steps of a graceful shutdown; each turns true in its time after the signal to stop.
+/// The steps of a graceful shutdown. Each channel turns true some time after the signal to stop.
 #[derive(Clone)]
 pub struct DrainSchedule {
-    /// No more clients are accepted. Those on their way are served before, with the hint to close
-    /// their connections.
+    /// Connections are no longer accepted. Those that arrive before are served, with responses that
+    /// close them.
     pub stop_accepting: watch::Receiver<bool>,
-    /// Requests that no server has get their answers.
+    /// Requests that no server has received are rejected.
     pub last_call: watch::Receiver<bool>,
 }
 
@@ -79,7 +79,7 @@
     }
 }
 
-/// A channel that turns true so long after the signal to stop.
+/// Returns a channel that turns true `delay` after the signal to stop.
 fn turns_true_after_stop(node: &Node, delay: Duration) -> watch::Receiver<bool> {
     let (sender, receiver) = watch::channel(false);
     let mut stop = node.stop.clone();
@@ -87,14 +87,13 @@
         let _ = stop.wait_for(|stop| *stop).await;
         tokio::time::sleep(delay).await;
         sender.send_replace(true);
-        // The sender stays, so that receivers never see a closed channel.
+        // Keeps the sender, so that receivers never see a closed channel.
         std::future::pending::<()>().await;
     });
     receiver
 }
 
-/// Serves the proxy's own pages on an address of their own, if the settings name one. Returns
-/// whether they do.
+/// Serves the admin pages on a separate address, if the settings name one. Returns whether they do.
 async fn serve_admin_pages(proxy: &Arc<Proxy>) -> Result<bool, miette::Report> {
     let Some(address) = proxy.node.settings.admin_listen else { return Ok(false) };
     let listener = node::bind("pagesListen", address).await?;
@@ -103,7 +102,7 @@
         let response = status::own_page(&proxy, request.uri().path());
         async move { response }
     };
-    // Served until the process ends, so that readiness can be queried to the last.
+    // Served until the process ends, so that readiness can be queried during the whole shutdown.
     let (sender, never) = watch::channel(false);
     let http = HttpSettings::default();
     tokio::spawn(async move {
--- a/proxy/src/shell/probing.rs
+++ b/proxy/src/shell/probing.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use vanepath_config::model::Service;
 
-/// A health check that the server passed, and the connection that it went over.
+/// A health check that the server passed, and the connection over which it was made.
 struct PassedProbe {
     connection: Sender,
     response: HandshakeResponse,
@@ -23,7 +23,7 @@
     let now = proxy.node.clock.now();
     let is_usable = |idle: &IdleConnection<Sender>| idle.connection.is_ready();
     let idle = proxy.endpoints.take_idle(now, endpoint.slot, is_usable);
-    // What the server last stated holds for a new connection too.
+    // The time that the server stated last also applies to a new connection.
     let keep_alive = idle.as_ref().map_or(MAX_IDLE_TIME, |idle| idle.keep_alive);
     let outcome = match idle {
         Some(idle) => probe_idle_connection(&proxy, &endpoint, &service, idle).await,
@@ -44,7 +44,8 @@
     proxy.endpoints.with(endpoint.slot, |state| state.probing = false);
 }
 
-/// `None` if the connection was closed while it was idle, which is no sign against the server.
+/// Checks the health of a server over an idle connection. Returns `None` if the connection was closed
+/// while it was idle, which is no failure of the server.
 async fn probe_idle_connection(
     proxy: &Proxy,
     endpoint: &Endpoint,
@@ -86,7 +87,7 @@
         }
     });
     if let Some(phase) = changed_phase {
-        log::info!("server {} states that it is {phase}", endpoint.server.id);
+        log::info!("server {} is {phase} by its own report", endpoint.server.id);
     }
     let idle = IdleConnection {
         connection: passed.connection,
--- a/proxy/src/shell/status.rs
+++ b/proxy/src/shell/status.rs
@@ -1,5 +1,5 @@
-//! The proxy's own pages. Their keys and texts are part of the operators' interface and keep the
-//! names of earlier versions.
+//! The admin pages of the proxy. Their keys and texts are part of the interface for operators and are
+//! those of earlier versions.
 
 use crate::connector::Sender;
 use crate::endpoints::{Endpoint, EndpointState};
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use vanepath_cluster::node::{self, Body, ClusterView};
 
-/// Answers one of the pages that every program has, or `/v1/status`; 404 for any other path.
+/// Returns one of the pages that all programs have in common, or `/v1/status`; 404 for any other path.
 pub(super) fn own_page(proxy: &Proxy, path: &str) -> Response<Body> {
     let ready = proxy.is_ready.load(Ordering::Relaxed);
     let write_metrics = |metrics: &mut JsonValue| proxy.counters.write_json(metrics);
@@ -74,7 +74,7 @@
     }
 }
 
-/// Why the server gets requests, or none.
+/// Why the server gets requests or does not get any.
 fn explanation(
     view: &ClusterView,
     endpoint: &Endpoint,
--- a/proxy/src/throttled_body.rs
+++ b/proxy/src/throttled_body.rs
@@ -1,5 +1,5 @@
-//! A body whose data waits for bandwidth piece by piece (design 8.10): each piece is charged once, by
-//! its own length, when it is there to be written.
+//! A body whose data waits for bandwidth chunk by chunk (design 8.10). Each chunk is charged once, by
+//! its length, when it is available to be written.
 
 use crate::bandwidth_limiter::MAX_CHUNK_BYTES;
 use bytes::Bytes;
@@ -7,22 +7,22 @@
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
 
-/// Completes when the bytes that it was made for may be written.
+/// A future that completes when the bytes for which it was requested may be written.
 pub type BandwidthPermit = Pin<Box<dyn Future<Output = ()> + Send>>;
 
-/// A body that waits for permission before each piece of at most [`MAX_CHUNK_BYTES`].
+/// A body that waits for a permit before each chunk of at most [`MAX_CHUNK_BYTES`].
 pub struct ThrottledBody<B, P> {
     body: B,
-    /// Requests permission for so many bytes.
+    /// Requests a permit for this many bytes.
     request_permit: P,
-    /// What was read and is not written yet.
+    /// The part of the last frame that was read and not yet passed on.
     unsent: Option<Frame<Bytes>>,
-    /// The permission that the first piece of `unsent` waits for.
+    /// The permit for which the first chunk of `unsent` waits.
     permit: Option<BandwidthPermit>,
 }
 
 impl<B, P: Fn(usize) -> BandwidthPermit> ThrottledBody<B, P> {
-    /// Throttles `body`; `request_permit` is called once for each piece, with its length in bytes.
+    /// Throttles `body`; `request_permit` is called once for each chunk, with its length in bytes.
     pub fn new(body: B, request_permit: P) -> ThrottledBody<B, P> {
         ThrottledBody { body, request_permit, unsent: None, permit: None }
     }
--- a/proxy/src/throttled_body/tests.rs
+++ b/proxy/src/throttled_body/tests.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::task::{Context, Poll};
 
-/// Frames of these lengths; before each, so many polls are pending.
+/// A body with frames of these lengths. Before each frame and the end, `pauses` polls are pending.
 struct SlowBody {
     lengths: Vec<usize>,
     pauses: usize,
@@ -35,7 +35,7 @@
     }
 }
 
-/// The lengths that permits were requested for, and those of the pieces that came.
+/// Returns the lengths for which permits were requested, and those of the chunks that were passed on.
 fn throttled(lengths: &[usize], pauses: usize) -> (Vec<usize>, Vec<usize>) {
     let requested = Arc::new(Mutex::new(Vec::new()));
     let record = requested.clone();
@@ -56,7 +56,7 @@
     (requested, came)
 }
 
-/// A slow body is charged for no more than its bytes, however often it is polled in vain.
+/// A slow body is charged only for its bytes, however many polls are pending.
 #[test]
 fn each_byte_is_charged_once() {
     for pauses in [0, 1, 5] {
--- a/proxy/tests/idle_connections.rs
+++ b/proxy/tests/idle_connections.rs
@@ -1,4 +1,4 @@
-//! Which idle connections are used again, by the public interface of the endpoints.
+//! Which idle connections are reused, tested through the public interface of the endpoints.
 
 use std::time::Duration;
 use vanepath_proxy::endpoints::{
@@ -10,7 +10,7 @@
     "services": [{"name": "s", "selector": "all", "livenessPath": "/"}],
     "rules": [{"name": "r", "class": "c", "service": "s"}]}"#;
 
-/// Endpoints with one server, and its slot; a connection is its name.
+/// Endpoints with one server, and the slot of that server. The connections are strings that name them.
 fn endpoints() -> (Endpoints<&'static str>, usize) {
     let config = vanepath_config::model::parse(CONFIG.as_bytes()).unwrap();
     let list = vanepath_config::endpoint_list::parse(
@@ -47,8 +47,8 @@
     endpoints.take_idle(now, slot, |_| true).map(|idle| idle.connection)
 }
 
-/// Well before its server closes it, a connection is no longer used: a request that is written at that
-/// moment would be lost.
+/// A connection is no longer used some time before its server closes it: a request that is written as
+/// the server closes the connection would be lost.
 #[test]
 fn no_connection_is_used_that_its_server_may_be_about_to_close() {
     for (kept_ms, idle_ms, is_used) in [
@@ -65,13 +65,13 @@
         let (endpoints, slot) = endpoints();
         endpoints.put_idle(slot, idle("one", ms(kept_ms), true));
         let found = taken(&endpoints, slot, ms(1000 + idle_ms));
-        assert_eq!(found.is_some(), is_used, "kept for {kept_ms} ms, rested {idle_ms}");
-        // A connection that is passed over is closed, and not there later either.
+        assert_eq!(found.is_some(), is_used, "kept for {kept_ms} ms, idle for {idle_ms} ms");
+        // A connection that is not used is closed and cannot be taken later.
         assert_eq!(taken(&endpoints, slot, ms(1050)), None);
     }
 }
 
-/// Right after a response a connection settles a little, so that surplus bytes show.
+/// A connection is not used for a short time after a response, so that surplus bytes are noticed.
 #[test]
 fn no_connection_is_used_before_it_has_settled() {
     let (endpoints, slot) = endpoints();
@@ -81,17 +81,17 @@
     assert_eq!(
         taken(&endpoints, slot, ms(1000) + SETTLE_TIME),
         None,
-        "it is used by one at a time"
+        "it is used by one request at a time"
     );
 }
 
 /// A server that sent bytes that belong to no request gets one request on each connection: used
-/// connections are not kept, and those that are idle are closed.
+/// connections are not kept, and idle ones are closed.
 #[test]
 fn a_desynchronized_servers_connections_carry_one_request() {
     let (endpoints, slot) = endpoints();
     endpoints.put_idle(slot, idle("before", ms(5000), true));
-    assert!(endpoints.mark_desynchronized(slot), "that is new");
+    assert!(endpoints.mark_desynchronized(slot), "it was not marked before");
     assert!(!endpoints.mark_desynchronized(slot) && endpoints.is_desynchronized(slot));
     assert_eq!(taken(&endpoints, slot, ms(1100)), None);
     endpoints.put_idle(slot, idle("used", ms(5000), true));
@@ -100,7 +100,7 @@
     assert_eq!(taken(&endpoints, slot, ms(1100)), Some("greeted only"));
 }
 
-/// A refused connection shows that nobody is there: connections from before are no longer trusted.
+/// A refused connection shows that no server is listening: earlier connections are no longer trusted.
 #[test]
 fn a_refused_connection_closes_idle_ones() {
     let (endpoints, slot) = endpoints();
@@ -111,8 +111,8 @@
     assert_eq!(taken(&endpoints, slot, ms(1100)), None);
 }
 
-/// However many proxies there are, all their idle connections to a server are no more than half of what
-/// it takes, as long as each may keep one at all.
+/// For any number of proxies, all their idle connections to a server together are at most half of those
+/// that it accepts, or one for each proxy.
 #[test]
 fn idle_connections_stay_below_the_servers_limit() {
     for proxies in 1..700 {
