--- a/proxy/src/admission.rs
+++ b/proxy/src/admission.rs
@@ -116,12 +116,12 @@
             class.close();
         }
         // The indices of existing classes are reserved before new classes reuse those of idle ones.
-        let known: Vec<Option<usize>> =
+        let existing: Vec<Option<usize>> =
             config.classes.iter().map(|class| self.index(&class.name)).collect();
-        let mut reserved: HashSet<usize> = known.iter().flatten().copied().collect();
+        let mut reserved: HashSet<usize> = existing.iter().flatten().copied().collect();
         self.config_order.clear();
-        for (class, known) in config.classes.iter().zip(known) {
-            let index = known.unwrap_or_else(|| self.allocate_index(&reserved));
+        for (class, existing) in config.classes.iter().zip(existing) {
+            let index = existing.unwrap_or_else(|| self.allocate_index(&reserved));
             reserved.insert(index);
             self.classes[index].name = class.name.clone();
             self.config_order.push(index);
--- a/proxy/src/admission/tests.rs
+++ b/proxy/src/admission/tests.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 use vanepath_config::model::{Config, parse};
 
-fn classes() -> AdmissionControl {
+fn two_classes() -> AdmissionControl {
     let config = parse(
         br#"{"classes": [
             {"name": "lookup", "urgency": 1, "kind": "repeatable", "room": 16, "queue": 2},
@@ -11,51 +11,51 @@
           "services": [{"name": "s", "selector": "all", "livenessPath": "/"}],
           "rules": [{"name": "r", "class": "lookup", "service": "s"}]}"#,
     );
-    let mut classes = AdmissionControl::default();
-    classes.apply_config(&config.unwrap());
-    classes
+    let mut admission = AdmissionControl::default();
+    admission.apply_config(&config.unwrap());
+    admission
 }
 
 #[test]
 fn bulk_borrows_spare_slots_and_never_the_reserved_ones() {
-    let mut classes = classes();
-    let soon = Duration::from_secs(1);
-    let answers: Vec<Admission> = (0..5).map(|_| classes.request_slot(1, soon)).collect();
-    let lenders: Vec<Option<usize>> = answers
+    let mut admission = two_classes();
+    let deadline = Duration::from_secs(1);
+    let outcomes: Vec<Admission> = (0..5).map(|_| admission.request_slot(1, deadline)).collect();
+    let lenders: Vec<Option<usize>> = outcomes
         .iter()
-        .map(|answer| match answer {
+        .map(|outcome| match outcome {
             Admission::Admitted(slot) => Some(slot.lender),
             _ => None,
         })
         .collect();
     assert_eq!(lenders, [Some(1), Some(0), Some(0), Some(0), None]);
     let lookups =
-        (0..20).filter(|_| matches!(classes.request_slot(0, soon), Admission::Admitted(_)));
+        (0..20).filter(|_| matches!(admission.request_slot(0, deadline), Admission::Admitted(_)));
     assert_eq!(lookups.count(), 13);
 }
 
 #[test]
 fn the_highest_priority_is_admitted_first_then_the_earliest_deadline() {
-    let mut classes = classes();
-    let second = Duration::from_secs;
+    let mut admission = two_classes();
+    let seconds = Duration::from_secs;
     let mut slots = Vec::new();
     for _ in 0..16 {
-        match classes.request_slot(0, second(1)) {
+        match admission.request_slot(0, seconds(1)) {
             Admission::Admitted(slot) => slots.push(slot),
             other => panic!("{other:?}"),
         }
     }
-    let Admission::Admitted(bulk) = classes.request_slot(1, second(1)) else { panic!() };
-    let Admission::Queued(bulk_queued) = classes.request_slot(1, second(1)) else { panic!() };
-    let Admission::Queued(late) = classes.request_slot(0, second(9)) else { panic!() };
-    let Admission::Queued(early) = classes.request_slot(0, second(5)) else { panic!() };
-    assert_eq!(classes.request_slot(0, second(5)), Admission::QueueFull);
-    let first = classes.release(slots[0]);
+    let Admission::Admitted(bulk) = admission.request_slot(1, seconds(1)) else { panic!() };
+    let Admission::Queued(bulk_queued) = admission.request_slot(1, seconds(1)) else { panic!() };
+    let Admission::Queued(late) = admission.request_slot(0, seconds(9)) else { panic!() };
+    let Admission::Queued(early) = admission.request_slot(0, seconds(5)) else { panic!() };
+    assert_eq!(admission.request_slot(0, seconds(5)), Admission::QueueFull);
+    let first = admission.release(slots[0]);
     assert_eq!(first.iter().map(|woken| woken.ticket).collect::<Vec<_>>(), [early]);
     // A request that left the queue is never woken.
-    classes.remove_queued(late);
-    assert_eq!(classes.release(slots[1]), []);
-    let last = classes.release(bulk);
+    admission.remove_queued(late);
+    assert_eq!(admission.release(slots[1]), []);
+    let last = admission.release(bulk);
     assert_eq!(last.iter().map(|woken| woken.ticket).collect::<Vec<_>>(), [bulk_queued]);
 }
 
@@ -76,12 +76,12 @@
     parse(config.as_bytes()).unwrap()
 }
 
-fn admitted(classes: &mut AdmissionControl, name: &str) -> Option<AdmissionSlot> {
-    let index = classes.index(name)?;
-    match classes.request_slot(index, Duration::from_secs(1)) {
+fn admitted(admission: &mut AdmissionControl, name: &str) -> Option<AdmissionSlot> {
+    let index = admission.index(name)?;
+    match admission.request_slot(index, Duration::from_secs(1)) {
         Admission::Admitted(slot) => Some(slot),
         Admission::Queued(ticket) => {
-            classes.remove_queued(ticket);
+            admission.remove_queued(ticket);
             None
         }
         Admission::QueueFull => None,
@@ -92,27 +92,27 @@
 /// the order a slot was released to another class.
 #[test]
 fn a_slot_returns_to_its_own_class_after_the_config_order_changes() {
-    let mut classes = AdmissionControl::default();
-    classes.apply_config(&config_of(&["lookup", "filing"]));
-    let lookup = admitted(&mut classes, "lookup").unwrap();
-    let filing = admitted(&mut classes, "filing").unwrap();
-    classes.apply_config(&config_of(&["added", "filing", "lookup"]));
-    classes.release(lookup);
-    classes.release(filing);
+    let mut admission = AdmissionControl::default();
+    admission.apply_config(&config_of(&["lookup", "filing"]));
+    let lookup = admitted(&mut admission, "lookup").unwrap();
+    let filing = admitted(&mut admission, "filing").unwrap();
+    admission.apply_config(&config_of(&["added", "filing", "lookup"]));
+    admission.release(lookup);
+    admission.release(filing);
     for name in ["added", "filing", "lookup"] {
-        let slots = [admitted(&mut classes, name), admitted(&mut classes, name)];
+        let slots = [admitted(&mut admission, name), admitted(&mut admission, name)];
         assert!(slots.iter().all(Option::is_some), "{name} has its whole limit");
-        assert_eq!(admitted(&mut classes, name), None, "{name} has no more than that");
+        assert_eq!(admitted(&mut admission, name), None, "{name} has no more than that");
     }
 }
 
 #[test]
 fn usage_is_listed_in_the_order_of_the_config() {
-    let mut classes = AdmissionControl::default();
-    classes.apply_config(&config_of(&["lookup", "filing"]));
-    let _slot = admitted(&mut classes, "filing").unwrap();
-    classes.apply_config(&config_of(&["filing", "added"]));
-    let usage = classes.usage();
+    let mut admission = AdmissionControl::default();
+    admission.apply_config(&config_of(&["lookup", "filing"]));
+    let _slot = admitted(&mut admission, "filing").unwrap();
+    admission.apply_config(&config_of(&["filing", "added"]));
+    let usage = admission.usage();
     let in_flight: Vec<(&str, u64)> =
         usage.iter().map(|class| (class.name.as_str(), class.in_flight)).collect();
     assert_eq!(in_flight, [("filing", 1), ("added", 0)]);
@@ -125,39 +125,39 @@
     let names = ["a", "b", "c", "d", "e"];
     for seed in 0..200u64 {
         let mut state = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
-        let mut draw = |bound: u64| {
+        let mut random_below = |bound: u64| {
             state ^= state << 13;
             state ^= state >> 7;
             state ^= state << 17;
             state % bound
         };
-        let mut classes = AdmissionControl::default();
+        let mut admission = AdmissionControl::default();
         let mut slots = Vec::new();
         for _ in 0..60 {
-            match draw(3) {
+            match random_below(3) {
                 0 => {
-                    let first = draw(5) as usize;
-                    let count = 1 + draw(4) as usize;
-                    let step = if draw(2) == 0 { 1 } else { 2 };
+                    let first = random_below(5) as usize;
+                    let count = 1 + random_below(4) as usize;
+                    let step = if random_below(2) == 0 { 1 } else { 2 };
                     let order = (0..count).map(|at| names[(first + at * step) % 5]);
-                    classes.apply_config(&config_of(&order.collect::<Vec<_>>()));
+                    admission.apply_config(&config_of(&order.collect::<Vec<_>>()));
                 }
-                1 => slots.extend(admitted(&mut classes, names[draw(5) as usize])),
+                1 => slots.extend(admitted(&mut admission, names[random_below(5) as usize])),
                 _ if slots.is_empty() => {}
                 _ => {
-                    let slot = slots.swap_remove(draw(slots.len() as u64) as usize);
-                    classes.release(slot);
+                    let slot = slots.swap_remove(random_below(slots.len() as u64) as usize);
+                    admission.release(slot);
                 }
             }
         }
         for slot in slots {
-            classes.release(slot);
+            admission.release(slot);
         }
-        classes.apply_config(&config_of(&names));
+        admission.apply_config(&config_of(&names));
         for name in names {
-            let count = (0..3).filter(|_| admitted(&mut classes, name).is_some()).count();
+            let count = (0..3).filter(|_| admitted(&mut admission, name).is_some()).count();
             assert_eq!(count, 2, "seed {seed}: {name}");
         }
-        assert!(classes.classes.len() <= names.len(), "indices of removed classes are reused");
+        assert!(admission.classes.len() <= names.len(), "indices of removed classes are reused");
     }
 }
--- a/proxy/src/bandwidth_limiter/tests.rs
+++ b/proxy/src/bandwidth_limiter/tests.rs
@@ -23,8 +23,8 @@
             "{ahead} bytes ahead at {now:?}"
         );
     }
-    let part = bytes as f64 / (rate * 10.0);
-    assert!((0.79..=0.81).contains(&part), "{part} of the link");
+    let share = bytes as f64 / (rate * 10.0);
+    assert!((0.79..=0.81).contains(&share), "{share} of the link");
     // Unused bandwidth from an idle period is not made up for by a burst.
     let later = now + Duration::from_secs(5);
     let burst = (0..1000).take_while(|_| limiter.try_pass(later, MAX_CHUNK_BYTES).is_ok()).count();
--- a/proxy/src/connector.rs
+++ b/proxy/src/connector.rs
@@ -73,7 +73,7 @@
     is_narrow: bool,
     on_surplus_bytes: impl FnOnce() + Send + 'static,
 ) -> Result<Sender, Failure> {
-    let limit = if is_far { TIMEOUT } else { SAME_REGION_TIMEOUT };
+    let connect_timeout = if is_far { TIMEOUT } else { SAME_REGION_TIMEOUT };
     let socket = match endpoint.server.address {
         SocketAddr::V4(_) => TcpSocket::new_v4(),
         SocketAddr::V6(_) => TcpSocket::new_v6(),
@@ -83,7 +83,7 @@
     if is_narrow {
         let _ = socket.set_recv_buffer_size(NARROW_LINK_RECEIVE_BUFFER);
     }
-    let stream = match timeout(limit, socket.connect(endpoint.server.address)).await {
+    let stream = match timeout(connect_timeout, socket.connect(endpoint.server.address)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(_)) => return Err(Failure::Refused),
         Err(_) => return Err(Failure::Unreachable),
@@ -105,18 +105,18 @@
 /// How long the server keeps an idle connection by its `Keep-Alive` header (RFC 2068, section 19.7.1);
 /// [`MAX_IDLE_TIME`] if it does not state this.
 pub fn keep_alive_timeout(headers: &HeaderMap) -> Duration {
-    let stated = headers.get("keep-alive").and_then(|value| value.to_str().ok());
-    let stated = stated.and_then(|text| {
+    let header_value = headers.get("keep-alive").and_then(|value| value.to_str().ok());
+    let seconds = header_value.and_then(|text| {
         let mut pairs = text.split(',').filter_map(|pair| pair.trim().split_once('='));
         pairs.find(|(key, _)| key.eq_ignore_ascii_case("timeout"))?.1.trim().parse().ok()
     });
-    stated.map_or(MAX_IDLE_TIME, Duration::from_secs)
+    seconds.map_or(MAX_IDLE_TIME, Duration::from_secs)
 }
 
 /// Whether the connection ended because of bytes that belong to no request. The HTTP library has a
 /// predicate for every other kind of error; this kind matches none of them and has no cause.
 fn is_surplus(error: &hyper::Error) -> bool {
-    let is_named = error.is_closed()
+    let is_known_kind = error.is_closed()
         || error.is_canceled()
         || error.is_incomplete_message()
         || error.is_parse()
@@ -124,7 +124,7 @@
         || error.is_body_write_aborted()
         || error.is_shutdown()
         || error.is_timeout();
-    !is_named && error.source().is_none()
+    !is_known_kind && error.source().is_none()
 }
 
 /// Checks over an open connection that the server is healthy and is the expected one.
@@ -182,18 +182,18 @@
     if service.identity_header.is_empty() {
         return true;
     }
-    let stated = headers.get(service.identity_header.as_str());
-    stated.is_some_and(|stated| stated.as_bytes() == endpoint.server.id.as_bytes())
+    let identity = headers.get(service.identity_header.as_str());
+    identity.is_some_and(|identity| identity.as_bytes() == endpoint.server.id.as_bytes())
 }
 
 fn read_server_state(format: SelectedFormat, headers: &HeaderMap) -> HandshakeResponse {
-    let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
-    let warm_up_left = format.headers().warm_up_left.and_then(text);
+    let header_text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
+    let warm_up_left = format.headers().warm_up_left.and_then(header_text);
     let has_warm_up_left =
         warm_up_left.is_some_and(|left| left.trim().parse::<f64>().is_ok_and(|ms| ms > 0.0));
     HandshakeResponse {
-        is_warming_up: has_warm_up_left || text("server-state") == Some("cold"),
-        load_milli: text(format.headers().load).and_then(|load| format.load(load)),
+        is_warming_up: has_warm_up_left || header_text("server-state") == Some("cold"),
+        load_milli: header_text(format.headers().load).and_then(|load| format.load(load)),
     }
 }
 
--- a/proxy/src/forward/admission.rs
+++ b/proxy/src/forward/admission.rs
@@ -80,14 +80,14 @@
     proxy: &Proxy,
     wait: impl Future<Output = Result<T, Rejection>>,
 ) -> Result<T, Rejection> {
-    let end = async {
-        let mut last_call = proxy.drain.last_call.clone();
-        let _ = last_call.wait_for(|is_last_call| *is_last_call).await;
+    let shutdown = async {
+        let mut reject_waiting = proxy.drain.reject_waiting.clone();
+        let _ = reject_waiting.wait_for(|is_due| *is_due).await;
     };
     tokio::select! {
         biased;
         outcome = wait => outcome,
-        () = end => Err(Rejection::NotReady),
+        () = shutdown => Err(Rejection::NotReady),
     }
 }
 
@@ -127,8 +127,8 @@
     };
     proxy.counters.increment(Counter::Queued);
     let entry = QueueEntry { proxy: proxy.clone(), ticket };
-    let limit = deadline.saturating_sub(proxy.now());
-    let woken = tokio::time::timeout(limit, &mut receiver).await;
+    let time_left = deadline.saturating_sub(proxy.now());
+    let woken = tokio::time::timeout(time_left, &mut receiver).await;
     // Removes the request from the queue. A slot that was granted just before is in the channel.
     drop(entry);
     let slot = match woken {
--- a/proxy/src/forward/attempt.rs
+++ b/proxy/src/forward/attempt.rs
@@ -81,7 +81,8 @@
         idempotency: Idempotency,
     ) -> Result<VerifiedConnection, AttemptError> {
         let deadline = self.proxy.timer_instant(self.deadline);
-        let connected = tokio::time::timeout_at(deadline, self.connection(idempotency)).await;
+        let connected =
+            tokio::time::timeout_at(deadline, self.obtain_connection(idempotency)).await;
         connected.unwrap_or(Err(AttemptError::NotConnected))
     }
 
@@ -92,8 +93,8 @@
     /// the body cannot be sent again.
     pub fn prepare(&self, request: &mut UpstreamRequest) -> Result<OutgoingRequest, AttemptError> {
         self.check_not_withdrawn()?;
-        let names = self.proxy.node.settings.wire_format.headers();
-        let id = names.request_id.and_then(|name| request.headers.get(name).cloned());
+        let header_names = self.proxy.node.settings.wire_format.headers();
+        let id = header_names.request_id.and_then(|name| request.headers.get(name).cloned());
         let content_length = content_length(&request.headers).unwrap_or(0.0);
         let mut message = request.next()?;
         self.add_attempt_headers(message.headers_mut());
@@ -127,7 +128,7 @@
 
         let (head, incoming) = response.into_parts();
         self.observe_load(&head.headers);
-        self.check_belongs(&head, id.as_ref())?;
+        self.check_belongs_to_request(&head, id.as_ref())?;
         self.check_framing(&head, &method)?;
         if !head.status.is_server_error() {
             self.observe_latency(&head.headers, content_length, record);
@@ -169,15 +170,15 @@
     /// Adds the headers that differ between attempts: the target server, and the time left until the
     /// deadline.
     fn add_attempt_headers(&self, headers: &mut HeaderMap) {
-        let names = self.proxy.node.settings.wire_format.headers();
-        if let Some(target) = names.target
+        let header_names = self.proxy.node.settings.wire_format.headers();
+        if let Some(target) = header_names.target
             && let Ok(id) = HeaderValue::from_str(&self.endpoint().server.id)
         {
             headers.insert(target, id);
         }
-        if names.forwards_deadline {
+        if header_names.forwards_deadline {
             let left_ms = self.deadline.saturating_sub(self.proxy.now()).as_millis() as u64;
-            headers.insert(names.deadline, HeaderValue::from(left_ms));
+            headers.insert(header_names.deadline, HeaderValue::from(left_ms));
         }
     }
 
@@ -198,22 +199,24 @@
 
     /// Checks that this is the response to this request and that the server has not rejected the request
     /// (design 8.2).
-    fn check_belongs(
+    fn check_belongs_to_request(
         &self,
         head: &response::Parts,
         sent_id: Option<&HeaderValue>,
     ) -> Result<(), AttemptError> {
-        let names = self.proxy.node.settings.wire_format.headers();
-        let returned_id = names.request_id.and_then(|name| head.headers.get(name));
+        let header_names = self.proxy.node.settings.wire_format.headers();
+        let returned_id = header_names.request_id.and_then(|name| head.headers.get(name));
         if sent_id.is_some() && returned_id.is_some() && sent_id != returned_id {
             return Err(AttemptError::MismatchedResponse);
         }
         let is_misdirected =
-            names.target.is_some() && head.status == StatusCode::MISDIRECTED_REQUEST;
-        if is_misdirected || names.not_run.is_some_and(|name| head.headers.contains_key(name)) {
+            header_names.target.is_some() && head.status == StatusCode::MISDIRECTED_REQUEST;
+        if is_misdirected
+            || header_names.not_run.is_some_and(|name| head.headers.contains_key(name))
+        {
             if is_misdirected {
                 self.record_failure(Failure::Refused);
-            } else if !head.headers.contains_key(names.load) {
+            } else if !head.headers.contains_key(header_names.load) {
                 let now = self.proxy.now();
                 self.proxy.endpoints.observe_load(now, self.endpoint().slot, FULL_LOAD_MILLI);
             }
@@ -221,7 +224,8 @@
         }
         // A response without the id may belong to another request, and a success without the seal is
         // not relayed.
-        let has_seal = names.response_seal.is_none_or(|seal| head.headers.contains_key(seal));
+        let has_seal =
+            header_names.response_seal.is_none_or(|seal| head.headers.contains_key(seal));
         let lacks_id = sent_id.is_some() && returned_id.is_none();
         if lacks_id || (head.status.is_success() && !has_seal) {
             return Err(AttemptError::MismatchedResponse);
@@ -247,7 +251,7 @@
     fn observe_latency(&self, headers: &HeaderMap, request_length: f64, record: SendRecord) {
         let class = self.route.class();
         let now = self.proxy.now();
-        let kilobytes = |length| (length + request_length) / BYTES_PER_KILOBYTE;
+        let total_kilobytes = |length| (length + request_length) / BYTES_PER_KILOBYTE;
         let served = ServedRequest {
             slot: self.endpoint().slot,
             class: &class.name,
@@ -255,7 +259,7 @@
             is_bulk: class.bulk,
             response_time: now.saturating_sub(record.sent_at),
             slowdown: record.slowdown,
-            kilobytes: content_length(headers).map(kilobytes),
+            kilobytes: content_length(headers).map(total_kilobytes),
         };
         self.proxy.endpoints.record_response(now, served);
     }
--- a/proxy/src/forward/connection.rs
+++ b/proxy/src/forward/connection.rs
@@ -26,7 +26,7 @@
     /// Returns an idle connection or opens a new one. Unless the wire format names the target server in
     /// each request, the server has proved its identity on the connection, for a non-idempotent request
     /// within `MAX_VERIFICATION_AGE`.
-    pub(super) async fn connection(
+    pub(super) async fn obtain_connection(
         &self,
         idempotency: Idempotency,
     ) -> Result<VerifiedConnection, AttemptError> {
@@ -51,20 +51,20 @@
         let (proxy, slot) = (&self.proxy, self.endpoint().slot);
         let is_usable = |idle: &IdleConnection<Sender>| idle.connection.is_ready();
         let verifies_identity = self.verifies_identity();
-        let runs_once = idempotency == Idempotency::NonIdempotent;
+        let is_non_idempotent = idempotency == Idempotency::NonIdempotent;
         // A desynchronized server may still send a late response on an idle connection.
-        let may_be_stale =
-            runs_once && !verifies_identity && proxy.endpoints.is_desynchronized(slot);
+        let may_get_late_response =
+            is_non_idempotent && !verifies_identity && proxy.endpoints.is_desynchronized(slot);
         while let Some(mut idle) = proxy.endpoints.take_idle(now, slot, is_usable) {
-            if may_be_stale {
+            if may_get_late_response {
                 proxy.endpoints.put_idle(slot, idle);
                 break;
             }
-            if runs_once && !verifies_identity && !idle.is_safe_for_at_most_once(now) {
+            if is_non_idempotent && !verifies_identity && !idle.is_safe_for_at_most_once(now) {
                 continue;
             }
             let verification_age = now.saturating_sub(idle.verified_at);
-            if verifies_identity && runs_once && verification_age > MAX_VERIFICATION_AGE {
+            if verifies_identity && is_non_idempotent && verification_age > MAX_VERIFICATION_AGE {
                 match self.verify_again(&mut idle.connection).await {
                     Ok(_) => idle.verified_at = proxy.now(),
                     // The connection was closed while it was idle, which is no failure of the server.
--- a/proxy/src/forward/hedging.rs
+++ b/proxy/src/forward/hedging.rs
@@ -3,7 +3,7 @@
 
 use super::admission::is_ready;
 use super::rejection::{RejectionDetails, UnansweredAttempt};
-use super::retry::{AttemptLoop, Turn};
+use super::retry::{AttemptLoop, Reservation};
 use crate::endpoints::{HedgeDecision, PendingAttempt, SelectionContext};
 use crate::health::ServerHealth;
 use crate::lifecycle::{Rejection, RequestLifecycle};
@@ -37,7 +37,7 @@
         match self.decide_hedge() {
             HedgeDecision::Hedge(reason) if self.begin_hedge(reason, lifecycle) => return Ok(()),
             HedgeDecision::GiveUp => {
-                self.note_unanswered(details);
+                self.record_unanswered(details);
                 return Err(Rejection::DeadlineExceeded);
             }
             HedgeDecision::Hedge(_) | HedgeDecision::Wait => {}
@@ -52,24 +52,24 @@
         let pending: Vec<PendingAttempt> =
             self.pending.sent().iter().map(|sent| sent.pending).collect();
         let is_draining = self.proxy.is_draining();
-        self.with_selection(|now, context, would_allow| {
+        self.with_selection_context(|now, context, budget_allows| {
             let table = &self.route.table;
-            endpoints.decide_hedge(now, table, context, &pending, is_draining, would_allow)
+            endpoints.decide_hedge(now, table, context, &pending, is_draining, budget_allows)
         })
     }
 
     /// Whether a retry would find another server and the budget allows it.
     pub fn has_alternative(&self) -> bool {
         let endpoints = &self.proxy.endpoints;
-        self.with_selection(|now, context, would_allow| {
+        self.with_selection_context(|now, context, budget_allows| {
             endpoints.has_alternative(now, &self.route.table, context, RetryReason::Lost)
-                && would_allow(RetryReason::Lost)
+                && budget_allows(RetryReason::Lost)
         })
     }
 
     /// Calls `query` with the current time, the context for the selection of another server, and a
     /// function that tells whether the retry budget would allow a retry for a given reason.
-    fn with_selection<R>(
+    fn with_selection_context<R>(
         &self,
         query: impl FnOnce(Duration, &SelectionContext<'_>, &dyn Fn(RetryReason) -> bool) -> R,
     ) -> R {
@@ -80,11 +80,11 @@
         let drained_zones = &view.committed.drained_zones;
         let context = self.route.selection_context(proxy, service, drained_zones, &self.tried);
         let live_proxies = proxy.live_proxies.load(Ordering::Relaxed);
-        let would_allow = |reason| {
+        let budget_allows = |reason| {
             let mut budgets = proxy.retry_budgets.lock().expect("no panic under this lock");
             budgets.would_allow(now, &self.service_name, live_proxies, reason)
         };
-        query(now, &context, &would_allow)
+        query(now, &context, &budget_allows)
     }
 
     /// Begins an attempt at another server from the latest routing table, if the budget allows it.
@@ -98,7 +98,7 @@
             return false;
         }
         self.route = route;
-        let Ok(Turn::Now(reserved)) = self.select_now() else { return false };
+        let Ok(Reservation::Ready(reserved)) = self.try_reserve() else { return false };
         if !self.proxy.try_take_retry(&self.service_name, reason) {
             return false;
         }
@@ -123,7 +123,7 @@
         }
     }
 
-    fn note_unanswered(&mut self, details: &mut RejectionDetails) {
+    fn record_unanswered(&mut self, details: &mut RejectionDetails) {
         self.mark_overdue();
         let Some(latest) = self.pending.sent().last() else { return };
         let waited = latest.waited(self.proxy.now());
--- a/proxy/src/forward/mod.rs
+++ b/proxy/src/forward/mod.rs
@@ -37,7 +37,7 @@
 use vanepath_config::model::Idempotency;
 
 /// The prefix of the paths of the proxy's admin pages.
-pub const OWN_PREFIX: &str = "/vanepath/";
+pub const ADMIN_PREFIX: &str = "/vanepath/";
 
 /// Forwards a request. Always returns a response: that of a server, or a rejection.
 pub async fn forward(proxy: Arc<Proxy>, request: Request<Body>) -> Response<Body> {
@@ -69,7 +69,7 @@
     let class = route.class().clone();
     record_match(proxy, &route, lifecycle);
     let timing = RequestTiming::new(proxy, &route, &head.headers, received_at);
-    details.time_left = timing.limit;
+    details.time_limit = timing.limit;
     check_declared_length(&incoming, &class).inspect_err(|_| details.closes_connection = true)?;
 
     lifecycle.state = RequestState::Queued;
--- a/proxy/src/forward/pending.rs
+++ b/proxy/src/forward/pending.rs
@@ -101,7 +101,7 @@
             }
             Progress::Ended(attempt, outcome) => {
                 let slot = attempt.endpoint().slot;
-                let position = self.sent.iter().position(|one| one.pending.slot == slot)?;
+                let position = self.sent.iter().position(|sent| sent.pending.slot == slot)?;
                 let sent = self.sent.remove(position);
                 Some(AttemptEvent::Ended { attempt, sent, outcome })
             }
--- a/proxy/src/forward/rejection.rs
+++ b/proxy/src/forward/rejection.rs
@@ -28,7 +28,7 @@
     /// Whether the client's connection is closed after the response.
     pub closes_connection: bool,
     /// The time limit of the request; zero until its rule is known.
-    pub time_left: Duration,
+    pub time_limit: Duration,
     /// The attempt that the rejection gives up, if any; for the log only.
     pub unanswered: Option<UnansweredAttempt>,
 }
@@ -51,7 +51,7 @@
         headers.insert(name, HeaderValue::from_static(status_name));
     }
     if execution_status == ExecutionStatus::NotRun
-        && let Some(delay) = rejection.retry_after(details.time_left, proxy.random())
+        && let Some(delay) = rejection.retry_after(details.time_limit, proxy.random())
         && let Ok(delay) = HeaderValue::from_str(&format.retry_after(delay))
     {
         headers.insert(header::RETRY_AFTER, delay);
--- a/proxy/src/forward/retry.rs
+++ b/proxy/src/forward/retry.rs
@@ -22,8 +22,8 @@
 use vanepath_config::model::{Class, Idempotency};
 
 /// The bounds of one wait until a server that is warming up may take another request.
-const MIN_TURN_WAIT: Duration = Duration::from_millis(1);
-const MAX_TURN_WAIT: Duration = Duration::from_millis(50);
+const MIN_SELECTION_WAIT: Duration = Duration::from_millis(1);
+const MAX_SELECTION_WAIT: Duration = Duration::from_millis(50);
 
 /// A server that was selected for an attempt and on which the request counts as in flight.
 pub(super) struct ReservedEndpoint {
@@ -31,11 +31,12 @@
     in_flight: InFlightGuard,
 }
 
-/// The outcome of a selection that found servers.
-pub(super) enum Turn {
-    Now(ReservedEndpoint),
+/// The outcome of a selection that found at least one server.
+pub(super) enum Reservation {
+    /// A server is reserved and can take the request now.
+    Ready(ReservedEndpoint),
     /// Only servers that are warming up are left; the first of them may take a request at this time.
-    At(Duration),
+    RetryAt(Duration),
 }
 
 /// The response of a server, and the guard that counts the request as in flight there.
@@ -60,7 +61,7 @@
     /// When to try another server in addition to those that have the request.
     pub hedge_at: Option<Duration>,
     /// An error response, which is relayed if no other server serves the request.
-    failed: Option<ServedAttempt>,
+    error_response: Option<ServedAttempt>,
 }
 
 impl<'p> AttemptLoop<'p> {
@@ -82,7 +83,7 @@
             tried: Vec::new(),
             pending: PendingAttempts::default(),
             hedge_at: None,
-            failed: None,
+            error_response: None,
         }
     }
 
@@ -97,7 +98,7 @@
         request: &mut UpstreamRequest,
     ) -> Result<Response<Body>, Rejection> {
         let outcome = self.first_response(lifecycle, details, request).await;
-        let served = match (outcome, self.failed) {
+        let served = match (outcome, self.error_response) {
             (Ok(served), _) | (Err(_), Some(served)) => served,
             (Err(rejection), None) => return Err(rejection),
         };
@@ -155,7 +156,7 @@
             }
             Err(error) => {
                 self.record_outcome(&attempt, None, Err(error));
-                self.after_failure(attempt, None, error, lifecycle, details).await
+                self.on_failure(attempt, None, error, lifecycle, details).await
             }
         }
     }
@@ -176,16 +177,16 @@
             Ok(response) => response,
             Err(error) => {
                 let sent_at = Some(sent.pending.sent_at);
-                self.after_failure(attempt, sent_at, error, lifecycle, details).await?;
+                self.on_failure(attempt, sent_at, error, lifecycle, details).await?;
                 return Ok(None);
             }
         };
         let served = ServedAttempt { response, in_flight: attempt.in_flight };
-        if !self.is_better_elsewhere(&served, lifecycle) {
+        if !self.should_try_another_server(&served, lifecycle) {
             return Ok(Some(served));
         }
-        self.keep_failed(served, lifecycle);
-        self.try_elsewhere(lifecycle, details).await?;
+        self.keep_error_response(served, lifecycle);
+        self.try_another_server(lifecycle, details).await?;
         Ok(None)
     }
 
@@ -200,7 +201,7 @@
         if lifecycle.attempts > 0 {
             before_shutdown(proxy, self.wait_until_ready_again()).await?;
         }
-        let reserved = before_shutdown(proxy, self.select(details)).await?;
+        let reserved = before_shutdown(proxy, self.reserve_endpoint(details)).await?;
         self.begin_attempt(reserved, lifecycle);
         Ok(())
     }
@@ -233,25 +234,25 @@
 
     /// Selects a server from the latest routing table. If only servers that are warming up are left,
     /// waits until one of them may take a request.
-    async fn select(
+    async fn reserve_endpoint(
         &mut self,
         details: &mut RejectionDetails,
     ) -> Result<ReservedEndpoint, Rejection> {
         loop {
             // From here on the request is handled by the config that is active now.
             self.route.refresh(self.proxy, details)?;
-            match self.select_now()? {
-                Turn::Now(reserved) => return Ok(reserved),
-                Turn::At(turn) => {
-                    let delay = turn.saturating_sub(self.proxy.now()).max(MIN_TURN_WAIT);
-                    tokio::time::sleep(delay.min(MAX_TURN_WAIT)).await;
+            match self.try_reserve()? {
+                Reservation::Ready(reserved) => return Ok(reserved),
+                Reservation::RetryAt(retry_at) => {
+                    let delay = retry_at.saturating_sub(self.proxy.now()).max(MIN_SELECTION_WAIT);
+                    tokio::time::sleep(delay.min(MAX_SELECTION_WAIT)).await;
                 }
             }
         }
     }
 
     /// Selects a server from the current routing table without waiting.
-    pub fn select_now(&self) -> Result<Turn, Rejection> {
+    pub fn try_reserve(&self) -> Result<Reservation, Rejection> {
         let proxy = self.proxy;
         let service = self.route.service_index(&self.service_name);
         let now = proxy.now();
@@ -271,9 +272,9 @@
                 let slot = self.route.table.endpoints[index].slot;
                 let selected = SelectedEndpoint { index, service };
                 let in_flight = InFlightGuard { proxy: proxy.clone(), slot };
-                Ok(Turn::Now(ReservedEndpoint { selected, in_flight }))
+                Ok(Reservation::Ready(ReservedEndpoint { selected, in_flight }))
             }
-            Selection::Wait(until) if until < deadline => Ok(Turn::At(until)),
+            Selection::Wait(until) if until < deadline => Ok(Reservation::RetryAt(until)),
             Selection::Crowded => Err(Rejection::Congested),
             // All servers were tried, there are none, or none may take the request in time.
             Selection::Wait(_) | Selection::None => Err(Rejection::NoServer),
@@ -316,12 +317,16 @@
     /// Whether to try for a better response than this one: for an idempotent request that got a server
     /// error, if another attempt is in progress or a retry is possible. Takes a retry from the budget
     /// in the latter case.
-    fn is_better_elsewhere(&self, served: &ServedAttempt, lifecycle: &RequestLifecycle) -> bool {
-        let may_repeat = lifecycle.idempotency == Idempotency::Idempotent
+    fn should_try_another_server(
+        &self,
+        served: &ServedAttempt,
+        lifecycle: &RequestLifecycle,
+    ) -> bool {
+        let may_try_again = lifecycle.idempotency == Idempotency::Idempotent
             && lifecycle.is_replayable
             && served.response.head.status.is_server_error();
-        if !may_repeat || !self.pending.is_empty() {
-            return may_repeat;
+        if !may_try_again || !self.pending.is_empty() {
+            return may_try_again;
         }
         lifecycle.may_retry()
             && self.has_alternative()
@@ -329,15 +334,15 @@
     }
 
     /// Keeps an error response in case no other server serves the request.
-    fn keep_failed(&mut self, mut served: ServedAttempt, lifecycle: &mut RequestLifecycle) {
+    fn keep_error_response(&mut self, mut served: ServedAttempt, lifecycle: &mut RequestLifecycle) {
         lifecycle.may_have_run = true;
         served.response.body.release_connection(self.proxy);
-        self.failed = Some(served);
+        self.error_response = Some(served);
     }
 
     /// Continues after a failure. If other attempts are in progress, the next hedge is due at once;
     /// otherwise a new attempt is started.
-    async fn try_elsewhere(
+    async fn try_another_server(
         &mut self,
         lifecycle: &mut RequestLifecycle,
         details: &mut RejectionDetails,
@@ -350,7 +355,7 @@
     }
 
     /// Handles a failed attempt. Returns `Ok` if the request continues.
-    async fn after_failure(
+    async fn on_failure(
         &mut self,
         attempt: Attempt,
         sent_at: Option<Duration>,
@@ -363,11 +368,11 @@
         drop(attempt);
         let reason =
             self.proxy.endpoints.retry_reason_after(error, slot, sent_at.unwrap_or_default());
-        let has_others = !self.pending.is_empty();
+        let has_other_attempts = !self.pending.is_empty();
         let try_take_retry = || self.proxy.try_take_retry(&self.service_name, reason);
-        match lifecycle.attempt_failed(error, is_late, has_others, try_take_retry) {
+        match lifecycle.attempt_failed(error, is_late, has_other_attempts, try_take_retry) {
             AfterFailure::Retry | AfterFailure::Await => {
-                self.try_elsewhere(lifecycle, details).await
+                self.try_another_server(lifecycle, details).await
             }
             AfterFailure::Reject(rejection) => {
                 details.detail = format!("{error} after {} goes", lifecycle.attempts);
--- a/proxy/src/forward/routing.rs
+++ b/proxy/src/forward/routing.rs
@@ -98,8 +98,8 @@
         let rule = self.rule();
         let services = &self.table.config.services;
         let weighted = rule.weighted_services.iter().map(|weighted| weighted.service);
-        let mut named = weighted.filter(|index| services[*index].name == name);
-        named.next().unwrap_or(rule.service)
+        let mut matching = weighted.filter(|index| services[*index].name == name);
+        matching.next().unwrap_or(rule.service)
     }
 
     /// The input to the selection of a server for this request.
@@ -174,15 +174,19 @@
         received_at: Duration,
     ) -> RequestTiming {
         let rule = route.rule();
-        let configured = rule.deadline.unwrap_or(route.class().deadline);
-        let stated = headers
+        let configured_limit = rule.deadline.unwrap_or(route.class().deadline);
+        let client_limit = headers
             .get(proxy.node.settings.wire_format.headers().deadline)
             .and_then(|value| value.to_str().ok()?.parse().ok())
-            .map_or(configured, Duration::from_millis);
-        let limit = configured.min(stated);
+            .map_or(configured_limit, Duration::from_millis);
+        let limit = configured_limit.min(client_limit);
         let mut client_deadlines = proxy.client_deadlines.lock().expect("no panic under this lock");
-        let is_past_latency_target =
-            client_deadlines.is_past_target(received_at, &rule.name, stated, rule.latency_target);
+        let is_past_latency_target = client_deadlines.is_past_target(
+            received_at,
+            &rule.name,
+            client_limit,
+            rule.latency_target,
+        );
         RequestTiming { limit, deadline: received_at + limit, is_past_latency_target }
     }
 }
--- a/proxy/src/forward/state.rs
+++ b/proxy/src/forward/state.rs
@@ -164,12 +164,12 @@
 impl Proxy {
     /// Creates a proxy without servers and classes; the maintenance actor adds them.
     pub fn new(node: Arc<Node>, drain: DrainSchedule) -> Proxy {
-        let proves_answers = node.settings.wire_format.headers().request_id.is_some();
+        let has_request_ids = node.settings.wire_format.headers().request_id.is_some();
         let mut endpoints = Endpoints::default();
-        endpoints.verifies_responses = proves_answers;
+        endpoints.verifies_responses = has_request_ids;
         let retry_budget = node.settings.retry_budget;
         let narrow_link = node.settings.link_megabits.filter(|rate| *rate < WIDE_LINK_MEGABITS);
-        let limiter = || narrow_link.map(|rate| Mutex::new(BandwidthLimiter::new(rate)));
+        let new_limiter = || narrow_link.map(|rate| Mutex::new(BandwidthLimiter::new(rate)));
         Proxy {
             node,
             endpoints,
@@ -183,8 +183,8 @@
             live_proxies: AtomicUsize::new(1),
             request_rates: Mutex::default(),
             client_deadlines: Mutex::default(),
-            downstream_limiter: limiter(),
-            upstream_limiter: limiter(),
+            downstream_limiter: new_limiter(),
+            upstream_limiter: new_limiter(),
             random_state: AtomicU64::new(node::random()),
         }
     }
@@ -217,8 +217,8 @@
     pub fn wake(&self, mut woken: Vec<Woken>) {
         while let Some(Woken { ticket, slot }) = woken.pop() {
             let request = self.queued.lock().expect("no panic under this lock").remove(&ticket);
-            let is_gone = request.is_none_or(|request| request.send(slot).is_err());
-            if is_gone {
+            let has_disconnected = request.is_none_or(|request| request.send(slot).is_err());
+            if has_disconnected {
                 let mut admission = self.admission.lock().expect("no panic under this lock");
                 woken.extend(admission.release(slot));
             }
--- a/proxy/src/lifecycle.rs
+++ b/proxy/src/lifecycle.rs
@@ -203,7 +203,7 @@
     }
 
     /// Records a failed attempt and decides what follows. While other attempts are in progress
-    /// (`has_others`) the request is not ended: their servers may be processing it (incident 0019).
+    /// (`has_other_attempts`) the request is not ended: their servers may be processing it (incident 0019).
     /// `try_take_retry` takes one retry from the budget. It is called only after all other conditions
     /// for a retry are met, and not at all after [`AttemptError::Withdrawn`], where this proxy itself
     /// gave up the server before anything was sent.
@@ -211,7 +211,7 @@
         &mut self,
         error: AttemptError,
         is_late: bool,
-        has_others: bool,
+        has_other_attempts: bool,
         try_take_retry: impl FnOnce() -> bool,
     ) -> AfterFailure {
         let is_not_sent = error.is_not_sent();
@@ -224,15 +224,15 @@
             AttemptError::TimedOut => Rejection::DeadlineExceeded,
             _ => Rejection::ResponseLost,
         };
-        let may_repeat = match self.idempotency {
+        let may_try_again = match self.idempotency {
             Idempotency::Idempotent => self.is_replayable || is_not_sent,
             // Retried only as long as it is certain that no server has run it.
             Idempotency::NonIdempotent => is_not_sent && !self.may_have_run,
         };
-        if has_others {
+        if has_other_attempts {
             return AfterFailure::Await;
         }
-        if is_late || !may_repeat || !self.may_retry() {
+        if is_late || !may_try_again || !self.may_retry() {
             return AfterFailure::Reject(rejection);
         }
         if error != AttemptError::Withdrawn && !try_take_retry() {
--- a/proxy/src/lifecycle/tests.rs
+++ b/proxy/src/lifecycle/tests.rs
@@ -42,9 +42,9 @@
 /// What follows from each attempt error, with and without budget, and the response to the client.
 #[test]
 fn what_follows_from_each_attempt_error() {
-    let mut shown = String::new();
+    let mut table = String::new();
     for kind in [Idempotency::Idempotent, Idempotency::NonIdempotent] {
-        for first in AttemptError::iter() {
+        for error in AttemptError::iter() {
             for budget in [true, false] {
                 let mut lifecycle = RequestLifecycle {
                     idempotency: kind,
@@ -52,9 +52,9 @@
                     attempts: 1,
                     ..RequestLifecycle::new()
                 };
-                let next = lifecycle.attempt_failed(first, false, false, || budget);
-                let answer = match next {
-                    AfterFailure::Retry => "goes again".to_string(),
+                let next = lifecycle.attempt_failed(error, false, false, || budget);
+                let outcome = match next {
+                    AfterFailure::Retry => "retried".to_string(),
                     AfterFailure::Await => panic!("nothing else is in progress"),
                     AfterFailure::Reject(rejection) => {
                         format!(
@@ -63,8 +63,8 @@
                         )
                     }
                 };
-                shown += &format!(
-                    "{kind:10} {first:15} budget {budget:5}  {answer}, {}\n",
+                table += &format!(
+                    "{kind:10} {error:15} budget {budget:5}  {outcome}, {}\n",
                     lifecycle.execution_status()
                 );
             }
@@ -82,29 +82,29 @@
         AfterFailure::Retry
     );
     expect_test::expect![[r#"
-        repeatable not-connected   budget true   goes again, not-run
+        repeatable not-connected   budget true   retried, not-run
         repeatable not-connected   budget false  no-budget 503, not-run
-        repeatable withdrawn       budget true   goes again, not-run
-        repeatable withdrawn       budget false  goes again, not-run
-        repeatable not-sent        budget true   goes again, not-run
+        repeatable withdrawn       budget true   retried, not-run
+        repeatable withdrawn       budget false  retried, not-run
+        repeatable not-sent        budget true   retried, not-run
         repeatable not-sent        budget false  no-budget 503, not-run
-        repeatable turned-away     budget true   goes again, not-run
+        repeatable turned-away     budget true   retried, not-run
         repeatable turned-away     budget false  no-budget 503, not-run
-        repeatable lost-after-send budget true   goes again, may-have-run
+        repeatable lost-after-send budget true   retried, may-have-run
         repeatable lost-after-send budget false  lost 502, may-have-run
-        repeatable misanswered     budget true   goes again, may-have-run
+        repeatable misanswered     budget true   retried, may-have-run
         repeatable misanswered     budget false  lost 502, may-have-run
-        repeatable silent          budget true   goes again, may-have-run
+        repeatable silent          budget true   retried, may-have-run
         repeatable silent          budget false  late 504, may-have-run
-        repeatable truncated       budget true   goes again, may-have-run
+        repeatable truncated       budget true   retried, may-have-run
         repeatable truncated       budget false  lost 502, may-have-run
-        once       not-connected   budget true   goes again, not-run
+        once       not-connected   budget true   retried, not-run
         once       not-connected   budget false  no-budget 503, not-run
-        once       withdrawn       budget true   goes again, not-run
-        once       withdrawn       budget false  goes again, not-run
-        once       not-sent        budget true   goes again, not-run
+        once       withdrawn       budget true   retried, not-run
+        once       withdrawn       budget false  retried, not-run
+        once       not-sent        budget true   retried, not-run
         once       not-sent        budget false  no-budget 503, not-run
-        once       turned-away     budget true   goes again, not-run
+        once       turned-away     budget true   retried, not-run
         once       turned-away     budget false  no-budget 503, not-run
         once       lost-after-send budget true   lost 502, may-have-run
         once       lost-after-send budget false  lost 502, may-have-run
@@ -115,7 +115,7 @@
         once       truncated       budget true   lost 502, may-have-run
         once       truncated       budget false  lost 502, may-have-run
     "#]]
-    .assert_eq(&shown);
+    .assert_eq(&table);
 }
 
 /// Every sequence of up to four attempt errors, for each kind of request, buffered or streamed, before or
@@ -123,49 +123,54 @@
 /// may have run it; the response states that the request did not run only if that is certain; a streamed
 /// body is not sent twice.
 #[test]
-fn no_sequence_of_errors_sends_a_non_idempotent_request_twice_or_promises_wrongly() {
+fn no_sequence_of_errors_sends_a_non_idempotent_request_twice_or_misstates_its_status() {
     let errors: Vec<AttemptError> = AttemptError::iter().collect();
-    let count = errors.len().pow(4);
+    let sequences = errors.len().pow(4);
     let mut ended = 0;
-    for number in 0..count {
+    for sequence in 0..sequences {
         for options in 0..16 {
-            let is = |bit: u32| options & (1 << bit) != 0;
-            let kind = if is(0) { Idempotency::NonIdempotent } else { Idempotency::Idempotent };
+            let has_option = |bit: u32| options & (1 << bit) != 0;
+            let kind =
+                if has_option(0) { Idempotency::NonIdempotent } else { Idempotency::Idempotent };
             let mut lifecycle = RequestLifecycle {
                 idempotency: kind,
-                is_replayable: is(1),
+                is_replayable: has_option(1),
                 attempts: 0,
                 ..RequestLifecycle::new()
             };
-            let mut has_touched = false;
-            let mut rest = number;
-            for turn in 0..4 {
+            let mut may_have_run = false;
+            let mut rest = sequence;
+            for position in 0..4 {
                 let error = errors[rest % errors.len()];
                 rest /= errors.len();
                 lifecycle.attempts += 1;
                 let is_sent =
                     !matches!(error, AttemptError::NotConnected | AttemptError::Withdrawn);
                 lifecycle.sends += u32::from(is_sent);
-                let is_untouched = !is_sent
+                let is_not_run = !is_sent
                     || matches!(error, AttemptError::NotSent | AttemptError::RejectedByServer);
-                has_touched |= !is_untouched;
-                let is_late = is(2) && turn == 2;
-                let next = lifecycle.attempt_failed(error, is_late, false, || !is(3) || turn < 1);
+                may_have_run |= !is_not_run;
+                let is_late = has_option(2) && position == 2;
+                let next = lifecycle
+                    .attempt_failed(error, is_late, false, || !has_option(3) || position < 1);
                 let status =
                     |rejection: Rejection| rejection.status(lifecycle.execution_status()).as_u16();
                 match next {
                     AfterFailure::Await => panic!("nothing else is in progress"),
                     AfterFailure::Retry => {
                         assert!(
-                            kind == Idempotency::Idempotent || !has_touched,
-                            "{error} sent again"
+                            kind == Idempotency::Idempotent || !may_have_run,
+                            "non-idempotent request sent again after {error}"
+                        );
+                        assert!(
+                            lifecycle.is_replayable || is_not_run,
+                            "streamed body sent again after {error}"
                         );
-                        assert!(lifecycle.is_replayable || is_untouched, "{error} sent twice");
                         assert!(!is_late);
                     }
                     AfterFailure::Reject(rejection) => {
-                        let is_promise = [408, 421, 429, 503].contains(&status(rejection));
-                        assert_eq!(is_promise, !has_touched, "{kind} {error}: {rejection}");
+                        let states_not_run = [408, 421, 429, 503].contains(&status(rejection));
+                        assert_eq!(states_not_run, !may_have_run, "{kind} {error}: {rejection}");
                         ended += 1;
                         break;
                     }
@@ -173,7 +178,7 @@
             }
         }
     }
-    assert!(ended > count, "most sequences end");
+    assert!(ended > sequences, "most sequences end");
 }
 
 /// Incident 0019: however one attempt ends, the request does not end while another attempt is in
@@ -189,7 +194,8 @@
                 ..RequestLifecycle::new()
             };
             lifecycle.record_sent();
-            let next = lifecycle.attempt_failed(error, is_late, true, || panic!("no retry"));
+            let next =
+                lifecycle.attempt_failed(error, is_late, true, || panic!("a retry was taken"));
             assert_eq!(next, AfterFailure::Await, "{error}");
             assert_eq!(lifecycle.execution_status(), ExecutionStatus::MayHaveRun);
         }
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -9,8 +9,8 @@
         Invocation::Print(text) => println!("{text}"),
         Invocation::Run(settings) => {
             node::init_logging();
-            let grace = settings.shutdown_grace;
-            node::run_on_runtime(grace, vanepath_proxy::shell::run(*settings))?;
+            let shutdown_grace = settings.shutdown_grace;
+            node::run_on_runtime(shutdown_grace, vanepath_proxy::shell::run(*settings))?;
         }
     }
     Ok(())
--- a/proxy/src/pipelining/mod.rs
+++ b/proxy/src/pipelining/mod.rs
@@ -123,8 +123,8 @@
         state.is_busy = true;
         let number = state.received;
         let mut started = state.started.remove(&number)?;
-        let is_same = started.method == method && started.target == target;
-        if is_same { started.task.take() } else { None }
+        let is_same_request = started.method == method && started.target == target;
+        if is_same_request { started.task.take() } else { None }
     }
 
     /// Whether requests behind the current one have been started. The connection must then not be closed
--- a/proxy/src/pipelining/scanner.rs
+++ b/proxy/src/pipelining/scanner.rs
@@ -30,15 +30,15 @@
     /// The number of requests found so far.
     count: u64,
     /// Whether it is unknown where the next request begins. Nothing more is scanned then.
-    has_lost_track: bool,
+    is_framing_lost: bool,
 }
 
 impl RequestScanner {
     /// Scans the next bytes of the connection. Returns the heads that became complete, of requests
     /// without a body in HTTP/1.1; other requests are only counted.
     pub fn scan(&mut self, mut bytes: &[u8]) -> Vec<RequestHead> {
-        let mut found = Vec::new();
-        while !bytes.is_empty() && !self.has_lost_track {
+        let mut heads = Vec::new();
+        while !bytes.is_empty() && !self.is_framing_lost {
             if self.body_left > 0 {
                 let skipped = (bytes.len() as u64).min(self.body_left);
                 self.body_left -= skipped;
@@ -47,19 +47,19 @@
             }
             self.partial_head.extend_from_slice(bytes);
             bytes = &[];
-            self.scan_heads(&mut found);
+            self.scan_heads(&mut heads);
         }
-        if self.has_lost_track || self.partial_head.len() > MAX_READ_AHEAD_BYTES {
-            self.has_lost_track = true;
+        if self.is_framing_lost || self.partial_head.len() > MAX_READ_AHEAD_BYTES {
+            self.is_framing_lost = true;
             self.partial_head.clear();
         }
-        found
+        heads
     }
 
     /// Consumes the complete heads that were read, and the parts of their bodies that were read.
-    fn scan_heads(&mut self, found: &mut Vec<RequestHead>) {
-        while !self.has_lost_track && self.body_left == 0 && !self.partial_head.is_empty() {
-            let Some(length) = self.parse_head(found) else { break };
+    fn scan_heads(&mut self, heads: &mut Vec<RequestHead>) {
+        while !self.is_framing_lost && self.body_left == 0 && !self.partial_head.is_empty() {
+            let Some(length) = self.parse_head(heads) else { break };
             self.partial_head.advance(length);
             let skipped = (self.partial_head.len() as u64).min(self.body_left);
             self.body_left -= skipped;
@@ -68,39 +68,44 @@
     }
 
     /// Parses the first head. Returns its length, or `None` if it is incomplete or invalid.
-    fn parse_head(&mut self, found: &mut Vec<RequestHead>) -> Option<usize> {
+    fn parse_head(&mut self, heads: &mut Vec<RequestHead>) -> Option<usize> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
         let length = match request.parse(&self.partial_head) {
             Ok(httparse::Status::Complete(length)) => length,
             Ok(httparse::Status::Partial) => return None,
             Err(_) => {
-                self.has_lost_track = true;
+                self.is_framing_lost = true;
                 return None;
             }
         };
         self.count += 1;
         let mut has_body = false;
         for header in request.headers.iter() {
-            let is = |name: &str| header.name.eq_ignore_ascii_case(name);
-            if is("content-length") {
+            let is_named = |name: &str| header.name.eq_ignore_ascii_case(name);
+            if is_named("content-length") {
                 has_body = true;
                 let text = std::str::from_utf8(header.value).unwrap_or_default();
                 match text.trim().parse::<u64>() {
                     Ok(size) => self.body_left = size,
-                    Err(_) => self.has_lost_track = true,
+                    Err(_) => self.is_framing_lost = true,
                 }
             }
             // Only the HTTP library can tell whether and where more requests follow.
-            let is_last = is("connection") && header.value.eq_ignore_ascii_case(b"close");
-            if is("transfer-encoding") || is("upgrade") || is("expect") || is_last {
+            let closes_connection =
+                is_named("connection") && header.value.eq_ignore_ascii_case(b"close");
+            if is_named("transfer-encoding")
+                || is_named("upgrade")
+                || is_named("expect")
+                || closes_connection
+            {
                 has_body = true;
-                self.has_lost_track = true;
+                self.is_framing_lost = true;
             }
         }
         if !has_body && request.version == Some(1) {
             let headers = request.headers.iter();
-            found.push(RequestHead {
+            heads.push(RequestHead {
                 number: self.count,
                 method: request.method.unwrap_or_default().to_string(),
                 target: request.path.unwrap_or_default().to_string(),
--- a/proxy/src/shell/connections.rs
+++ b/proxy/src/shell/connections.rs
@@ -2,7 +2,7 @@
 //! requests (design 8.9).
 
 use super::status;
-use crate::forward::{self, OWN_PREFIX, Proxy};
+use crate::forward::{self, ADMIN_PREFIX, Proxy};
 use crate::pipelining::{Pipeline, PipelinedStream, RequestHead, Response, TrackedBody};
 use http_body_util::BodyExt;
 use hyper::Request;
@@ -30,14 +30,14 @@
     has_admin_listener: bool,
 ) {
     let pipeline = Pipeline::new(stream);
-    let (starter, service_pipeline) = (proxy.clone(), pipeline.clone());
+    let (pipeline_proxy, service_pipeline) = (proxy.clone(), pipeline.clone());
     let stream = PipelinedStream {
         pipeline: pipeline.clone(),
-        start: Box::new(move |head| forward::start_pipelined(&starter, head)),
+        start: Box::new(move |head| forward::start_pipelined(&pipeline_proxy, head)),
     };
-    let server = proxy.clone();
+    let service_proxy = proxy.clone();
     let service = service_fn(move |request| {
-        let (proxy, pipeline) = (server.clone(), service_pipeline.clone());
+        let (proxy, pipeline) = (service_proxy.clone(), service_pipeline.clone());
         async move {
             let response = respond(&proxy, &pipeline, request, has_admin_listener).await;
             let track = |body| TrackedBody { body, pipeline }.boxed_unsync();
@@ -80,26 +80,26 @@
     request: Request<Incoming>,
     has_admin_listener: bool,
 ) -> Response {
-    let mut response = answer(proxy, pipeline, request, has_admin_listener).await;
+    let mut response = handle_request(proxy, pipeline, request, has_admin_listener).await;
     if proxy.is_draining() && !pipeline.has_started() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     response
 }
 
-async fn answer(
+async fn handle_request(
     proxy: &Arc<Proxy>,
     pipeline: &Pipeline,
     request: Request<Incoming>,
     has_admin_listener: bool,
 ) -> Response {
     let target = request.uri().path_and_query().map_or("", |target| target.as_str());
-    let started = pipeline.receive(request.method().as_str(), target);
-    let own_path = request.uri().path().strip_prefix(OWN_PREFIX);
-    if let Some(path) = own_path.filter(|_| !has_admin_listener) {
-        return status::own_page(proxy, &format!("/{path}"));
+    let started_task = pipeline.receive(request.method().as_str(), target);
+    let admin_path = request.uri().path().strip_prefix(ADMIN_PREFIX);
+    if let Some(path) = admin_path.filter(|_| !has_admin_listener) {
+        return status::admin_page(proxy, &format!("/{path}"));
     }
-    if let Some(task) = started
+    if let Some(task) = started_task
         && let Ok(response) = (AbortOnDrop { task }).await
     {
         return response;
--- a/proxy/src/shell/maintenance.rs
+++ b/proxy/src/shell/maintenance.rs
@@ -44,11 +44,11 @@
     revision: TableRevision,
     /// The version of the traffic-shift plan that was applied last, and the revision of the routing
     /// table to which it was applied.
-    plan: Option<(wire::PlanVersion, TableRevision)>,
+    applied_plan: Option<(wire::PlanVersion, TableRevision)>,
     probe_schedule: ProbeSchedule,
     reporter: ObservationReporter,
     /// The revision of the table and the number of live nodes for which the subset was assigned last.
-    subset: Option<(TableRevision, usize)>,
+    assigned_subset: Option<(TableRevision, usize)>,
     subset_due_at: Duration,
 }
 
@@ -60,7 +60,7 @@
     async fn handle(&mut self, _: Tick, _: &mut xtra::Context<Self>) {
         let view = self.proxy.node.table.load_full();
         let now = self.proxy.node.clock.now();
-        self.adopt(now, &view);
+        self.update_from_view(now, &view);
         self.tick_endpoints(now, &view);
         self.publish(now, &view).await;
     }
@@ -71,22 +71,22 @@
         MaintenanceActor {
             proxy,
             revision: TableRevision::new(u64::MAX, u64::MAX),
-            plan: None,
+            applied_plan: None,
             probe_schedule: ProbeSchedule::default(),
             reporter: ObservationReporter::default(),
-            subset: None,
+            assigned_subset: None,
             subset_due_at: Duration::ZERO,
         }
     }
 
     /// Updates the classes and the routing table if there is a new config or endpoint list.
-    fn adopt(&mut self, now: Duration, view: &ClusterView) {
+    fn update_from_view(&mut self, now: Duration, view: &ClusterView) {
         let revision = revision_of(view);
         if revision == self.revision {
             return;
         }
         if self.revision.config != revision.config {
-            self.adopt_config(view);
+            self.apply_config(view);
         }
         self.revision = revision;
         self.probe_schedule.invalidate();
@@ -107,7 +107,7 @@
         }
     }
 
-    fn adopt_config(&self, view: &ClusterView) {
+    fn apply_config(&self, view: &ClusterView) {
         let mut admission = self.proxy.admission.lock().expect("no panic under this lock");
         admission.apply_config(&view.config);
         let woken = admission.wake();
@@ -124,13 +124,13 @@
         proxy.live_proxies.store(live_proxies(view), Ordering::Relaxed);
         let table = proxy.endpoints.table.load_full();
         let plan = view.plan.version();
-        if self.plan != Some((plan, self.revision)) {
-            self.plan = Some((plan, self.revision));
+        if self.applied_plan != Some((plan, self.revision)) {
+            self.applied_plan = Some((plan, self.revision));
             proxy.endpoints.apply_plan(now, &view.plan);
         }
         let live_nodes = view.live.len();
-        if self.subset != Some((self.revision, live_nodes)) || now >= self.subset_due_at {
-            self.subset = Some((self.revision, live_nodes));
+        if self.assigned_subset != Some((self.revision, live_nodes)) || now >= self.subset_due_at {
+            self.assigned_subset = Some((self.revision, live_nodes));
             self.subset_due_at = now + SUBSET_INTERVAL;
             proxy.endpoints.assign_subset(view, &proxy.node.info);
         }
--- a/proxy/src/shell/mod.rs
+++ b/proxy/src/shell/mod.rs
@@ -20,7 +20,7 @@
 /// steering response, but at most half of the grace period.
 const DRAIN_DELAY: Duration = Duration::from_millis(3500);
 /// How long before the end of the grace period the requests that no server has received are rejected.
-const LAST_CALL_MARGIN: Duration = Duration::from_millis(400);
+const REJECT_WAITING_MARGIN: Duration = Duration::from_millis(400);
 /// How long a client may take to send the head of a request.
 const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(30);
 /// The buffer of the HTTP library for one client, in bytes.
@@ -66,21 +66,21 @@
     /// close them.
     pub stop_accepting: watch::Receiver<bool>,
     /// Requests that no server has received are rejected.
-    pub last_call: watch::Receiver<bool>,
+    pub reject_waiting: watch::Receiver<bool>,
 }
 
 impl DrainSchedule {
     fn spawn(node: &Node) -> DrainSchedule {
         let grace = node.settings.shutdown_grace;
         DrainSchedule {
-            stop_accepting: turns_true_after_stop(node, DRAIN_DELAY.min(grace / 2)),
-            last_call: turns_true_after_stop(node, grace.saturating_sub(LAST_CALL_MARGIN)),
+            stop_accepting: delayed_stop_signal(node, DRAIN_DELAY.min(grace / 2)),
+            reject_waiting: delayed_stop_signal(node, grace.saturating_sub(REJECT_WAITING_MARGIN)),
         }
     }
 }
 
 /// Returns a channel that turns true `delay` after the signal to stop.
-fn turns_true_after_stop(node: &Node, delay: Duration) -> watch::Receiver<bool> {
+fn delayed_stop_signal(node: &Node, delay: Duration) -> watch::Receiver<bool> {
     let (sender, receiver) = watch::channel(false);
     let mut stop = node.stop.clone();
     tokio::spawn(async move {
@@ -99,15 +99,15 @@
     let listener = node::bind("pagesListen", address).await?;
     let proxy = proxy.clone();
     let pages = move |request: Request<Incoming>| {
-        let response = status::own_page(&proxy, request.uri().path());
+        let response = status::admin_page(&proxy, request.uri().path());
         async move { response }
     };
     // Served until the process ends, so that readiness can be queried during the whole shutdown.
-    let (sender, never) = watch::channel(false);
+    let (sender, never_stop) = watch::channel(false);
     let http = HttpSettings::default();
     tokio::spawn(async move {
         let _sender = sender;
-        node::serve_http(listener, never, http, pages).await;
+        node::serve_http(listener, never_stop, http, pages).await;
     });
     Ok(true)
 }
--- a/proxy/src/shell/status.rs
+++ b/proxy/src/shell/status.rs
@@ -12,7 +12,7 @@
 use vanepath_cluster::node::{self, Body, ClusterView};
 
 /// Returns one of the pages that all programs have in common, or `/v1/status`; 404 for any other path.
-pub(super) fn own_page(proxy: &Proxy, path: &str) -> Response<Body> {
+pub(super) fn admin_page(proxy: &Proxy, path: &str) -> Response<Body> {
     let ready = proxy.is_ready.load(Ordering::Relaxed);
     let write_metrics = |metrics: &mut JsonValue| proxy.counters.write_json(metrics);
     if let Some(page) = node::common_pages(&proxy.node, path, ready, write_metrics) {
--- a/proxy/src/throttled_body/tests.rs
+++ b/proxy/src/throttled_body/tests.rs
@@ -6,11 +6,11 @@
 use std::sync::{Arc, Mutex};
 use std::task::{Context, Poll};
 
-/// A body with frames of these lengths. Before each frame and the end, `pauses` polls are pending.
+/// A body with frames of these lengths. Before each frame and the end, `pending_polls` polls are pending.
 struct SlowBody {
     lengths: Vec<usize>,
-    pauses: usize,
-    paused: usize,
+    pending_polls: usize,
+    pending_polls_done: usize,
 }
 
 impl Body for SlowBody {
@@ -21,12 +21,12 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
-        if self.paused < self.pauses {
-            self.paused += 1;
+        if self.pending_polls_done < self.pending_polls {
+            self.pending_polls_done += 1;
             context.waker().wake_by_ref();
             return Poll::Pending;
         }
-        self.paused = 0;
+        self.pending_polls_done = 0;
         if self.lengths.is_empty() {
             return Poll::Ready(None);
         }
@@ -36,7 +36,7 @@
 }
 
 /// Returns the lengths for which permits were requested, and those of the chunks that were passed on.
-fn throttled(lengths: &[usize], pauses: usize) -> (Vec<usize>, Vec<usize>) {
+fn throttled(lengths: &[usize], pending_polls: usize) -> (Vec<usize>, Vec<usize>) {
     let requested = Arc::new(Mutex::new(Vec::new()));
     let record = requested.clone();
     let request_permit = move |bytes: usize| -> BandwidthPermit {
@@ -44,24 +44,28 @@
         // The permit is not granted at once.
         Box::pin(tokio::task::yield_now())
     };
-    let body = SlowBody { lengths: lengths.to_vec(), pauses, paused: 0 };
+    let body = SlowBody { lengths: lengths.to_vec(), pending_polls, pending_polls_done: 0 };
     let mut body = ThrottledBody::new(body, request_permit);
-    let mut came = Vec::new();
+    let mut received = Vec::new();
     tokio::runtime::Builder::new_current_thread().build().unwrap().block_on(async {
         while let Some(frame) = body.frame().await {
-            came.push(frame.unwrap().into_data().unwrap().len());
+            received.push(frame.unwrap().into_data().unwrap().len());
         }
     });
     let requested = requested.lock().unwrap().clone();
-    (requested, came)
+    (requested, received)
 }
 
 /// A slow body is charged only for its bytes, however many polls are pending.
 #[test]
 fn each_byte_is_charged_once() {
-    for pauses in [0, 1, 5] {
-        let (requested, came) = throttled(&[1000, 20_000, 0, 8192, 8193], pauses);
-        assert_eq!(requested, [1000, 8192, 8192, 3616, 0, 8192, 8192, 1], "after {pauses} pauses");
-        assert_eq!(came, requested);
+    for pending_polls in [0, 1, 5] {
+        let (requested, received) = throttled(&[1000, 20_000, 0, 8192, 8193], pending_polls);
+        assert_eq!(
+            requested,
+            [1000, 8192, 8192, 3616, 0, 8192, 8192, 1],
+            "after {pending_polls} pending polls"
+        );
+        assert_eq!(received, requested);
     }
 }
--- a/proxy/tests/idle_connections.rs
+++ b/proxy/tests/idle_connections.rs
@@ -35,7 +35,7 @@
     Duration::from_millis(count)
 }
 
-fn idle(
+fn idle_connection(
     connection: &'static str,
     keep_alive: Duration,
     is_used: bool,
@@ -43,7 +43,11 @@
     IdleConnection { connection, verified_at: ms(0), idle_since: ms(1000), keep_alive, is_used }
 }
 
-fn taken(endpoints: &Endpoints<&'static str>, slot: usize, now: Duration) -> Option<&'static str> {
+fn take_idle(
+    endpoints: &Endpoints<&'static str>,
+    slot: usize,
+    now: Duration,
+) -> Option<&'static str> {
     endpoints.take_idle(now, slot, |_| true).map(|idle| idle.connection)
 }
 
@@ -51,7 +55,7 @@
 /// the server closes the connection would be lost.
 #[test]
 fn no_connection_is_used_that_its_server_may_be_about_to_close() {
-    for (kept_ms, idle_ms, is_used) in [
+    for (keep_alive_ms, idle_ms, is_reused) in [
         (2000, 1299, true),
         (2000, 1300, false),
         (2000, 1999, false),
@@ -63,11 +67,15 @@
         (60_000, MAX_IDLE_TIME.as_millis() as u64, false),
     ] {
         let (endpoints, slot) = endpoints();
-        endpoints.put_idle(slot, idle("one", ms(kept_ms), true));
-        let found = taken(&endpoints, slot, ms(1000 + idle_ms));
-        assert_eq!(found.is_some(), is_used, "kept for {kept_ms} ms, idle for {idle_ms} ms");
+        endpoints.put_idle(slot, idle_connection("one", ms(keep_alive_ms), true));
+        let found = take_idle(&endpoints, slot, ms(1000 + idle_ms));
+        assert_eq!(
+            found.is_some(),
+            is_reused,
+            "kept for {keep_alive_ms} ms, idle for {idle_ms} ms"
+        );
         // A connection that is not used is closed and cannot be taken later.
-        assert_eq!(taken(&endpoints, slot, ms(1050)), None);
+        assert_eq!(take_idle(&endpoints, slot, ms(1050)), None);
     }
 }
 
@@ -75,11 +83,11 @@
 #[test]
 fn no_connection_is_used_before_it_has_settled() {
     let (endpoints, slot) = endpoints();
-    endpoints.put_idle(slot, idle("one", ms(5000), true));
-    assert_eq!(taken(&endpoints, slot, ms(1000) + SETTLE_TIME - ms(1)), None);
-    assert_eq!(taken(&endpoints, slot, ms(1000) + SETTLE_TIME), Some("one"));
+    endpoints.put_idle(slot, idle_connection("one", ms(5000), true));
+    assert_eq!(take_idle(&endpoints, slot, ms(1000) + SETTLE_TIME - ms(1)), None);
+    assert_eq!(take_idle(&endpoints, slot, ms(1000) + SETTLE_TIME), Some("one"));
     assert_eq!(
-        taken(&endpoints, slot, ms(1000) + SETTLE_TIME),
+        take_idle(&endpoints, slot, ms(1000) + SETTLE_TIME),
         None,
         "it is used by one request at a time"
     );
@@ -90,25 +98,25 @@
 #[test]
 fn a_desynchronized_servers_connections_carry_one_request() {
     let (endpoints, slot) = endpoints();
-    endpoints.put_idle(slot, idle("before", ms(5000), true));
+    endpoints.put_idle(slot, idle_connection("idle before", ms(5000), true));
     assert!(endpoints.mark_desynchronized(slot), "it was not marked before");
     assert!(!endpoints.mark_desynchronized(slot) && endpoints.is_desynchronized(slot));
-    assert_eq!(taken(&endpoints, slot, ms(1100)), None);
-    endpoints.put_idle(slot, idle("used", ms(5000), true));
-    assert_eq!(taken(&endpoints, slot, ms(1100)), None);
-    endpoints.put_idle(slot, idle("greeted only", ms(5000), false));
-    assert_eq!(taken(&endpoints, slot, ms(1100)), Some("greeted only"));
+    assert_eq!(take_idle(&endpoints, slot, ms(1100)), None);
+    endpoints.put_idle(slot, idle_connection("used", ms(5000), true));
+    assert_eq!(take_idle(&endpoints, slot, ms(1100)), None);
+    endpoints.put_idle(slot, idle_connection("health check only", ms(5000), false));
+    assert_eq!(take_idle(&endpoints, slot, ms(1100)), Some("health check only"));
 }
 
 /// A refused connection shows that no server is listening: earlier connections are no longer trusted.
 #[test]
 fn a_refused_connection_closes_idle_ones() {
     let (endpoints, slot) = endpoints();
-    endpoints.put_idle(slot, idle("one", ms(5000), true));
+    endpoints.put_idle(slot, idle_connection("one", ms(5000), true));
     endpoints.record_failure(ms(1050), slot, Failure::Broken);
-    endpoints.put_idle(slot, idle("two", ms(5000), true));
+    endpoints.put_idle(slot, idle_connection("two", ms(5000), true));
     endpoints.record_failure(ms(1060), slot, Failure::Refused);
-    assert_eq!(taken(&endpoints, slot, ms(1100)), None);
+    assert_eq!(take_idle(&endpoints, slot, ms(1100)), None);
 }
 
 /// For any number of proxies, all their idle connections to a server together are at most half of those
