--- a/proxy/src/admission.rs
+++ b/proxy/src/admission.rs
@@ -1,6 +1,6 @@
 //! Admission control by class of service: concurrency limits, borrowing between classes, and bounded
-//! queues ordered by priority and deadline (design 8.4). Pure: the caller supplies the time and wakes
-//! the requests that are returned to it.
+//! queues ordered by priority and deadline (design 8.4). Pure: the caller supplies the time and passes
+//! the slots on to the queued requests that are returned as admitted.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
@@ -21,7 +21,7 @@
 
 /// A queued request that has been admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Woken {
+pub struct AdmittedRequest {
     /// The ticket from [`Admission::Queued`].
     pub ticket: u64,
     /// The slot that the request holds from now on.
@@ -205,19 +205,19 @@
     }
 
     /// Releases a slot and admits the queued requests that fit now.
-    pub fn release(&mut self, slot: AdmissionSlot) -> Vec<Woken> {
+    pub fn release(&mut self, slot: AdmissionSlot) -> Vec<AdmittedRequest> {
         self.classes[slot.lender].in_flight -= 1;
         if slot.lender != slot.class
             && let Some(borrowed) = self.classes[slot.class].borrowed.get_mut(&slot.lender)
         {
             *borrowed -= 1;
         }
-        self.wake()
+        self.admit_queued()
     }
 
     /// Admits the queued requests that fit, in the order of the queue.
-    pub fn wake(&mut self) -> Vec<Woken> {
-        let mut woken = Vec::new();
+    pub fn admit_queued(&mut self) -> Vec<AdmittedRequest> {
+        let mut admitted = Vec::new();
         let queued: Vec<(QueuePosition, usize)> =
             self.queue.iter().map(|(position, class)| (*position, *class)).collect();
         let mut is_full = vec![false; self.classes.len()];
@@ -230,12 +230,12 @@
                     self.occupy(slot);
                     self.queue.remove(&position);
                     self.classes[class].queued -= 1;
-                    woken.push(Woken { ticket: position.ticket, slot });
+                    admitted.push(AdmittedRequest { ticket: position.ticket, slot });
                 }
                 None => is_full[class] = true,
             }
         }
-        woken
+        admitted
     }
 
     /// The usage of each class, in the order of the config.
--- a/proxy/src/admission/tests.rs
+++ b/proxy/src/admission/tests.rs
@@ -51,12 +51,12 @@
     let Admission::Queued(early) = admission.request_slot(0, seconds(5)) else { panic!() };
     assert_eq!(admission.request_slot(0, seconds(5)), Admission::QueueFull);
     let first = admission.release(slots[0]);
-    assert_eq!(first.iter().map(|woken| woken.ticket).collect::<Vec<_>>(), [early]);
+    assert_eq!(first.iter().map(|request| request.ticket).collect::<Vec<_>>(), [early]);
     // A request that left the queue is never woken.
     admission.remove_queued(late);
     assert_eq!(admission.release(slots[1]), []);
     let last = admission.release(bulk);
-    assert_eq!(last.iter().map(|woken| woken.ticket).collect::<Vec<_>>(), [bulk_queued]);
+    assert_eq!(last.iter().map(|request| request.ticket).collect::<Vec<_>>(), [bulk_queued]);
 }
 
 fn config_of(names: &[&str]) -> Config {
--- a/proxy/src/forward/admission.rs
+++ b/proxy/src/forward/admission.rs
@@ -128,10 +128,10 @@
     proxy.counters.increment(Counter::Queued);
     let entry = QueueEntry { proxy: proxy.clone(), ticket };
     let time_left = deadline.saturating_sub(proxy.now());
-    let woken = tokio::time::timeout(time_left, &mut receiver).await;
+    let received_slot = tokio::time::timeout(time_left, &mut receiver).await;
     // Removes the request from the queue. A slot that was granted just before is in the channel.
     drop(entry);
-    let slot = match woken {
+    let slot = match received_slot {
         Ok(Ok(slot)) => Some(slot),
         _ => receiver.try_recv().ok(),
     };
--- a/proxy/src/forward/state.rs
+++ b/proxy/src/forward/state.rs
@@ -1,6 +1,6 @@
 //! The state that all requests of a proxy share, and its counters.
 
-use crate::admission::{AdmissionControl, AdmissionSlot, Woken};
+use crate::admission::{AdmissionControl, AdmissionSlot, AdmittedRequest};
 use crate::bandwidth_limiter::BandwidthLimiter;
 use crate::client_deadlines::ClientDeadlines;
 use crate::connector::Sender;
@@ -214,20 +214,20 @@
 
     /// Passes slots to the queued requests that admission control has admitted. The slot of a request
     /// whose client has disconnected in the meantime is released again.
-    pub fn wake(&self, mut woken: Vec<Woken>) {
-        while let Some(Woken { ticket, slot }) = woken.pop() {
+    pub fn pass_slots(&self, mut admitted: Vec<AdmittedRequest>) {
+        while let Some(AdmittedRequest { ticket, slot }) = admitted.pop() {
             let request = self.queued.lock().expect("no panic under this lock").remove(&ticket);
             let has_disconnected = request.is_none_or(|request| request.send(slot).is_err());
             if has_disconnected {
                 let mut admission = self.admission.lock().expect("no panic under this lock");
-                woken.extend(admission.release(slot));
+                admitted.extend(admission.release(slot));
             }
         }
     }
 
     pub(super) fn release_slot(&self, slot: AdmissionSlot) {
-        let woken = self.admission.lock().expect("no panic under this lock").release(slot);
-        self.wake(woken);
+        let admitted = self.admission.lock().expect("no panic under this lock").release(slot);
+        self.pass_slots(admitted);
     }
 
     /// Takes one retry from the budget of the service, if there is one left.
--- a/proxy/src/shell/maintenance.rs
+++ b/proxy/src/shell/maintenance.rs
@@ -110,9 +110,9 @@
     fn apply_config(&self, view: &ClusterView) {
         let mut admission = self.proxy.admission.lock().expect("no panic under this lock");
         admission.apply_config(&view.config);
-        let woken = admission.wake();
+        let admitted = admission.admit_queued();
         drop(admission);
-        self.proxy.wake(woken);
+        self.proxy.pass_slots(admitted);
         let mut request_rates = self.proxy.request_rates.lock().expect("no panic under this lock");
         request_rates
             .set_services(view.config.services.iter().map(|service| service.name.as_str()));
--- a/testbed/src/sim/traffic/proxies.rs
+++ b/testbed/src/sim/traffic/proxies.rs
@@ -24,7 +24,7 @@
         let mut woken = Vec::new();
         if proxy.table_revision.is_none_or(|old| old.config != revision.config) {
             proxy.admission.apply_config(&view.config);
-            woken = proxy.admission.wake();
+            woken = proxy.admission.admit_queued();
             proxy
                 .request_rates
                 .set_services(view.config.services.iter().map(|one| one.name.as_str()));
--- a/testbed/src/sim/traffic/requests.rs
+++ b/testbed/src/sim/traffic/requests.rs
@@ -10,7 +10,7 @@
 use vanepath_cluster::gossip;
 use vanepath_config::ExecutionStatus;
 use vanepath_config::model::Idempotency;
-use vanepath_proxy::admission::{Admission, Woken};
+use vanepath_proxy::admission::{Admission, AdmittedRequest};
 use vanepath_proxy::endpoints;
 use vanepath_proxy::lifecycle::{Rejection, RequestLifecycle, RequestState};
 
@@ -126,8 +126,8 @@
     }
 
     /// Goes on with requests that the admission queue let through.
-    pub(super) fn resume_admitted(&mut self, index: usize, woken: Vec<Woken>) {
-        for Woken { ticket, slot } in woken {
+    pub(super) fn resume_admitted(&mut self, index: usize, woken: Vec<AdmittedRequest>) {
+        for AdmittedRequest { ticket, slot } in woken {
             let RoleState::Proxy(proxy) = &mut self.nodes[index].role_state else { return };
             let Some(progress_id) = proxy.queued.remove(&ticket) else { continue };
             if let Some(progress) = proxy.in_progress.get_mut(&progress_id) {
