--- a/proxy/src/admission.rs
+++ b/proxy/src/admission.rs
@@ -9,7 +9,7 @@
 /// The concurrency limit of a lending class is divided by this; the result is never lent.
 const RESERVED_FRACTION_DIVISOR: u64 = 8;
 
-/// A slot in use: one request in flight.
+/// A slot in use. One request in flight holds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionSlot {
     /// The index of the class of the request.
@@ -35,7 +35,7 @@
     pub name: String,
     /// The concurrency limit of the class on this proxy, in requests.
     pub max_in_flight: u64,
-    /// Requests that count against the limit, those of borrowing classes included.
+    /// Requests that count against the limit, including those of borrowing classes.
     pub in_flight: u64,
     /// Requests of the class that wait for a slot.
     pub queued: u64,
@@ -88,7 +88,7 @@
 /// Admits requests up to the limit of their class and queues the others.
 #[derive(Default)]
 pub struct AdmissionControl {
-    /// Slots in use refer to classes by their index here, which never changes.
+    /// Slots in use refer to classes by their index here. It does not change before the class is idle.
     classes: Vec<ClassSlots>,
     /// The indices of the active config's classes, in its order.
     config_order: Vec<usize>,
@@ -96,7 +96,7 @@
     last_ticket: u64,
 }
 
-/// The outcome for a request that needs a slot.
+/// The outcome of a request for a slot.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Admission {
     /// The request holds this slot until it is released.
@@ -154,7 +154,7 @@
         self.classes.iter().position(|class| class.name == name)
     }
 
-    /// A free slot for a request of this class: one of its own, or else a borrowed one.
+    /// Finds a free slot for a request of this class: one of its own, or else one that it may borrow.
     fn free_slot(&self, class: usize) -> Option<AdmissionSlot> {
         let own = &self.classes[class];
         if own.in_flight < own.max_in_flight {
--- a/proxy/src/admission/tests.rs
+++ b/proxy/src/admission/tests.rs
@@ -52,7 +52,7 @@
     assert_eq!(admission.request_slot(0, seconds(5)), Admission::QueueFull);
     let first = admission.release(slots[0]);
     assert_eq!(first.iter().map(|request| request.ticket).collect::<Vec<_>>(), [early]);
-    // A request that left the queue is never woken.
+    // A request that was removed from the queue is not admitted later.
     admission.remove_queued(late);
     assert_eq!(admission.release(slots[1]), []);
     let last = admission.release(bulk);
--- a/proxy/src/connector.rs
+++ b/proxy/src/connector.rs
@@ -35,12 +35,12 @@
 /// The maximum size of the HTTP library's buffer, in bytes.
 const MAX_BUFFER_BYTES: usize = 64 << 10;
 
-/// What a server stated in its response to a health check.
+/// What a server states in its response to a health check.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HandshakeResponse {
     /// Whether the server is still warming up.
     pub is_warming_up: bool,
-    /// The load in thousandths of the server's capacity, if it stated one.
+    /// The load in thousandths of the server's capacity, if it states one.
     pub load_milli: Option<u32>,
 }
 
--- a/proxy/src/forward/admission.rs
+++ b/proxy/src/forward/admission.rs
@@ -1,4 +1,4 @@
-//! Waits of a request for the readiness of this proxy and for a slot of its class (design 5.5, 8.4).
+//! Lets requests wait for the readiness of this proxy and for a slot of their class (design 5.5, 8.4).
 
 use super::{Counter, Proxy};
 use crate::admission::{Admission, AdmissionSlot};
--- a/proxy/src/forward/attempt.rs
+++ b/proxy/src/forward/attempt.rs
@@ -43,9 +43,9 @@
 /// The server that was selected for an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SelectedEndpoint {
-    /// Its index in the routing table.
+    /// The index of the server in the routing table.
     pub index: usize,
-    /// The index of the service that it was selected for.
+    /// The index of the service for which it was selected.
     pub service: usize,
 }
 
@@ -108,7 +108,7 @@
         SendRecord { sent_at, slowdown: self.proxy.endpoints.slowdown(sent_at, slot) }
     }
 
-    /// Sends the request and waits for its response until the deadline.
+    /// Sends the request and waits for its response, at most until the deadline.
     pub async fn exchange(
         &self,
         mut connection: VerifiedConnection,
@@ -121,7 +121,7 @@
         let sent = tokio::time::timeout_at(deadline, sending).await;
         let sent = sent.map_err(|_| AttemptError::TimedOut)?;
         let response = sent.map_err(|mut error| match error.take_message() {
-            // The library gives the message back if it had not begun to write it.
+            // The HTTP library returns the message if it has not begun to write it.
             Some(_) => AttemptError::NotSent,
             None => AttemptError::LostAfterSend,
         })?;
--- a/proxy/src/forward/hedging.rs
+++ b/proxy/src/forward/hedging.rs
@@ -19,8 +19,8 @@
             return None;
         }
         let now = self.proxy.now();
-        let left = self.timing.deadline.saturating_sub(now);
-        lifecycle.hedge_after(left).map(|delay| now + delay)
+        let time_left = self.timing.deadline.saturating_sub(now);
+        lifecycle.hedge_after(time_left).map(|delay| now + delay)
     }
 
     /// Sends the request to another server in addition if that is possible now. If it is not, the
--- a/proxy/src/forward/pending.rs
+++ b/proxy/src/forward/pending.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// What the future of an attempt yields.
+/// The output of the future of an attempt.
 enum Progress {
     Connected(Attempt, Result<VerifiedConnection, AttemptError>),
     Ended(Attempt, Result<UpstreamResponse, AttemptError>),
--- a/proxy/src/forward/rejection.rs
+++ b/proxy/src/forward/rejection.rs
@@ -71,7 +71,8 @@
     if proxy.is_draining() {
         let waited_ms = waited.as_millis();
         log::warn!(
-            "request rejected while draining ({rejection}): server {server} had it for {waited_ms} ms"
+            "request rejected while draining ({rejection}): \
+             server {server} had not responded for {waited_ms} ms"
         );
     }
 }
--- a/proxy/src/forward/response.rs
+++ b/proxy/src/forward/response.rs
@@ -27,7 +27,7 @@
 /// Responses up to this size, in bytes, are buffered completely before they are relayed.
 const MAX_BUFFERED_BYTES: usize = 64 << 10;
 
-/// A response whose head was received.
+/// The response of a server whose head has been received.
 pub(super) struct UpstreamResponse {
     pub head: response::Parts,
     pub body: UpstreamBody,
--- a/proxy/src/forward/retry.rs
+++ b/proxy/src/forward/retry.rs
@@ -49,7 +49,7 @@
 pub(super) struct AttemptLoop<'p> {
     pub proxy: &'p Arc<Proxy>,
     pub route: Route,
-    /// The class of the rule that the request matched first, before any change of the config.
+    /// The class of the rule that the request matched on arrival. It remains when the config changes.
     class: Class,
     pub timing: RequestTiming,
     /// The service that was picked for the request.
@@ -224,7 +224,7 @@
         self.pending.connect(attempt, lifecycle.idempotency);
     }
 
-    /// Waits for the readiness of this proxy again: the process may have been paused since the first
+    /// Waits again for the readiness of this proxy: the process may have been paused since the first
     /// attempt.
     async fn wait_until_ready_again(&mut self) -> Result<(), Rejection> {
         let ready = wait_until_ready(self.proxy, self.proxy.now());
@@ -260,7 +260,7 @@
         if now >= deadline {
             return Err(Rejection::DeadlineExceeded);
         }
-        // The latest view, for zones that were drained after the request arrived.
+        // The latest view also has the zones that were drained after the request arrived.
         let view = proxy.node.table.load();
         let drained_zones = &view.committed.drained_zones;
         let context = SelectionContext {
@@ -354,7 +354,7 @@
         Ok(())
     }
 
-    /// Handles a failed attempt. Returns `Ok` if the request continues.
+    /// Handles a failed attempt: continues with another one, or returns the rejection of the request.
     async fn on_failure(
         &mut self,
         attempt: Attempt,
--- a/proxy/src/forward/routing.rs
+++ b/proxy/src/forward/routing.rs
@@ -72,7 +72,7 @@
         Ok(())
     }
 
-    /// The rule itself.
+    /// The rule that applies to the request.
     pub fn rule(&self) -> &Rule {
         &self.table.config.rules[self.rule]
     }
@@ -161,7 +161,7 @@
     pub limit: Duration,
     /// When the limit is reached, on the clock of the node.
     pub deadline: Duration,
-    /// Whether earlier attempts of the client have probably used up the latency target.
+    /// Whether the client has probably used up the latency target with earlier attempts.
     pub is_past_latency_target: bool,
 }
 
--- a/proxy/src/forward/state.rs
+++ b/proxy/src/forward/state.rs
@@ -101,9 +101,9 @@
         ConnectionsFailed,
         /// Idle connections that were reused for requests.
         ConnectionsReused,
-        /// Health checks.
+        /// Active health checks of servers.
         Probes,
-        /// Health checks that failed.
+        /// Active health checks of servers that failed.
         ProbesFailed,
         /// Responses that were cut short, or whose end could not be proved, before any part was relayed.
         #[strum(serialize = "receiptsTruncated")]
@@ -118,7 +118,7 @@
         LoadReportsInvalid,
         /// Requests admitted at once to a slot borrowed from another class.
         Borrowed,
-        /// Requests that waited for a slot.
+        /// Requests that were queued for a slot of their class.
         Queued,
     }
 }
@@ -207,7 +207,8 @@
         self.node.clock.now()
     }
 
-    /// Converts a time on the clock of the node for the runtime's timers; a past time becomes the present.
+    /// Converts a time on the clock of the node to an instant of the runtime's timers. A time in the past
+    /// becomes the present.
     pub(super) fn timer_instant(&self, at: Duration) -> Instant {
         Instant::now() + at.saturating_sub(self.now())
     }
@@ -269,7 +270,7 @@
         self.record_outcome(slot, id, Err(AttemptError::TimedOut));
     }
 
-    /// Records the response to a request that was overdue.
+    /// Records that the server with this slot and id has responded to an overdue request.
     pub(super) fn record_late_response(&self, slot: usize, id: &str) {
         if let Some(phase) = self.endpoints.record_late_response(self.now(), slot) {
             self.has_unreported_changes.store(true, Ordering::Relaxed);
--- a/proxy/src/lifecycle.rs
+++ b/proxy/src/lifecycle.rs
@@ -50,14 +50,14 @@
     /// This proxy does not know the committed config yet, or is about to stop before any server has
     /// received the request.
     NotReady,
-    /// This proxy just started and cannot learn the read index of its earlier incarnation, while
-    /// others accept work (design 5.8).
+    /// This proxy has just started and cannot learn the read index of its earlier incarnation, while
+    /// other proxies accept requests (design 5.8).
     #[strum(serialize = "below-floor")]
     BelowReadIndex,
     /// The queue of the request's class is full.
     #[strum(serialize = "no-room")]
     QueueFull,
-    /// No server is left that could be tried.
+    /// No server is left to try.
     NoServer,
     /// The request would miss its deadline in the queue of every server.
     #[strum(serialize = "crowded")]
@@ -180,14 +180,14 @@
         }
     }
 
-    /// How long to wait for a response before another server is tried in addition: a third of `left`,
-    /// the time that is left to the request. Applies again after each such wait. `None` for a request
-    /// that must not be sent again, or whose time is too short.
-    pub fn hedge_after(&self, left: Duration) -> Option<Duration> {
+    /// How long to wait for a response before another server is tried in addition: a third of the time
+    /// that is left until the deadline. This applies again after each such wait. `None` for a request
+    /// that must not be sent again, or whose time left is too short.
+    pub fn hedge_after(&self, time_left: Duration) -> Option<Duration> {
         let may_hedge =
             self.idempotency == Idempotency::Idempotent && self.is_replayable && self.may_retry();
-        let delay = (left / 3).max(MIN_HEDGE_DELAY);
-        (may_hedge && delay < left).then_some(delay)
+        let delay = (time_left / 3).max(MIN_HEDGE_DELAY);
+        (may_hedge && delay < time_left).then_some(delay)
     }
 
     /// Records that the request is sent in an attempt now.
@@ -267,14 +267,14 @@
         }
     }
 
-    /// The time after which a retry makes sense, if the request has the time `left`. The random number
-    /// `draw` spreads the retries of clients after an overload of the servers; they come early enough
-    /// for the request to be served in its time.
-    pub fn retry_after(self, left: Duration, draw: u64) -> Option<Duration> {
+    /// The time after which a retry makes sense for a request with this time limit. After an overload of
+    /// the servers, `random` spreads the retries of clients, early enough for the request to be served
+    /// within its limit.
+    pub fn retry_after(self, time_limit: Duration, random: u64) -> Option<Duration> {
         let delay_ms = match self {
             Rejection::Congested => {
-                let drawn_ms = 600 + draw % 401;
-                drawn_ms.min(left.as_millis() as u64 / 4)
+                let spread_ms = 600 + random % 401;
+                spread_ms.min(time_limit.as_millis() as u64 / 4)
             }
             Rejection::NoServer | Rejection::QueueFull => 100,
             Rejection::NotReady | Rejection::BelowReadIndex => 300,
--- a/proxy/src/lifecycle/tests.rs
+++ b/proxy/src/lifecycle/tests.rs
@@ -8,9 +8,9 @@
 #[test]
 fn retries_after_overload_are_spread() {
     let ms = Duration::from_millis;
-    let after = |left, draw| Rejection::Congested.retry_after(ms(left), draw).unwrap();
+    let after = |limit, random| Rejection::Congested.retry_after(ms(limit), random).unwrap();
     assert_eq!((after(5000, 0), after(5000, 400)), (ms(600), ms(1000)));
-    assert!((0..1000).all(|draw| after(1200, draw) <= ms(300)));
+    assert!((0..1000).all(|random| after(1200, random) <= ms(300)));
     assert_eq!(Rejection::NoServer.retry_after(ms(10), 7), Some(ms(100)));
 }
 
--- a/proxy/src/pipelining/mod.rs
+++ b/proxy/src/pipelining/mod.rs
@@ -59,7 +59,7 @@
     scanner: RequestScanner,
     /// How many requests the library has passed to the service.
     received: u64,
-    /// Whether the last of them is still in flight.
+    /// Whether the last request that the library passed on is still in flight.
     is_busy: bool,
     /// The requests that were started before their turn, by their number on the connection.
     started: BTreeMap<u64, StartedRequest>,
--- a/proxy/src/pipelining/scanner.rs
+++ b/proxy/src/pipelining/scanner.rs
@@ -12,11 +12,11 @@
 pub struct RequestHead {
     /// The number of the request on its connection, from 1.
     pub number: u64,
-    /// As in the request line.
+    /// The method, as in the request line.
     pub method: String,
     /// The request target, as in the request line.
     pub target: String,
-    /// Names and values in the order of the request.
+    /// The names and values of the header fields, in their order in the request.
     pub headers: Vec<(String, Vec<u8>)>,
 }
 
--- a/proxy/src/pipelining/stream.rs
+++ b/proxy/src/pipelining/stream.rs
@@ -12,7 +12,7 @@
 /// The client's connection as a stream for the HTTP library, which reads the bytes that were read
 /// ahead, then those that arrive.
 pub struct PipelinedStream {
-    /// The connection.
+    /// The client's connection.
     pub pipeline: Pipeline,
     /// Starts the requests that are found in the bytes that the library reads.
     pub start: Box<StartRequest>,
--- a/proxy/src/shell/connections.rs
+++ b/proxy/src/shell/connections.rs
@@ -21,7 +21,7 @@
 use vanepath_cluster::node::{BodyError, HttpSettings};
 
 /// Serves a client's connection until it closes. Once `stop` turns true, the connection is closed after
-/// the request in flight.
+/// the responses to the request in flight and to the pipelined ones that have been started.
 pub(super) async fn serve_connection(
     proxy: Arc<Proxy>,
     stream: TcpStream,
--- a/proxy/src/shell/maintenance.rs
+++ b/proxy/src/shell/maintenance.rs
@@ -18,7 +18,7 @@
 /// The interval at which this proxy's subset of the servers is assigned again.
 const SUBSET_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Starts the actor and its ticks.
+/// Starts the actor and the task that sends its ticks.
 pub(super) fn spawn(proxy: Arc<Proxy>) {
     let mut view = proxy.node.view.clone();
     let actor = xtra::spawn_tokio(MaintenanceActor::new(proxy), xtra::Mailbox::unbounded());
--- a/proxy/src/shell/probing.rs
+++ b/proxy/src/shell/probing.rs
@@ -17,7 +17,7 @@
     is_used: bool,
 }
 
-/// Checks the health of a server, over an idle connection where there is one, and records the outcome.
+/// Checks the health of a server, over an idle connection if there is one, and records the outcome.
 pub(super) async fn probe(proxy: Arc<Proxy>, endpoint: Endpoint, service: Service) {
     proxy.counters.increment(Counter::Probes);
     let now = proxy.node.clock.now();
