--- a/proxy/src/admission.rs
+++ b/proxy/src/admission.rs
@@ -1,15 +1,15 @@
 //! Admission control by class of service: concurrency limits, borrowing between classes, and bounded
-//! queues ordered by priority and deadline (design 8.4). Pure: the user of this module supplies the
-//! time and wakes the requests that are returned to it.
+//! queues ordered by priority and deadline (design 8.4). Pure: the caller supplies the time and passes
+//! the slots on to the queued requests that are returned as admitted.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 use vanepath_config::model::Config;
 
-/// One part in so many of a lending class's concurrency limit is never lent.
+/// The concurrency limit of a lending class is divided by this; the result is never lent.
 const RESERVED_FRACTION_DIVISOR: u64 = 8;
 
-/// A slot in use: one request in flight.
+/// A slot in use. One request in flight holds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionSlot {
     /// The index of the class of the request.
@@ -21,27 +21,27 @@
 
 /// A queued request that has been admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Woken {
+pub struct AdmittedRequest {
     /// The ticket from [`Admission::Queued`].
     pub ticket: u64,
     /// The slot that the request holds from now on.
     pub slot: AdmissionSlot,
 }
 
-/// How much of a class is in use.
+/// The usage of a class.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClassUsage {
     /// The name of the class.
     pub name: String,
     /// The concurrency limit of the class on this proxy, in requests.
     pub max_in_flight: u64,
-    /// Requests that count against the limit, those of borrowing classes included.
+    /// Requests that count against the limit, including those of borrowing classes.
     pub in_flight: u64,
     /// Requests of the class that wait for a slot.
     pub queued: u64,
 }
 
-/// How much of another class's limit a class may use.
+/// How many slots a class may borrow from another one.
 #[derive(Clone, Debug)]
 struct BorrowLimit {
     lender: usize,
@@ -57,12 +57,12 @@
     borrow_limits: Vec<BorrowLimit>,
     in_flight: u64,
     queued: u64,
-    /// Slots that requests of this class hold, by lending class.
+    /// The number of slots that requests of this class have borrowed, by lending class.
     borrowed: BTreeMap<usize, u64>,
 }
 
 impl ClassSlots {
-    /// Admits nothing more until a config sets limits again.
+    /// Stops admission to this class until a config sets limits again.
     fn close(&mut self) {
         self.max_in_flight = 0;
         self.max_queued = 0;
@@ -88,7 +88,7 @@
 /// Admits requests up to the limit of their class and queues the others.
 #[derive(Default)]
 pub struct AdmissionControl {
-    /// Slots in use refer to classes by their index here, which never changes.
+    /// Slots in use refer to classes by their index here. It does not change before the class is idle.
     classes: Vec<ClassSlots>,
     /// The indices of the active config's classes, in its order.
     config_order: Vec<usize>,
@@ -96,12 +96,12 @@
     last_ticket: u64,
 }
 
-/// The outcome for a request that needs a slot.
+/// The outcome of a request for a slot.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Admission {
     /// The request holds this slot until it is released.
     Admitted(AdmissionSlot),
-    /// The request waits under this ticket until it is woken, leaves, or its deadline passes.
+    /// The request waits under this ticket until it is admitted or removed from the queue.
     Queued(u64),
     /// The queue of the class is full.
     QueueFull,
@@ -110,18 +110,18 @@
 impl AdmissionControl {
     /// Switches to a new config. A class keeps its index for as long as any of its requests is in
     /// flight or queued, whatever the order of the config's classes, because slots in use refer to
-    /// indices. A class that is gone keeps its index until it is idle.
-    pub fn adopt(&mut self, config: &Config) {
+    /// indices. A class that the config no longer has keeps its index until it is idle.
+    pub fn apply_config(&mut self, config: &Config) {
         for class in &mut self.classes {
             class.close();
         }
-        // Classes that continue keep their index before a new one reuses that of an idle class.
-        let known: Vec<Option<usize>> =
+        // The indices of existing classes are reserved before new classes reuse those of idle ones.
+        let existing: Vec<Option<usize>> =
             config.classes.iter().map(|class| self.index(&class.name)).collect();
-        let mut reserved: HashSet<usize> = known.iter().flatten().copied().collect();
+        let mut reserved: HashSet<usize> = existing.iter().flatten().copied().collect();
         self.config_order.clear();
-        for (class, known) in config.classes.iter().zip(known) {
-            let index = known.unwrap_or_else(|| self.allocate_index(&reserved));
+        for (class, existing) in config.classes.iter().zip(existing) {
+            let index = existing.unwrap_or_else(|| self.allocate_index(&reserved));
             reserved.insert(index);
             self.classes[index].name = class.name.clone();
             self.config_order.push(index);
@@ -154,7 +154,7 @@
         self.classes.iter().position(|class| class.name == name)
     }
 
-    /// A free slot for a request of this class: one of its own, or else a borrowed one.
+    /// Finds a free slot for a request of this class: one of its own, or else one that it may borrow.
     fn free_slot(&self, class: usize) -> Option<AdmissionSlot> {
         let own = &self.classes[class];
         if own.in_flight < own.max_in_flight {
@@ -176,9 +176,9 @@
         }
     }
 
-    /// Admits a request of this class (an index) or queues it. `deadline` is a time on the clock of
-    /// the node.
-    pub fn enter(&mut self, class: usize, deadline: Duration) -> Admission {
+    /// Admits a request of the class with this index, or queues it. `deadline` is a time on the clock
+    /// of the node.
+    pub fn request_slot(&mut self, class: usize, deadline: Duration) -> Admission {
         if let Some(slot) = self.free_slot(class) {
             self.occupy(slot);
             return Admission::Admitted(slot);
@@ -196,7 +196,7 @@
     }
 
     /// Removes a queued request whose client disconnected or whose deadline passed.
-    pub fn leave(&mut self, ticket: u64) {
+    pub fn remove_queued(&mut self, ticket: u64) {
         let found = self.queue.iter().find(|(position, _)| position.ticket == ticket);
         if let Some((position, class)) = found.map(|(position, class)| (*position, *class)) {
             self.queue.remove(&position);
@@ -204,20 +204,20 @@
         }
     }
 
-    /// Frees a slot and admits whichever queued requests now fit.
-    pub fn release(&mut self, slot: AdmissionSlot) -> Vec<Woken> {
+    /// Releases a slot and admits the queued requests that fit now.
+    pub fn release(&mut self, slot: AdmissionSlot) -> Vec<AdmittedRequest> {
         self.classes[slot.lender].in_flight -= 1;
         if slot.lender != slot.class
             && let Some(borrowed) = self.classes[slot.class].borrowed.get_mut(&slot.lender)
         {
             *borrowed -= 1;
         }
-        self.wake()
+        self.admit_queued()
     }
 
     /// Admits the queued requests that fit, in the order of the queue.
-    pub fn wake(&mut self) -> Vec<Woken> {
-        let mut woken = Vec::new();
+    pub fn admit_queued(&mut self) -> Vec<AdmittedRequest> {
+        let mut admitted = Vec::new();
         let queued: Vec<(QueuePosition, usize)> =
             self.queue.iter().map(|(position, class)| (*position, *class)).collect();
         let mut is_full = vec![false; self.classes.len()];
@@ -230,12 +230,12 @@
                     self.occupy(slot);
                     self.queue.remove(&position);
                     self.classes[class].queued -= 1;
-                    woken.push(Woken { ticket: position.ticket, slot });
+                    admitted.push(AdmittedRequest { ticket: position.ticket, slot });
                 }
                 None => is_full[class] = true,
             }
         }
-        woken
+        admitted
     }
 
     /// The usage of each class, in the order of the config.
--- a/proxy/src/endpoints/outcomes.rs
+++ b/proxy/src/endpoints/outcomes.rs
@@ -68,7 +68,7 @@
                 | AttemptError::MismatchedResponse,
             ) => self.record_failure(now, slot, Failure::ConnectionLost),
             // A time-out does not prove a failure, since the server may just be busy. A probe decides.
-            Err(AttemptError::Silent) => self.update_health(slot, ServerHealth::request_probe),
+            Err(AttemptError::TimedOut) => self.update_health(slot, ServerHealth::request_probe),
             Err(
                 AttemptError::NotConnected
                 | AttemptError::Withdrawn
@@ -92,9 +92,9 @@
                     state.last_response_at = now;
                     state.health.record_request_result(now, true);
                 }
-                Err(AttemptError::Silent) if is_busy => {}
+                Err(AttemptError::TimedOut) if is_busy => {}
                 Err(
-                    AttemptError::Silent
+                    AttemptError::TimedOut
                     | AttemptError::Truncated
                     | AttemptError::LostAfterSend
                     | AttemptError::MismatchedResponse,
@@ -126,7 +126,7 @@
         sent_at: Duration,
     ) -> RetryReason {
         match error {
-            AttemptError::Silent => self.retry_reason(slot, sent_at),
+            AttemptError::TimedOut => self.retry_reason(slot, sent_at),
             _ => RetryReason::Lost,
         }
     }
--- a/proxy/src/forward/admission.rs
+++ b/proxy/src/forward/admission.rs
@@ -1,4 +1,4 @@
-//! Waiting until this proxy is ready, and for a slot of the request's class (design 5.5, 8.4).
+//! Lets requests wait for the readiness of this proxy and for a slot of their class (design 5.5, 8.4).
 
 use super::{Counter, Proxy};
 use crate::admission::{Admission, AdmissionSlot};
@@ -9,10 +9,10 @@
 use tokio::sync::oneshot;
 use vanepath_cluster::gossip::READINESS_TIMEOUT;
 
-/// How often readiness is checked again.
+/// The interval between two checks of readiness.
 const READINESS_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A slot of a class in use; released when dropped, however the request ends.
+/// A slot of a class that a request holds. Dropping it releases the slot, however the request ends.
 pub(super) struct AdmissionPermit {
     proxy: Arc<Proxy>,
     slot: AdmissionSlot,
@@ -24,7 +24,7 @@
     }
 }
 
-/// A request in the queue of its class; leaves the queue when dropped.
+/// A request in the queue of its class. Dropping it removes the request from the queue.
 struct QueueEntry {
     proxy: Arc<Proxy>,
     ticket: u64,
@@ -37,13 +37,13 @@
         drop(queued);
         if was_queued {
             let mut admission = self.proxy.admission.lock().expect("no panic under this lock");
-            admission.leave(self.ticket);
+            admission.remove_queued(self.ticket);
         }
     }
 }
 
-/// Waits until this node knows the committed config, and after a pause of the process has heard
-/// from its peers again (design 5.5).
+/// Waits until this node knows the committed config and, after a pause of the process, has heard from
+/// its peers again (design 5.5).
 ///
 /// # Errors
 /// [`Rejection::BelowReadIndex`] while the node is stalled, [`Rejection::NotReady`] after
@@ -64,38 +64,39 @@
     Ok(())
 }
 
-/// Whether this node knows the committed config by now.
+/// Whether this node knows the committed config; false right after a pause of the process.
 pub(super) fn is_ready(proxy: &Proxy) -> bool {
     let view = proxy.node.current_view.load();
     proxy.node.has_recent_tick()
         && proxy.endpoints.is_ready(proxy.now(), view.is_fresh, revision_of(&view))
 }
 
-/// Waits for something other than a server, at most until the grace period of a shutdown is nearly
-/// over: the request then gets an answer while there is time for one.
+/// Awaits `wait` for a request that no server has received. During a shutdown it gives up shortly
+/// before the end of the grace period, so that there is time left to reject the request.
 ///
 /// # Errors
-/// Those of `wait`, and [`Rejection::NotReady`].
+/// Those of `wait`, and [`Rejection::NotReady`] if the shutdown ends the wait.
 pub(super) async fn before_shutdown<T>(
     proxy: &Proxy,
     wait: impl Future<Output = Result<T, Rejection>>,
 ) -> Result<T, Rejection> {
-    let end = async {
-        let mut last_call = proxy.drain.last_call.clone();
-        let _ = last_call.wait_for(|is_last_call| *is_last_call).await;
+    let shutdown = async {
+        let mut reject_waiting = proxy.drain.reject_waiting.clone();
+        let _ = reject_waiting.wait_for(|is_due| *is_due).await;
     };
     tokio::select! {
         biased;
         outcome = wait => outcome,
-        () = end => Err(Rejection::NotReady),
+        () = shutdown => Err(Rejection::NotReady),
     }
 }
 
-/// Takes a slot of the class, waiting in its queue until the deadline if need be.
+/// Takes a slot of the class. If none is free, waits in the queue of the class until the deadline.
 ///
 /// # Errors
-/// [`Rejection::NotReady`] if the class is not known here yet, [`Rejection::QueueFull`], and
-/// [`Rejection::Late`] if the deadline passes first.
+/// [`Rejection::NotReady`] if admission control does not know the class yet,
+/// [`Rejection::QueueFull`] if a slot would have to be waited for and the queue is full, and
+/// [`Rejection::DeadlineExceeded`] if the deadline passes first.
 pub(super) async fn admit(
     proxy: &Arc<Proxy>,
     class: &str,
@@ -107,7 +108,7 @@
         let Some(index) = admission.index(class) else {
             return Err(Rejection::NotReady);
         };
-        match admission.enter(index, deadline) {
+        match admission.request_slot(index, deadline) {
             Admission::Admitted(slot) => {
                 if slot.class != slot.lender {
                     proxy.counters.increment(Counter::Borrowed);
@@ -116,7 +117,8 @@
             }
             Admission::QueueFull => return Err(Rejection::QueueFull),
             Admission::Queued(ticket) => {
-                // Under the same lock, so that no request is woken before it can be reached.
+                // Still under the lock of admission control: the request cannot be admitted from the
+                // queue before its sender is registered.
                 let mut queued = proxy.queued.lock().expect("no panic under this lock");
                 queued.insert(ticket, sender);
                 ticket
@@ -125,13 +127,14 @@
     };
     proxy.counters.increment(Counter::Queued);
     let entry = QueueEntry { proxy: proxy.clone(), ticket };
-    let limit = deadline.saturating_sub(proxy.now());
-    let woken = tokio::time::timeout(limit, &mut receiver).await;
-    // Out of the queue from here on; a slot that came at the last moment is in the channel.
+    let time_left = deadline.saturating_sub(proxy.now());
+    let received_slot = tokio::time::timeout(time_left, &mut receiver).await;
+    // Removes the request from the queue. A slot that was granted just before is in the channel.
     drop(entry);
-    let slot = match woken {
+    let slot = match received_slot {
         Ok(Ok(slot)) => Some(slot),
         _ => receiver.try_recv().ok(),
     };
-    slot.map(|slot| AdmissionPermit { proxy: proxy.clone(), slot }).ok_or(Rejection::Late)
+    slot.map(|slot| AdmissionPermit { proxy: proxy.clone(), slot })
+        .ok_or(Rejection::DeadlineExceeded)
 }
--- a/proxy/src/forward/attempt.rs
+++ b/proxy/src/forward/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt: connect, send, wait for the response, and prove that it belongs to the request.
+//! One attempt at a server: connects, sends the request, waits for the response, and checks that the
+//! response belongs to the request.
 
 use super::connection::VerifiedConnection;
 use super::guards::InFlightGuard;
@@ -20,20 +21,20 @@
 use vanepath_cluster::node::Body;
 use vanepath_config::model::{Idempotency, Service};
 
-/// The load that is assumed of a server that rejects a request without stating its load: full, in
-/// thousandths of its capacity.
+/// The load that is assumed of a server that rejects a request without stating its load: its full
+/// capacity, in thousandths.
 const FULL_LOAD_MILLI: u32 = 1000;
 
 const BYTES_PER_KILOBYTE: f64 = 1000.0;
 
-/// One attempt of a request at one server. It owns what it needs, so that it can be in progress beside
-/// another attempt of the same request.
+/// One attempt of a request at one server. It owns its data, so that several attempts of a request can
+/// be in progress at the same time.
 pub(super) struct Attempt {
     pub proxy: Arc<Proxy>,
-    /// The route by the table that the server was selected from.
+    /// The route, with the routing table from which the server was selected.
     pub route: Route,
     pub selected: SelectedEndpoint,
-    /// The end of the request's time on the clock of the node.
+    /// The deadline of the request, on the clock of the node.
     pub deadline: Duration,
     /// Counts the request as in flight at the server while the attempt lasts.
     pub in_flight: InFlightGuard,
@@ -42,23 +43,23 @@
 /// The server that was selected for an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SelectedEndpoint {
-    /// Its index in the routing table.
+    /// The index of the server in the routing table.
     pub index: usize,
-    /// The index of the service that it was selected for.
+    /// The index of the service for which it was selected.
     pub service: usize,
 }
 
-/// A request on its way to a server, and what its response is checked against.
+/// A request that is ready to be sent to a server, and what its response is checked against.
 pub(super) struct OutgoingRequest {
     message: Request<Body>,
     method: Method,
-    /// The request's id, where the wire format has ids.
+    /// The id of the request, if the wire format has request ids.
     id: Option<HeaderValue>,
-    /// Length of the body in bytes, as far as it is stated.
+    /// Length of the body in bytes; 0 if it is not stated.
     content_length: f64,
 }
 
-/// When a request was sent, and how late the server was expected to be then.
+/// When a request was sent, and the slowdown of the server by its load at that time.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SendRecord {
     pub sent_at: Duration,
@@ -74,21 +75,26 @@
         &self.route.table.config.services[self.selected.service]
     }
 
-    /// Takes a connection to the server, within the request's time.
+    /// Obtains a connection to the server before the deadline of the request.
     pub async fn connect(
         &self,
         idempotency: Idempotency,
     ) -> Result<VerifiedConnection, AttemptError> {
         let deadline = self.proxy.timer_instant(self.deadline);
-        let connected = tokio::time::timeout_at(deadline, self.connection(idempotency)).await;
+        let connected =
+            tokio::time::timeout_at(deadline, self.obtain_connection(idempotency)).await;
         connected.unwrap_or(Err(AttemptError::NotConnected))
     }
 
-    /// The request as it is sent to this server, if the server may still get it.
+    /// Builds the request for this server.
+    ///
+    /// # Errors
+    /// [`AttemptError::Withdrawn`] if the server may no longer be used, and [`AttemptError::NotSent`] if
+    /// the body cannot be sent again.
     pub fn prepare(&self, request: &mut UpstreamRequest) -> Result<OutgoingRequest, AttemptError> {
         self.check_not_withdrawn()?;
-        let names = self.proxy.node.settings.wire_format.headers();
-        let id = names.request_id.and_then(|name| request.headers.get(name).cloned());
+        let header_names = self.proxy.node.settings.wire_format.headers();
+        let id = header_names.request_id.and_then(|name| request.headers.get(name).cloned());
         let content_length = content_length(&request.headers).unwrap_or(0.0);
         let mut message = request.next()?;
         self.add_attempt_headers(message.headers_mut());
@@ -102,7 +108,7 @@
         SendRecord { sent_at, slowdown: self.proxy.endpoints.slowdown(sent_at, slot) }
     }
 
-    /// Sends the request and waits for its response until the deadline.
+    /// Sends the request and waits for its response, at most until the deadline.
     pub async fn exchange(
         &self,
         mut connection: VerifiedConnection,
@@ -113,16 +119,16 @@
         let OutgoingRequest { message, method, id, content_length } = request;
         let sending = connection.sender.try_send_request(message);
         let sent = tokio::time::timeout_at(deadline, sending).await;
-        let sent = sent.map_err(|_| AttemptError::Silent)?;
+        let sent = sent.map_err(|_| AttemptError::TimedOut)?;
         let response = sent.map_err(|mut error| match error.take_message() {
-            // The library gives the message back if it had not begun to write it.
+            // The HTTP library returns the message if it has not begun to write it.
             Some(_) => AttemptError::NotSent,
             None => AttemptError::LostAfterSend,
         })?;
 
         let (head, incoming) = response.into_parts();
         self.observe_load(&head.headers);
-        self.check_belongs(&head, id.as_ref())?;
+        self.check_belongs_to_request(&head, id.as_ref())?;
         self.check_framing(&head, &method)?;
         if !head.status.is_server_error() {
             self.observe_latency(&head.headers, content_length, record);
@@ -142,8 +148,8 @@
         Ok(response)
     }
 
-    /// Whether the server may still get the request, by what is known now: making the connection
-    /// may have taken long, and the process may have been paused meanwhile (incident 0017).
+    /// Checks by the latest view of the cluster that the server may still be used: connecting may have
+    /// taken long, and the process may have been paused in the meantime (incident 0017).
     fn check_not_withdrawn(&self) -> Result<(), AttemptError> {
         if self.is_withdrawn() {
             self.proxy.counters.increment(Counter::AttemptsWithdrawn);
@@ -161,21 +167,22 @@
         self.proxy.endpoints.is_withdrawn(&self.route.table, self.endpoint(), drained_zones)
     }
 
-    /// Names the server that the request is for, and what is left of the time.
+    /// Adds the headers that differ between attempts: the target server, and the time left until the
+    /// deadline.
     fn add_attempt_headers(&self, headers: &mut HeaderMap) {
-        let names = self.proxy.node.settings.wire_format.headers();
-        if let Some(target) = names.target
+        let header_names = self.proxy.node.settings.wire_format.headers();
+        if let Some(target) = header_names.target
             && let Ok(id) = HeaderValue::from_str(&self.endpoint().server.id)
         {
             headers.insert(target, id);
         }
-        if names.forwards_deadline {
+        if header_names.forwards_deadline {
             let left_ms = self.deadline.saturating_sub(self.proxy.now()).as_millis() as u64;
-            headers.insert(names.deadline, HeaderValue::from(left_ms));
+            headers.insert(header_names.deadline, HeaderValue::from(left_ms));
         }
     }
 
-    /// Records the load that the server states.
+    /// Records the load that the server states in its response.
     fn observe_load(&self, headers: &HeaderMap) {
         let format = self.proxy.node.settings.wire_format;
         let Some(value) = headers.get(format.headers().load) else {
@@ -190,31 +197,35 @@
         }
     }
 
-    /// Whether this is the response to this request, and whether the server ran it (design 8.2).
-    fn check_belongs(
+    /// Checks that this is the response to this request and that the server has not rejected the request
+    /// (design 8.2).
+    fn check_belongs_to_request(
         &self,
         head: &response::Parts,
         sent_id: Option<&HeaderValue>,
     ) -> Result<(), AttemptError> {
-        let names = self.proxy.node.settings.wire_format.headers();
-        let returned_id = names.request_id.and_then(|name| head.headers.get(name));
+        let header_names = self.proxy.node.settings.wire_format.headers();
+        let returned_id = header_names.request_id.and_then(|name| head.headers.get(name));
         if sent_id.is_some() && returned_id.is_some() && sent_id != returned_id {
             return Err(AttemptError::MismatchedResponse);
         }
         let is_misdirected =
-            names.target.is_some() && head.status == StatusCode::MISDIRECTED_REQUEST;
-        if is_misdirected || names.not_run.is_some_and(|name| head.headers.contains_key(name)) {
+            header_names.target.is_some() && head.status == StatusCode::MISDIRECTED_REQUEST;
+        if is_misdirected
+            || header_names.not_run.is_some_and(|name| head.headers.contains_key(name))
+        {
             if is_misdirected {
                 self.record_failure(Failure::Refused);
-            } else if !head.headers.contains_key(names.load) {
+            } else if !head.headers.contains_key(header_names.load) {
                 let now = self.proxy.now();
                 self.proxy.endpoints.observe_load(now, self.endpoint().slot, FULL_LOAD_MILLI);
             }
             return Err(AttemptError::RejectedByServer);
         }
-        // Without the id it may be the response to another request, and without its seal it is no
-        // success.
-        let has_seal = names.response_seal.is_none_or(|seal| head.headers.contains_key(seal));
+        // A response without the id may belong to another request, and a success without the seal is
+        // not relayed.
+        let has_seal =
+            header_names.response_seal.is_none_or(|seal| head.headers.contains_key(seal));
         let lacks_id = sent_id.is_some() && returned_id.is_none();
         if lacks_id || (head.status.is_success() && !has_seal) {
             return Err(AttemptError::MismatchedResponse);
@@ -222,7 +233,7 @@
         Ok(())
     }
 
-    /// Whether the end of the response can be distinguished from a broken connection.
+    /// Checks that the end of the response can be distinguished from a broken connection.
     fn check_framing(&self, head: &response::Parts, method: &Method) -> Result<(), AttemptError> {
         let is_bodiless = *method == Method::HEAD;
         let may_close = self.proxy.node.settings.wire_format.headers().close_ends_response;
@@ -236,11 +247,11 @@
         Ok(())
     }
 
-    /// Records how long the server took (design 8.7).
+    /// Records the response time of the server (design 8.7).
     fn observe_latency(&self, headers: &HeaderMap, request_length: f64, record: SendRecord) {
         let class = self.route.class();
         let now = self.proxy.now();
-        let kilobytes = |length| (length + request_length) / BYTES_PER_KILOBYTE;
+        let total_kilobytes = |length| (length + request_length) / BYTES_PER_KILOBYTE;
         let served = ServedRequest {
             slot: self.endpoint().slot,
             class: &class.name,
@@ -248,13 +259,13 @@
             is_bulk: class.bulk,
             response_time: now.saturating_sub(record.sent_at),
             slowdown: record.slowdown,
-            kilobytes: content_length(headers).map(kilobytes),
+            kilobytes: content_length(headers).map(total_kilobytes),
         };
         self.proxy.endpoints.record_response(now, served);
     }
 
-    /// Buffers the response while it is small. One that is slow, but under way, is relayed as it
-    /// comes: an idempotent request is given the rest of its time too.
+    /// Buffers the response while it is small. One that is not complete by the deadline is relayed as it
+    /// arrives: an idempotent request has its whole time for this as well.
     async fn buffer(
         &self,
         response: &mut UpstreamResponse,
--- a/proxy/src/forward/connection.rs
+++ b/proxy/src/forward/connection.rs
@@ -1,4 +1,4 @@
-//! The connection of an attempt: an idle one, or else a new one (design 8.6).
+//! Obtains the connection for an attempt: an idle one, or else a new one (design 8.6).
 
 use super::Counter;
 use super::attempt::Attempt;
@@ -9,20 +9,24 @@
 use std::time::Duration;
 use vanepath_config::model::Idempotency;
 
-/// A non-idempotent request uses only connections whose server was verified within this time.
+/// A non-idempotent request uses only connections on which the server proved its identity within
+/// this time, where servers do so at all.
 const MAX_VERIFICATION_AGE: Duration = Duration::from_secs(1);
 
-/// A connection that leads to the server that was meant.
+/// A connection to the selected server. The server has proved its identity on it, unless the wire
+/// format names the target server in each request.
 pub(super) struct VerifiedConnection {
     pub sender: Sender,
-    /// When the server last proved its identity, on the clock of the node.
+    /// When the server last proved its identity, or else when the connection was opened, on the clock
+    /// of the node.
     pub verified_at: Duration,
 }
 
 impl Attempt {
-    /// A connection on which the server named itself, where the wire format does not name the target
-    /// in each request; for a non-idempotent request it did so moments ago.
-    pub(super) async fn connection(
+    /// Returns an idle connection or opens a new one. Unless the wire format names the target server in
+    /// each request, the server has proved its identity on the connection, for a non-idempotent request
+    /// within `MAX_VERIFICATION_AGE`.
+    pub(super) async fn obtain_connection(
         &self,
         idempotency: Idempotency,
     ) -> Result<VerifiedConnection, AttemptError> {
@@ -33,12 +37,12 @@
         }
     }
 
-    /// Whether servers name themselves at the start of a connection.
+    /// Whether servers prove their identity at the start of each connection.
     fn verifies_identity(&self) -> bool {
         self.proxy.node.settings.wire_format.headers().target.is_none()
     }
 
-    /// An idle connection that fits, if there is one.
+    /// Takes an idle connection that the request may use, if there is one.
     async fn reuse_connection(
         &self,
         now: Duration,
@@ -47,23 +51,23 @@
         let (proxy, slot) = (&self.proxy, self.endpoint().slot);
         let is_usable = |idle: &IdleConnection<Sender>| idle.connection.is_ready();
         let verifies_identity = self.verifies_identity();
-        let runs_once = idempotency == Idempotency::NonIdempotent;
-        // A late response may be pending on an idle connection of a desynchronized server.
-        let may_be_stale =
-            runs_once && !verifies_identity && proxy.endpoints.is_desynchronized(slot);
+        let is_non_idempotent = idempotency == Idempotency::NonIdempotent;
+        // A desynchronized server may still send a late response on an idle connection.
+        let may_get_late_response =
+            is_non_idempotent && !verifies_identity && proxy.endpoints.is_desynchronized(slot);
         while let Some(mut idle) = proxy.endpoints.take_idle(now, slot, is_usable) {
-            if may_be_stale {
+            if may_get_late_response {
                 proxy.endpoints.put_idle(slot, idle);
                 break;
             }
-            if runs_once && !verifies_identity && !idle.is_safe_for_at_most_once(now) {
+            if is_non_idempotent && !verifies_identity && !idle.is_safe_for_at_most_once(now) {
                 continue;
             }
             let verification_age = now.saturating_sub(idle.verified_at);
-            if verifies_identity && runs_once && verification_age > MAX_VERIFICATION_AGE {
+            if verifies_identity && is_non_idempotent && verification_age > MAX_VERIFICATION_AGE {
                 match self.verify_again(&mut idle.connection).await {
                     Ok(_) => idle.verified_at = proxy.now(),
-                    // Closed while it was idle: no sign against the server.
+                    // The connection was closed while it was idle, which is no failure of the server.
                     Err(Failure::ConnectionLost) => continue,
                     Err(failure) => {
                         self.record_failure(failure);
@@ -83,7 +87,7 @@
         connector::verify_identity(format, sender, self.endpoint(), self.service()).await
     }
 
-    /// A new connection; `now` is when the attempt began to look for one.
+    /// Opens a new connection. `now` is the time at which the attempt began to look for one.
     async fn open_connection(&self, now: Duration) -> Result<VerifiedConnection, AttemptError> {
         let (proxy, slot) = (&self.proxy, self.endpoint().slot);
         proxy.counters.increment(Counter::ConnectionsOpened);
@@ -93,7 +97,8 @@
             AttemptError::NotConnected
         })?;
         if self.verifies_identity() && proxy.endpoints.is_desynchronized(slot) {
-            // Surplus bytes after the health check show first.
+            // If the server sends surplus bytes after the health check, they close the connection within
+            // this time.
             tokio::time::sleep(SETTLE_TIME).await;
             if !sender.is_ready() {
                 return Err(AttemptError::NotConnected);
--- a/proxy/src/forward/rejection.rs
+++ b/proxy/src/forward/rejection.rs
@@ -9,31 +9,31 @@
 use vanepath_cluster::node::{self, Body};
 use vanepath_config::ExecutionStatus;
 
-/// An attempt whose server may be at work on a request that is rejected.
+/// An attempt whose server may be processing a request that is rejected.
 #[derive(Clone, Debug)]
 pub(super) struct UnansweredAttempt {
     /// The id of the server.
     pub server: String,
-    /// For how long the server has had the request.
+    /// How long ago the request was sent to the server.
     pub waited: Duration,
 }
 
-/// What the answer to a rejected request states besides the reason.
+/// What a rejection states besides its reason, and what is logged about it.
 #[derive(Default)]
 pub(super) struct RejectionDetails {
     /// Proxies that may forward the request instead.
     pub places: Vec<JsonValue>,
-    /// What happened, for people.
+    /// A description of what happened, for human readers.
     pub detail: String,
-    /// The client's connection ends with the answer.
+    /// Whether the client's connection is closed after the response.
     pub closes_connection: bool,
-    /// What is left of the request's time.
-    pub time_left: Duration,
-    /// The attempt that was given up for the rejection, if any; for the log only.
+    /// The time limit of the request; zero until its rule is known.
+    pub time_limit: Duration,
+    /// The attempt that the rejection gives up, if any; for the log only.
     pub unanswered: Option<UnansweredAttempt>,
 }
 
-/// Counts the rejection and answers it.
+/// Counts the rejection and builds the response for it.
 pub(super) fn respond(
     proxy: &Proxy,
     rejection: Rejection,
@@ -51,7 +51,7 @@
         headers.insert(name, HeaderValue::from_static(status_name));
     }
     if execution_status == ExecutionStatus::NotRun
-        && let Some(delay) = rejection.retry_after(details.time_left, proxy.random())
+        && let Some(delay) = rejection.retry_after(details.time_limit, proxy.random())
         && let Ok(delay) = HeaderValue::from_str(&format.retry_after(delay))
     {
         headers.insert(header::RETRY_AFTER, delay);
@@ -62,15 +62,17 @@
     response
 }
 
-/// A request that a server has should end with that server's response, above all in planned work: the
-/// log says which did not (incident 0019).
+/// Counts a request that was rejected although a server had received it, and logs it while this proxy
+/// drains. Such a request should end with the response of that server, above all during planned
+/// maintenance (incident 0019).
 fn report_unanswered(proxy: &Proxy, rejection: Rejection, details: &RejectionDetails) {
     let Some(UnansweredAttempt { server, waited }) = &details.unanswered else { return };
     proxy.counters.increment(Counter::RejectedWhilePending);
     if proxy.is_draining() {
         let waited_ms = waited.as_millis();
         log::warn!(
-            "request rejected while draining ({rejection}): server {server} had it for {waited_ms} ms"
+            "request rejected while draining ({rejection}): \
+             server {server} had not responded for {waited_ms} ms"
         );
     }
 }
@@ -97,15 +99,15 @@
         Rejection::Unmatched => Counter::RejectedUnmatched,
         Rejection::HeadTooLarge => Counter::RejectedHeadTooLarge,
         Rejection::TooLarge => Counter::RejectedTooLarge,
-        Rejection::Misplaced => Counter::RejectedMisplaced,
+        Rejection::WrongRegion => Counter::RejectedWrongRegion,
         Rejection::NotReady => Counter::RejectedNotReady,
         Rejection::BelowReadIndex => Counter::RejectedBelowReadIndex,
         Rejection::QueueFull => Counter::RejectedQueueFull,
         Rejection::NoServer => Counter::RejectedNoServer,
-        Rejection::Crowded => Counter::RejectedCrowded,
+        Rejection::Congested => Counter::RejectedCongested,
         Rejection::NoBudget => Counter::RejectedNoBudget,
-        Rejection::Late => Counter::RejectedLate,
-        Rejection::Lost => Counter::RejectedLost,
+        Rejection::DeadlineExceeded => Counter::RejectedDeadlineExceeded,
+        Rejection::ResponseLost => Counter::RejectedResponseLost,
     });
     proxy.counters.increment(match execution_status {
         ExecutionStatus::MayHaveRun => Counter::StatusMayHaveRun,
--- a/proxy/src/forward/retry.rs
+++ b/proxy/src/forward/retry.rs
@@ -1,6 +1,6 @@
-//! Attempts at servers until one of them has a response to relay or the request is rejected
-//! (design 8.2). A server that may be at work on the request keeps it until then, also while
-//! another one is tried ([`super::hedging`]).
+//! Makes attempts at servers until there is a response to relay or the request is rejected
+//! (design 8.2). An attempt whose server may be processing the request is not cancelled before then,
+//! even while another server is tried ([`super::hedging`]).
 
 use super::admission::{AdmissionPermit, before_shutdown, wait_until_ready};
 use super::attempt::{Attempt, SelectedEndpoint};
@@ -21,46 +21,47 @@
 use vanepath_cluster::node::Body;
 use vanepath_config::model::{Class, Idempotency};
 
-/// The bounds of one wait for the turn of a server that is warming up.
-const MIN_TURN_WAIT: Duration = Duration::from_millis(1);
-const MAX_TURN_WAIT: Duration = Duration::from_millis(50);
+/// The bounds of one wait until a server that is warming up may take another request.
+const MIN_SELECTION_WAIT: Duration = Duration::from_millis(1);
+const MAX_SELECTION_WAIT: Duration = Duration::from_millis(50);
 
-/// A server that was selected for an attempt, and on which the request counts as in flight.
+/// A server that was selected for an attempt and on which the request counts as in flight.
 pub(super) struct ReservedEndpoint {
     selected: SelectedEndpoint,
     in_flight: InFlightGuard,
 }
 
-/// Whether a server can take the request now.
-pub(super) enum Turn {
-    Now(ReservedEndpoint),
-    /// Only servers that are warming up are left; the first takes a request at this time.
-    At(Duration),
+/// The outcome of a selection that found at least one server.
+pub(super) enum Reservation {
+    /// A server is reserved and can take the request now.
+    Ready(ReservedEndpoint),
+    /// Only servers that are warming up are left; the first of them may take a request at this time.
+    RetryAt(Duration),
 }
 
-/// The response of a server, and the request's place there.
+/// The response of a server, and the guard that counts the request as in flight there.
 struct ServedAttempt {
     response: UpstreamResponse,
     in_flight: InFlightGuard,
 }
 
-/// One request after its admission.
+/// One admitted request, and its attempts until there is a response to relay.
 pub(super) struct AttemptLoop<'p> {
     pub proxy: &'p Arc<Proxy>,
     pub route: Route,
-    /// The class at the time of the request's match.
+    /// The class of the rule that the request matched on arrival. It remains when the config changes.
     class: Class,
     pub timing: RequestTiming,
-    /// The service that was drawn for the request.
+    /// The service that was picked for the request.
     pub service_name: String,
     permit: AdmissionPermit,
     /// The slots of the servers that were tried.
     pub tried: Vec<usize>,
     pub pending: PendingAttempts,
-    /// When to look for another server beside those that have the request.
+    /// When to try another server in addition to those that have the request.
     pub hedge_at: Option<Duration>,
-    /// The response of a server that failed, for the client if no other server serves the request.
-    failed: Option<ServedAttempt>,
+    /// An error response, which is relayed if no other server serves the request.
+    error_response: Option<ServedAttempt>,
 }
 
 impl<'p> AttemptLoop<'p> {
@@ -82,11 +83,14 @@
             tried: Vec::new(),
             pending: PendingAttempts::default(),
             hedge_at: None,
-            failed: None,
+            error_response: None,
         }
     }
 
-    /// Makes attempts until one ends the request.
+    /// Makes attempts until there is a response to relay.
+    ///
+    /// # Errors
+    /// The rejection of the request, if no server responded to it at all.
     pub async fn run(
         mut self,
         lifecycle: &mut RequestLifecycle,
@@ -94,7 +98,7 @@
         request: &mut UpstreamRequest,
     ) -> Result<Response<Body>, Rejection> {
         let outcome = self.first_response(lifecycle, details, request).await;
-        let served = match (outcome, self.failed) {
+        let served = match (outcome, self.error_response) {
             (Ok(served), _) | (Err(_), Some(served)) => served,
             (Err(rejection), None) => return Err(rejection),
         };
@@ -107,7 +111,7 @@
         Ok(relay(self.proxy, served.response, guards, is_throttled))
     }
 
-    /// The first response that serves the request, of whichever attempt.
+    /// Returns the first response of any attempt after which no other server is to be tried.
     async fn first_response(
         &mut self,
         lifecycle: &mut RequestLifecycle,
@@ -132,7 +136,7 @@
         }
     }
 
-    /// Sends the request over the connection to the server of an attempt.
+    /// Sends the request over the connection of an attempt, or handles the failure to connect.
     async fn on_connected(
         &mut self,
         attempt: Attempt,
@@ -152,12 +156,12 @@
             }
             Err(error) => {
                 self.record_outcome(&attempt, None, Err(error));
-                self.after_failure(attempt, None, error, lifecycle, details).await
+                self.on_failure(attempt, None, error, lifecycle, details).await
             }
         }
     }
 
-    /// Returns the response of an attempt that was sent, if it ends the request.
+    /// Handles the end of an attempt that was sent. Returns its response if that ends the request.
     async fn on_ended(
         &mut self,
         attempt: Attempt,
@@ -173,20 +177,20 @@
             Ok(response) => response,
             Err(error) => {
                 let sent_at = Some(sent.pending.sent_at);
-                self.after_failure(attempt, sent_at, error, lifecycle, details).await?;
+                self.on_failure(attempt, sent_at, error, lifecycle, details).await?;
                 return Ok(None);
             }
         };
         let served = ServedAttempt { response, in_flight: attempt.in_flight };
-        if !self.is_better_elsewhere(&served, lifecycle) {
+        if !self.should_try_another_server(&served, lifecycle) {
             return Ok(Some(served));
         }
-        self.keep_failed(served, lifecycle);
-        self.try_elsewhere(lifecycle, details).await?;
+        self.keep_error_response(served, lifecycle);
+        self.try_another_server(lifecycle, details).await?;
         Ok(None)
     }
 
-    /// Selects a server, waiting for one if need be, and begins an attempt there.
+    /// Selects a server, waiting for one if necessary, and begins an attempt at it.
     async fn start_attempt(
         &mut self,
         lifecycle: &mut RequestLifecycle,
@@ -197,12 +201,12 @@
         if lifecycle.attempts > 0 {
             before_shutdown(proxy, self.wait_until_ready_again()).await?;
         }
-        let reserved = before_shutdown(proxy, self.select(details)).await?;
+        let reserved = before_shutdown(proxy, self.reserve_endpoint(details)).await?;
         self.begin_attempt(reserved, lifecycle);
         Ok(())
     }
 
-    /// Begins an attempt at a server that was selected by the present table.
+    /// Begins an attempt at a server that was selected from the current routing table.
     pub fn begin_attempt(&mut self, reserved: ReservedEndpoint, lifecycle: &mut RequestLifecycle) {
         let ReservedEndpoint { selected, in_flight } = reserved;
         self.tried.push(in_flight.slot);
@@ -220,42 +224,43 @@
         self.pending.connect(attempt, lifecycle.idempotency);
     }
 
-    /// The process may have been paused since the first attempt.
+    /// Waits again for the readiness of this proxy: the process may have been paused since the first
+    /// attempt.
     async fn wait_until_ready_again(&mut self) -> Result<(), Rejection> {
         let ready = wait_until_ready(self.proxy, self.proxy.now());
         let deadline = self.proxy.timer_instant(self.timing.deadline);
-        tokio::time::timeout_at(deadline, ready).await.map_err(|_| Rejection::Late)?
+        tokio::time::timeout_at(deadline, ready).await.map_err(|_| Rejection::DeadlineExceeded)?
     }
 
-    /// Selects a server by the newest table, waiting for the turn of one that is warming up where
-    /// no other is left.
-    async fn select(
+    /// Selects a server from the latest routing table. If only servers that are warming up are left,
+    /// waits until one of them may take a request.
+    async fn reserve_endpoint(
         &mut self,
         details: &mut RejectionDetails,
     ) -> Result<ReservedEndpoint, Rejection> {
         loop {
-            // From here on the request goes by the config that is active now.
+            // From here on the request is handled by the config that is active now.
             self.route.refresh(self.proxy, details)?;
-            match self.select_now()? {
-                Turn::Now(reserved) => return Ok(reserved),
-                Turn::At(turn) => {
-                    let delay = turn.saturating_sub(self.proxy.now()).max(MIN_TURN_WAIT);
-                    tokio::time::sleep(delay.min(MAX_TURN_WAIT)).await;
+            match self.try_reserve()? {
+                Reservation::Ready(reserved) => return Ok(reserved),
+                Reservation::RetryAt(retry_at) => {
+                    let delay = retry_at.saturating_sub(self.proxy.now()).max(MIN_SELECTION_WAIT);
+                    tokio::time::sleep(delay.min(MAX_SELECTION_WAIT)).await;
                 }
             }
         }
     }
 
-    /// Selects a server by the present table.
-    pub fn select_now(&self) -> Result<Turn, Rejection> {
+    /// Selects a server from the current routing table without waiting.
+    pub fn try_reserve(&self) -> Result<Reservation, Rejection> {
         let proxy = self.proxy;
         let service = self.route.service_index(&self.service_name);
         let now = proxy.now();
         let deadline = self.timing.deadline;
         if now >= deadline {
-            return Err(Rejection::Late);
+            return Err(Rejection::DeadlineExceeded);
         }
-        // Zones that were drained since the request came count too.
+        // The latest view also has the zones that were drained after the request arrived.
         let view = proxy.node.current_view.load();
         let drained_zones = &view.committed.drained_zones;
         let context = SelectionContext {
@@ -267,11 +272,11 @@
                 let slot = self.route.table.endpoints[index].slot;
                 let selected = SelectedEndpoint { index, service };
                 let in_flight = InFlightGuard { proxy: proxy.clone(), slot };
-                Ok(Turn::Now(ReservedEndpoint { selected, in_flight }))
+                Ok(Reservation::Ready(ReservedEndpoint { selected, in_flight }))
             }
-            Selection::Wait(until) if until < deadline => Ok(Turn::At(until)),
-            Selection::Congested => Err(Rejection::Crowded),
-            // All that are left were tried, or there is none, or none has its turn in time.
+            Selection::Wait(until) if until < deadline => Ok(Reservation::RetryAt(until)),
+            Selection::Congested => Err(Rejection::Congested),
+            // All servers were tried, there are none, or none may take the request in time.
             Selection::Wait(_) | Selection::None => Err(Rejection::NoServer),
         }
     }
@@ -291,7 +296,8 @@
         }
     }
 
-    /// Records how an attempt ended for the health of its server; `sent` if the request was sent.
+    /// Records the outcome of an attempt in the health of its server; `sent` is `None` if the request
+    /// was not sent.
     fn record_outcome(
         &self,
         attempt: &Attempt,
@@ -303,35 +309,40 @@
         let is_overdue = sent.is_some_and(|sent| sent.is_overdue);
         match result {
             Ok(()) if is_overdue => self.proxy.record_late_response(slot, id),
-            Err(AttemptError::Silent) if is_overdue => {}
+            Err(AttemptError::TimedOut) if is_overdue => {}
             _ => self.proxy.record_outcome(slot, id, result),
         }
     }
 
-    /// Whether an idempotent request that a server failed waits for another one that has it, or is
-    /// given to another one; takes a retry from the budget in the latter case.
-    fn is_better_elsewhere(&self, served: &ServedAttempt, lifecycle: &RequestLifecycle) -> bool {
-        let may_repeat = lifecycle.idempotency == Idempotency::Idempotent
+    /// Whether to try for a better response than this one: for an idempotent request that got a server
+    /// error, if another attempt is in progress or a retry is possible. Takes a retry from the budget
+    /// in the latter case.
+    fn should_try_another_server(
+        &self,
+        served: &ServedAttempt,
+        lifecycle: &RequestLifecycle,
+    ) -> bool {
+        let may_try_again = lifecycle.idempotency == Idempotency::Idempotent
             && lifecycle.is_replayable
             && served.response.head.status.is_server_error();
-        if !may_repeat || !self.pending.is_empty() {
-            return may_repeat;
+        if !may_try_again || !self.pending.is_empty() {
+            return may_try_again;
         }
         lifecycle.may_retry()
             && self.has_alternative()
             && self.proxy.try_take_retry(&self.service_name, RetryReason::Lost)
     }
 
-    /// Keeps the response of a server that failed for the case that no other server serves the
-    /// request.
-    fn keep_failed(&mut self, mut served: ServedAttempt, lifecycle: &mut RequestLifecycle) {
+    /// Keeps an error response in case no other server serves the request.
+    fn keep_error_response(&mut self, mut served: ServedAttempt, lifecycle: &mut RequestLifecycle) {
         lifecycle.may_have_run = true;
         served.response.body.release_connection(self.proxy);
-        self.failed = Some(served);
+        self.error_response = Some(served);
     }
 
-    /// Goes on after a failure: another attempt is in progress, or one is started.
-    async fn try_elsewhere(
+    /// Continues after a failure. If other attempts are in progress, the next hedge is due at once;
+    /// otherwise a new attempt is started.
+    async fn try_another_server(
         &mut self,
         lifecycle: &mut RequestLifecycle,
         details: &mut RejectionDetails,
@@ -343,8 +354,8 @@
         Ok(())
     }
 
-    /// Returns if the request goes on.
-    async fn after_failure(
+    /// Handles a failed attempt: continues with another one, or returns the rejection of the request.
+    async fn on_failure(
         &mut self,
         attempt: Attempt,
         sent_at: Option<Duration>,
@@ -357,11 +368,11 @@
         drop(attempt);
         let reason =
             self.proxy.endpoints.retry_reason_after(error, slot, sent_at.unwrap_or_default());
-        let has_others = !self.pending.is_empty();
+        let has_other_attempts = !self.pending.is_empty();
         let try_take_retry = || self.proxy.try_take_retry(&self.service_name, reason);
-        match lifecycle.attempt_failed(error, is_late, has_others, try_take_retry) {
+        match lifecycle.attempt_failed(error, is_late, has_other_attempts, try_take_retry) {
             AfterFailure::Retry | AfterFailure::Await => {
-                self.try_elsewhere(lifecycle, details).await
+                self.try_another_server(lifecycle, details).await
             }
             AfterFailure::Reject(rejection) => {
                 details.detail = format!("{error} after {} goes", lifecycle.attempts);
--- a/proxy/src/shell/connections.rs
+++ b/proxy/src/shell/connections.rs
@@ -1,7 +1,8 @@
-//! Serves the connections of clients, read ahead of the HTTP library (design 8.9).
+//! Serves the connections of clients, and reads them ahead of the HTTP library to find pipelined
+//! requests (design 8.9).
 
 use super::status;
-use crate::forward::{self, OWN_PREFIX, Proxy};
+use crate::forward::{self, ADMIN_PREFIX, Proxy};
 use crate::pipelining::{Pipeline, PipelinedStream, RequestHead, Response, TrackedBody};
 use http_body_util::BodyExt;
 use hyper::Request;
@@ -19,7 +20,8 @@
 use tokio::task::{JoinError, JoinHandle};
 use vanepath_cluster::node::{BodyError, HttpSettings};
 
-/// Serves one client's connection until it ends; `stop` ends it after the request in flight.
+/// Serves a client's connection until it closes. Once `stop` turns true, the connection is closed after
+/// the responses to the request in flight and to the pipelined ones that have been started.
 pub(super) async fn serve_connection(
     proxy: Arc<Proxy>,
     stream: TcpStream,
@@ -28,14 +30,14 @@
     has_admin_listener: bool,
 ) {
     let pipeline = Pipeline::new(stream);
-    let (starter, service_pipeline) = (proxy.clone(), pipeline.clone());
+    let (pipeline_proxy, service_pipeline) = (proxy.clone(), pipeline.clone());
     let stream = PipelinedStream {
         pipeline: pipeline.clone(),
-        start: Box::new(move |head| forward::start_pipelined(&starter, head)),
+        start: Box::new(move |head| forward::start_pipelined(&pipeline_proxy, head)),
     };
-    let server = proxy.clone();
+    let service_proxy = proxy.clone();
     let service = service_fn(move |request| {
-        let (proxy, pipeline) = (server.clone(), service_pipeline.clone());
+        let (proxy, pipeline) = (service_proxy.clone(), service_pipeline.clone());
         async move {
             let response = respond(&proxy, &pipeline, request, has_admin_listener).await;
             let track = |body| TrackedBody { body, pipeline }.boxed_unsync();
@@ -54,14 +56,15 @@
         pipeline.poll(context, &start);
         let mut polled = connection.as_mut().poll(context).map(|_| ());
         is_stopped = is_stopped || stopping.as_mut().poll(context).is_ready();
-        // What the client has sent by now is with the service: it is answered before the end.
+        // The service has received all requests that the client has sent so far, and responds to them
+        // before the connection closes.
         if polled.is_pending() && is_stopped && !is_closing && !pipeline.has_started() {
             is_closing = true;
             connection.as_mut().graceful_shutdown();
             polled = connection.as_mut().poll(context).map(|_| ());
         }
         if polled.is_pending() {
-            // The library may have received a request just now: read ahead of it too.
+            // The library may just have passed on a request: read ahead what follows it.
             pipeline.poll(context, &start);
         }
         polled
@@ -69,34 +72,34 @@
     .await;
 }
 
-/// Answers one request as the library passes it. While the proxy drains, the connection ends with the
-/// response, unless servers have requests behind this one.
+/// Responds to a request that the HTTP library has read. While the proxy drains, the response closes
+/// the connection, unless pipelined requests behind this one have been started.
 async fn respond(
     proxy: &Arc<Proxy>,
     pipeline: &Pipeline,
     request: Request<Incoming>,
     has_admin_listener: bool,
 ) -> Response {
-    let mut response = answer(proxy, pipeline, request, has_admin_listener).await;
+    let mut response = handle_request(proxy, pipeline, request, has_admin_listener).await;
     if proxy.is_draining() && !pipeline.has_started() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     response
 }
 
-async fn answer(
+async fn handle_request(
     proxy: &Arc<Proxy>,
     pipeline: &Pipeline,
     request: Request<Incoming>,
     has_admin_listener: bool,
 ) -> Response {
     let target = request.uri().path_and_query().map_or("", |target| target.as_str());
-    let started = pipeline.receive(request.method().as_str(), target);
-    let own_path = request.uri().path().strip_prefix(OWN_PREFIX);
-    if let Some(path) = own_path.filter(|_| !has_admin_listener) {
-        return status::own_page(proxy, &format!("/{path}"));
+    let started_task = pipeline.receive(request.method().as_str(), target);
+    let admin_path = request.uri().path().strip_prefix(ADMIN_PREFIX);
+    if let Some(path) = admin_path.filter(|_| !has_admin_listener) {
+        return status::admin_page(proxy, &format!("/{path}"));
     }
-    if let Some(task) = started
+    if let Some(task) = started_task
         && let Ok(response) = (AbortOnDrop { task }).await
     {
         return response;
@@ -105,7 +108,7 @@
     forward::forward(proxy.clone(), request).await
 }
 
-/// A request that was started before its turn, and is cancelled when nobody waits for it any more.
+/// The task of a request that was started before its turn. Dropping it cancels the request.
 struct AbortOnDrop {
     task: JoinHandle<Response>,
 }
--- a/proxy/src/shell/maintenance.rs
+++ b/proxy/src/shell/maintenance.rs
@@ -1,5 +1,5 @@
-//! The maintenance actor: on each tick it brings servers, classes and readiness to what the
-//! cluster's view says, starts the health checks that are due, and reports what this proxy observes.
+//! The maintenance actor. On each tick it updates servers, classes and readiness from the cluster
+//! view, starts the health checks that are due, and reports the observations of this proxy.
 
 use super::probing::probe;
 use crate::endpoints::{
@@ -13,12 +13,12 @@
 use vanepath_cluster::node::{ClusterView, HandleEvent};
 use vanepath_cluster::{gossip, wire};
 
-/// The time between two ticks; a change of the view brings one at once.
+/// The interval between two ticks. A change of the cluster view causes a tick at once.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// How often this proxy's subset of the servers is assigned again.
+/// The interval at which this proxy's subset of the servers is assigned again.
 const SUBSET_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Starts the actor and its ticks.
+/// Starts the actor and the task that sends its ticks.
 pub(super) fn spawn(proxy: Arc<Proxy>) {
     let mut view = proxy.node.view_updates.clone();
     let actor = xtra::spawn_tokio(MaintenanceActor::new(proxy), xtra::Mailbox::unbounded());
@@ -40,14 +40,15 @@
 #[derive(xtra::Actor)]
 struct MaintenanceActor {
     proxy: Arc<Proxy>,
-    /// What the routing table was made from.
+    /// The revisions of the config and the endpoint list that the routing table was made from.
     revision: TableRevision,
-    /// The traffic-shift plan that was applied last, and to which table.
-    plan: Option<(wire::PlanVersion, TableRevision)>,
+    /// The version of the traffic-shift plan that was applied last, and the revision of the routing
+    /// table to which it was applied.
+    applied_plan: Option<(wire::PlanVersion, TableRevision)>,
     probe_schedule: ProbeSchedule,
     reporter: ObservationReporter,
-    /// The table and the number of live nodes for which the subset was assigned last.
-    subset: Option<(TableRevision, usize)>,
+    /// The revision of the table and the number of live nodes for which the subset was assigned last.
+    assigned_subset: Option<(TableRevision, usize)>,
     subset_due_at: Duration,
 }
 
@@ -59,7 +60,7 @@
     async fn handle(&mut self, _: Tick, _: &mut xtra::Context<Self>) {
         let view = self.proxy.node.current_view.load_full();
         let now = self.proxy.node.clock.now();
-        self.adopt(now, &view);
+        self.update_from_view(now, &view);
         self.tick_endpoints(now, &view);
         self.publish(now, &view).await;
     }
@@ -70,22 +71,22 @@
         MaintenanceActor {
             proxy,
             revision: TableRevision::new(u64::MAX, u64::MAX),
-            plan: None,
+            applied_plan: None,
             probe_schedule: ProbeSchedule::default(),
             reporter: ObservationReporter::default(),
-            subset: None,
+            assigned_subset: None,
             subset_due_at: Duration::ZERO,
         }
     }
 
-    /// Brings classes and the routing table to a new config or endpoint list.
-    fn adopt(&mut self, now: Duration, view: &ClusterView) {
+    /// Updates the classes and the routing table if there is a new config or endpoint list.
+    fn update_from_view(&mut self, now: Duration, view: &ClusterView) {
         let revision = revision_of(view);
         if revision == self.revision {
             return;
         }
         if self.revision.config != revision.config {
-            self.adopt_config(view);
+            self.apply_config(view);
         }
         self.revision = revision;
         self.probe_schedule.invalidate();
@@ -99,19 +100,19 @@
         );
         if let Some(read_at) = view.endpoint_list_read_at.filter(|_| !log_lines.is_empty()) {
             let age_ms = now.saturating_sub(read_at).as_millis();
-            log::info!("endpoint list {}, read {age_ms} ms ago", view.endpoints.revision);
+            log::info!("endpoint list {} applied, read {age_ms} ms ago", view.endpoints.revision);
         }
         for line in log_lines {
             log::info!("{line}");
         }
     }
 
-    fn adopt_config(&self, view: &ClusterView) {
+    fn apply_config(&self, view: &ClusterView) {
         let mut admission = self.proxy.admission.lock().expect("no panic under this lock");
-        admission.adopt(&view.config);
-        let woken = admission.wake();
+        admission.apply_config(&view.config);
+        let admitted = admission.admit_queued();
         drop(admission);
-        self.proxy.wake(woken);
+        self.proxy.pass_slots(admitted);
         let mut request_rates = self.proxy.request_rates.lock().expect("no panic under this lock");
         request_rates
             .set_services(view.config.services.iter().map(|service| service.name.as_str()));
@@ -123,13 +124,13 @@
         proxy.live_proxies.store(live_proxies(view), Ordering::Relaxed);
         let table = proxy.endpoints.table.load_full();
         let plan = view.plan.version();
-        if self.plan != Some((plan, self.revision)) {
-            self.plan = Some((plan, self.revision));
+        if self.applied_plan != Some((plan, self.revision)) {
+            self.applied_plan = Some((plan, self.revision));
             proxy.endpoints.apply_plan(now, &view.plan);
         }
         let live_nodes = view.live.len();
-        if self.subset != Some((self.revision, live_nodes)) || now >= self.subset_due_at {
-            self.subset = Some((self.revision, live_nodes));
+        if self.assigned_subset != Some((self.revision, live_nodes)) || now >= self.subset_due_at {
+            self.assigned_subset = Some((self.revision, live_nodes));
             self.subset_due_at = now + SUBSET_INTERVAL;
             proxy.endpoints.assign_subset(view, &proxy.node.info);
         }
@@ -170,7 +171,7 @@
             log::info!("{}", if ready { "ready" } else { "not ready" });
         }
         let revision = view.committed.revision;
-        // A proxy that drains still serves while it accepts clients (incident 0020).
+        // A draining proxy is reported as ready for as long as it accepts connections (incident 0020).
         let accepts = is_current && !*proxy.drain.stop_accepting.borrow();
         let status =
             wire::NodeStatus { ready: accepts, draining, revision, ..wire::NodeStatus::default() };
@@ -182,7 +183,8 @@
         let servers = proxy.endpoints.observations(now);
         let services = &proxy.endpoints.table.load().config.services;
         if services.iter().all(|service| service.probes_suspects_only) {
-            // No plan is made from stated load where servers are judged by traffic.
+            // Where servers are judged by the traffic that they get, no traffic-shift plan is made from
+            // reported load.
             return wire::ProxyObservations { servers, ..wire::ProxyObservations::default() };
         }
         let usage = proxy.admission.lock().expect("no panic under this lock").usage();
--- a/testbed/src/sim/traffic/requests.rs
+++ b/testbed/src/sim/traffic/requests.rs
@@ -10,7 +10,7 @@
 use vanepath_cluster::gossip;
 use vanepath_config::ExecutionStatus;
 use vanepath_config::model::Idempotency;
-use vanepath_proxy::admission::{Admission, Woken};
+use vanepath_proxy::admission::{Admission, AdmittedRequest};
 use vanepath_proxy::endpoints;
 use vanepath_proxy::lifecycle::{Rejection, RequestLifecycle, RequestState};
 
@@ -91,7 +91,7 @@
         progress.lifecycle.is_replayable = true;
         progress.deadline = progress.received_at + class.deadline;
         if !rule_config.allows_region(&region) {
-            return self.answer_client(index, progress_id, Err(Rejection::Misplaced));
+            return self.answer_client(index, progress_id, Err(Rejection::WrongRegion));
         }
         let is_affected =
             class.idempotency == Idempotency::NonIdempotent && progress.request.is_multiple_of(50);
@@ -107,7 +107,7 @@
         let Some(class_index) = class_index else {
             return self.answer_client(index, progress_id, Err(Rejection::NotReady));
         };
-        let admission = proxy.admission.enter(class_index, progress.deadline);
+        let admission = proxy.admission.request_slot(class_index, progress.deadline);
         match admission {
             Admission::Admitted(slot) => progress.permit = Some(slot),
             Admission::QueueFull => {
@@ -126,8 +126,8 @@
     }
 
     /// Goes on with requests that the admission queue let through.
-    pub(super) fn resume_admitted(&mut self, index: usize, woken: Vec<Woken>) {
-        for Woken { ticket, slot } in woken {
+    pub(super) fn resume_admitted(&mut self, index: usize, woken: Vec<AdmittedRequest>) {
+        for AdmittedRequest { ticket, slot } in woken {
             let RoleState::Proxy(proxy) = &mut self.nodes[index].role_state else { return };
             let Some(progress_id) = proxy.queued.remove(&ticket) else { continue };
             if let Some(progress) = proxy.in_progress.get_mut(&progress_id) {
@@ -147,7 +147,7 @@
             .get(&progress_id)
             .is_some_and(|progress| progress.queue_ticket.is_some())
         {
-            self.answer_client(index, progress_id, Err(Rejection::Late));
+            self.answer_client(index, progress_id, Err(Rejection::DeadlineExceeded));
         }
     }
 
@@ -167,7 +167,7 @@
             }
         }
         if let Some(ticket) = progress.queue_ticket {
-            proxy.admission.leave(ticket);
+            proxy.admission.remove_queued(ticket);
             proxy.queued.remove(&ticket);
         }
         let woken = progress.permit.map(|slot| proxy.admission.release(slot)).unwrap_or_default();
@@ -179,7 +179,7 @@
             Some(Mutation::ReportsFilingsUnknown) if is_affected => ExecutionStatus::MayHaveRun,
             _ => progress.lifecycle.execution_status(),
         };
-        let is_misplaced = result == Err(Rejection::Misplaced);
+        let is_misplaced = result == Err(Rejection::WrongRegion);
         let view = &self.nodes[index].view;
         let eligible: Vec<SocketAddr> = if is_misplaced {
             let rule = &progress.table.config.rules[progress.rule];
