--- a/proxy/src/shell/maintenance.rs
+++ b/proxy/src/shell/maintenance.rs
@@ -100,7 +100,7 @@
         );
         if let Some(read_at) = view.endpoint_list_read_at.filter(|_| !log_lines.is_empty()) {
             let age_ms = now.saturating_sub(read_at).as_millis();
-            log::info!("endpoint list {} applied, read {age_ms} ms ago", view.endpoints.revision);
+            log::info!("endpoint list {}, read {age_ms} ms ago", view.endpoints.revision);
         }
         for line in log_lines {
             log::info!("{line}");
