--- a/client/src/client.rs
+++ b/client/src/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client: requests that follow the steering routine, over hyper.
+//! The HTTP client: sends requests over hyper to the addresses that the steering state machine chooses.
 
 mod attempt;
 mod connection_pool;
@@ -19,19 +19,19 @@
 use std::time::Duration;
 use vanepath_config::ExecutionStatus;
 
-/// Attempts of one request: enough to find the one proxy that is left.
+/// Maximum number of attempts per request; enough to find the only proxy that still works.
 pub const MAX_ATTEMPTS: usize = 32;
-/// Rejections (503) after which a request is not sent to another proxy: what these proxies lack, the
-/// others lack too.
+/// A request is not sent to another proxy after this many rejections (503): what prevents these proxies
+/// from serving it very likely affects the others too.
 pub const MAX_REJECTIONS: u32 = 3;
-/// Time-out of a poll. With three unreachable registries in a row the fourth is still polled in time for
-/// clients to leave a drained zone.
+/// Time-out of a poll; short enough that a client which polls three unreachable registries in a row still
+/// polls the fourth in time to leave a drained zone.
 pub const POLL_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long a request waits for the first steering response.
+/// How long a request waits for the client's first steering response.
 const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Delay between polls while a request waits for the first steering response.
 const FIRST_RESPONSE_POLL_DELAY: Duration = Duration::from_millis(20);
-/// Bounds of the pause between two checks whether a poll is due.
+/// Bounds of the interval at which the background task checks whether a poll is due.
 const MIN_POLL_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 const MAX_POLL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
@@ -52,7 +52,7 @@
     Response(#[from] SteeringResponseError),
 }
 
-/// A client of the proxies: it polls the registries for steering and sends requests accordingly.
+/// A client of the proxies: it polls the registries for steering responses and sends requests accordingly.
 pub struct Client {
     steering: SharedSteering,
     pool: ConnectionPool,
@@ -60,7 +60,7 @@
 }
 
 impl Client {
-    /// A client that has polled nothing yet. `query` identifies and locates it, for instance
+    /// Creates a client; it has not polled a registry yet. `query` identifies and locates it, for instance
     /// `caller=clerk-7&zone=a1&region=a`; `spread` is a number that differs between clients; `host` is
     /// the `Host` header of its requests.
     pub fn new(registries: Vec<SocketAddr>, query: &str, spread: u64, host: &str) -> Arc<Client> {
@@ -94,11 +94,12 @@
 
     /// Makes one poll, if one is due.
     pub async fn poll(&self) {
-        let due = self.steering().start_poll(self.steering.now());
-        let Some((registry, uri)) = due else { return };
-        let fetched = tokio::time::timeout(POLL_TIMEOUT, self.fetch_steering(registry, &uri)).await;
-        // Any failure has the next registry polled; the steering state counts failed polls.
-        let response = fetched.ok().and_then(Result::ok);
+        let due_poll = self.steering().start_poll(self.steering.now());
+        let Some((registry, uri)) = due_poll else { return };
+        let fetch_result =
+            tokio::time::timeout(POLL_TIMEOUT, self.fetch_steering(registry, &uri)).await;
+        // After any failure the next registry is polled; the steering state counts failed polls.
+        let response = fetch_result.ok().and_then(Result::ok);
         self.steering().finish_poll(self.steering.now(), response);
     }
 
@@ -121,8 +122,8 @@
         Ok(parse_response(std::str::from_utf8(&bytes)?)?)
     }
 
-    /// Before the first steering response there is no address to send to: polls until one is received or
-    /// the time-out passes.
+    /// Polls until the first steering response is received or [`FIRST_RESPONSE_TIMEOUT`] passes; until then
+    /// there is no address to send requests to.
     async fn await_first_response(&self) {
         let deadline = self.steering.now() + FIRST_RESPONSE_TIMEOUT;
         while self.steering().response().is_none() {
@@ -134,8 +135,8 @@
         }
     }
 
-    /// Sends a request to the first address of its steering order, and to the next ones as far as the
-    /// outcome allows: an at-most-once request only while it is known not to have run.
+    /// Sends a request to the first address of its attempt order, and after a failure to the next ones. An
+    /// at-most-once request is retried only while it is known not to have run.
     pub async fn request(
         &self,
         method: &str,
@@ -185,8 +186,8 @@
         AttemptPlan { addresses, tried: 0, is_at_most_once, may_have_run: false, rejections: 0 }
     }
 
-    /// Whether an open connection to that address may be used; `None` if the address is not listed any
-    /// more and is to be skipped.
+    /// Whether an open connection to that address may be used; `None` if the address is no longer listed
+    /// and must be skipped.
     fn may_reuse_connection(&self, address: &SocketAddr, plan: &AttemptPlan) -> Option<bool> {
         let steering = self.steering();
         steering.is_listed(address).then(|| {
@@ -194,7 +195,7 @@
         })
     }
 
-    /// Takes in the outcome of an attempt; whether the next address is to be tried.
+    /// Records the outcome of an attempt and returns whether the next address is to be tried.
     fn should_continue(
         &self,
         plan: &mut AttemptPlan,
@@ -232,7 +233,7 @@
     }
 }
 
-/// The attempts of one request.
+/// The addresses to try for one request, and the state of its attempts.
 struct AttemptPlan {
     /// In the order in which they are tried.
     addresses: Vec<SocketAddr>,
@@ -252,13 +253,13 @@
         Some(address)
     }
 
-    /// A repeatable request may abandon a suspect address while there is another to try.
+    /// Only an idempotent request may abandon a suspect address, and only while there is another to try.
     fn may_abandon(&self) -> bool {
         !self.is_at_most_once && self.tried < self.addresses.len().min(MAX_ATTEMPTS)
     }
 }
 
-/// The proxies that a response with status 421 names.
+/// The proxies named in the body of a response with status 421.
 fn redirect_targets(body: &[u8]) -> Vec<SocketAddr> {
     let value = std::str::from_utf8(body).ok().and_then(|text| jzon::parse(text).ok());
     let value = value.unwrap_or(jzon::JsonValue::Null);
--- a/client/src/client/attempt.rs
+++ b/client/src/client/attempt.rs
@@ -11,7 +11,7 @@
 use vanepath_config::ExecutionStatus;
 use vanepath_config::execution_status;
 
-/// How often a repeatable request that waits for its response checks whether its proxy is suspect.
+/// How often an idempotent request that waits for its response checks whether its proxy is suspect.
 pub const SUSPICION_CHECK_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Time-out for the head of a response, and again for its body.
@@ -44,7 +44,7 @@
 }
 
 impl AttemptError {
-    /// Whether the request may have been executed in spite of the error.
+    /// Whether the request may have been executed despite the error.
     pub fn execution_status(&self) -> ExecutionStatus {
         match self {
             AttemptError::Connect(_)
@@ -58,12 +58,12 @@
     }
 }
 
-/// An attempt to be made.
+/// The parameters of one attempt.
 pub(super) struct Attempt<'a> {
     pub address: SocketAddr,
-    /// A connection that is already open may be used.
+    /// Whether a connection that is already open may be used.
     pub may_reuse_connection: bool,
-    /// The request may be abandoned for another address if this one is suspect.
+    /// Whether the request may be abandoned for another address if this one is suspect.
     pub may_abandon: bool,
     pub host: &'a str,
     pub method: &'a str,
@@ -73,7 +73,7 @@
 }
 
 impl Attempt<'_> {
-    /// Makes the attempt and waits for the whole response.
+    /// Makes the attempt and waits for the complete response.
     pub async fn run(self, steering: &SharedSteering, pool: &ConnectionPool) -> Outcome {
         match self.try_run(steering, pool).await {
             Ok(outcome) => outcome,
@@ -120,8 +120,8 @@
         request.body(Full::new(self.body.clone()))
     }
 
-    /// Sends the request and waits for the head of the response, checking at intervals whether the proxy
-    /// is to be abandoned.
+    /// Sends the request and waits for the head of the response. Checks every
+    /// [`SUSPICION_CHECK_INTERVAL`] whether the proxy is to be abandoned.
     async fn send(
         &self,
         connection: &mut Connection,
@@ -129,18 +129,20 @@
         steering: &SharedSteering,
     ) -> Result<hyper::Response<Incoming>, AttemptError> {
         let sent_at = steering.now();
-        let sending = connection.try_send_request(request);
-        tokio::pin!(sending);
+        let response_future = connection.try_send_request(request);
+        tokio::pin!(response_future);
         loop {
-            if let Ok(sent) = tokio::time::timeout(SUSPICION_CHECK_INTERVAL, &mut sending).await {
-                return sent.map_err(send_error);
+            if let Ok(result) =
+                tokio::time::timeout(SUSPICION_CHECK_INTERVAL, &mut response_future).await
+            {
+                return result.map_err(send_error);
             }
             if steering.now() - sent_at >= RESPONSE_TIMEOUT {
                 return Err(AttemptError::NoResponse);
             }
             if self.may_abandon && self.is_suspect(steering) {
                 let accepts_connections = tokio::select! {
-                    sent = &mut sending => return sent.map_err(send_error),
+                    result = &mut response_future => return result.map_err(send_error),
                     accepts_connections = accepts_connections(self.address) => accepts_connections,
                 };
                 let mut steering_state = steering.lock();
@@ -156,7 +158,8 @@
     }
 }
 
-/// hyper returns the request if no byte of it was written.
+/// Tells a request that was not sent from an interrupted one: hyper returns the request if no byte of it
+/// was written.
 fn send_error(mut error: TrySendError<hyper::Request<Full<bytes::Bytes>>>) -> AttemptError {
     match error.take_message() {
         Some(_) => AttemptError::NotSent(error.into_error()),
--- a/client/src/client/connection_pool.rs
+++ b/client/src/client/connection_pool.rs
@@ -12,10 +12,10 @@
 /// Time-out of a TCP connection attempt; an address that takes longer counts as unreachable.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Idle connections kept by address.
+/// Maximum number of idle connections kept per address.
 const MAX_IDLE_CONNECTIONS: usize = 32;
 
-/// The sending half of a connection.
+/// The request sender of an HTTP/1.1 connection.
 pub(super) type Connection = SendRequest<Full<bytes::Bytes>>;
 
 /// Why no connection could be opened.
@@ -39,7 +39,7 @@
 }
 
 impl ConnectionPool {
-    /// An idle connection, if `may_reuse` and there is one, or else a new one.
+    /// Returns an idle connection if `may_reuse` is set and there is one, otherwise a new connection.
     pub async fn connect(
         &self,
         address: SocketAddr,
@@ -49,17 +49,17 @@
             return Ok(connection);
         }
         let stream = connect_tcp(address).await?;
-        // Only a matter of latency: the connection works without it.
+        // An error is ignored: without TCP_NODELAY the connection works, with a higher latency.
         let _ = stream.set_nodelay(true);
         let (sender, driver) = handshake(TokioIo::new(stream)).await?;
         tokio::spawn(async move {
-            // Errors of the connection are reported to the requests on it.
+            // An error is ignored here: the requests on the connection report it.
             let _ = driver.await;
         });
         Ok(sender)
     }
 
-    /// Returns a connection after a whole response.
+    /// Makes a connection available to further requests, after a complete response on it.
     pub fn put_back(&self, address: SocketAddr, connection: Connection) {
         let mut idle = self.idle.lock().expect("no panic under this lock");
         let connections = idle.entry(address).or_default();
@@ -70,22 +70,22 @@
 
     fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         loop {
-            let idle =
+            let connection =
                 self.idle.lock().expect("no panic under this lock").get_mut(&address)?.pop()?;
-            if idle.is_ready() {
-                return Some(idle);
+            if connection.is_ready() {
+                return Some(connection);
             }
         }
     }
 }
 
-/// Whether anything accepts connections at that address.
+/// Whether the address accepts TCP connections.
 pub(super) async fn accepts_connections(address: SocketAddr) -> bool {
     connect_tcp(address).await.is_ok()
 }
 
 async fn connect_tcp(address: SocketAddr) -> Result<TcpStream, ConnectError> {
-    let connecting = TcpStream::connect(address);
-    let connected = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await;
-    Ok(connected.map_err(|_| ConnectError::Timeout)??)
+    let connect = TcpStream::connect(address);
+    let result = tokio::time::timeout(CONNECT_TIMEOUT, connect).await;
+    Ok(result.map_err(|_| ConnectError::Timeout)??)
 }
--- a/client/src/client/outcome.rs
+++ b/client/src/client/outcome.rs
@@ -1,9 +1,9 @@
-//! What became of a request.
+//! The outcome of a request.
 
 use super::attempt::AttemptError;
 use vanepath_config::ExecutionStatus;
 
-/// What became of one request, after its last attempt.
+/// The outcome of a request after its last attempt.
 #[derive(Debug)]
 pub enum Outcome {
     /// A complete response.
@@ -12,9 +12,9 @@
         status: u16,
         /// Header fields.
         headers: hyper::HeaderMap,
-        /// The whole body.
+        /// The complete body.
         body: bytes::Bytes,
-        /// Whether the request was executed, as the proxy stated it.
+        /// Whether the request was executed, as stated by the proxy.
         execution: ExecutionStatus,
     },
     /// No complete response.
@@ -24,7 +24,7 @@
         /// Why the last attempt failed.
         error: AttemptError,
     },
-    /// The request was not sent: no steering response yet, or none of its addresses is listed any more.
+    /// The request was not sent: there is no steering response yet, or none of its addresses is still listed.
     NoSteeringResponse,
 }
 
--- a/client/src/client/shared_steering.rs
+++ b/client/src/client/shared_steering.rs
@@ -1,4 +1,4 @@
-//! The steering state shared by a client's tasks, with the clock that it goes by.
+//! The steering state and its clock, shared by the tasks of a client.
 
 use crate::steering::Steering;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
         SharedSteering { start: Instant::now(), steering: Mutex::new(steering) }
     }
 
-    /// Time since the client was made, as [`Steering`] takes it.
+    /// Time since the client was created, which is the time base of its [`Steering`].
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
@@ -26,8 +26,8 @@
     }
 }
 
-/// A request that is outstanding at an address until this guard is dropped. It counts as unanswered
-/// unless [`OutstandingRequest::answered`] was called, also when the whole request is cancelled.
+/// Guard of a request that is outstanding at an address until the guard is dropped. The request counts as
+/// unanswered unless [`OutstandingRequest::answered`] was called; so does a cancelled request.
 pub(super) struct OutstandingRequest<'s> {
     steering: &'s SharedSteering,
     address: SocketAddr,
--- a/client/src/steering.rs
+++ b/client/src/steering.rs
@@ -1,5 +1,5 @@
 //! The steering routine as a pure state machine: it polls a registry for the steering response,
-//! orders the proxies to try for each request, and sets aside those that failed or went silent.
+//! orders the proxies to try for each request, and puts those that failed or stopped answering last.
 //! While no registry replies, the last response stays in use.
 
 mod address_health;
@@ -21,9 +21,9 @@
 /// Delay between a failed poll and the poll of the next registry.
 pub const POLL_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Steering state of one client. All times are durations since a common start of the caller's choice.
+/// Steering state of one client. All times are durations since a common origin that the caller chooses.
 pub struct Steering {
-    /// Registries to poll; those of the last response first, then the initial ones.
+    /// Registries to poll: first those of the last response, then the initial ones.
     registries: Vec<SocketAddr>,
     initial_registries: Vec<SocketAddr>,
     /// Position in `registries` (modulo its length) of the registry to poll.
@@ -41,12 +41,12 @@
     pub polls_failed: u64,
     /// Changes from one pathway to another, over all rules.
     pub switches: u64,
-    /// The pathway in use by rule; the general order is stored under the empty name.
+    /// The pathway in use by name of the rule; requests that match no rule have the empty name.
     current_pathways: HashMap<String, String>,
 }
 
 impl Steering {
-    /// A client without a steering response yet. `initial_uri` is the path and query of the first poll;
+    /// State of a client without a steering response. `initial_uri` is the path and query of the first poll;
     /// `spread` is a number that differs between clients, so that they start at different addresses.
     pub fn new(registries: Vec<SocketAddr>, initial_uri: String, spread: u64) -> Steering {
         Steering {
@@ -77,7 +77,7 @@
         self.next_poll_at
     }
 
-    /// Starts a poll if one is due: the registry to poll, and the path and query to request.
+    /// Starts a poll if one is due; returns the registry to poll, and the path and query to request.
     pub fn start_poll(&mut self, now: Duration) -> Option<(SocketAddr, String)> {
         if self.is_polling || now < self.next_poll_at || self.registries.is_empty() {
             return None;
@@ -88,8 +88,8 @@
         Some((self.polled_registry(), uri.clone()))
     }
 
-    /// Ends the poll begun by [`Steering::start_poll`]; `None` if it gave no usable response. A response
-    /// of an older revision than the one in use counts as a failed poll.
+    /// Ends the poll begun by [`Steering::start_poll`]; `response` is `None` if it gave no usable response.
+    /// A response of an older revision than the one in use counts as a failed poll.
     pub fn finish_poll(&mut self, now: Duration, response: Option<SteeringResponse>) {
         self.is_polling = false;
         let is_older = |response: &SteeringResponse| {
@@ -113,45 +113,47 @@
         self.registries[self.registry_index % self.registries.len()]
     }
 
-    /// Registries may be replaced by others at new addresses. The initial ones stay as a fallback after
-    /// those that the response names.
+    /// Adopts the registries that the response names, since registries may be replaced by others at new
+    /// addresses. The initial ones follow them as a fallback.
     fn update_registries(&mut self, response: &SteeringResponse) {
         let polled = self.polled_registry();
         let mut registries = response.registries.clone();
         registries.extend(self.initial_registries.iter().copied());
         let mut seen = HashSet::new();
         registries.retain(|address| seen.insert(*address));
-        self.registry_index = registries.iter().position(|one| *one == polled).unwrap_or(0);
+        self.registry_index = registries.iter().position(|address| *address == polled).unwrap_or(0);
         self.registries = registries;
     }
 
-    /// After a network error: the address is tried last for [`PENALTY_DURATION`], and a poll is due soon,
-    /// because a newer response may already leave that address out.
+    /// Records a network error at an address: it is tried last for [`PENALTY_DURATION`]. A poll is due within
+    /// [`POLL_RETRY_DELAY`], because a newer response may no longer list that address.
     pub fn penalize(&mut self, now: Duration, address: SocketAddr) {
         self.health.penalize(now, address);
         self.next_poll_at = self.next_poll_at.min(now + POLL_RETRY_DELAY);
     }
 
-    /// A request was sent to that address; [`Steering::request_finished`] must follow.
+    /// Records that a request was sent to an address; [`Steering::request_finished`] must follow.
     pub fn request_started(&mut self, now: Duration, address: SocketAddr) {
         self.health.request_started(now, address);
     }
 
-    /// A request to that address is over. `was_answered`: something was received from the address, which
-    /// shows that it is alive.
+    /// Records the end of a request to an address. `was_answered`: a response was received, which shows that
+    /// the address is alive.
     pub fn request_finished(&mut self, now: Duration, address: SocketAddr, was_answered: bool) {
         self.health.request_finished(now, address, was_answered);
     }
 
-    /// Whether the response in use still lists this address. A request that retries for long uses the
-    /// order that it started with, and a zone may have been drained since.
+    /// Whether the response in use still lists this address. A request keeps its attempt order during its
+    /// retries, and a zone may have been drained since that order was made.
     pub fn is_listed(&self, address: &SocketAddr) -> bool {
         self.response.as_ref().is_some_and(|response| response.lists(address))
     }
 
-    /// A proxy rejected the request as misdirected (421) and named the proxies that may forward it: those
-    /// come next, since all others in `order` would reject it too. The response that led to the rejection
-    /// is outdated, so a poll is due at once. The first `tried` addresses of `order` were tried already.
+    /// Handles a rejection as misdirected (421), in which a proxy named the proxies that may forward the
+    /// request. Those of them that are listed and untried replace the untried part of `order`, since all
+    /// others would reject the request too; if there are none, `order` stays. The steering response that led
+    /// to the rejection is outdated, so a poll is due at once. The first `tried` addresses of `order` were
+    /// tried already.
     pub fn redirect(
         &mut self,
         now: Duration,
@@ -172,17 +174,17 @@
         }
     }
 
-    /// Whether a request is sent to the next address after this response. A response that every proxy
-    /// would repeat is final and takes no retry from the budget; a redirection (421) takes none either.
+    /// Whether a request is sent to the next address after this response. A response that every proxy would
+    /// give is final and takes no token from the retry budget; a redirection (421) takes none either.
     pub fn should_retry(&mut self, now: Duration, status: u16, execution: ExecutionStatus) -> bool {
         let may_help = execution != ExecutionStatus::Ran && [421, 502, 503, 504].contains(&status);
         may_help && (status == 421 || self.retry_budget.take(now))
     }
 
-    /// Whether a repeatable request may abandon a suspect address after a connection test there.
-    /// `accepts_connections` is the result of that test: an address that is gone is abandoned at once. One
-    /// that accepts connections may only be slow, and abandoning it has the same work done twice: that
-    /// takes a retry from the budget.
+    /// Whether an idempotent request may abandon a suspect address after a connection test there.
+    /// `accepts_connections` is the result of that test. An address that accepts none is abandoned at once.
+    /// One that does may only be slow, and after abandoning it the same work is done twice; this takes a
+    /// token from the retry budget.
     pub fn may_abandon(
         &mut self,
         now: Duration,
@@ -193,9 +195,9 @@
     }
 
     /// Whether a request may use a connection that is already open. A power loss or a network partition
-    /// does not close a connection at this end, and the execution status of what is written to it then
-    /// stays unknown. An at-most-once request therefore needs an address that responded lately, or a new
-    /// connection, whose handshake shows that the other end is there.
+    /// does not close a connection at this end; a request written to it then has an unknown execution
+    /// status. An at-most-once request therefore needs an address that answered lately, or a new connection,
+    /// whose handshake shows that the other end is alive.
     pub fn may_reuse_connection(
         &self,
         now: Duration,
@@ -205,9 +207,9 @@
         !is_at_most_once || self.health.answered_lately(now, address)
     }
 
-    /// Whether the address has requests outstanding and has answered nothing for [`SUSPICION_TIMEOUT`].
-    /// One that is slow but answers other requests is not suspect: abandoning it would have the same work
-    /// done twice.
+    /// Whether the address has requests outstanding and has answered none for [`SUSPICION_TIMEOUT`]. An
+    /// address that is slow but answers other requests is not suspect: after abandoning it the same work
+    /// would be done twice.
     pub fn is_suspect(&self, now: Duration, address: &SocketAddr) -> bool {
         self.health.is_suspect(now, address)
     }
@@ -222,8 +224,9 @@
     }
 
     /// The addresses to try for a new request, in order: the pathways of the matching rule one after the
-    /// other, each rotated by this client's spread. Penalized and suspect addresses come last rather than
-    /// not at all, since every address may be one. Adds the request's share to the retry budget.
+    /// other, each rotated by this client's spread. Penalized and suspect addresses come last; they are not
+    /// left out, since all addresses may be penalized or suspect. Adds the request's share to the retry
+    /// budget.
     pub fn attempt_order(
         &mut self,
         now: Duration,
@@ -240,7 +243,7 @@
         let priority = rule.map_or(&response.priority, |rule| &rule.priority);
         let rule_name = rule.map_or(String::new(), |rule| rule.name.clone());
         let mut order = Vec::new();
-        let mut set_aside = Vec::new();
+        let mut last_resort = Vec::new();
         let mut chosen = None;
         for id in priority {
             let Some(pathway) = response.pathways.iter().find(|pathway| pathway.id == *id) else {
@@ -248,7 +251,7 @@
             };
             for address in rotated(&pathway.addresses, self.spread as usize) {
                 if self.health.is_penalized(&address) || self.health.is_suspect(now, &address) {
-                    set_aside.push(address);
+                    last_resort.push(address);
                 } else {
                     chosen = chosen.or(Some(id.clone()));
                     order.push(address);
@@ -258,7 +261,7 @@
         if let Some(chosen) = chosen {
             self.record_pathway(rule_name, chosen);
         }
-        order.extend(set_aside);
+        order.extend(last_resort);
         order
     }
 
--- a/client/src/steering/address_health.rs
+++ b/client/src/steering/address_health.rs
@@ -1,25 +1,25 @@
-//! What a client knows of the health of each proxy address: penalties after network errors, and whether
-//! the address answers the requests that it has.
+//! A client's view of the health of each proxy address: penalties after network errors, and whether the
+//! address answers its outstanding requests.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An address with outstanding requests that answered nothing for this long is suspect: new requests go
-/// elsewhere, the outstanding ones stay.
+/// An address with outstanding requests that has answered none for this long is suspect: new requests try
+/// other addresses first, outstanding ones stay.
 pub const SUSPICION_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// How long an address is tried last after a network error.
 pub const PENALTY_DURATION: Duration = Duration::from_secs(3);
 
-/// How long an answer shows that the open connections to its address work.
+/// How long after an answer the open connections to its address are assumed to work.
 const ANSWER_VALIDITY: Duration = Duration::from_millis(300);
 
 /// Requests sent to an address and not yet finished.
 struct Outstanding {
     count: u32,
-    /// Since when the address owes an answer.
-    silent_since: Duration,
+    /// When the first of these requests started, or when the address answered last, whichever is later.
+    unanswered_since: Duration,
 }
 
 /// Health of all addresses of one client.
@@ -46,10 +46,12 @@
     }
 
     pub fn request_started(&mut self, now: Duration, address: SocketAddr) {
-        let outstanding =
-            self.outstanding.entry(address).or_insert(Outstanding { count: 0, silent_since: now });
+        let outstanding = self
+            .outstanding
+            .entry(address)
+            .or_insert(Outstanding { count: 0, unanswered_since: now });
         if outstanding.count == 0 {
-            outstanding.silent_since = now;
+            outstanding.unanswered_since = now;
         }
         outstanding.count += 1;
     }
@@ -63,7 +65,7 @@
         if let Some(outstanding) = self.outstanding.get_mut(&address) {
             outstanding.count = outstanding.count.saturating_sub(1);
             if was_answered {
-                outstanding.silent_since = now;
+                outstanding.unanswered_since = now;
             }
             if outstanding.count == 0 {
                 self.outstanding.remove(&address);
@@ -79,7 +81,7 @@
     pub fn is_suspect(&self, now: Duration, address: &SocketAddr) -> bool {
         self.outstanding.get(address).is_some_and(|outstanding| {
             outstanding.count > 0
-                && now.saturating_sub(outstanding.silent_since) >= SUSPICION_TIMEOUT
+                && now.saturating_sub(outstanding.unanswered_since) >= SUSPICION_TIMEOUT
         })
     }
 }
--- a/client/src/steering/response.rs
+++ b/client/src/steering/response.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use vanepath_config::model::under_prefix;
 
-/// Upper bound for the time to live of a response; longer ones are shortened to it.
+/// Upper bound of a response's time to live; higher values are reduced to it.
 pub const MAX_TTL: Duration = Duration::from_secs(5);
 
 /// A set of proxies that a response names, such as those of one zone.
@@ -24,13 +24,14 @@
 pub struct SteeringRule {
     /// Name of the rule.
     pub name: String,
-    /// Methods that match; all do if empty.
+    /// Methods that match; empty for all methods.
     pub methods: Vec<String>,
-    /// Host that matches, in any case; all do if absent.
+    /// Host that matches, compared without regard to case; `None` for all hosts.
     pub host: Option<String>,
     /// Path prefix that matches.
     pub path_prefix: String,
-    /// The request may be executed at most once: it is retried only while it is known not to have run.
+    /// Whether the request may be executed at most once; it is then retried only while it is known not to
+    /// have run.
     pub is_at_most_once: bool,
     /// Identifiers of the pathways to use, the preferred one first.
     pub priority: Vec<String>,
@@ -38,8 +39,8 @@
 
 impl SteeringRule {
     pub(super) fn matches(&self, method: &str, host: &str, path: &str) -> bool {
-        (self.methods.is_empty() || self.methods.iter().any(|one| one == method))
-            && self.host.as_deref().is_none_or(|own| own.eq_ignore_ascii_case(host))
+        (self.methods.is_empty() || self.methods.iter().any(|listed| listed == method))
+            && self.host.as_deref().is_none_or(|expected| expected.eq_ignore_ascii_case(host))
             && under_prefix(path, &self.path_prefix)
     }
 }
@@ -47,9 +48,9 @@
 /// A registry's steering response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SteeringResponse {
-    /// How long the response holds before the next poll, at most [`MAX_TTL`].
+    /// How long the response is valid before the next poll, at most [`MAX_TTL`].
     pub ttl: Duration,
-    /// Path and query of the next poll; it carries the steering state token.
+    /// Path and query of the next poll, with the steering state token.
     pub reload_uri: String,
     /// Revision of the committed configuration that the response was made from.
     pub revision: u64,
@@ -57,7 +58,7 @@
     pub priority: Vec<String>,
     /// All pathways.
     pub pathways: Vec<Pathway>,
-    /// Rules, of which the first that matches counts.
+    /// Rules; the first that matches applies.
     pub rules: Vec<SteeringRule>,
     /// Registries to poll; empty if the response does not name them.
     pub registries: Vec<SocketAddr>,
@@ -69,7 +70,7 @@
     }
 }
 
-/// Why a text is no steering response.
+/// Why a text is not a valid steering response.
 #[derive(Debug, thiserror::Error)]
 pub enum SteeringResponseError {
     /// The text is not JSON.
@@ -80,7 +81,7 @@
     Member(&'static str),
 }
 
-/// Reads a steering response.
+/// Parses a steering response.
 ///
 /// # Errors
 /// If the text is not JSON, or a required member is absent or not valid.
@@ -104,7 +105,7 @@
     })
 }
 
-/// A required member, read by `read`.
+/// A required member, converted by `read`.
 fn member<'o, T>(
     object: &'o Object,
     key: &'static str,
@@ -130,7 +131,7 @@
     Some(Duration::from_secs_f64(seconds.min(MAX_TTL.as_secs_f64())))
 }
 
-/// Optional: registries of earlier versions do not name them.
+/// The addresses of the registries. Optional, since registries of earlier versions do not send them.
 fn registries(object: &Object) -> Result<Vec<SocketAddr>, SteeringResponseError> {
     let names = object.get("DIRECTORIES").and_then(strings).unwrap_or_default();
     let addresses: Option<Vec<SocketAddr>> = names.iter().map(|text| text.parse().ok()).collect();
--- a/client/src/steering/retry_budget.rs
+++ b/client/src/steering/retry_budget.rs
@@ -1,12 +1,11 @@
-//! A client's retry budget: a token bucket that limits retries after a proxy responded that it could not
-//! serve a request.
+//! A client's retry budget: a token bucket that limits the retries of requests that a proxy could not serve.
 
 use std::time::Duration;
 
-/// Tokens added per request. With the proxies' own share of retries (design 8.5) this makes a fifth of
-/// the requests; more retries would add load where there is too much already.
+/// Tokens added per request. Together with the proxies' own retries (design 8.5), retries are at most a
+/// fifth of the requests; more would add load to a fleet that is overloaded already.
 const TOKENS_PER_REQUEST: f64 = 0.05;
-/// Tokens added per second, independent of requests: one retry in ten seconds.
+/// Tokens added per second independent of requests: one retry in ten seconds.
 const TOKENS_PER_SECOND: f64 = 0.1;
 /// Size of the bucket, which starts full.
 const MAX_TOKENS: f64 = 2.0;
@@ -14,7 +13,7 @@
 /// A token bucket in which each retry costs one token.
 pub(super) struct RetryBudget {
     tokens: f64,
-    /// When the tokens that accrue with time were last added.
+    /// When the tokens of [`TOKENS_PER_SECOND`] were last added.
     refilled_at: Duration,
 }
 
@@ -30,7 +29,7 @@
         self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
     }
 
-    /// Takes the token of one retry, if there is one.
+    /// Takes the token of one retry; returns whether there was one.
     pub fn take(&mut self, now: Duration) -> bool {
         let elapsed = now.saturating_sub(self.refilled_at);
         let tokens = self.tokens + TOKENS_PER_SECOND * elapsed.as_secs_f64();
--- a/client/src/steering/tests.rs
+++ b/client/src/steering/tests.rs
@@ -30,8 +30,8 @@
     order.iter().map(|address| address.port()).collect()
 }
 
-/// The proxies that a 421 names come next, each address once, and only those that the response in use
-/// lists.
+/// The proxies that a response with status 421 names are tried next, except those tried already and those
+/// that the response in use does not list.
 #[test]
 fn a_redirected_request_goes_to_the_named_proxies_next() {
     let address = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
@@ -44,8 +44,11 @@
     let mut order = vec![address(1), address(2), address(3)];
     steering.redirect(now, &mut order, 1, &[address(3), address(1), address(77)]);
     assert_eq!(ports(&order), [1, 3]);
-    assert!(steering.start_poll(now).is_some(), "its receipt is an old one");
-    // No new address is named: the rest of the order is tried nevertheless.
+    assert!(
+        steering.start_poll(now).is_some(),
+        "the steering response is outdated, so a poll is due"
+    );
+    // If no untried address is named, the rest of the order is still tried.
     let mut order = vec![address(1), address(2), address(3)];
     steering.redirect(now, &mut order, 1, &[address(1)]);
     assert_eq!(ports(&order), [1, 2, 3]);
@@ -58,8 +61,8 @@
     let mut steering = Steering::new(registries, "/v1/steer".into(), 0);
     let now = Duration::from_secs;
     assert_eq!(steering.start_poll(now(0)), Some((address(8), "/v1/steer".into())));
-    assert_eq!(steering.start_poll(now(0)), None, "one poll at a time");
-    // A registry that does not respond: the next one is polled.
+    assert_eq!(steering.start_poll(now(0)), None, "only one poll at a time");
+    // The next registry is polled after one that does not respond.
     steering.finish_poll(now(0), None);
     assert_eq!(steering.start_poll(now(1)), Some((address(9), "/v1/steer".into())));
     steering.finish_poll(now(1), Some(response(5)));
@@ -67,18 +70,19 @@
     assert_eq!(ports(&mut steering, 1, "POST", "/f/1")[0], 3);
     assert!(steering.is_at_most_once("POST", "h", "/f/1"));
     assert!(steering.is_listed(&address(3)) && !steering.is_listed(&address(4)));
-    // Penalized: the next address of the pathway, then the next pathway, until the penalty ends.
+    // Requests avoid a penalized address until its penalty ends: they go to the next address of the pathway,
+    // then to the next pathway.
     steering.penalize(now(1), address(1));
     assert_eq!(ports(&mut steering, 1, "GET", "/x"), [2, 3, 1]);
     steering.penalize(now(1), address(2));
     assert_eq!(ports(&mut steering, 1, "GET", "/x")[0], 3);
     assert_eq!(steering.switches, 1);
     assert_eq!(ports(&mut steering, 5, "GET", "/x")[0], 1);
-    // The state token is sent; an older response is not taken; without a response the last one stays.
+    // The poll sends the state token, and a response of an older revision is ignored.
     assert_eq!(steering.start_poll(now(5)).unwrap().1, "/v1/steer?state=5");
     steering.finish_poll(now(5), Some(response(4)));
     assert_eq!(steering.response().unwrap().revision, 5);
-    // An address that answers nothing for too long is suspect until it answers.
+    // An address that answers no request within the time-out is suspect until it answers one.
     steering.request_started(now(5), address(1));
     assert_eq!(ports(&mut steering, 5, "GET", "/x")[0], 1);
     assert_eq!(ports(&mut steering, 6, "GET", "/x"), [2, 3, 1]);
@@ -86,19 +90,20 @@
     steering.request_finished(now(6), address(1), true);
     assert_eq!(ports(&mut steering, 6, "GET", "/x")[0], 1);
     steering.request_finished(now(6), address(1), true);
-    // An at-most-once request reuses a connection only shortly after an answer, a repeatable one always.
+    // An at-most-once request reuses a connection only shortly after an answer, an idempotent one always.
     assert!(steering.may_reuse_connection(now(6), &address(1), true));
     assert!(!steering.may_reuse_connection(now(7), &address(1), true));
     assert!(steering.may_reuse_connection(now(7), &address(1), false));
-    assert!(!steering.may_reuse_connection(now(6), &address(3), true), "never heard of");
+    assert!(!steering.may_reuse_connection(now(6), &address(3), true), "it has not answered yet");
     steering.request_finished(now(6), address(1), false);
-    assert!(!steering.may_reuse_connection(now(6), &address(1), true), "it broke");
+    assert!(!steering.may_reuse_connection(now(6), &address(1), true), "its last request failed");
+    // The last response stays in use while polls fail.
     steering.finish_poll(now(6), None);
     assert_eq!(ports(&mut steering, 600, "GET", "/x")[0], 1);
 }
 
-/// A response that every proxy would repeat takes no retry; one that another proxy may improve on is
-/// retried while the budget lasts.
+/// A response that every proxy would give is not retried; one for which another proxy may have a better
+/// result is retried while the retry budget lasts.
 #[test]
 fn only_retries_take_from_the_retry_budget() {
     use vanepath_config::ExecutionStatus::{MayHaveRun, NotRun, Ran};
@@ -107,21 +112,21 @@
     for _ in 0..100 {
         assert!(!steering.should_retry(now, 200, Ran) && !steering.should_retry(now, 404, NotRun));
         assert!(!steering.should_retry(now, 500, MayHaveRun));
-        assert!(steering.should_retry(now, 421, NotRun), "only sent elsewhere");
+        assert!(steering.should_retry(now, 421, NotRun), "a redirection takes no token");
     }
     let mut retries = || (0..10).filter(|_| steering.should_retry(now, 503, NotRun)).count();
     assert_eq!((retries(), retries()), (2, 0));
 }
 
-/// A suspect proxy that accepts no connection is abandoned at once; abandoning one that does takes a
-/// retry; one that answered meanwhile is not abandoned at all.
+/// A suspect proxy that accepts no connections is abandoned at once. Abandoning one that does takes a token
+/// from the retry budget. One that has answered since is not abandoned.
 #[test]
 fn abandoning_a_reachable_proxy_takes_a_retry() {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let mut steering = Steering::new(Vec::new(), String::new(), 0);
     let now = Duration::from_secs;
     steering.request_started(now(1), address);
-    assert!(!steering.may_abandon(now(1), &address, false), "it has not been silent for long");
+    assert!(!steering.may_abandon(now(1), &address, false), "the time-out has not passed yet");
     let mut abandoned = |accepts_connections: bool| {
         (0..10).filter(|_| steering.may_abandon(now(4), &address, accepts_connections)).count()
     };
