--- a/config-check/src/changes.rs
+++ b/config-check/src/changes.rs
@@ -1,8 +1,8 @@
-//! The differences between two configurations, by the names of their parts.
+//! The differences between two configurations, whose parts are matched by name.
 
 use vanepath_config::model::{Class, Config, Rule};
 
-/// What would change from one configuration to the next, a line each.
+/// The changes from one configuration to another, one line each.
 pub fn changes(before: &Config, after: &Config) -> Vec<String> {
     let mut lines = Vec::new();
     lines.extend(part_changes(
@@ -10,7 +10,7 @@
         &before.classes,
         &after.classes,
         |class| &class.name,
-        |old, new| class_form(before, old) == class_form(after, new),
+        |old, new| comparable_class(before, old) == comparable_class(after, new),
     ));
     lines.extend(part_changes(
         "service",
@@ -31,7 +31,7 @@
         &before.rules,
         &after.rules,
         |rule| &rule.name,
-        |old, new| rule_form(before, old) == rule_form(after, new),
+        |old, new| comparable_rule(before, old) == comparable_rule(after, new),
     ));
     if is_rule_order_changed(before, after) {
         lines.push("rules would stand in another order, and the first that matches counts".into());
@@ -39,7 +39,7 @@
     lines
 }
 
-/// Which of the named parts would be removed, added or changed.
+/// The removed, added and changed parts of one kind.
 fn part_changes<T>(
     kind: &str,
     before: &[T],
@@ -65,24 +65,26 @@
     lines
 }
 
-/// A class with the names of the classes that it borrows from, and how many slots, in place of their
-/// indices, which differ between configurations.
-fn class_form(config: &Config, class: &Class) -> (Class, Vec<(String, u64)>) {
+/// A form of a class that can be compared between configurations: the classes that it borrows slots from
+/// are given by name, since their indices differ between configurations.
+fn comparable_class(config: &Config, class: &Class) -> (Class, Vec<(String, u64)>) {
     let borrows = class.borrows.iter();
-    let borrows = borrows.map(|one| (config.classes[one.class].name.clone(), one.max_slots));
+    let borrows =
+        borrows.map(|borrow| (config.classes[borrow.class].name.clone(), borrow.max_slots));
     (Class { borrows: Vec::new(), ..class.clone() }, borrows.collect())
 }
 
-/// A rule with the names of its class and services in place of their indices.
-fn rule_form(config: &Config, rule: &Rule) -> (Rule, String, Vec<String>) {
+/// A form of a rule that can be compared between configurations: its class and services are given by name
+/// instead of by index.
+fn comparable_rule(config: &Config, rule: &Rule) -> (Rule, String, Vec<String>) {
     let services = std::iter::once(&rule.service).chain(&rule.spillover);
     let services = services.map(|index| config.services[*index].name.clone()).collect();
     let class = config.classes[rule.class].name.clone();
-    let bare = Rule { class: 0, service: 0, spillover: Vec::new(), ..rule.clone() };
-    (bare, class, services)
+    let without_indices = Rule { class: 0, service: 0, spillover: Vec::new(), ..rule.clone() };
+    (without_indices, class, services)
 }
 
-/// Whether the rules of both configurations stand in another order.
+/// Whether the rules that both configurations have are in a different order.
 fn is_rule_order_changed(before: &Config, after: &Config) -> bool {
     let names = |config: &Config| -> Vec<String> {
         config.rules.iter().map(|rule| rule.name.clone()).collect()
--- a/config-check/src/checks.rs
+++ b/config-check/src/checks.rs
@@ -1,4 +1,4 @@
-//! The checks of a configuration that is valid in itself, against a snapshot of the fleet.
+//! Checks a valid configuration against a snapshot of the fleet.
 
 use crate::changes::changes;
 use crate::finding::{Finding, Severity};
@@ -8,7 +8,7 @@
 use vanepath_config::model::{Config, Rule, parse};
 use vanepath_config::selector::ClientLocation;
 
-/// All findings about a configuration that is valid in itself, the gravest first.
+/// All findings about a valid configuration, the most severe first.
 pub fn check(config: &Config, fleet: &FleetSnapshot) -> Vec<Finding> {
     let checker = Checker { config, fleet };
     let mut findings = regressed_daemons(fleet);
@@ -19,7 +19,7 @@
     findings
 }
 
-/// Daemons whose revision is older than one they had before.
+/// A finding for each daemon whose revision is older than one that it had before.
 fn regressed_daemons(fleet: &FleetSnapshot) -> Vec<Finding> {
     let finding = |name: &String| {
         let message = "goes by an older word than it did before: see its status, 'floor'";
@@ -28,7 +28,7 @@
     fleet.regressed_daemons.iter().map(finding).collect()
 }
 
-/// What this configuration would change in the active one.
+/// What would change if this configuration replaced the active one.
 fn changes_to_active_config(config: &Config, fleet: &FleetSnapshot) -> Vec<Finding> {
     let Some(Ok(active)) = fleet.active_config.as_deref().map(parse) else {
         return Vec::new();
@@ -37,7 +37,7 @@
     lines.map(|line| Finding::new(Severity::Note, "$", line)).collect()
 }
 
-/// A failure domain that may be lost as a whole.
+/// A failure domain, all of whose machines may fail at once.
 #[derive(Clone, Copy)]
 enum FailureDomain<'f> {
     Zone(&'f str),
@@ -62,12 +62,12 @@
     }
 }
 
-/// Capacity that can serve a rule.
+/// What the fleet has to serve a rule.
 #[derive(Clone, Copy)]
 struct Capacity {
-    /// Live servers that the rule may use.
+    /// Number of live servers that the rule may use.
     servers: usize,
-    /// Live proxies that may forward its requests.
+    /// Number of live proxies that may forward its requests.
     proxies: usize,
 }
 
@@ -77,7 +77,7 @@
 }
 
 impl<'c> Checker<'c> {
-    /// Whether each service has servers.
+    /// A finding for each service: how many of its servers are live.
     fn services(&self) -> Vec<Finding> {
         (0..self.config.services.len()).map(|index| self.service(index)).collect()
     }
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Whether each rule has servers and proxies, now and after the loss of any zone or region.
+    /// Findings about rules that lack servers or proxies, now or after the loss of a zone or region.
     fn rules(&self) -> Vec<Finding> {
         let domains = self.failure_domains();
         let rules = self.config.rules.iter().enumerate();
@@ -122,11 +122,12 @@
             let message = format!("rule '{}': no live proxy may carry it", rule.name);
             return vec![Finding::new(Severity::Error, path, message)];
         }
-        let losses = domains.iter();
-        losses.filter_map(|domain| self.loss(rule, &path, capacity, *domain)).collect()
+        let domains = domains.iter();
+        domains.filter_map(|domain| self.loss(rule, &path, capacity, *domain)).collect()
     }
 
-    /// What the loss of a failure domain would leave of a rule's capacity, if that is little.
+    /// A finding if the loss of a failure domain would leave a rule without servers or proxies, or with fewer
+    /// than half of its servers.
     fn loss(
         &self,
         rule: &Rule,
@@ -155,7 +156,7 @@
         })
     }
 
-    /// The live servers and proxies for a rule, apart from those of a lost failure domain.
+    /// The live servers and proxies for a rule, without those of a lost failure domain.
     fn capacity(&self, rule: &Rule, lost: Option<FailureDomain<'_>>) -> Capacity {
         let is_lost =
             |zone: &str, region: &str| lost.is_some_and(|domain| domain.contains(zone, region));
@@ -163,11 +164,11 @@
             let mut services = std::iter::once(&rule.service).chain(&rule.spillover);
             services.any(|service| self.serves(*service, server))
         };
-        let servers = self.fleet.servers.iter().filter(|one| {
-            one.is_live
-                && is_served_by(one)
-                && rule.allows_region(&one.server.region)
-                && !is_lost(&one.server.zone, &one.server.region)
+        let servers = self.fleet.servers.iter().filter(|server| {
+            server.is_live
+                && is_served_by(server)
+                && rule.allows_region(&server.server.region)
+                && !is_lost(&server.server.zone, &server.server.region)
         });
         let proxies = self.fleet.proxies.iter().filter(|proxy| {
             rule.allows_region(&proxy.region)
@@ -177,7 +178,7 @@
         Capacity { servers: servers.count(), proxies: proxies.count() }
     }
 
-    /// Whether a server takes new requests of a service.
+    /// Whether a server may get new requests of a service.
     fn serves(&self, service: usize, server: &ServerSnapshot) -> bool {
         let selector = &self.config.services[service].selector;
         selector.matches(&server.server, ClientLocation::default())
@@ -185,13 +186,13 @@
             && !self.fleet.drained_zones.contains(&server.server.zone)
     }
 
-    /// All zones with servers or proxies, then all their regions.
+    /// All zones that have servers or proxies, followed by their regions.
     fn failure_domains(&self) -> Vec<FailureDomain<'c>> {
         let server_zones = self
             .fleet
             .servers
             .iter()
-            .map(|one| (one.server.zone.as_str(), one.server.region.as_str()));
+            .map(|server| (server.server.zone.as_str(), server.server.region.as_str()));
         let proxy_zones =
             self.fleet.proxies.iter().map(|proxy| (proxy.zone.as_str(), proxy.region.as_str()));
         let zones: BTreeSet<(&str, &str)> = server_zones.chain(proxy_zones).collect();
--- a/config-check/src/finding.rs
+++ b/config-check/src/finding.rs
@@ -1,14 +1,14 @@
 //! Findings of a check.
 
-/// How grave a finding is, in rising order.
+/// Severity of a finding, in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Severity {
     /// For information.
     Note,
-    /// Works now, but not after a loss that the fleet should survive.
+    /// Works now, but would not work after a failure that the fleet should tolerate.
     Warning,
-    /// Would not be served by the fleet as it is.
+    /// The fleet in its present state could not serve it.
     #[strum(serialize = "bad")]
     Error,
 }
@@ -16,9 +16,9 @@
 /// One finding about a configuration.
 #[derive(Clone, Debug)]
 pub struct Finding {
-    /// How grave it is.
+    /// Its severity.
     pub severity: Severity,
-    /// Where it is: a JSON path into the configuration document, or the name of a daemon.
+    /// What it is about: a JSON path into the configuration document, or a daemon.
     pub path: String,
     /// What was found.
     pub message: String,
--- a/config-check/src/lib.rs
+++ b/config-check/src/lib.rs
@@ -1,5 +1,5 @@
 //! Checks a configuration against a snapshot of the fleet (design 9.4): which rules match no live server,
-//! what the loss of a zone or a region would leave of each class, and what would change. Also finds
+//! what capacity would be left after the loss of a zone or region, and what would change. Also finds
 //! daemons whose configuration revision is older than one they had before (design 5.8).
 
 #![warn(missing_docs)]
--- a/config-check/src/main.rs
+++ b/config-check/src/main.rs
@@ -1,5 +1,5 @@
-//! vanepath-config-check: checks a configuration, alone or against the fleet as it is, and finds daemons
-//! that went back to an older revision.
+//! vanepath-config-check: validates a configuration, optionally checks it against the present state of the
+//! fleet, and finds daemons that went back to an older revision.
 
 mod output;
 mod status_client;
@@ -11,7 +11,8 @@
 };
 use vanepath_config_check::{FleetSnapshot, Severity, check};
 
-/// The result of a run that could be made; [`COULD_NOT_CHECK`] is the code of one that could not.
+/// The result of a check that was completed, with its exit code; [`COULD_NOT_CHECK`] is the exit code of one
+/// that could not be.
 #[derive(Clone, Copy)]
 enum Conclusion {
     Good = 0,
@@ -19,7 +20,7 @@
     InvalidConfig = 3,
 }
 
-/// The exit code after an error.
+/// Exit code if an error prevented the check.
 const COULD_NOT_CHECK: u8 = 2;
 
 fn main() -> ExitCode {
@@ -73,7 +74,7 @@
     options
 }
 
-/// Checks a configuration file, and against the fleet if a registry was given.
+/// Validates a configuration file and, if a registry was given, checks it against the fleet.
 fn check_config(file: &str, matches: &getopts::Matches) -> miette::Result<Conclusion> {
     let as_json = matches.opt_present("json");
     let bytes =
@@ -98,8 +99,8 @@
     Ok(if is_good { Conclusion::Good } else { Conclusion::Findings })
 }
 
-/// Compares the revision of every daemon that these registries list with those that it had before. Good if
-/// no daemon is on an older revision, waits for its read index or is unreachable.
+/// Compares the revision of every daemon that these registries list with those that it had before. The
+/// result is good unless a daemon is on an older revision, waits for its read index or is unreachable.
 fn check_revisions(registries: &[String], as_json: bool) -> miette::Result<Conclusion> {
     let results = runtime()?.block_on(daemon_revisions(registries))?;
     let is_good = results.iter().all(|result| result.state == RevisionState::Current);
--- a/config-check/src/output.rs
+++ b/config-check/src/output.rs
@@ -1,4 +1,4 @@
-//! What the program prints, as text or as JSON.
+//! Prints results as text or as JSON.
 
 use jzon::JsonValue;
 use vanepath_config::ValidationError;
@@ -6,7 +6,7 @@
 use vanepath_config_check::Finding;
 use vanepath_config_check::revision_regressions::DaemonRevision;
 
-/// Prints why a configuration file is not valid in itself.
+/// Prints the validation errors of a configuration file.
 pub fn print_validation_errors(file: &str, errors: &[ValidationError], as_json: bool) {
     if as_json {
         let value = jzon::object! { "valid": false, "faults": validation_errors_as_json(errors) };
@@ -19,7 +19,7 @@
     }
 }
 
-/// Prints that a configuration file is valid in itself.
+/// Prints that a configuration file is valid; it was not checked against a fleet.
 pub fn print_valid(file: &str, as_json: bool) {
     if as_json {
         println!("{}", jzon::object! { "valid": true }.pretty(2));
@@ -28,15 +28,15 @@
     }
 }
 
-/// Prints the findings of a check against a fleet whose configuration has that revision.
+/// Prints the findings of a check against a fleet; `revision` is that of the fleet's active configuration.
 pub fn print_findings(findings: &[Finding], is_good: bool, revision: u64, as_json: bool) {
     if as_json {
-        let listed: Vec<JsonValue> = findings.iter().map(finding_as_json).collect();
+        let rows: Vec<JsonValue> = findings.iter().map(finding_as_json).collect();
         let value = jzon::object! {
             "valid": true,
             "good": is_good,
             "revisionInForce": revision,
-            "findings": listed,
+            "findings": rows,
         };
         println!("{}", value.pretty(2));
         return;
--- a/config-check/src/revision_regressions.rs
+++ b/config-check/src/revision_regressions.rs
@@ -1,8 +1,9 @@
-//! Finds daemons that went back to an older configuration revision (design 5.8): the highest revision that
-//! any registry observed at each daemon, compared with what the daemon itself states.
+//! Finds daemons that went back to an older configuration revision (design 5.8): compares the highest
+//! revision that any registry observed at each daemon with the revision that the daemon itself reports.
 //!
-//! The status pages call the lower bound of a daemon's revision its `floor`; that is the read index that
-//! the daemon obtained at start-up, as in Raft.
+//! Status pages have two values with the key `floor`, both lower bounds of a daemon's revision: in a
+//! registry's list of daemons the highest revision observed there, and in a daemon's own status the read
+//! index (as in Raft) that it obtained at start-up.
 
 use crate::snapshot::{SnapshotError, array, string};
 use jzon::JsonValue;
@@ -11,7 +12,7 @@
 /// A daemon as the registries list it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListedDaemon {
-    /// Its role, as in the status page: `proxy`, `registry` or `store`.
+    /// Its role: `proxy`, `registry` or `store`.
     pub role: String,
     /// The address of its status page.
     pub address: String,
@@ -27,7 +28,7 @@
 }
 
 impl ListedDaemons {
-    /// Adds what one registry's status lists.
+    /// Adds the daemons that one registry's status lists.
     ///
     /// # Errors
     /// If a member of the status is absent or has another form.
@@ -53,10 +54,10 @@
     /// Its revision is older.
     #[strum(serialize = "behind")]
     Regressed,
-    /// It has not reached its read index yet, and takes no work.
+    /// It has not reached its read index yet and accepts no requests until then.
     #[strum(serialize = "waits")]
     Waiting,
-    /// It did not send its status.
+    /// Its status could not be read.
     #[strum(serialize = "unheard")]
     Unreachable,
 }
@@ -66,13 +67,13 @@
 pub struct DaemonRevision {
     /// Name of the daemon.
     pub name: String,
-    /// How its revision compares.
+    /// The result of the comparison.
     pub state: RevisionState,
-    /// The revisions in words, for an operator.
+    /// The compared revisions, as a text for operators.
     pub message: String,
 }
 
-/// Compares a daemon's own status (`None` if it did not send one) with what the registries observed.
+/// Compares a daemon's own status (`None` if it could not be read) with what the registries observed.
 pub fn compare(name: &str, listed: &ListedDaemon, status: Option<&JsonValue>) -> DaemonRevision {
     let result = |state, message| DaemonRevision { name: name.to_string(), state, message };
     let Some(status) = status else {
--- a/config-check/src/snapshot.rs
+++ b/config-check/src/snapshot.rs
@@ -1,10 +1,10 @@
-//! The state of a fleet as one registry reports it.
+//! The state of a fleet as reported by one registry.
 
 use jzon::JsonValue;
 use std::collections::BTreeMap;
 use vanepath_config::endpoint_list::Server;
 
-/// A server and its health, as a registry's status states them.
+/// A server and its health, as reported in a registry's status.
 #[derive(Clone, Debug)]
 pub struct ServerSnapshot {
     /// The server's entry in the endpoint list.
@@ -13,7 +13,7 @@
     pub is_live: bool,
 }
 
-/// Where a live proxy runs.
+/// The location of a live proxy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProxyLocation {
     /// Its zone.
@@ -22,7 +22,7 @@
     pub region: String,
 }
 
-/// The state of a fleet at one moment.
+/// The state of a fleet at one point in time.
 #[derive(Clone, Debug, Default)]
 pub struct FleetSnapshot {
     /// Revision of the committed configuration.
@@ -33,14 +33,14 @@
     pub proxies: Vec<ProxyLocation>,
     /// Zones that are drained.
     pub drained_zones: Vec<String>,
-    /// Names of daemons whose revision is older than one they had before (design 5.8).
+    /// Names of daemons whose revision is older than one that they had before (design 5.8).
     pub regressed_daemons: Vec<String>,
     /// The active configuration document, byte for byte, if there is one.
     pub active_config: Option<Vec<u8>>,
 }
 
-/// A registry's status lacks a member that the snapshot needs, or has it in another form; the registry
-/// is then of another version.
+/// A member that the snapshot needs is absent from a registry's status or has an unexpected form, because
+/// the registry is of another version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the registry's status is of another version")]
 pub struct SnapshotError {
@@ -49,7 +49,7 @@
 }
 
 impl FleetSnapshot {
-    /// Reads a registry's status; `active_config` is the active configuration document.
+    /// Makes a snapshot from a registry's status; `active_config` is the active configuration document.
     ///
     /// # Errors
     /// If a member of the status is absent or has another form.
--- a/config-check/src/status_client.rs
+++ b/config-check/src/status_client.rs
@@ -1,4 +1,4 @@
-//! Reads status pages of daemons over HTTP.
+//! Reads the status pages of daemons over HTTP.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
@@ -10,11 +10,11 @@
 use tokio::net::TcpStream;
 use vanepath_config_check::{FleetSnapshot, SnapshotError};
 
-/// Time-out of one request, connection included.
+/// Time-out of one request, including its connection.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why a daemon's page could not be read. The message contains that of the cause, so that a report is one
-/// line.
+/// Why a daemon's page could not be read. The message includes that of the cause, so that the error report
+/// is a single line.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum StatusError {
     #[error("the registry at {address} cannot be asked: {cause}")]
@@ -68,21 +68,21 @@
 }
 
 async fn get_without_timeout(address: SocketAddr, path: &str) -> Result<Response, StatusError> {
-    let http = |cause| StatusError::Http { address, cause };
+    let http_error = |cause| StatusError::Http { address, cause };
     let stream = TcpStream::connect(address)
         .await
         .map_err(|cause| StatusError::Connect { address, cause })?;
-    let (mut sender, connection) = handshake(TokioIo::new(stream)).await.map_err(http)?;
+    let (mut sender, connection) = handshake(TokioIo::new(stream)).await.map_err(http_error)?;
     tokio::spawn(async move {
-        // Errors of the connection are reported to the request on it.
+        // An error is ignored here: the request on the connection reports it.
         let _ = connection.await;
     });
     let request = hyper::Request::get(path)
         .header(hyper::header::HOST, address.to_string())
         .body(Empty::<Bytes>::new())
         .map_err(|cause| StatusError::InvalidRequest { address, cause })?;
-    let response = sender.send_request(request).await.map_err(http)?;
+    let response = sender.send_request(request).await.map_err(http_error)?;
     let status = response.status().as_u16();
-    let body = response.into_body().collect().await.map_err(http)?.to_bytes();
+    let body = response.into_body().collect().await.map_err(http_error)?.to_bytes();
     Ok(Response { status, body })
 }
--- a/config-check/src/tests.rs
+++ b/config-check/src/tests.rs
@@ -63,9 +63,9 @@
     let mut fleet = fleet();
     fleet.active_config = Some(before.into_bytes());
     let config = parse(after.as_bytes()).unwrap();
-    let shown: String = check(&config, &fleet)
+    let findings: String = check(&config, &fleet)
         .iter()
-        .map(|one| format!("{} {}: {}\n", one.severity, one.path, one.message))
+        .map(|finding| format!("{} {}: {}\n", finding.severity, finding.path, finding.message))
         .collect();
     expect_test::expect![[r#"
         bad $.services[2]: service 'u': none of its 1 servers is live
@@ -82,5 +82,5 @@
         note $: rule 'dead' would be new
         note $: rule 'one' would change
         note $: rule 'two' would be new
-    "#]].assert_eq(&shown);
+    "#]].assert_eq(&findings);
 }
--- a/config-check/tests/revision_regressions.rs
+++ b/config-check/tests/revision_regressions.rs
@@ -20,18 +20,20 @@
     .unwrap();
     let findings_for = |regressed: &str| {
         let findings = check(&config, &fleet(regressed));
-        let of = findings.into_iter().filter(|one| one.path.starts_with("daemon "));
-        of.map(|one| (one.path, one.severity)).collect::<Vec<(String, Severity)>>()
+        let of_daemons = findings.into_iter().filter(|finding| finding.path.starts_with("daemon "));
+        of_daemons
+            .map(|finding| (finding.path, finding.severity))
+            .collect::<Vec<(String, Severity)>>()
     };
     assert_eq!(
         findings_for(r#""behindFloor": ["p1"],"#),
         [("daemon p1".to_string(), Severity::Warning)]
     );
     assert!(findings_for(r#""behindFloor": [],"#).is_empty());
-    assert!(findings_for("").is_empty(), "an earlier version of a registry does not say");
+    assert!(findings_for("").is_empty(), "a registry of an earlier version does not send the list");
 }
 
-/// The highest revision over all registries counts; each daemon's own status is compared with it.
+/// Each daemon's own status is compared with the highest revision that any of the registries observed.
 #[test]
 fn revisions_are_compared_with_what_any_registry_observed() {
     let mut daemons = ListedDaemons::default();
@@ -44,7 +46,8 @@
         daemons.add(&jzon::parse(&text).unwrap()).unwrap();
     }
     assert!(daemons.add(&jzon::parse(r#"{"name": "r"}"#).unwrap()).is_err());
-    let revisions: Vec<u64> = daemons.by_name.values().map(|one| one.highest_revision).collect();
+    let revisions: Vec<u64> =
+        daemons.by_name.values().map(|daemon| daemon.highest_revision).collect();
     assert_eq!(revisions, [9, 9]);
     let state = |status: Option<&str>| {
         let status = status.map(|text| jzon::parse(text).unwrap());
@@ -57,8 +60,16 @@
         )
     };
     assert_eq!(state(Some(&status(9, 5))), RevisionState::Current);
-    assert_eq!(state(Some(&status(8, 5))), RevisionState::Regressed, "a registry heard it tell 9");
-    assert_eq!(state(Some(&status(10, 11))), RevisionState::Regressed, "below what it began with");
+    assert_eq!(
+        state(Some(&status(8, 5))),
+        RevisionState::Regressed,
+        "a registry observed revision 9"
+    );
+    assert_eq!(
+        state(Some(&status(10, 11))),
+        RevisionState::Regressed,
+        "below its read index at start-up"
+    );
     assert_eq!(
         state(Some(r#"{"floor": {"met": false, "has": 3, "floor": 9}}"#)),
         RevisionState::Waiting
