--- a/client/src/client/outcome.rs
+++ b/client/src/client/outcome.rs
@@ -24,7 +24,8 @@
         /// Why the last attempt failed.
         error: AttemptError,
     },
-    /// The request was not sent: there is no steering response yet, or none of its addresses is still listed.
+    /// The request was not sent: there is no steering response yet, or none of its addresses is still
+    /// listed.
     NoSteeringResponse,
 }
 
--- a/client/src/steering.rs
+++ b/client/src/steering.rs
@@ -125,8 +125,8 @@
         self.registries = registries;
     }
 
-    /// Records a network error at an address: it is tried last for [`PENALTY_DURATION`]. A poll is due within
-    /// [`POLL_RETRY_DELAY`], because a newer response may no longer list that address.
+    /// Records a network error at an address: it is tried last for [`PENALTY_DURATION`]. A poll is due
+    /// within [`POLL_RETRY_DELAY`], because a newer response may no longer list that address.
     pub fn penalize(&mut self, now: Duration, address: SocketAddr) {
         self.health.penalize(now, address);
         self.next_poll_at = self.next_poll_at.min(now + POLL_RETRY_DELAY);
--- a/config-check/src/checks.rs
+++ b/config-check/src/checks.rs
@@ -126,8 +126,8 @@
         domains.filter_map(|domain| self.loss(rule, &path, capacity, *domain)).collect()
     }
 
-    /// A finding if the loss of a failure domain would leave a rule without servers or proxies, or with fewer
-    /// than half of its servers.
+    /// A finding if the loss of a failure domain would leave a rule without servers or proxies, or with
+    /// fewer than half of its servers.
     fn loss(
         &self,
         rule: &Rule,
