--- a/cluster/src/endpoint_cache.rs
+++ b/cluster/src/endpoint_cache.rs
@@ -87,7 +87,7 @@
     /// Like [`apply`](EndpointCache::apply), for a delta to the current list. A delta whose result differs
     /// from the sender's list is discarded, and the next pulls ask for the full list.
     pub fn apply_delta(&mut self, delta: &EndpointListDelta) -> bool {
-        match self.current.with(delta) {
+        match self.current.with_delta(delta) {
             Some(list) => self.apply(Arc::new(list)),
             None => {
                 self.needs_full_list |= delta.base == self.current.revision;
@@ -127,7 +127,9 @@
         let has_base = known_revision > 0;
         let base = self.earlier.iter().find(|list| has_base && list.revision == known_revision);
         match base {
-            Some(base) => EndpointUpdate { delta: Some(self.current.since(base)), full: None },
+            Some(base) => {
+                EndpointUpdate { delta: Some(self.current.delta_since(base)), full: None }
+            }
             None => EndpointUpdate { full: Some((*self.current).clone()), delta: None },
         }
     }
--- a/config/src/endpoint_list.rs
+++ b/config/src/endpoint_list.rs
@@ -86,7 +86,7 @@
     }
 
     /// The delta that leads from `base` to this list.
-    pub fn since(&self, base: &EndpointList) -> EndpointListDelta {
+    pub fn delta_since(&self, base: &EndpointList) -> EndpointListDelta {
         let before: HashMap<&str, &Server> =
             base.servers.iter().map(|server| (server.id.as_str(), server)).collect();
         let now: HashSet<&str> = self.servers.iter().map(|server| server.id.as_str()).collect();
@@ -103,7 +103,7 @@
 
     /// The list that a delta leads to; `None` where it does not lead there from this one, so that the
     /// whole list is needed.
-    pub fn with(&self, delta: &EndpointListDelta) -> Option<EndpointList> {
+    pub fn with_delta(&self, delta: &EndpointListDelta) -> Option<EndpointList> {
         if delta.base != self.revision {
             return None;
         }
--- a/config/src/endpoint_list/tests.rs
+++ b/config/src/endpoint_list/tests.rs
@@ -33,8 +33,8 @@
                 .collect(),
         };
         let (base, next, other) = (list(revision), list(revision + 1), list(revision));
-        let delta = next.since(&base);
-        let led = base.with(&delta).expect("it leads there");
+        let delta = next.delta_since(&base);
+        let led = base.with_delta(&delta).expect("it leads there");
         let sorted = |list: &EndpointList| {
             let mut servers = list.servers.clone();
             servers.sort_by(|left, right| left.id.cmp(&right.id));
@@ -42,8 +42,8 @@
         };
         assert_eq!((led.revision, sorted(&led)), (next.revision, sorted(&next)));
         if sorted(&other) != sorted(&base) {
-            assert!(other.with(&delta).is_none_or(|led| sorted(&led) == sorted(&next)));
+            assert!(other.with_delta(&delta).is_none_or(|led| sorted(&led) == sorted(&next)));
         }
-        assert_eq!(next.with(&delta), None, "of another revision");
+        assert_eq!(next.with_delta(&delta), None, "of another revision");
     }
 }
