--- a/cluster/src/node/settings_reload.rs
+++ b/cluster/src/node/settings_reload.rs
@@ -4,7 +4,7 @@
 use crate::gossip::Event;
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
-use vanepath_config::settings::{Invocation, Settings, start};
+use vanepath_config::settings::{Invocation, Settings, parse_arguments};
 
 /// The interval at which the file is checked for changes.
 const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(3);
@@ -27,7 +27,7 @@
             }
         }
         last_fingerprint = fingerprint();
-        match start(current.role, &current.arguments) {
+        match parse_arguments(current.role, &current.arguments) {
             Ok(Invocation::Run(settings)) => {
                 if settings.seeds != current.seeds {
                     log::info!("settings reloaded; seeds are now {:?}", settings.seeds);
--- a/config/src/settings/invocation.rs
+++ b/config/src/settings/invocation.rs
@@ -90,7 +90,7 @@
 ///
 /// # Errors
 /// Why the program cannot start, for its operator.
-pub fn start(role: Role, arguments: &[String]) -> Result<Invocation, StartError> {
+pub fn parse_arguments(role: Role, arguments: &[String]) -> Result<Invocation, StartError> {
     let options = options_of(role);
     let matches = options.parse(arguments).map_err(StartError::Usage)?;
     if matches.opt_present("help") {
--- a/config/src/settings/mod.rs
+++ b/config/src/settings/mod.rs
@@ -4,7 +4,7 @@
 mod invocation;
 mod keys;
 
-pub use invocation::{Invocation, StartError, start};
+pub use invocation::{Invocation, StartError, parse_arguments};
 
 use crate::wire_format::SelectedFormat;
 use std::collections::BTreeMap;
--- a/config/src/settings/tests.rs
+++ b/config/src/settings/tests.rs
@@ -1,6 +1,6 @@
 fn shown(role: super::Role, arguments: &[&str]) -> String {
     let arguments: Vec<String> = arguments.iter().map(|one| one.to_string()).collect();
-    match super::start(role, &arguments) {
+    match super::parse_arguments(role, &arguments) {
         Ok(super::Invocation::Run(_)) => "runs".to_string(),
         Ok(super::Invocation::Print(text)) => text,
         Err(error) => error.to_string(),
--- a/config/tests/settings_names.rs
+++ b/config/tests/settings_names.rs
@@ -1,7 +1,7 @@
 //! The keys of the settings files, as the operators' files have them (design 2.2): each is accepted by the
 //! roles that have it and by no other.
 
-use vanepath_config::settings::{Invocation, Role, start};
+use vanepath_config::settings::{Invocation, Role, parse_arguments};
 
 /// Each key with a value, and the roles that accept it beside what every file needs.
 const KEYS: [(&str, &str, &[Role]); 15] = [
@@ -45,7 +45,7 @@
     std::fs::write(&file, format!("{{{}}}", fields.join(", "))).unwrap();
     let arguments =
         ["--settings".to_string(), file.to_string_lossy().to_string(), "--check".to_string()];
-    let outcome = start(role, &arguments);
+    let outcome = parse_arguments(role, &arguments);
     std::fs::remove_file(&file).unwrap();
     match outcome {
         Ok(Invocation::Print(_)) => Ok(()),
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -5,7 +5,7 @@
 
 fn main() -> miette::Result<()> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    match settings::start(Role::Proxy, &arguments)? {
+    match settings::parse_arguments(Role::Proxy, &arguments)? {
         Invocation::Print(text) => println!("{text}"),
         Invocation::Run(settings) => {
             node::init_logging();
