--- a/config/src/wire_format.rs
+++ b/config/src/wire_format.rs
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     /// All validation errors; then no part of the list may be used.
-    fn page(
+    fn parse_page(
         &self,
         bytes: &[u8],
         path: &str,
@@ -69,7 +69,7 @@
     ) -> Result<EndpointListPage, Vec<ValidationError>>;
 
     /// Thousandths of a server's capacity in use, from the load header's text; `None` if that is invalid.
-    fn load(&self, text: &str) -> Option<u32>;
+    fn parse_load(&self, text: &str) -> Option<u32>;
 
     /// The value of a `Retry-After` header (RFC 9110, 10.2.3) for a pause.
     fn retry_after(&self, pause: Duration) -> String;
@@ -103,7 +103,7 @@
         model::parse(bytes)
     }
 
-    fn page(
+    fn parse_page(
         &self,
         bytes: &[u8],
         _path: &str,
@@ -113,7 +113,7 @@
         Ok(EndpointListPage { revision: Some(list.revision), servers: list.servers, next: None })
     }
 
-    fn load(&self, text: &str) -> Option<u32> {
+    fn parse_load(&self, text: &str) -> Option<u32> {
         load_report::parse(text)
     }
 
--- a/config/src/wire_format/tests.rs
+++ b/config/src/wire_format/tests.rs
@@ -25,8 +25,8 @@
 fn a_native_list_is_one_page_with_a_revision() {
     let text = r#"{"revision": 5, "servers": [{"id": "s", "address": "127.0.0.1:9",
         "region": "a", "zone": "a1", "state": "leaving"}]}"#;
-    let page = NATIVE_FORMAT.page(text.as_bytes(), "/servers", &Default::default()).unwrap();
+    let page = NATIVE_FORMAT.parse_page(text.as_bytes(), "/servers", &Default::default()).unwrap();
     assert_eq!((page.revision, page.next), (Some(5), None));
     assert!(page.servers[0].draining);
-    assert!(NATIVE_FORMAT.page(b"{}", "/servers", &Default::default()).is_err());
+    assert!(NATIVE_FORMAT.parse_page(b"{}", "/servers", &Default::default()).is_err());
 }
--- a/proxy/src/connector.rs
+++ b/proxy/src/connector.rs
@@ -193,7 +193,7 @@
         warm_up_left.is_some_and(|left| left.trim().parse::<f64>().is_ok_and(|ms| ms > 0.0));
     HandshakeResponse {
         is_warming_up: has_warm_up_left || text("server-state") == Some("cold"),
-        load_milli: text(format.headers().load).and_then(|load| format.load(load)),
+        load_milli: text(format.headers().load).and_then(|load| format.parse_load(load)),
     }
 }
 
--- a/proxy/src/forward/attempt.rs
+++ b/proxy/src/forward/attempt.rs
@@ -181,7 +181,7 @@
         let Some(value) = headers.get(format.headers().load) else {
             return;
         };
-        match value.to_str().ok().and_then(|text| format.load(text)) {
+        match value.to_str().ok().and_then(|text| format.parse_load(text)) {
             Some(load_milli) => {
                 let now = self.proxy.now();
                 self.proxy.endpoints.observe_load(now, self.endpoint().slot, load_milli);
--- a/registry/src/discovery/source.rs
+++ b/registry/src/discovery/source.rs
@@ -135,7 +135,7 @@
     }
 
     fn parse(&self, bytes: &[u8]) -> Result<EndpointListPage, FetchError> {
-        let page = self.format.page(bytes, self.path, self.zone_regions);
+        let page = self.format.parse_page(bytes, self.path, self.zone_regions);
         page.map_err(|errors| FetchError::InvalidPage(errors.len()))
     }
 
