--- a/config/src/endpoint_list.rs
+++ b/config/src/endpoint_list.rs
@@ -9,32 +9,32 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// The most servers of a list: three times 4,500 (docs/CAPACITY.md), with some to spare.
+/// Maximum number of servers in a list: three times 4,500 (docs/CAPACITY.md), plus a reserve.
 pub const MAX_SERVERS: usize = 16_384;
 
-/// The largest document in bytes.
+/// Maximum size of the document in bytes.
 pub const MAX_BYTES: usize = 8 << 20;
 
-/// A server of the list. The names in `serde` attributes are wire names of earlier versions.
+/// A server in the list. The `serde` attributes keep the field names of earlier versions on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
     /// Unique in the list.
     pub id: String,
-    /// Where it takes requests, unique in the list.
+    /// The address at which it accepts requests; unique in the list.
     pub address: SocketAddr,
     /// The region in which it runs.
     pub region: String,
     /// The zone in which it runs.
     pub zone: String,
-    /// Further labels, which selectors can name.
+    /// Additional labels that selectors can refer to.
     pub labels: BTreeMap<String, String>,
-    /// It finishes what it has and gets no new requests.
+    /// Whether it completes its requests in flight and gets no new ones.
     #[serde(rename = "leaving")]
     pub draining: bool,
-    /// Just started: it bears the rate of its service's slow start only.
+    /// Whether it was just started and is limited to the slow-start rate of its service.
     #[serde(rename = "cold")]
     pub warming_up: bool,
-    /// Requests that it works on at one time; 0: unknown.
+    /// Number of requests that it processes concurrently; 0: unknown.
     #[serde(rename = "slots")]
     pub concurrency: u32,
 }
@@ -52,29 +52,30 @@
 /// All servers of the fleet at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointList {
-    /// Rises with each change.
+    /// Increases with each change.
     pub revision: u64,
-    /// In the order in which they were listed first.
+    /// In the order in which they first appeared in the list.
     pub servers: Vec<Server>,
 }
 
-/// What changed from one revision of a list to a later one.
+/// The changes from one revision of a list to a later one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointListDelta {
-    /// The revision that it starts from.
+    /// The revision to which the delta applies.
     pub base: u64,
-    /// The revision that it leads to.
+    /// The revision that results from it.
     pub revision: u64,
-    /// Servers that are new or different.
+    /// Servers that were added or changed.
     pub changed: Vec<Server>,
-    /// Ids of the servers that are gone.
+    /// Ids of the servers that were removed.
     pub removed: Vec<String>,
-    /// Digest of the list that it leads to: two readers may have given one revision to different lists.
+    /// Digest of the resulting list. The revision alone does not identify a list: two readers may have given
+    /// the same revision to different lists.
     pub digest: u64,
 }
 
 impl EndpointList {
-    /// A digest of the servers, whatever their order.
+    /// A digest of the servers that does not depend on their order.
     pub fn digest(&self) -> u64 {
         let server_digest = |server: &Server| {
             let flags =
@@ -85,7 +86,7 @@
         self.servers.iter().map(server_digest).fold(0, u64::wrapping_add)
     }
 
-    /// The delta that leads from `base` to this list.
+    /// The delta from `base` to this list.
     pub fn delta_since(&self, base: &EndpointList) -> EndpointListDelta {
         let before: HashMap<&str, &Server> =
             base.servers.iter().map(|server| (server.id.as_str(), server)).collect();
@@ -101,8 +102,8 @@
         }
     }
 
-    /// The list that a delta leads to; `None` where it does not lead there from this one, so that the
-    /// whole list is needed.
+    /// This list with a delta applied; `None` if the delta does not apply to this list, so that the full list
+    /// is needed.
     pub fn with_delta(&self, delta: &EndpointListDelta) -> Option<EndpointList> {
         if delta.base != self.revision {
             return None;
@@ -114,27 +115,27 @@
         let mut servers: Vec<Server> = remaining
             .map(|server| changed.remove(server.id.as_str()).unwrap_or(server).clone())
             .collect();
-        // What is left of `changed` is new, and keeps the delta's order.
+        // The remaining entries of `changed` are new servers; they are appended in the delta's order.
         servers.extend(
-            delta.changed.iter().filter(|one| changed.contains_key(one.id.as_str())).cloned(),
+            delta.changed.iter().filter(|server| changed.contains_key(server.id.as_str())).cloned(),
         );
         let list = EndpointList { revision: delta.revision, servers };
         (list.digest() == delta.digest).then_some(list)
     }
 }
 
-/// Reads and checks the document of the list.
+/// Parses and validates an endpoint list document.
 ///
 /// # Errors
-/// All validation errors; then no part of the list may be used.
+/// All validation errors; no part of an invalid list may be used.
 pub fn parse(bytes: &[u8]) -> Result<EndpointList, Vec<ValidationError>> {
     let mut reader = JsonReader::default();
     let mut list = EndpointList::default();
     if bytes.len() > MAX_BYTES {
         reader.reject("$", "too large");
     } else if let Some(document) = reader.document(bytes) {
-        let known = ["revision", "servers"];
-        if let Some(mut object) = ObjectReader::of_value(&mut reader, "$", &document, &known) {
+        let known_keys = ["revision", "servers"];
+        if let Some(mut object) = ObjectReader::of_value(&mut reader, "$", &document, &known_keys) {
             list = read_list(&mut object);
         }
     }
@@ -163,9 +164,9 @@
 }
 
 fn read_server(reader: &mut JsonReader, path: &str, entry: &JsonValue) -> Option<Server> {
-    let known = ["id", "address", "region", "zone", "labels", "state", "cold", "slots"];
-    let mut object = ObjectReader::of_value(reader, path, entry, &known)?;
-    // In the order in which validation errors are reported.
+    let known_keys = ["id", "address", "region", "zone", "labels", "state", "cold", "slots"];
+    let mut object = ObjectReader::of_value(reader, path, entry, &known_keys)?;
+    // Validation errors are reported in the order of these reads.
     let id = object.name("id");
     let region = object.name("region");
     let zone = object.name("zone");
@@ -209,7 +210,7 @@
     }
 }
 
-/// Labels as the list's document and the status show them.
+/// Labels in the JSON form that the list's document and the status page use.
 pub fn labels_as_json<'l>(labels: impl IntoIterator<Item = (&'l String, &'l String)>) -> JsonValue {
     let mut value = JsonValue::new_object();
     for (key, label) in labels {
@@ -218,8 +219,8 @@
     value
 }
 
-/// Reads the labels of servers and zones; the labels `zone` and `region` are always given by the zone, and
-/// are rejected here.
+/// Reads the labels of a server or a zone. The labels `zone` and `region` always come from the keys of these
+/// names, and are rejected here.
 pub(crate) fn read_labels(
     reader: &mut JsonReader,
     path: &str,
--- a/config/src/endpoint_list/tests.rs
+++ b/config/src/endpoint_list/tests.rs
@@ -13,10 +13,10 @@
     }
 }
 
-/// Whatever changed, the delta leads from the one list to the other; from any other list, also one of
-/// the same revision, it leads nowhere.
+/// A delta applied to its base gives the target list, whatever changed. Applied to another list, even one of
+/// the same revision, it never gives a wrong list.
 #[test]
-fn a_delta_leads_to_its_list_and_from_its_base_only() {
+fn a_delta_gives_its_target_list_from_its_base_only() {
     let mut seed = 5_u64;
     let mut draw = |bound: u64| {
         seed = seed.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
@@ -34,16 +34,16 @@
         };
         let (base, next, other) = (list(revision), list(revision + 1), list(revision));
         let delta = next.delta_since(&base);
-        let led = base.with_delta(&delta).expect("it leads there");
+        let result = base.with_delta(&delta).expect("a delta applies to its base");
         let sorted = |list: &EndpointList| {
             let mut servers = list.servers.clone();
             servers.sort_by(|left, right| left.id.cmp(&right.id));
             servers
         };
-        assert_eq!((led.revision, sorted(&led)), (next.revision, sorted(&next)));
+        assert_eq!((result.revision, sorted(&result)), (next.revision, sorted(&next)));
         if sorted(&other) != sorted(&base) {
-            assert!(other.with_delta(&delta).is_none_or(|led| sorted(&led) == sorted(&next)));
+            assert!(other.with_delta(&delta).is_none_or(|result| sorted(&result) == sorted(&next)));
         }
-        assert_eq!(next.with_delta(&delta), None, "of another revision");
+        assert_eq!(next.with_delta(&delta), None, "the list has another revision");
     }
 }
--- a/config/src/execution_status.rs
+++ b/config/src/execution_status.rs
@@ -1,6 +1,6 @@
-//! Whether a request was run: the one fact that a client must be able to trust (design 8.2).
+//! Whether a request was executed, which clients must be able to rely on (design 8.2).
 
-/// What is known of a request's execution; its text stands in the header [`HEADER`].
+/// What is known about the execution of a request; sent to clients in the header [`HEADER`].
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumString, strum::IntoStaticStr,
 )]
@@ -8,9 +8,9 @@
 pub enum ExecutionStatus {
     /// No byte of the request reached a server, and none ever will.
     NotRun,
-    /// Some of it may have reached a server; the proxy cannot know.
+    /// Part of the request may have reached a server; the proxy cannot tell.
     MayHaveRun,
-    /// A server responded to it.
+    /// A server responded to the request.
     Ran,
 }
 
--- a/config/src/hash.rs
+++ b/config/src/hash.rs
@@ -2,9 +2,9 @@
 
 use sha2::{Digest, Sha256};
 
-/// A stable 64-bit hash for rendezvous ranks and sticky buckets (design 5.2, 7.3), which the standard
-/// library's hasher does not promise: steps of FNV-1a (from another start) over the parts, each ended by
-/// a byte that UTF-8 never has, then the finalizer of SplitMix64.
+/// A stable 64-bit hash for rendezvous hashing and sticky buckets (design 5.2, 7.3); the standard library's
+/// hasher does not guarantee stable values. It is FNV-1a with another offset basis over the parts, each
+/// terminated by a byte that never occurs in UTF-8, followed by the finalizer of SplitMix64.
 pub fn stable_hash(parts: &[&str]) -> u64 {
     let mut state: u64 = 0x9e37_79b9_7f4a_7c15;
     for part in parts {
--- a/config/src/json_reader/duplicate_keys.rs
+++ b/config/src/json_reader/duplicate_keys.rs
@@ -1,14 +1,14 @@
-//! A search for keys that an object repeats, which `jzon` does not report.
+//! Detection of duplicate keys in objects, which `jzon` does not report.
 
 use super::JsonReader;
 use std::collections::HashSet;
 
-/// An object or array that is open where the scan stands.
+/// An object or array that is open at the scan's current position.
 enum Container {
     Object {
         seen_keys: HashSet<String>,
         current_key: String,
-        /// The next string is a key, not a value.
+        /// Whether the next string is a key rather than a value.
         expects_key: bool,
     },
     Array {
@@ -16,7 +16,7 @@
     },
 }
 
-/// Scans a text that `jzon` has already accepted and rejects each key that an object repeats.
+/// Scans a text that `jzon` has already accepted, and rejects each duplicate key of an object.
 pub(super) fn reject_duplicate_keys(text: &str, reader: &mut JsonReader) {
     let bytes = text.as_bytes();
     let mut open: Vec<Container> = Vec::new();
@@ -48,7 +48,7 @@
     }
 }
 
-/// The index of the quote that ends the string that starts here.
+/// The index of the closing quote of the string that starts at `start`.
 fn end_of_string(bytes: &[u8], start: usize) -> usize {
     let mut at = start + 1;
     while bytes[at] != b'"' {
@@ -57,7 +57,7 @@
     at
 }
 
-/// Notes a string if it is a key, and rejects it if the object has it already.
+/// Records a string if it is a key, and rejects it if the object already has that key.
 fn read_string(quoted: &str, open: &mut [Container], reader: &mut JsonReader) {
     let Some(Container::Object { seen_keys, current_key, expects_key }) = open.last_mut() else {
         return;
@@ -66,7 +66,7 @@
         return;
     }
     *expects_key = false;
-    // Two spellings of one key are the same key.
+    // Keys are compared without escape sequences: `"a"` and `"\u0061"` are the same key.
     let key = jzon::parse(quoted)
         .ok()
         .and_then(|value| value.as_str().map(str::to_string))
@@ -79,7 +79,7 @@
     }
 }
 
-/// The path of what is open within these containers.
+/// The path of the current position, given the containers that enclose it.
 fn path_of(open: &[Container]) -> String {
     let mut path = String::from("$");
     for container in open {
--- a/config/src/json_reader/mod.rs
+++ b/config/src/json_reader/mod.rs
@@ -1,4 +1,4 @@
-//! Reading of JSON from `jzon` values, with checks; every validation error is collected with its path
+//! Checked reading of JSON from `jzon` values; all validation errors are collected, each with its path
 //! (design 3.2).
 
 mod duplicate_keys;
@@ -9,12 +9,12 @@
 use jzon::JsonValue;
 use jzon::object::Object;
 
-/// What is wrong with one value of a document.
+/// A validation error of one value in a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ValidationError {
-    /// Where the value stands, as in `$.rules[2].class`.
+    /// Path of the value, such as `$.rules[2].class`.
     pub path: String,
-    /// What is wrong, for the document's author.
+    /// Description of the error, for the document's author.
     pub message: String,
 }
 
@@ -26,8 +26,8 @@
 
 impl std::error::Error for ValidationError {}
 
-/// Reads values and collects the validation errors that come up. The reading methods return `None` for a
-/// value that is absent or invalid; an invalid one has been rejected then.
+/// Reads values and collects validation errors. The reading methods return `None` for a value that is absent
+/// or invalid; for an invalid one they have recorded a validation error.
 #[derive(Default)]
 pub struct JsonReader {
     /// In the order in which the values were read.
@@ -40,21 +40,21 @@
         self.errors.push(ValidationError { path: path.to_string(), message: message.into() });
     }
 
-    /// What was read, if there is nothing wrong with it.
+    /// Returns `value`, if there were no validation errors.
     ///
     /// # Errors
-    /// All validation errors; then no part of the document may be used.
+    /// All validation errors; no part of an invalid document may be used.
     pub fn into_result<T>(self, value: T) -> Result<T, Vec<ValidationError>> {
         if self.errors.is_empty() { Ok(value) } else { Err(self.errors) }
     }
 
-    /// Parses bytes to a value; duplicate keys, which `jzon` silently folds, are rejected (design 3.2).
+    /// Parses a document. Rejects duplicate keys, which `jzon` silently merges (design 3.2).
     pub fn document(&mut self, bytes: &[u8]) -> Option<JsonValue> {
         let Ok(text) = std::str::from_utf8(bytes) else {
             self.reject("$", "not UTF-8");
             return None;
         };
-        // `jzon` bounds the depth, and with it every recursion over the value.
+        // `jzon` limits the nesting depth, which bounds every recursion over the value as well.
         match jzon::parse(text) {
             Ok(value) => {
                 duplicate_keys::reject_duplicate_keys(text, self);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// An object that has no other keys than the known ones.
+    /// Reads an object, and rejects its unknown keys.
     pub fn object<'v>(
         &mut self,
         path: &str,
@@ -86,7 +86,7 @@
         Some(object)
     }
 
-    /// The entries of an array; none where it is absent or invalid.
+    /// Reads the entries of an array; an empty slice if it is absent or invalid.
     pub fn array<'v>(
         &mut self,
         path: &str,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// A string without control characters.
+    /// Reads a string without control characters.
     pub fn string<'v>(
         &mut self,
         path: &str,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// As [`JsonReader::string`]; its absence is rejected.
+    /// Like [`JsonReader::string`], but rejects an absent value.
     pub fn required_string<'v>(
         &mut self,
         path: &str,
@@ -143,7 +143,7 @@
         self.string(path, value, max_bytes)
     }
 
-    /// A name, which is required: lower case letters, digits, `-` and `_`, 1 to 63 of them.
+    /// Reads a required name, see [`is_name`].
     pub fn name(&mut self, path: &str, value: Option<&JsonValue>) -> Option<String> {
         let text = self.required_string(path, value, MAX_NAME_BYTES)?;
         if is_name(text) {
@@ -154,7 +154,7 @@
         }
     }
 
-    /// `true` or `false`.
+    /// Reads a boolean.
     pub fn boolean(&mut self, path: &str, value: Option<&JsonValue>) -> Option<bool> {
         let boolean = value?.as_bool();
         if boolean.is_none() {
@@ -163,7 +163,7 @@
         boolean
     }
 
-    /// A finite number within these bounds, both included.
+    /// Reads a finite number between `min` and `max`, both inclusive.
     pub fn number(
         &mut self,
         path: &str,
@@ -183,7 +183,7 @@
         }
     }
 
-    /// An integer within these bounds, both included.
+    /// Reads an integer between `min` and `max`, both inclusive.
     pub fn integer(
         &mut self,
         path: &str,
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Rejects the absence of a value.
+    /// Rejects an absent value.
     pub fn require(&mut self, path: &str, value: Option<&JsonValue>) {
         if value.is_none() {
             self.reject(path, "missing");
@@ -210,7 +210,7 @@
 
 const MAX_NAME_BYTES: usize = 63;
 
-/// Whether a text can be a name: 1 to 63 of lower case letters, digits, `-` and `_`.
+/// Whether a text is a valid name: 1 to 63 lower-case letters, digits, `-` and `_`.
 pub fn is_name(text: &str) -> bool {
     (1..=MAX_NAME_BYTES).contains(&text.len())
         && text
@@ -218,7 +218,7 @@
             .all(|byte| byte.is_ascii_lowercase() || byte.is_ascii_digit() || b"-_".contains(&byte))
 }
 
-/// Validation errors as the JSON list that every interface shows.
+/// Validation errors as a JSON list, in the form that all interfaces use.
 pub fn validation_errors_as_json(errors: &[ValidationError]) -> JsonValue {
     let entry = |error: &ValidationError| {
         jzon::object! { "path": error.path.as_str(), "message": error.message.as_str() }
--- a/config/src/json_reader/object_reader.rs
+++ b/config/src/json_reader/object_reader.rs
@@ -1,11 +1,11 @@
-//! Reading of one object's keys, each with the path that it has in the document.
+//! Reading of the keys of one object; errors are reported under the key's path in the document.
 
 use super::JsonReader;
 use jzon::JsonValue;
 use jzon::object::Object;
 
-/// Reads the keys of one object. The methods are those of [`JsonReader`], with a key in place of a path
-/// and a value.
+/// Reads the keys of one object. The methods correspond to those of [`JsonReader`], with a key in place of
+/// the path and the value.
 pub struct ObjectReader<'r, 'v> {
     /// Collects the validation errors.
     pub reader: &'r mut JsonReader,
@@ -14,13 +14,13 @@
 }
 
 impl<'r, 'v> ObjectReader<'r, 'v> {
-    /// A reader of an object at this path.
+    /// Creates a reader for the object at this path.
     pub fn new(reader: &'r mut JsonReader, path: &str, object: &'v Object) -> ObjectReader<'r, 'v> {
         ObjectReader { reader, path: path.to_string(), object: Some(object) }
     }
 
-    /// A reader of a value that must be an object with no other keys than the known ones; `None` if it is
-    /// no object.
+    /// Creates a reader for a value that must be an object, and rejects its unknown keys; `None` if it is not
+    /// an object.
     pub fn of_value(
         reader: &'r mut JsonReader,
         path: &str,
@@ -31,8 +31,8 @@
         Some(ObjectReader::new(reader, path, object))
     }
 
-    /// As [`ObjectReader::of_value`], but a value that is no object is read as an object without keys, so
-    /// that what it lacks is reported too.
+    /// Like [`ObjectReader::of_value`], but a value that is not an object is read as an object without keys,
+    /// so that missing keys are reported as well.
     pub fn of_value_or_empty(
         reader: &'r mut JsonReader,
         path: &str,
@@ -48,25 +48,25 @@
         format!("{}.{key}", self.path)
     }
 
-    /// A key's value, unchecked.
+    /// The unchecked value of a key.
     pub fn get(&self, key: &str) -> Option<&'v JsonValue> {
         self.object?.get(key)
     }
 
-    /// Records a validation error of a key.
+    /// Records a validation error for a key.
     pub fn reject(&mut self, key: &str, message: impl Into<String>) {
         let path = self.path_of(key);
         self.reader.reject(&path, message);
     }
 
-    /// Rejects the absence of a key.
+    /// Rejects an absent key.
     pub fn require(&mut self, key: &str) {
         if self.get(key).is_none() {
             self.reject(key, "missing");
         }
     }
 
-    /// A reader of the object within, if there is one.
+    /// Creates a reader for the object under this key; `None` if it is absent or invalid.
     pub fn object(&mut self, key: &str, known_keys: &[&str]) -> Option<ObjectReader<'_, 'v>> {
         let (path, value) = (self.path_of(key), self.get(key)?);
         ObjectReader::of_value(self.reader, &path, value, known_keys)
@@ -108,7 +108,7 @@
         self.reader.number(&path, value, min, max)
     }
 
-    /// As [`ObjectReader::number`]; its absence is rejected.
+    /// Like [`ObjectReader::number`], but rejects an absent key.
     pub fn required_number(&mut self, key: &str, min: f64, max: f64) -> Option<f64> {
         self.require(key);
         self.number(key, min, max)
@@ -120,7 +120,7 @@
         self.reader.integer(&path, value, min, max)
     }
 
-    /// As [`ObjectReader::integer`]; its absence is rejected.
+    /// Like [`ObjectReader::integer`], but rejects an absent key.
     pub fn required_integer(&mut self, key: &str, min: u64, max: u64) -> Option<u64> {
         self.require(key);
         self.integer(key, min, max)
--- a/config/src/lib.rs
+++ b/config/src/lib.rs
@@ -1,5 +1,5 @@
-//! The configuration of vanepath: its model, parser and checks, the programs' settings, selectors, the
-//! endpoint list and the formats in which the outside world writes them (design 3).
+//! Configuration of vanepath: the model, parser and validation of configuration documents, label selectors,
+//! the settings of the programs, the endpoint list, and the external wire formats (design 3).
 
 #![warn(missing_docs)]
 
--- a/config/src/load_report.rs
+++ b/config/src/load_report.rs
@@ -6,15 +6,15 @@
 
 const MAX_BYTES: usize = 4096;
 
-/// The utilization of a server; 1 is its whole capacity.
+/// The utilization of a server; 1 is full capacity.
 #[derive(Default)]
 struct Utilization {
     application: Option<f64>,
     cpu: Option<f64>,
 }
 
-/// Thousandths of the server's capacity in use; `None` where the value cannot be trusted: a report is
-/// advice, and whatever is wrong with it, the server is treated as one that reports nothing.
+/// Parses a load report; returns the utilization in thousandths of the server's capacity. `None` if the
+/// report is invalid: reports are advisory, and the server is then treated as one that reports no load.
 pub fn parse(text: &str) -> Option<u32> {
     if text.len() > MAX_BYTES {
         return None;
@@ -25,7 +25,7 @@
         "JSON" => parse_json(report)?,
         _ => return None,
     };
-    // What the application itself says of its load counts before its processor's.
+    // The utilization that the application measures takes precedence over that of the CPU.
     let load = utilization.application.or(utilization.cpu)?;
     (load.is_finite() && (0.0..=100.0).contains(&load)).then(|| (load * 1000.0).round() as u32)
 }
@@ -47,7 +47,7 @@
 
 fn parse_json(report: &str) -> Option<Utilization> {
     let value = jzon::parse(report).ok()?;
-    // A value of another type is no number, and makes the report invalid.
+    // A value of another type is read as NaN, which makes the report invalid.
     let number =
         |key: &str| value.as_object()?.get(key).map(|value| value.as_f64().unwrap_or(f64::NAN));
     Some(Utilization {
--- a/config/src/load_report/tests.rs
+++ b/config/src/load_report/tests.rs
@@ -1,6 +1,6 @@
 #[test]
-fn good_forms_are_read_and_bad_ones_ignored() {
-    for (text, wanted) in [
+fn valid_reports_are_parsed_and_invalid_ones_ignored() {
+    for (text, expected) in [
         ("TEXT cpu_utilization=0.3,mem_utilization=0.8", Some(300)),
         ("TEXT cpu_utilization=0.3, application_utilization=1.25", Some(1250)),
         ("JSON {\"cpu_utilization\": 0.5}", Some(500)),
@@ -13,6 +13,6 @@
         ("BIN abcd", None),
         ("", None),
     ] {
-        assert_eq!(super::parse(text), wanted, "{text}");
+        assert_eq!(super::parse(text), expected, "{text}");
     }
 }
--- a/config/src/model/mod.rs
+++ b/config/src/model/mod.rs
@@ -12,28 +12,28 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The largest document in bytes: three times 1,100 routes, 270 services and 22,000 tenants of a hundred
+/// Maximum size of a document in bytes: three times 1,100 routes, 270 services and 22,000 tenants of 100
 /// bytes each (docs/CAPACITY.md).
 pub const MAX_BYTES: usize = 8 << 20;
 
-/// Whether a request may be sent again after it may have run.
+/// Whether a request may be retried after it may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Idempotency {
     /// May be retried on another server: lookups and downloads.
     #[strum(serialize = "repeatable")]
     Idempotent,
-    /// Must run at most once: filings.
+    /// Must be executed at most once: filings.
     #[strum(serialize = "once")]
     NonIdempotent,
 }
 
-/// A lending class, whose unused concurrency slots another class may take.
+/// A class from which another class may borrow unused concurrency slots.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Borrow {
     /// Index of the lending class.
     pub class: usize,
-    /// Slots that may be borrowed at one time.
+    /// Maximum number of slots borrowed at the same time.
     pub max_slots: u64,
 }
 
@@ -42,44 +42,45 @@
 pub struct Class {
     /// Unique among the classes.
     pub name: String,
-    /// 0 is the most urgent.
+    /// 0 is the highest priority.
     pub priority: u64,
-    /// Whether its requests may be retried once they may have run.
+    /// Whether its requests may be retried after they may have been executed.
     pub idempotency: Idempotency,
-    /// Requests in flight at one time on one proxy.
+    /// Maximum number of requests in flight on one proxy.
     pub max_in_flight: u64,
-    /// Classes whose unused slots it may take.
+    /// The classes from which it may borrow unused slots.
     pub borrows: Vec<Borrow>,
-    /// Requests that may wait on one proxy.
+    /// Maximum number of queued requests on one proxy.
     pub max_queued: u64,
-    /// The largest body of a request.
+    /// Maximum size of a request body in bytes.
     pub max_body_bytes: u64,
-    /// How long a request may take from its arrival on, unless its rule says otherwise.
+    /// Time from a request's arrival to its deadline, unless its rule sets another one.
     pub deadline: Duration,
-    /// Its responses are large: they are better served near by, a little later, than far away.
+    /// Whether its responses are large: a nearby server is then preferred to a distant one, even if the
+    /// response comes somewhat later.
     pub bulk: bool,
 }
 
-/// A group of servers that answer alike.
+/// A group of interchangeable servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Unique among the services.
     pub name: String,
-    /// The servers of the endpoint list that belong to it.
+    /// Selects the servers of the endpoint list that belong to it.
     pub selector: Selector,
     /// The path of the servers' health check.
     pub health_check_path: String,
-    /// The response header in which a server names itself; empty: servers of this service don't.
+    /// The response header in which a server gives its id; empty: servers of this service send none.
     pub identity_header: String,
-    /// Requests a second, fleet-wide, that one warming-up server gets at first.
+    /// Initial rate, in requests per second from the whole fleet, for one server that is warming up.
     pub slow_start_rate: f64,
-    /// How long the slow start of a warming-up server takes.
+    /// Duration of the slow start of a server that is warming up.
     pub slow_start_period: Duration,
-    /// Requests in flight from one proxy to one server.
+    /// Maximum number of requests in flight from one proxy to one server.
     pub max_in_flight_per_server: u64,
-    /// Connections that one server accepts from all proxies together; 0: no bound.
+    /// Number of connections that one server accepts from all proxies together; 0: no limit.
     pub max_connections: u64,
-    /// Servers are judged by the traffic that they get; only a suspect one is probed.
+    /// Whether only suspect servers are probed; the health of the others is inferred from their traffic.
     pub probes_suspects_only: bool,
 }
 
@@ -90,7 +91,7 @@
     pub name: String,
     /// The region in which it lies.
     pub region: String,
-    /// Further labels, which selectors can name.
+    /// Additional labels that selectors can refer to.
     pub labels: BTreeMap<String, String>,
 }
 
@@ -104,27 +105,27 @@
     }
 }
 
-/// A whole configuration, as [`parse`] has checked it.
+/// A complete configuration, validated by [`parse`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Config {
-    /// Given by the document's author: one that is not above the committed one changes nothing
+    /// Set by the document's author. A document whose version is not above the committed one changes nothing
     /// (design 6.9).
     pub version: Option<u64>,
-    /// Rules refer to them by index.
+    /// Rules refer to these by index.
     pub classes: Vec<Class>,
-    /// Rules refer to them by index.
+    /// Rules refer to these by index.
     pub services: Vec<Service>,
-    /// Empty: the document does not name the zones.
+    /// Empty if the document does not list the zones.
     pub zones: Vec<Zone>,
-    /// In the document's order: the first that matches a request counts.
+    /// In the document's order: the first rule that matches a request applies.
     pub rules: Vec<Rule>,
-    /// Made of the rules once all are read.
+    /// Built by [`Config::build_rule_index`].
     rule_index: RuleIndex,
 }
 
 impl Config {
-    /// Indexes the rules; to be called once all of them are there, since requests find them by the
-    /// index only.
+    /// Builds the index of the rules. Must be called once all rules have been added, since rules are only
+    /// found through the index.
     pub fn build_rule_index(&mut self) {
         let keys = self.rules.iter().map(|rule| HostAndPrefix {
             host: rule.host.as_deref(),
@@ -133,13 +134,13 @@
         self.rule_index = RuleIndex::new(keys);
     }
 
-    /// Index of the first rule in the document's order that matches.
+    /// Index of the first rule, in the document's order, that matches a request.
     pub fn rule_for(&self, method: &str, host: &str, path: &str) -> Option<usize> {
         let matches = |index: usize| self.rules[index].matches(method, host, path);
         self.rule_index.first(Some(host), path, matches)
     }
 
-    /// The first earlier rule that matches every request that this one would.
+    /// The first earlier rule that matches every request that this rule matches.
     fn shadowing_rule(&self, index: usize) -> Option<&Rule> {
         let rule = &self.rules[index];
         let covers = |earlier: usize| earlier < index && self.rules[earlier].covers(rule);
--- a/config/src/model/parse/classes.rs
+++ b/config/src/model/parse/classes.rs
@@ -23,7 +23,7 @@
     class_names: &NameIndex,
 ) -> Class {
     let mut object = ObjectReader::of_value_or_empty(reader, path, entry, &KEYS);
-    // In the order in which validation errors are reported.
+    // Validation errors are reported in the order of these reads.
     let name = object.name("name").unwrap_or_default();
     let idempotency = read_idempotency(&mut object);
     let priority = object.required_integer("urgency", 0, MAX_PRIORITY).unwrap_or(MAX_PRIORITY);
@@ -61,8 +61,9 @@
     let mut borrows: Vec<Borrow> = Vec::new();
     for (index, entry) in object.array("borrows", MAX_BORROWS).iter().enumerate() {
         let path = object.path_of(&format!("borrows[{index}]"));
-        let known = ["from", "most"];
-        let Some(mut object) = ObjectReader::of_value(object.reader, &path, entry, &known) else {
+        let known_keys = ["from", "most"];
+        let Some(mut object) = ObjectReader::of_value(object.reader, &path, entry, &known_keys)
+        else {
             continue;
         };
         let (from_path, from) = (object.path_of("from"), object.get("from"));
@@ -78,19 +79,19 @@
     borrows
 }
 
-/// Rejects classes that would borrow, over others, from themselves.
+/// Rejects classes that borrow from themselves, directly or through other classes.
 pub(super) fn reject_borrow_cycles(reader: &mut JsonReader, classes: &[Class]) {
     for (index, class) in classes.iter().enumerate() {
-        let mut seen = vec![false; classes.len()];
-        let mut open: Vec<usize> = class.borrows.iter().map(|borrow| borrow.class).collect();
-        while let Some(next) = open.pop() {
+        let mut visited = vec![false; classes.len()];
+        let mut pending: Vec<usize> = class.borrows.iter().map(|borrow| borrow.class).collect();
+        while let Some(next) = pending.pop() {
             if next == index {
                 let path = format!("$.classes[{index}].borrows");
                 reader.reject(&path, "the borrowing comes back to this class");
                 break;
             }
-            if next < seen.len() && !std::mem::replace(&mut seen[next], true) {
-                open.extend(classes[next].borrows.iter().map(|borrow| borrow.class));
+            if next < visited.len() && !std::mem::replace(&mut visited[next], true) {
+                pending.extend(classes[next].borrows.iter().map(|borrow| borrow.class));
             }
         }
     }
--- a/config/src/model/parse/mod.rs
+++ b/config/src/model/parse/mod.rs
@@ -1,6 +1,6 @@
-//! The parser of configuration documents: the one check of a configuration, which the interface,
-//! `--check-setup` and the offline checker share (design 3.2). The keys are those of the published
-//! document.
+//! The parser of configuration documents. It is the only validation of a configuration: the operators'
+//! interface, `--check-setup` and the offline checker all use it (design 3.2). The keys are those of the
+//! published document.
 
 mod classes;
 mod rules;
@@ -21,21 +21,21 @@
 const MAX_DEADLINE_MS: u64 = 600_000;
 const MIN_DEADLINE_MS: u64 = 100;
 
-/// Indices of a list's entries by their names.
+/// Indices of the entries of a list, by name.
 type NameIndex = HashMap<String, usize>;
 
-/// Reads and checks a configuration document.
+/// Parses and validates a configuration document.
 ///
 /// # Errors
-/// All validation errors; then no part of the document may be used.
+/// All validation errors; no part of an invalid document may be used.
 pub fn parse(bytes: &[u8]) -> Result<Config, Vec<ValidationError>> {
     let mut reader = JsonReader::default();
     let mut config = Config::default();
     if bytes.len() > MAX_BYTES {
         reader.reject("$", format!("larger than {MAX_BYTES} bytes"));
     } else if let Some(document) = reader.document(bytes) {
-        let known = ["version", "classes", "services", "places", "rules"];
-        if let Some(mut object) = ObjectReader::of_value(&mut reader, "$", &document, &known) {
+        let known_keys = ["version", "classes", "services", "places", "rules"];
+        if let Some(mut object) = ObjectReader::of_value(&mut reader, "$", &document, &known_keys) {
             read_document(&mut object, &mut config);
         }
     }
@@ -73,8 +73,8 @@
     reject_shadowed_rules(document.reader, config);
 }
 
-/// A list's entries with their indices. A list that is too long has been rejected by [`read_names`], and
-/// its entries are read all the same.
+/// The entries of a list with their indices. [`read_names`] has rejected a list that is too long, but its
+/// entries are read nevertheless.
 fn entries<'v>(
     document: &ObjectReader<'_, 'v>,
     key: &str,
@@ -83,7 +83,7 @@
     list.map(Vec::as_slice).unwrap_or_default().iter().enumerate()
 }
 
-/// The names of a list's entries; a repeated one is rejected, and stands for the first.
+/// Maps the names of a list's entries to indices. A duplicate name is rejected; it refers to the first entry.
 fn read_names(document: &mut ObjectReader<'_, '_>, key: &str, max_entries: usize) -> NameIndex {
     let mut names = NameIndex::new();
     for (index, entry) in document.array(key, max_entries).iter().enumerate() {
@@ -97,7 +97,7 @@
     names
 }
 
-/// The index of the entry that a required name refers to.
+/// Reads a required name; returns the index of the entry to which it refers.
 fn read_reference(
     reader: &mut JsonReader,
     path: &str,
@@ -112,14 +112,14 @@
     found
 }
 
-/// Whether a selector may name the client's own zone and region.
+/// Whether a selector may refer to the client's zone and region.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RelativeTo {
     Client,
     Nothing,
 }
 
-/// A required selector; one that is absent or invalid is rejected and read as one that matches
+/// Reads a required selector. An absent or invalid one is rejected, and read as one that matches
 /// everything.
 fn read_selector(
     object: &mut ObjectReader<'_, '_>,
@@ -148,7 +148,8 @@
         && text.bytes().all(|byte| byte.is_ascii_graphic() && !b"\"#<>?\\^`{|}".contains(&byte))
 }
 
-/// A rule that an earlier one hides is a mistake of the author's.
+/// Rejects rules that can never match because an earlier rule matches all of their requests: they are
+/// mistakes of the document's author.
 fn reject_shadowed_rules(reader: &mut JsonReader, config: &Config) {
     for index in 0..config.rules.len() {
         if let Some(earlier) = config.shadowing_rule(index) {
--- a/config/src/model/parse/rules.rs
+++ b/config/src/model/parse/rules.rs
@@ -1,4 +1,4 @@
-//! The key `rules`: what they match and who serves it.
+//! The key `rules`: which requests rules match, and how these are served.
 
 use super::{
     MAX_DEADLINE_MS, MIN_DEADLINE_MS, NameIndex, RelativeTo, is_path, read_reference, read_selector,
@@ -34,11 +34,11 @@
 const MAX_TIERS: usize = 16;
 const MAX_PREFERENCES: usize = 16;
 
-/// What a rule may refer to.
+/// The entries to which a rule may refer.
 pub(super) struct Names<'n> {
     pub classes: &'n NameIndex,
     pub services: &'n NameIndex,
-    /// Empty: the document does not name the zones, and any may be referred to.
+    /// Empty if the document does not list the zones; a rule may then refer to any zone.
     pub zones: &'n [Zone],
 }
 
@@ -49,7 +49,7 @@
     names: &Names<'_>,
 ) -> Rule {
     let mut object = ObjectReader::of_value_or_empty(reader, path, entry, &KEYS);
-    // In the order in which validation errors are reported.
+    // Validation errors are reported in the order of these reads.
     let name = object.name("name").unwrap_or_default();
     let class = read_key_reference(&mut object, "class", names.classes);
     let weighted_services = read_weighted_services(&mut object, names.services);
@@ -89,7 +89,7 @@
     read_reference(object.reader, &path, value, names)
 }
 
-/// `split`: services by weight.
+/// The key `split`: services with their weights.
 fn read_weighted_services(
     object: &mut ObjectReader<'_, '_>,
     service_names: &NameIndex,
@@ -97,26 +97,27 @@
     let mut weighted: Vec<WeightedService> = Vec::new();
     for (index, entry) in object.array("split", MAX_WEIGHTED_SERVICES).iter().enumerate() {
         let path = object.path_of(&format!("split[{index}]"));
-        let known = ["service", "weight"];
-        let Some(mut object) = ObjectReader::of_value(object.reader, &path, entry, &known) else {
+        let known_keys = ["service", "weight"];
+        let Some(mut object) = ObjectReader::of_value(object.reader, &path, entry, &known_keys)
+        else {
             continue;
         };
         let service = read_key_reference(&mut object, "service", service_names);
         let weight = object.required_number("weight", 0.0, 1e9);
         if let (Some(service), Some(weight)) = (service, weight) {
-            if weighted.iter().any(|one| one.service == service) {
+            if weighted.iter().any(|earlier| earlier.service == service) {
                 object.reader.reject(&path, "named twice");
             }
             weighted.push(WeightedService { service, weight });
         }
     }
-    if !weighted.is_empty() && weighted.iter().all(|one| one.weight <= 0.0) {
+    if !weighted.is_empty() && weighted.iter().all(|entry| entry.weight <= 0.0) {
         object.reject("split", "no weight is above 0");
     }
     weighted
 }
 
-/// `service`, or the first of `split` in its place.
+/// The key `service`; if it is absent, the first service of `split`.
 fn read_own_service(
     object: &mut ObjectReader<'_, '_>,
     weighted_services: &[WeightedService],
@@ -150,7 +151,7 @@
     }
 }
 
-/// The key `match`; without it everything matches.
+/// The key `match`; if it is absent, the rule matches every request.
 struct RequestMatch {
     methods: Vec<String>,
     host: Option<String>,
@@ -212,7 +213,7 @@
     }
 }
 
-/// `spill`: services that take what the own one has no capacity for.
+/// The key `spill`: services that serve the requests for which the rule's own service has no capacity.
 fn read_spillover(
     object: &mut ObjectReader<'_, '_>,
     own_service: Option<usize>,
@@ -250,7 +251,7 @@
     regions
 }
 
-/// `prefer`: tiers of zones with their shares.
+/// The key `prefer`: tiers of zones with their shares of the traffic.
 fn read_preferences(object: &mut ObjectReader<'_, '_>, zones: &[Zone]) -> Vec<Vec<Preference>> {
     let mut tiers = Vec::new();
     for (index, tier) in object.array("prefer", MAX_TIERS).iter().enumerate() {
@@ -271,7 +272,7 @@
         let path = format!("{path}[{index}]");
         preferences.extend(read_preference(reader, &path, entry, zones));
     }
-    let sum: f64 = preferences.iter().map(|one| one.share).sum();
+    let sum: f64 = preferences.iter().map(|preference| preference.share).sum();
     if (sum - 100.0).abs() > 1e-6 {
         reader.reject(path, format!("the shares add up to {sum}, not 100"));
     }
--- a/config/src/model/parse/services.rs
+++ b/config/src/model/parse/services.rs
@@ -24,7 +24,7 @@
 
 pub(super) fn read_service(reader: &mut JsonReader, path: &str, entry: &JsonValue) -> Service {
     let mut object = ObjectReader::of_value_or_empty(reader, path, entry, &KEYS);
-    // In the order in which validation errors are reported.
+    // Validation errors are reported in the order of these reads.
     let name = object.name("name").unwrap_or_default();
     let selector = read_selector(&mut object, "selector", RelativeTo::Nothing);
     let health_check_path = read_health_check_path(&mut object);
@@ -67,7 +67,7 @@
     }
 }
 
-/// Requests a second at first, and how long the slow start takes.
+/// The initial rate of the slow start in requests per second, and its duration.
 fn read_slow_start(object: &mut ObjectReader<'_, '_>) -> (f64, Duration) {
     let (mut rate, mut period_ms) = (None, None);
     if let Some(mut slow_start) = object.object("cold", &["ratePerSecond", "periodMs"]) {
--- a/config/src/model/parse/zones.rs
+++ b/config/src/model/parse/zones.rs
@@ -1,4 +1,4 @@
-//! The key `places`: the zones, their regions and labels.
+//! The key `places`: the zones with their regions and labels.
 
 use crate::endpoint_list::read_labels;
 use crate::json_reader::{JsonReader, ObjectReader};
@@ -23,8 +23,8 @@
     entry: &JsonValue,
     earlier: &[Zone],
 ) -> Option<Zone> {
-    let known = ["zone", "region", "labels"];
-    let mut object = ObjectReader::of_value(reader, path, entry, &known)?;
+    let known_keys = ["zone", "region", "labels"];
+    let mut object = ObjectReader::of_value(reader, path, entry, &known_keys)?;
     let name = object.name("zone");
     let region = object.name("region");
     let (labels_path, labels) = (object.path_of("labels"), object.get("labels"));
--- a/config/src/model/tests.rs
+++ b/config/src/model/tests.rs
@@ -22,7 +22,7 @@
 
 fn errors(text: &str) -> String {
     match super::parse(text.as_bytes()) {
-        Ok(_) => "taken".to_string(),
+        Ok(_) => "accepted".to_string(),
         Err(errors) => errors.iter().map(|error| error.to_string()).collect::<Vec<_>>().join("\n"),
     }
 }
@@ -37,17 +37,17 @@
     assert_eq!(config.rule_for("GET", "h", "/orders"), Some(2));
 }
 
-/// The one that operators are shown is valid.
+/// The example configuration of the operators' documentation is valid.
 #[test]
 fn the_example_of_the_docs_is_accepted() {
     let text = include_str!("../../../docs/setup.example.json");
-    assert_eq!(errors(text), "taken");
+    assert_eq!(errors(text), "accepted");
 }
 
-/// Each kind of error, one at a time, put into the valid configuration.
+/// Introduces one error of each kind at a time into the valid configuration.
 #[test]
 fn each_validation_error_names_its_path() {
-    let mut shown = String::new();
+    let mut output = String::new();
     for (from, to) in [
         (r#""urgency": 1"#, r#""urgency": 1, "colour": 2"#),
         (r#""urgency": 1"#, r#""urgency": 1, "\u0075rgency": 2"#),
@@ -77,13 +77,13 @@
         (r#""periodMs": 8000"#, r#""periodMs": true"#),
     ] {
         assert!(GOOD.contains(from), "{from}");
-        shown +=
+        output +=
             &format!("{to}\n    {}\n", errors(&GOOD.replace(from, to)).replace('\n', "\n    "));
     }
     for text in ["", "[]", "{}", "{\"classes\": {}}", "{\"a\":1}}"] {
-        shown += &format!("{text}\n    {}\n", errors(text).replace('\n', "\n    "));
+        output += &format!("{text}\n    {}\n", errors(text).replace('\n', "\n    "));
     }
-    shown += &errors(&" ".repeat(super::MAX_BYTES + 1));
+    output += &errors(&" ".repeat(super::MAX_BYTES + 1));
     assert!(super::parse("[".repeat(100_000).as_bytes()).is_err());
     expect_test::expect![[r#"
         "urgency": 1, "colour": 2
@@ -154,7 +154,7 @@
         {"a":1}}
             $: not JSON: Unexpected character: } at (1:8)
         $: larger than 8388608 bytes"#]]
-    .assert_eq(&shown);
+    .assert_eq(&output);
 }
 
 fn weighted_rule(weights: &[f64]) -> super::Rule {
@@ -169,10 +169,11 @@
     rule
 }
 
-/// Services are drawn by their weights, whatever their sum; one without weight never is.
+/// Services are chosen in proportion to their weights, whatever the sum of the weights; a service of weight 0
+/// is never chosen.
 #[test]
-fn services_are_drawn_by_weight() {
-    let mut shown = String::new();
+fn services_are_chosen_in_proportion_to_their_weights() {
+    let mut output = String::new();
     for weights in [&[90.0, 10.0][..], &[0.5, 0.25, 0.25], &[0.0, 3.0, 0.0, 1.0], &[1e-9, 1e9]] {
         let rule = weighted_rule(weights);
         let mut counts = vec![0; weights.len()];
@@ -181,7 +182,7 @@
             random = random.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
             counts[rule.pick_service(random)] += 1;
         }
-        shown += &format!("{weights:?}: {counts:?}\n");
+        output += &format!("{weights:?}: {counts:?}\n");
     }
     expect_test::expect![[r#"
         [90.0, 10.0]: [9018, 982]
@@ -189,19 +190,24 @@
         [0.0, 3.0, 0.0, 1.0]: [0, 7486, 0, 2514]
         [1e-9, 1000000000.0]: [0, 10000]
     "#]]
-    .assert_eq(&shown);
+    .assert_eq(&output);
 }
 
-/// At the ends of the draw too.
+/// The smallest and largest random values also choose a service whose weight is above 0. Without such a
+/// service, the rule's own service is chosen.
 #[test]
-fn no_draw_falls_outside() {
-    assert_eq!(weighted_rule(&[]).pick_service(5), 7, "without a split the rule's own service");
+fn extreme_random_values_choose_a_service_with_weight() {
+    assert_eq!(
+        weighted_rule(&[]).pick_service(5),
+        7,
+        "without weighted services, the rule's own service"
+    );
     for weights in [&[0.0, 2.0, 0.0][..], &[0.0, 1e-300, 0.0], &[0.0, 0.1, 0.0]] {
         for random in [0, 1, u64::MAX / 2, u64::MAX] {
             assert_eq!(weighted_rule(weights).pick_service(random), 1, "{weights:?} at {random}");
         }
     }
-    assert_eq!(weighted_rule(&[0.0, 0.0]).pick_service(9), 7, "nobody has any weight");
+    assert_eq!(weighted_rule(&[0.0, 0.0]).pick_service(9), 7, "no service has a weight above 0");
     assert_eq!(
         [
             weighted_rule(&[1.0, 1.0]).pick_service(0),
--- a/config/src/rule_index.rs
+++ b/config/src/rule_index.rs
@@ -1,9 +1,9 @@
-//! An index of the rules by host and then by whole path segments, built once with the configuration:
-//! finding a request's rule costs the depth of its path, however many rules there are (design 3.2).
+//! An index of the rules by host and path segments, built once for each configuration. The cost of finding a
+//! request's rule depends on the depth of its path, not on the number of rules (design 3.2).
 
 use std::collections::HashMap;
 
-/// What the index needs to know of a rule: the requests that it may match.
+/// The part of a rule that the index uses: the host and path prefix of the requests that it may match.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostAndPrefix<'r> {
     /// `None`: any host.
@@ -12,24 +12,24 @@
     pub path_prefix: &'r str,
 }
 
-/// A trie node: rules that can match a path lie on the way that its segments take from the root.
+/// A trie node. The rules that can match a path are in the nodes that its segments lead through.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct TrieNode {
     children: HashMap<Box<str>, TrieNode>,
-    /// Indices of the rules whose prefix ends here, in the order of the document.
+    /// Indices of the rules whose prefix ends at this node, in the document's order.
     rules: Vec<usize>,
 }
 
-/// Finds rules by host and path. It has the rules' indices only; the rules stay with the configuration.
+/// Finds rules by host and path. Holds only the indices of the rules in the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RuleIndex {
     any_host: TrieNode,
-    /// By the host's name in lower case.
+    /// By host name in lower case.
     hosts: HashMap<String, TrieNode>,
 }
 
 impl RuleIndex {
-    /// Indexes the rules, which are numbered in the order of the iterator.
+    /// Builds the index; the rules are numbered in the order of the iterator.
     pub fn new<'r>(rules: impl Iterator<Item = HostAndPrefix<'r>>) -> RuleIndex {
         let mut rule_index = RuleIndex::default();
         for (index, rule) in rules.enumerate() {
@@ -45,16 +45,16 @@
         rule_index
     }
 
-    /// The first rule in the document's order that `matches`, among those of this host, or of any, whose
-    /// prefix may be one of the path. The index only leaves out rules that cannot match: `matches`
-    /// decides.
+    /// The first rule, in the document's order, for which `matches` returns true. Calls `matches` only for
+    /// rules for this host or any host whose prefix can be a prefix of the path: the index only excludes
+    /// rules that cannot match.
     pub fn first(
         &self,
         host: Option<&str>,
         path: &str,
         matches: impl Fn(usize) -> bool,
     ) -> Option<usize> {
-        // A query is no part of any prefix.
+        // Prefixes contain no query.
         let path = path.split('?').next().unwrap_or_default();
         let mut first: Option<usize> = None;
         let host_root = host.and_then(|host| self.host_root(host));
@@ -79,7 +79,8 @@
         first
     }
 
-    /// The rules of one host alone. Most hosts come in lower case, which is looked up without a copy.
+    /// The trie of the rules for this host only. Most hosts are in lower case, and are looked up without a
+    /// copy.
     fn host_root(&self, host: &str) -> Option<&TrieNode> {
         if host.bytes().any(|byte| byte.is_ascii_uppercase()) {
             self.hosts.get(&host.to_ascii_lowercase())
@@ -89,7 +90,7 @@
     }
 }
 
-/// A prefix's segments; one with and one without a slash at its end have the same.
+/// The segments of a prefix; a trailing slash makes no difference.
 fn prefix_segments(prefix: &str) -> impl Iterator<Item = &str> {
     path_segments(prefix.strip_suffix('/').unwrap_or(prefix))
 }
--- a/config/src/selector/ast.rs
+++ b/config/src/selector/ast.rs
@@ -1,4 +1,4 @@
-//! The syntax tree of a selector, which lies flat in one vector.
+//! The syntax tree of a selector, stored in one vector.
 
 /// A node; operands are indices into the tree's vector.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -7,7 +7,7 @@
     Equal(String, String),
     /// The label has one of these values.
     In(String, Vec<String>),
-    /// There is such a label.
+    /// The label exists.
     Has(String),
     Not(usize),
     And(usize, usize),
@@ -18,25 +18,25 @@
 /// A parsed selector.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Selector {
-    /// Operands before operators, the root last.
+    /// Operands come before their operators; the root is last.
     pub(super) nodes: Vec<Node>,
-    /// As it was written.
+    /// The source text.
     pub text: String,
 }
 
 impl Selector {
-    /// Matches everything.
+    /// A selector that matches everything.
     pub fn all() -> Selector {
         Selector { nodes: vec![Node::All], text: "all".to_string() }
     }
 
-    /// Matches where a label has this value, whatever characters it is made of.
+    /// A selector that matches one value of a label; the value may contain any characters.
     pub fn equals(key: &str, value: &str) -> Selector {
         let nodes = vec![Node::Equal(key.to_string(), value.to_string())];
         Selector { nodes, text: format!("{key} = {value}") }
     }
 
-    /// Whether the selector names the client's own zone or region.
+    /// Whether the selector refers to the client's zone or region.
     pub fn is_relative(&self) -> bool {
         self.nodes.iter().any(|node| match node {
             Node::Equal(_, value) => value.starts_with('@'),
--- a/config/src/selector/error.rs
+++ b/config/src/selector/error.rs
@@ -1,12 +1,12 @@
-//! What can be wrong with a selector's text.
+//! Syntax errors of selectors.
 
 use super::parser::MAX_TEXT_BYTES;
 use std::fmt;
 
-/// What the grammar has where another token stands.
+/// What the grammar expects where another token was found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expected {
-    /// This very token.
+    /// This token.
     Token(&'static str),
     /// The key of a label.
     LabelKey,
@@ -24,24 +24,24 @@
     }
 }
 
-/// Why a text is no selector.
+/// Why a text is not a valid selector.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SelectorError {
     /// The text has too many bytes.
     TooLong,
     /// Parentheses or negations are nested too deeply.
     NestedTooDeeply,
-    /// A character that no token has.
+    /// A character that occurs in no token.
     UnexpectedCharacter(char),
     /// A `!` without the `=` that makes it an operator.
     IncompleteOperator,
-    /// A token after the selector's end.
+    /// A token after the end of the selector.
     UnexpectedToken(String),
-    /// Something else was expected in place of a token, or of the text's end (`None`).
+    /// Something else was expected where a token or the end of the text was found.
     Expected {
-        /// What the grammar has here.
+        /// What the grammar expects here.
         expected: Expected,
-        /// The token that stands here.
+        /// The token that was found; `None` at the end of the text.
         found: Option<String>,
     },
 }
--- a/config/src/selector/evaluation.rs
+++ b/config/src/selector/evaluation.rs
@@ -3,9 +3,9 @@
 use super::ast::{Node, Selector};
 use std::collections::BTreeMap;
 
-/// What has labels: servers, zones, clients.
+/// Something that has labels: a server, a zone or a client.
 pub trait Labelled {
-    /// The value of a label, if there is such a label.
+    /// The value of a label; `None` if there is no such label.
     fn label(&self, key: &str) -> Option<&str>;
 }
 
@@ -15,7 +15,7 @@
     }
 }
 
-/// Where the client is, for `@zone` and `@region`.
+/// The client's location, to which `@zone` and `@region` refer.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClientLocation<'v> {
     /// The name of the client's zone.
@@ -25,7 +25,7 @@
 }
 
 impl ClientLocation<'_> {
-    /// Whether a label has the value that a selector names.
+    /// Whether a label's value equals a value in a selector.
     fn is_equal(&self, label: &str, value: &str) -> bool {
         match value {
             "@zone" => label == self.zone,
@@ -36,7 +36,7 @@
 }
 
 impl Selector {
-    /// Whether the selector holds for these labels, as seen from the client's location.
+    /// Whether the selector matches these labels for a client at this location.
     pub fn matches(&self, labelled: &dyn Labelled, location: ClientLocation<'_>) -> bool {
         self.node_matches(self.nodes.len() - 1, labelled, location)
     }
--- a/config/src/selector/lexer.rs
+++ b/config/src/selector/lexer.rs
@@ -1,8 +1,8 @@
-//! The tokens of a selector's text.
+//! Splits the text of a selector into tokens.
 
 use super::error::SelectorError;
 
-/// Tokens with a meaning of their own, which therefore cannot be labels.
+/// Reserved words, which cannot be keys or values of labels.
 const KEYWORDS: [&str; 6] = ["and", "or", "not", "in", "has", "all"];
 
 const MAX_LABEL_BYTES: usize = 63;
@@ -25,8 +25,8 @@
             tokens.push(next.to_string());
         } else if is_word_char(next) {
             let mut word = String::new();
-            while let Some(more) = chars.next_if(|more| is_word_char(*more)) {
-                word.push(more);
+            while let Some(character) = chars.next_if(|following| is_word_char(*following)) {
+                word.push(character);
             }
             tokens.push(word);
         } else {
@@ -36,16 +36,16 @@
     Ok(tokens)
 }
 
-fn is_word_char(next: char) -> bool {
-    is_label_char(next) || next == '@'
+fn is_word_char(character: char) -> bool {
+    is_label_char(character) || character == '@'
 }
 
-fn is_label_char(next: char) -> bool {
-    next.is_ascii_alphanumeric() || "-_./:".contains(next)
+fn is_label_char(character: char) -> bool {
+    character.is_ascii_alphanumeric() || "-_./:".contains(character)
 }
 
-/// Whether a text can be a label's key or value: 1 to 63 of the characters that selectors can name, and no
-/// keyword.
+/// Whether a text is valid as a label's key or value: 1 to 63 characters that selectors allow in labels, and
+/// not a keyword.
 pub fn is_label(text: &str) -> bool {
     (1..=MAX_LABEL_BYTES).contains(&text.len())
         && text.chars().all(is_label_char)
--- a/config/src/selector/mod.rs
+++ b/config/src/selector/mod.rs
@@ -1,5 +1,5 @@
-//! Selectors over labels (design 3.3): `app = orders and not (zone in (a1, a2) or has spare)`.
-//! The values `@zone` and `@region` stand for the client's own zone and region.
+//! Label selectors (design 3.3), such as `app = orders and not (zone in (a1, a2) or has spare)`.
+//! The values `@zone` and `@region` stand for the client's zone and region.
 
 mod ast;
 mod error;
--- a/config/src/selector/parser.rs
+++ b/config/src/selector/parser.rs
@@ -1,4 +1,5 @@
-//! A recursive-descent parser of selectors, by rising precedence: `or`, `and`, `not` and comparisons.
+//! A recursive-descent parser of selectors. In order of increasing precedence: `or`, `and`, `not` and
+//! comparisons.
 
 use super::ast::{Node, Selector};
 use super::error::{Expected, SelectorError};
@@ -11,7 +12,7 @@
     /// Parses a selector.
     ///
     /// # Errors
-    /// The first thing that is wrong with the text.
+    /// The first syntax error in the text.
     pub fn parse(text: &str) -> Result<Selector, SelectorError> {
         if text.len() > MAX_TEXT_BYTES {
             return Err(SelectorError::TooLong);
@@ -26,7 +27,7 @@
     }
 }
 
-/// The methods for the parts of the grammar return the index of the part's node.
+/// The parser state. The methods for the rules of the grammar return the index of the node that they add.
 struct Parser {
     tokens: Vec<String>,
     position: usize,
@@ -59,7 +60,7 @@
         SelectorError::Expected { expected, found: self.next_token().cloned() }
     }
 
-    /// Recursion is bounded, since the text comes from outside.
+    /// Limits the recursion depth, since the text is untrusted.
     fn descend(&mut self) -> Result<(), SelectorError> {
         self.depth += 1;
         if self.depth > MAX_DEPTH {
--- a/config/src/selector/tests.rs
+++ b/config/src/selector/tests.rs
@@ -5,7 +5,7 @@
             .map(|(key, value)| (key.to_string(), value.to_string()))
             .into();
     let location = super::ClientLocation { zone: "a1", region: "b" };
-    let mut shown = String::new();
+    let mut output = String::new();
     for text in [
         "app = orders",
         "app != orders or zone in (a1, a2)",
@@ -24,7 +24,7 @@
             Ok(selector) => selector.matches(&labels, location).to_string(),
             Err(error) => error.to_string(),
         };
-        shown += &format!("{text:40} {outcome}\n");
+        output += &format!("{text:40} {outcome}\n");
     }
     assert!(super::Selector::parse(&"(".repeat(500)).is_err());
     assert!(super::Selector::parse(&"not ".repeat(200)).is_err());
@@ -42,5 +42,5 @@
         a = b c                                  unexpected 'c'
         app = 'x'                                unexpected character '\''
     "#]]
-    .assert_eq(&shown);
+    .assert_eq(&output);
 }
--- a/config/src/settings/checks.rs
+++ b/config/src/settings/checks.rs
@@ -1,4 +1,4 @@
-//! The checks of settings, by groups of keys. Validation errors are reported in the order of the groups.
+//! Validation of settings, by groups of keys. Validation errors are reported in the order of the groups.
 
 use super::{RetryBudgetSettings, Role, Settings, split_url};
 use crate::json_reader::{JsonReader, ObjectReader, is_name};
@@ -17,8 +17,8 @@
 const DEFAULT_GRACE_MS: u64 = 10_000;
 const MAX_GRACE_MS: u64 = 600_000;
 
-/// The settings that these values give; validation errors are left in the reader, and with some of them
-/// there are no settings at all.
+/// Reads settings from these values. Validation errors are collected in the reader; `None` if a required
+/// value is absent or invalid.
 pub(super) fn check_settings(
     role: Role,
     values: &Object,
@@ -31,8 +31,8 @@
     let storage = read_storage(&mut object, role);
     let endpoint_list_url = read_endpoint_list_url(&mut object, role);
     let grace_ms = object.integer("graceMs", 0, MAX_GRACE_MS).unwrap_or(DEFAULT_GRACE_MS);
-    let admin_listen = read_address(&mut object, "pagesListen", Reachable::Here);
-    let steering_listen = read_address(&mut object, "directoryListen", Reachable::Here);
+    let admin_listen = read_address(&mut object, "pagesListen", Reachable::Locally);
+    let steering_listen = read_address(&mut object, "directoryListen", Reachable::Locally);
     let zone_regions = read_zone_regions(&mut object);
     let retry_budget = read_retry_budget(&mut object);
     let link_megabits = object.number("linkMegabits", 0.01, 1e7);
@@ -93,12 +93,12 @@
 
 fn read_addresses(object: &mut ObjectReader<'_, '_>) -> Addresses {
     object.require("listen");
-    let listen = read_address(object, "listen", Reachable::Here);
-    let advertise = read_address(object, "advertise", Reachable::ByOthers).or(listen);
+    let listen = read_address(object, "listen", Reachable::Locally);
+    let advertise = read_address(object, "advertise", Reachable::Remotely).or(listen);
     object.require("siblingListen");
-    let cluster_listen = read_address(object, "siblingListen", Reachable::Here);
+    let cluster_listen = read_address(object, "siblingListen", Reachable::Locally);
     let cluster_advertise =
-        read_address(object, "siblingAdvertise", Reachable::ByOthers).or(cluster_listen);
+        read_address(object, "siblingAdvertise", Reachable::Remotely).or(cluster_listen);
     for (key, address) in [("advertise", advertise), ("siblingAdvertise", cluster_advertise)] {
         if address.is_some_and(|address| address.ip().is_unspecified()) {
             object.reject(key, UNREACHABLE);
@@ -117,7 +117,7 @@
     let listed = object.array("seeds", MAX_SEEDS);
     for (index, value) in listed.iter().enumerate() {
         let path = object.path_of(&format!("seeds[{index}]"));
-        let seed = parse_address(object.reader, &path, Some(value), Reachable::ByOthers);
+        let seed = parse_address(object.reader, &path, Some(value), Reachable::Remotely);
         let Some(mut seed) = seed else { continue };
         if let Some(port) = seed_port {
             seed.set_port(port as u16);
@@ -133,7 +133,7 @@
     seeds
 }
 
-/// What only stores have.
+/// Settings that only stores use.
 struct Storage {
     data_folder: Option<PathBuf>,
     bootstrap_size: usize,
@@ -146,7 +146,7 @@
     if losses.is_some() && object.get("stores").is_some() {
         object.reject("storeLosses", "either stores or storeLosses");
     }
-    // A majority is left after that many losses.
+    // A majority remains after this many losses.
     let default_size = losses.map_or(DEFAULT_STORES, |losses| 2 * losses + 1);
     let bootstrap_size = object.integer("stores", 1, MAX_STORES).unwrap_or(default_size);
     if bootstrap_size.is_multiple_of(2) {
@@ -204,12 +204,12 @@
     }
 }
 
-/// Who must be able to reach an address.
+/// From where an address must be reachable.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Reachable {
-    /// The address is bound on this machine: an unspecified one stands for all of its addresses.
-    Here,
-    ByOthers,
+    /// The address is bound on this machine; an unspecified one stands for all addresses of the machine.
+    Locally,
+    Remotely,
 }
 
 const UNREACHABLE: &str = "others cannot reach an unspecified address";
@@ -232,7 +232,7 @@
     let text = reader.string(path, value, 64)?;
     match text.parse::<SocketAddr>() {
         Ok(address) if address.port() == 0 => reader.reject(path, "port 0 cannot be used"),
-        Ok(address) if reachable == Reachable::ByOthers && address.ip().is_unspecified() => {
+        Ok(address) if reachable == Reachable::Remotely && address.ip().is_unspecified() => {
             reader.reject(path, UNREACHABLE);
         }
         Ok(address) => return Some(address),
--- a/config/src/settings/invocation.rs
+++ b/config/src/settings/invocation.rs
@@ -1,4 +1,5 @@
-//! A program's arguments: what they ask for, and the settings that they and the file give.
+//! The command line of a program: the requested action, and the settings that result from the arguments and
+//! the settings file.
 
 use super::checks::check_settings;
 use super::keys::{Source, keys_of};
@@ -10,42 +11,42 @@
 use std::fmt;
 use std::path::PathBuf;
 
-/// What the arguments ask for.
+/// The action that the arguments request.
 pub enum Invocation {
     /// Run with these settings.
     Run(Box<Settings>),
-    /// Print this and end with success.
+    /// Print this text and exit with success.
     Print(String),
 }
 
-/// Why a program cannot start; its text is the message for the operator.
+/// Why a program cannot start; its `Display` text is the message for the operator.
 #[derive(Debug)]
 pub enum StartError {
     /// The arguments do not follow the program's usage.
     Usage(getopts::Fail),
-    /// An argument that is no flag.
+    /// An argument that is not a flag.
     UnexpectedArgument(String),
     /// The settings file cannot be read.
     UnreadableSettings {
-        /// As it was given.
+        /// The file name as it was given.
         file: String,
-        /// What the system says.
+        /// The error of the operating system.
         error: std::io::Error,
     },
-    /// The configuration to be checked cannot be read.
+    /// The configuration to check cannot be read.
     UnreadableConfig {
-        /// As it was given.
+        /// The file name as it was given.
         file: String,
-        /// What the system says.
+        /// The error of the operating system.
         error: std::io::Error,
     },
     /// The settings are invalid.
     InvalidSettings(Vec<ValidationError>),
-    /// The configuration to be checked is invalid.
+    /// The configuration to check is invalid.
     InvalidConfig {
-        /// As it was given.
+        /// The file name as it was given.
         file: String,
-        /// What is wrong with it.
+        /// Its validation errors.
         errors: Vec<ValidationError>,
     },
 }
@@ -75,21 +76,21 @@
     }
 }
 
-/// One validation error a line.
+/// Writes one validation error per line.
 fn write_list(out: &mut fmt::Formatter<'_>, errors: &[ValidationError]) -> fmt::Result {
     let lines: Vec<String> = errors.iter().map(|error| format!("  {error}")).collect();
     out.write_str(&lines.join("\n"))
 }
 
-// The messages hold their causes already, so that no error is named as the source of another.
+// The messages contain their causes, so that `source` does not return them again.
 impl std::error::Error for StartError {}
 
 impl miette::Diagnostic for StartError {}
 
-/// Reads the arguments and the settings file.
+/// Parses the arguments and reads the settings file.
 ///
 /// # Errors
-/// Why the program cannot start, for its operator.
+/// Why the program cannot start.
 pub fn parse_arguments(role: Role, arguments: &[String]) -> Result<Invocation, StartError> {
     let options = options_of(role);
     let matches = options.parse(arguments).map_err(StartError::Usage)?;
@@ -160,7 +161,7 @@
     }
 }
 
-/// The settings of the file, overridden by the flags, and checked.
+/// Reads the settings file, overrides its values by the flags, and validates the result.
 fn read_settings(role: Role, matches: &getopts::Matches) -> Result<Settings, StartError> {
     let mut reader = JsonReader::default();
     let mut values = match matches.opt_str("settings") {
@@ -187,10 +188,10 @@
 
 fn override_by_flags(role: Role, matches: &getopts::Matches, values: &mut Object) {
     for key in keys_of(role).filter(|key| key.source != Source::FileOnly) {
-        let given = matches.opt_strs(key.flag);
-        let Some(first) = given.first() else { continue };
+        let flag_values = matches.opt_strs(key.flag);
+        let Some(first) = flag_values.first() else { continue };
         let value = match key.source {
-            Source::List => JsonValue::Array(given.into_iter().map(Into::into).collect()),
+            Source::List => JsonValue::Array(flag_values.into_iter().map(Into::into).collect()),
             Source::Json => jzon::parse(first).unwrap_or_else(|_| JsonValue::String(first.clone())),
             Source::Text | Source::FileOnly => JsonValue::String(first.clone()),
         };
--- a/config/src/settings/keys.rs
+++ b/config/src/settings/keys.rs
@@ -1,8 +1,8 @@
-//! The table of settings: one for the file, the flags and `--help`.
+//! The table of settings, from which the keys of the file, the flags and `--help` are derived.
 
 use super::Role;
 
-/// How a setting is given.
+/// How a setting can be given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Source {
     /// In the file, or as a flag whose value is a string.
@@ -20,10 +20,10 @@
     /// The key in the file.
     pub name: &'static str,
     pub flag: &'static str,
-    /// For `--help`.
+    /// The description in `--help`.
     pub meaning: &'static str,
     pub source: Source,
-    /// The one role that has it; `None`: all have it.
+    /// The only role that has this setting; `None`: all roles have it.
     role: Option<Role>,
 }
 
@@ -41,9 +41,9 @@
     }
 }
 
-/// The settings that this role has, in the order of `--help`.
+/// The settings of this role, in the order of `--help`.
 pub(super) fn keys_of(role: Role) -> impl Iterator<Item = &'static Key> {
-    KEYS.iter().filter(move |key| key.role.is_none_or(|only| only == role))
+    KEYS.iter().filter(move |key| key.role.is_none_or(|key_role| key_role == role))
 }
 
 const KEYS: &[Key] = &[
--- a/config/src/settings/mod.rs
+++ b/config/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! A program's settings: a checked file, which flags override (design 2.2).
+//! The settings of a program: a validated file, whose values flags override (design 2.2).
 
 mod checks;
 mod invocation;
@@ -20,14 +20,14 @@
     Proxy,
     /// The control plane: operators' interface, steering, discovery.
     Registry,
-    /// Holds the committed configuration.
+    /// Stores the committed configuration.
     Store,
 }
 
 /// The settings of one program.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The program that they are for.
+    /// The program that the settings are for.
     pub role: Role,
     /// The name of the whole fleet; programs of other fleets are rejected.
     pub fleet: String,
@@ -37,55 +37,56 @@
     pub region: String,
     /// The zone in which it runs.
     pub zone: String,
-    /// HTTP: clients on a proxy, operators and clients on a registry, liveness on a store.
+    /// HTTP address: for clients on a proxy, for operators and clients on a registry, for liveness checks on
+    /// a store.
     pub listen: SocketAddr,
-    /// Where others reach `listen`.
+    /// The address at which others reach `listen`.
     pub advertise: SocketAddr,
-    /// For traffic between the fleet's own programs.
+    /// The address for traffic between the programs of the fleet.
     pub cluster_listen: SocketAddr,
-    /// Where others reach `cluster_listen`.
+    /// The address at which others reach `cluster_listen`.
     pub cluster_advertise: SocketAddr,
-    /// Cluster addresses of other programs, to begin with.
+    /// Cluster addresses of other programs that are contacted first.
     pub seeds: Vec<SocketAddr>,
-    /// Stores only: the folder of its files.
+    /// Stores only: the data folder.
     pub data_folder: Option<PathBuf>,
-    /// How many stores hold the committed configuration from the first start on.
+    /// Number of stores that hold the committed configuration from the bootstrap on.
     pub bootstrap_size: usize,
-    /// This store, if its disk is empty, takes part in the bootstrap.
+    /// Whether this store takes part in the bootstrap if its disk is empty.
     pub may_bootstrap: bool,
-    /// Registries only: where the endpoint list is read: `http://IP:PORT/PATH`.
+    /// Registries only: the URL of the endpoint list, `http://IP:PORT/PATH`.
     pub endpoint_list_url: Option<String>,
-    /// How long a graceful shutdown may take before what is left is cut.
+    /// Time that a graceful shutdown may take before the requests still in flight are aborted.
     pub shutdown_grace: Duration,
-    /// Where its own pages (status, readiness, counters) are, if not beside the rest.
+    /// A separate address for the program's own pages (status, readiness, counters), if any.
     pub admin_listen: Option<SocketAddr>,
-    /// Registries only: a second address at which clients reach the steering interface.
+    /// Registries only: an additional address at which clients reach the steering interface.
     pub steering_listen: Option<SocketAddr>,
-    /// The region of each zone, where the endpoint list does not say it.
+    /// The region of each zone, if the endpoint list does not contain it.
     pub zone_regions: BTreeMap<String, String>,
     /// Proxies only: how many retries the fleet may make.
     pub retry_budget: RetryBudgetSettings,
-    /// Millions of bits a second that its machine's link carries, if it is narrow enough to matter.
+    /// Bandwidth of the machine's network link in Mbit/s, if it is low enough to matter.
     pub link_megabits: Option<f64>,
     /// The format of documents and headers; set by the program, not by its settings.
     pub wire_format: SelectedFormat,
-    /// The program's arguments, so that changed settings can be read again (design 2.2).
+    /// The program's arguments, kept so that changed settings can be reloaded (design 2.2).
     pub arguments: Vec<String>,
     /// The settings file, if one was given.
     pub file: Option<PathBuf>,
-    /// Stores only, given as a flag: recover from this store's copy alone, then end (design 6.6).
+    /// Stores only, given as a flag: recover from this store's copy alone, then exit (design 6.6).
     pub rescue: bool,
 }
 
-/// The retries that the whole fleet may make for a service: in any window `ratio` times the number of
-/// first attempts, and `extra` more (design 8.5).
+/// The limit on the retries of the whole fleet for one service: in any window, `ratio` times the number of
+/// first attempts, plus `extra` (design 8.5).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetSettings {
     /// Retries per first attempt.
     pub ratio: f64,
-    /// The time over which both are counted.
+    /// The window over which attempts and retries are counted.
     pub window: Duration,
-    /// Retries in a window beyond the ratio.
+    /// Additional retries per window.
     pub extra: f64,
 }
 
--- a/config/src/settings/tests.rs
+++ b/config/src/settings/tests.rs
@@ -1,5 +1,5 @@
-fn shown(role: super::Role, arguments: &[&str]) -> String {
-    let arguments: Vec<String> = arguments.iter().map(|one| one.to_string()).collect();
+fn outcome_of(role: super::Role, arguments: &[&str]) -> String {
+    let arguments: Vec<String> = arguments.iter().map(|argument| argument.to_string()).collect();
     match super::parse_arguments(role, &arguments) {
         Ok(super::Invocation::Run(_)) => "runs".to_string(),
         Ok(super::Invocation::Print(text)) => text,
@@ -9,7 +9,7 @@
 
 #[test]
 fn flags_alone_are_enough_and_errors_name_the_key() {
-    let good = [
+    let valid = [
         "--name=p1",
         "--region=a",
         "--zone=a1",
@@ -17,10 +17,10 @@
         "--sibling-listen=127.0.0.1:8081",
         "--seed=127.0.0.1:9001",
     ];
-    assert_eq!(shown(super::Role::Proxy, &good), "runs");
-    assert!(shown(super::Role::Store, &good).contains("$.dataFolder: missing"));
-    let mut all = String::new();
-    for (index, bad) in [
+    assert_eq!(outcome_of(super::Role::Proxy, &valid), "runs");
+    assert!(outcome_of(super::Role::Store, &valid).contains("$.dataFolder: missing"));
+    let mut output = String::new();
+    for (index, changed) in [
         (0, "--name=P 1"),
         (3, "--listen=localhost:80"),
         (3, "--listen=127.0.0.1:0"),
@@ -30,9 +30,9 @@
         (5, "--colour=red"),
         (5, "--check"),
     ] {
-        let mut arguments = good;
-        arguments[index] = bad;
-        all += &format!("{bad}\n{}\n", shown(super::Role::Proxy, &arguments));
+        let mut arguments = valid;
+        arguments[index] = changed;
+        output += &format!("{changed}\n{}\n", outcome_of(super::Role::Proxy, &arguments));
     }
     expect_test::expect![[r#"
         --name=P 1
@@ -59,5 +59,5 @@
         the settings cannot be used
           $.seeds: missing
     "#]]
-    .assert_eq(&all);
+    .assert_eq(&output);
 }
--- a/config/src/wire_format.rs
+++ b/config/src/wire_format.rs
@@ -1,5 +1,5 @@
-//! How documents and headers of the outside world are written (design 2.3): in the product's own format,
-//! or in that of a platform that it runs on. A format translates and decides nothing.
+//! The external wire formats of documents and headers (design 2.3): the product's own format, or that of the
+//! platform on which it runs. A format only translates; it makes no decisions.
 
 use crate::endpoint_list::{self, Server};
 use crate::model::{self, Config};
@@ -10,57 +10,57 @@
 /// The names of headers, in lower case. `None`: the format has no such header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeaderNames {
-    /// Identifies a request; a server repeats it, which tells its response from another's.
+    /// Identifies a request; the server echoes it, so that its response is not taken for that of another one.
     pub request_id: Option<&'static str>,
-    /// The milliseconds that the client still waits.
+    /// The number of milliseconds for which the client still waits.
     pub deadline: &'static str,
-    /// Servers get what is left of the deadline under the same name.
+    /// Whether servers are sent the time left until the deadline under the same name.
     pub forwards_deadline: bool,
-    /// Names the server that a request is meant for; every other one rejects it. Without it a connection
-    /// begins with a health check in which the server names itself.
+    /// Names the server for which a request is meant; any other server rejects the request. In a format
+    /// without this header, a connection begins with a health check in which the server gives its id.
     pub target: Option<&'static str>,
-    /// Stands in a response of a server that did not run the request, and never will.
+    /// Present in the response of a server that has not executed the request, and never will.
     pub not_run: Option<&'static str>,
-    /// Stands in every success of a server; one without it is not passed on.
+    /// Present in every successful response of a server; a successful response without it is not forwarded.
     pub response_seal: Option<&'static str>,
-    /// A server's load.
+    /// Reports a server's load.
     pub load: &'static str,
-    /// In the response to a health check: how many milliseconds the server keeps warming up.
+    /// In the response to a health check: the milliseconds left of the server's warm-up.
     pub warm_up_left: Option<&'static str>,
-    /// The execution status, for clients.
+    /// Tells clients the execution status.
     pub execution_status: Option<&'static str>,
-    /// A response without a length may end with its connection, and one that was cut short ends with a
-    /// reset. Otherwise a response whose end cannot be known is not passed on.
+    /// Whether a response without a length may end with the close of its connection; a truncated response
+    /// then ends with a reset. If false, a response whose end cannot be determined is not forwarded.
     pub close_ends_response: bool,
 }
 
 /// One page of an endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointListPage {
-    /// Where the platform numbers its lists; otherwise the reader does.
+    /// The revision, if the platform numbers its lists; `None`: the reader numbers them.
     pub revision: Option<u64>,
-    /// The page's part of the servers.
+    /// The servers on this page.
     pub servers: Vec<Server>,
-    /// The path of the next page; `None`: this is the last one.
+    /// The path of the next page; `None`: this is the last page.
     pub next: Option<String>,
 }
 
-/// A format of documents and headers.
+/// An external format of documents and headers.
 pub trait WireFormat: Send + Sync {
     /// The names of its headers.
     fn headers(&self) -> &HeaderNames;
 
-    /// Reads and checks an operator's configuration.
+    /// Parses and validates an operator's configuration.
     ///
     /// # Errors
-    /// All validation errors; then no part of the document may be used.
+    /// All validation errors; no part of an invalid document may be used.
     fn parse_config(&self, bytes: &[u8]) -> Result<Config, Vec<ValidationError>>;
 
-    /// Reads one page of the endpoint list; `path` is that of the list as the settings have it, `zones`
-    /// the region of each zone.
+    /// Parses one page of the endpoint list; `path` is the path of the list in the settings, `zones` maps
+    /// zones to their regions.
     ///
     /// # Errors
-    /// All validation errors; then no part of the list may be used.
+    /// All validation errors; no part of an invalid list may be used.
     fn parse_page(
         &self,
         bytes: &[u8],
@@ -68,17 +68,17 @@
         zones: &BTreeMap<String, String>,
     ) -> Result<EndpointListPage, Vec<ValidationError>>;
 
-    /// Thousandths of a server's capacity in use, from the load header's text; `None` if that is invalid.
+    /// Parses the load header into thousandths of the server's capacity in use; `None` if it is invalid.
     fn parse_load(&self, text: &str) -> Option<u32>;
 
-    /// The value of a `Retry-After` header (RFC 9110, 10.2.3) for a pause.
-    fn retry_after(&self, pause: Duration) -> String;
+    /// The value of a `Retry-After` header (RFC 9110, 10.2.3) for this delay.
+    fn retry_after(&self, delay: Duration) -> String;
 }
 
 /// The product's own format.
 pub struct NativeFormat;
 
-/// The one value of [`NativeFormat`].
+/// The instance of [`NativeFormat`].
 pub static NATIVE_FORMAT: NativeFormat = NativeFormat;
 
 const HEADERS: HeaderNames = HeaderNames {
@@ -117,9 +117,9 @@
         load_report::parse(text)
     }
 
-    /// Whole seconds, as the published protocol has it.
-    fn retry_after(&self, pause: Duration) -> String {
-        (pause.as_millis().div_ceil(1000).max(1)).to_string()
+    /// Whole seconds, at least one, as the published protocol requires.
+    fn retry_after(&self, delay: Duration) -> String {
+        (delay.as_millis().div_ceil(1000).max(1)).to_string()
     }
 }
 
--- a/config/src/wire_format/tests.rs
+++ b/config/src/wire_format/tests.rs
@@ -1,15 +1,15 @@
 use super::{NATIVE_FORMAT, SelectedFormat, WireFormat};
 use std::time::Duration;
 
-/// The published protocol has whole seconds, and never none.
+/// The published protocol uses whole seconds, and at least one.
 #[test]
 fn retry_after_is_in_whole_seconds() {
     let retry_after = |ms| NATIVE_FORMAT.retry_after(Duration::from_millis(ms));
-    let all: Vec<String> = [0, 1, 100, 999, 1000, 1001, 61_500].map(retry_after).into();
-    assert_eq!(all, ["1", "1", "1", "1", "1", "2", "62"]);
+    let values: Vec<String> = [0, 1, 100, 999, 1000, 1001, 61_500].map(retry_after).into();
+    assert_eq!(values, ["1", "1", "1", "1", "1", "2", "62"]);
 }
 
-/// Without another one a program uses the product's own format: it requires no header of a platform.
+/// The default is the product's own format, which uses none of the headers that platforms require.
 #[test]
 fn the_native_format_requires_no_platform_header() {
     let selected = SelectedFormat::default();
--- a/config/tests/settings_names.rs
+++ b/config/tests/settings_names.rs
@@ -1,9 +1,9 @@
-//! The keys of the settings files, as the operators' files have them (design 2.2): each is accepted by the
-//! roles that have it and by no other.
+//! The keys of operators' settings files (design 2.2): each is accepted by the roles that have it and by no
+//! other.
 
 use vanepath_config::settings::{Invocation, Role, parse_arguments};
 
-/// Each key with a value, and the roles that accept it beside what every file needs.
+/// Each key with a valid value, and the roles that accept it in addition to the required keys.
 const KEYS: [(&str, &str, &[Role]); 15] = [
     ("advertise", r#""127.0.0.1:8000""#, &[Role::Proxy, Role::Registry, Role::Store]),
     ("siblingAdvertise", r#""127.0.0.1:8001""#, &[Role::Proxy, Role::Registry, Role::Store]),
@@ -49,7 +49,7 @@
     std::fs::remove_file(&file).unwrap();
     match outcome {
         Ok(Invocation::Print(_)) => Ok(()),
-        Ok(Invocation::Run(_)) => panic!("it was to be checked only"),
+        Ok(Invocation::Run(_)) => panic!("--check must not run the program"),
         Err(error) => Err(error.to_string()),
     }
 }
