--- a/store/tests/disk.rs
+++ b/store/tests/disk.rs
@@ -1,4 +1,4 @@
-//! The data folder step by step: what is left after a loss of power, and how often it is synced.
+//! The data folder: what remains after a power loss, and how many syncs a save takes.
 
 use std::path::{Path, PathBuf};
 use vanepath_store::consensus::{DiskWrite, HardState, RecoveredState};
@@ -55,13 +55,13 @@
     Disk::open(folder).unwrap().load(77).unwrap()
 }
 
-fn path_of(folder: &Path, start: &str) -> PathBuf {
+fn path_of(folder: &Path, prefix: &str) -> PathBuf {
     let mut all = files(folder).into_iter().map(|(path, _)| path);
-    all.find(|path| path.file_name().unwrap().to_str().unwrap().starts_with(start)).unwrap()
+    all.find(|path| path.file_name().unwrap().to_str().unwrap().starts_with(prefix)).unwrap()
 }
 
-/// A promise takes two syncs, an accepted version three, a batch one more for each version and one for
-/// their names.
+/// A promise takes two syncs and an accepted version three. A batch takes one more for each further version,
+/// and one for the names of the version files.
 #[test]
 fn a_save_syncs_no_more_than_it_has_to() {
     let folder = folder("syncs");
@@ -80,19 +80,19 @@
     let recovered = load(&folder);
     assert_eq!(recovered.value.as_deref(), Some(&next));
     assert_eq!(
-        recovered.batch.iter().map(|one| one.revision).collect::<Vec<u64>>(),
+        recovered.batch.iter().map(|ancestor| ancestor.revision).collect::<Vec<u64>>(),
         [last.revision]
     );
     assert_eq!(recovered.versions.len(), 7);
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// Power is lost in the middle of a save, and any of its renames and new names may be durable: the version
-/// that the state names is always there.
+/// If power is lost during a save, any subset of its renames and new names may be durable. The version to
+/// which the state refers must be found in each case.
 #[test]
 fn after_a_power_loss_the_state_finds_its_version() {
     let folder = folder("power");
-    // Twice, for each of the two spares.
+    // Two turns, so that both spare files are used.
     for turn in 0..2_u64 {
         let disk = Disk::open(&folder).unwrap();
         disk.load(7).unwrap();
@@ -108,13 +108,16 @@
         disk.save(&[version(&new), DiskWrite::State(state(7, &new))]).unwrap();
         drop(disk);
         let after = files(&folder);
-        // The spare file that was there holds the version's bytes unless its rename is durable.
+        // The previous spare file holds the version's bytes unless its rename is durable.
         let spare = before.iter().find(|(path, _)| path.to_str().unwrap().contains("spare-"));
         let spare = spare.unwrap().0.clone();
         let version_path = path_of(&folder, &format!("version-{:020}", new.revision));
         let bytes = std::fs::read(&version_path).unwrap();
-        let other = path_of(&folder, "spare-");
-        assert_ne!(other, spare, "the old name is not used again before it may be");
+        let next_spare = path_of(&folder, "spare-");
+        assert_ne!(
+            next_spare, spare,
+            "the previous spare name is not reused before the rename is durable"
+        );
         for durable in 0..8 {
             let (is_state, is_version, is_spare) =
                 (durable & 1 > 0, durable & 2 > 0, durable & 4 > 0);
@@ -122,23 +125,23 @@
                 std::fs::remove_file(path).unwrap();
             }
             for (path, bytes) in if is_state { &after } else { &before } {
-                let is_new = *path == version_path || *path == other || *path == spare;
+                let is_new = *path == version_path || *path == next_spare || *path == spare;
                 if !is_new {
                     std::fs::write(path, bytes).unwrap();
                 }
             }
             std::fs::write(if is_version { &version_path } else { &spare }, &bytes).unwrap();
             if is_spare {
-                std::fs::write(&other, b"").unwrap();
+                std::fs::write(&next_spare, b"").unwrap();
             }
             let recovered = load(&folder);
-            let wanted = if is_state { &new } else { &old };
-            assert_eq!(recovered.value.as_deref(), Some(wanted), "{durable}");
-            assert_eq!(recovered.state, state(7, wanted));
-            // And the next save works on what is there.
+            let expected = if is_state { &new } else { &old };
+            assert_eq!(recovered.value.as_deref(), Some(expected), "{durable}");
+            assert_eq!(recovered.state, state(7, expected));
+            // The next save succeeds as well.
             let disk = Disk::open(&folder).unwrap();
             disk.load(7).unwrap();
-            let next = value(10 * turn + 2, Some(wanted), 0);
+            let next = value(10 * turn + 2, Some(expected), 0);
             disk.save(&[version(&next), DiskWrite::State(state(7, &next))]).unwrap();
             drop(disk);
             assert_eq!(load(&folder).value.as_deref(), Some(&next));
@@ -147,7 +150,7 @@
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// A spare file that was being written when power was lost is torn: it counts as absent.
+/// A spare file that was only partly written when power was lost counts as absent.
 #[test]
 fn a_torn_spare_file_counts_as_absent() {
     let folder = folder("torn");
@@ -163,7 +166,7 @@
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// A removed member's disk: the old versions are gone, and the new incarnation is durable.
+/// After the reset of a removed member's disk, the old versions are gone and the new incarnation is durable.
 #[test]
 fn a_reset_disk_is_empty_under_its_new_incarnation() {
     let folder = folder("reset");
@@ -181,8 +184,8 @@
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// A disk that refused a sync is read and written once more before anything rests on it: all that it holds
-/// is durable afterwards, and the next save works.
+/// After a failed write or sync, a disk is read and written again before its contents are relied on.
+/// Afterwards all of its contents are durable, and the next save succeeds.
 #[test]
 fn a_recovered_disk_holds_what_it_held() {
     let folder = folder("works-again");
@@ -191,17 +194,17 @@
     let old = value(1, None, 0);
     let new = value(2, Some(&old), 1);
     disk.save(&[version(&old), version(&new), DiskWrite::State(state(7, &new))]).unwrap();
-    // No space: in the place of the next temporary file there is a folder, which cannot be written.
+    // Simulates a full disk: a folder with the name of the next temporary file makes the write fail.
     let blocked = folder.join("state.cbor.aside");
     std::fs::create_dir(&blocked).unwrap();
     let next = value(3, Some(&new), 0);
     assert!(disk.save(&[version(&next), DiskWrite::State(state(7, &next))]).is_err());
-    assert!(disk.recover(9).is_err(), "it still refuses");
+    assert!(disk.recover(9).is_err(), "the disk still fails");
     std::fs::remove_dir(&blocked).unwrap();
     let recovered = disk.recover(9).unwrap();
-    assert_eq!(recovered.state, state(7, &new), "what was not saved was told to nobody");
+    assert_eq!(recovered.state, state(7, &new), "the unsaved state was never acknowledged");
     assert_eq!(recovered.value.as_deref(), Some(&new));
-    assert_eq!(recovered.batch.iter().map(|one| one.revision).collect::<Vec<u64>>(), [1]);
+    assert_eq!(recovered.batch.iter().map(|ancestor| ancestor.revision).collect::<Vec<u64>>(), [1]);
     disk.save(&[version(&next), DiskWrite::State(state(7, &next))]).unwrap();
     drop(disk);
     assert_eq!(load(&folder).value.as_deref(), Some(&next));
--- a/store/tests/frames.rs
+++ b/store/tests/frames.rs
@@ -1,5 +1,5 @@
-//! The messages between stores and registries, byte for byte: programs of two versions talk to each
-//! other while they are replaced one by one (design 6.2).
+//! The encoding of the messages between stores and registries stays the same byte for byte, because programs
+//! of two versions communicate during a rolling update (design 6.2).
 
 use std::fmt::Write as _;
 use std::time::Duration;
@@ -17,14 +17,14 @@
 }
 
 impl Frames {
-    /// Adds a message's bytes and checks that they are decoded as that very message.
+    /// Appends the encoding of a message, and checks that it decodes to the same message.
     fn add<T>(&mut self, label: &str, message: &T)
     where
         T: serde::Serialize + serde::de::DeserializeOwned,
     {
         let bytes = encode(message);
-        let read: T = decode(&bytes).unwrap_or_else(|error| panic!("{label}: {error}"));
-        assert_eq!(encode(&read), bytes, "{label}");
+        let decoded: T = decode(&bytes).unwrap_or_else(|error| panic!("{label}: {error}"));
+        assert_eq!(encode(&decoded), bytes, "{label}");
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         let _ = writeln!(self.text, "{label} {hex}");
     }
@@ -38,7 +38,7 @@
     AcceptedProposal { ballot: ballot(revision + 1), revision, digest: [revision as u8; 32] }
 }
 
-/// With the fields that are left out where they are empty.
+/// A value with all fields, including those that are omitted from the encoding when empty.
 fn full_value() -> Value {
     let record = |number: u64, is_generated: bool| IdempotencyRecord {
         key: format!("key-{number}"),
@@ -192,7 +192,7 @@
     expect_test::expect_file!["fixtures/replies.txt"].assert_eq(&frames.text);
 }
 
-/// The bytes of a message without one of its fields, as a version that did not have it sends them.
+/// Removes a field from an encoded message, as it is sent by a version that does not have the field.
 fn without(bytes: &[u8], variant: &str, field: &str) -> Vec<u8> {
     let mut message: ciborium::Value = ciborium::from_reader(bytes).unwrap();
     let outer = message.as_map_mut().unwrap();
@@ -206,16 +206,16 @@
     shorter
 }
 
-/// Fields that came later are absent in what an earlier version sends.
+/// Messages of earlier versions, which lack the fields that were added later, are decoded.
 #[test]
 fn messages_without_the_later_fields_are_read() {
     let (key, change) = ("key".to_string(), changes().remove(0).1);
     let change = Request::Change { key, change, keyless_for: None };
-    let read: Request = decode(&without(&encode(&change), "Change", "unnamed_for")).unwrap();
-    assert_eq!(encode(&read), encode(&change));
+    let decoded: Request = decode(&without(&encode(&change), "Change", "unnamed_for")).unwrap();
+    assert_eq!(encode(&decoded), encode(&change));
     let (from, accepted) = (7, proposal(5));
     let promise =
         Response::Promise { from, accepted, value: None, batch: Vec::new(), unacknowledged: None };
-    let read: Response = decode(&without(&encode(&promise), "Promise", "open")).unwrap();
-    assert_eq!(read, promise);
+    let decoded: Response = decode(&without(&encode(&promise), "Promise", "open")).unwrap();
+    assert_eq!(decoded, promise);
 }
--- a/store/tests/growth.rs
+++ b/store/tests/growth.rs
@@ -1,6 +1,6 @@
-//! What a store holds does not grow with the number of changes: versions, bytes on the disk, the size of a
-//! value, and the bytes by which a member that was away for all of them is brought up to date. Printed with
-//! `--nocapture`; ten thousand changes with `VANEPATH_CHANGES=10000`.
+//! The data of a store does not grow with the number of changes: the number of versions, the bytes on disk,
+//! the size of a value, and the bytes that bring a member up to date that was down during all changes.
+//! `--nocapture` prints the measurements; `VANEPATH_CHANGES=10000` makes ten thousand changes.
 
 use std::time::{Duration, Instant};
 use vanepath_store::consensus::{Effect, Event, Identity, LiveStore, Replica, response_from_disk};
@@ -8,10 +8,10 @@
 use vanepath_store::protocol::{Change, Outcome, Request, Response};
 use vanepath_store::value::VersionId;
 
-/// A store on a real folder.
+/// A store with a real data folder.
 struct Store {
     name: String,
-    core: Replica,
+    replica: Replica,
     disk: Disk,
     folder: std::path::PathBuf,
 }
@@ -27,8 +27,8 @@
     let disk = Disk::open(folder).unwrap();
     let recovered = disk.load(random).unwrap();
     let identity = Identity { name: name.to_string(), bootstrap_size: 3 };
-    let core = Replica::new(identity, recovered, now);
-    Store { name: name.to_string(), core, disk, folder: folder.to_path_buf() }
+    let replica = Replica::new(identity, recovered, now);
+    Store { name: name.to_string(), replica, disk, folder: folder.to_path_buf() }
 }
 
 /// Three stores, of which any may be down, and the messages between them.
@@ -55,26 +55,28 @@
                 }
                 continue;
             };
-            for effect in store.core.step(self.now, event) {
+            for effect in store.replica.step(self.now, event) {
                 self.perform(to, effect);
             }
         }
     }
 
-    fn perform(&mut self, who: usize, effect: Effect) {
+    fn perform(&mut self, index: usize, effect: Effect) {
         match effect {
             Effect::Persist(writes) => {
-                self.stores[who].as_ref().unwrap().disk.save(&writes).unwrap();
+                self.stores[index].as_ref().unwrap().disk.save(&writes).unwrap();
             }
             Effect::Send { call, incarnation, request } => {
-                self.tickets.push(Some((who, call)));
+                self.tickets.push(Some((index, call)));
                 let ticket = self.tickets.len() as u64 - 1;
-                let is_it = |store: &Option<Store>| {
-                    store.as_ref().is_some_and(|one| one.core.summary().incarnation == incarnation)
+                let is_target = |store: &Option<Store>| {
+                    store
+                        .as_ref()
+                        .is_some_and(|store| store.replica.summary().incarnation == incarnation)
                 };
-                match self.stores.iter().position(is_it) {
+                match self.stores.iter().position(is_target) {
                     Some(to) => {
-                        self.count(to, vanepath_cluster::wire::encode(&request).len());
+                        self.count_bytes(to, vanepath_cluster::wire::encode(&request).len());
                         self.send(to, Event::RequestReceived { ticket, request });
                     }
                     None => self.respond(ticket, None),
@@ -82,17 +84,17 @@
             }
             Effect::Reply { ticket, response } => self.respond(ticket, Some(response)),
             Effect::ReplyFromDisk { ticket, versions, as_outcome } => {
-                let disk = &self.stores[who].as_ref().unwrap().disk;
+                let disk = &self.stores[index].as_ref().unwrap().disk;
                 let load = |id: &VersionId| disk.version(id);
                 let response = response_from_disk(&versions, as_outcome, load).response;
                 self.respond(ticket, Some(response));
             }
-            Effect::Reset => panic!("nobody loses a seat here"),
+            Effect::Reset => panic!("no member is removed in this test"),
             Effect::Committed(_) | Effect::Log(_) => {}
         }
     }
 
-    fn count(&mut self, to: usize, bytes: usize) {
+    fn count_bytes(&mut self, to: usize, bytes: usize) {
         if to == 2 {
             self.third_received_bytes += bytes;
         }
@@ -104,7 +106,7 @@
                 let bytes = response
                     .as_ref()
                     .map_or(0, |response| vanepath_cluster::wire::encode(response).len());
-                self.count(to, bytes);
+                self.count_bytes(to, bytes);
                 self.send(to, Event::ResponseReceived { call, response });
             }
             None => {
@@ -144,7 +146,7 @@
 }
 
 fn live_store(store: &Store) -> LiveStore {
-    let summary = store.core.summary();
+    let summary = store.replica.summary();
     let (incarnation, is_empty) = (summary.incarnation, summary.is_empty);
     let (name, may_bootstrap) = (store.name.clone(), is_empty && summary.may_bootstrap);
     LiveStore { name, incarnation, is_empty, may_bootstrap }
@@ -155,15 +157,15 @@
     files.map(|entry| entry.unwrap().metadata().unwrap().len()).sum()
 }
 
-/// What was measured after so many changes.
+/// Measurements after a number of changes.
 #[derive(Debug)]
 struct Measured {
     changes: u64,
     versions: usize,
     disk_bytes: u64,
-    start: Duration,
-    caught_up_bytes: usize,
-    caught_up_after: Duration,
+    start_time: Duration,
+    catch_up_bytes: usize,
+    catch_up_time: Duration,
 }
 
 fn measure(changes: u64) -> Measured {
@@ -181,37 +183,44 @@
     };
     fleet.run_for(Duration::from_secs(2));
     fleet.change(1);
-    // Down for all the others.
+    // The third store is down during all further changes.
     fleet.stores[2] = None;
     for number in 2..=changes {
         fleet.change(number);
     }
     assert_eq!(fleet.outcomes.len() as u64, changes);
-    assert!(fleet.outcomes.iter().all(|one| matches!(one, Outcome::Accepted { .. })));
+    assert!(fleet.outcomes.iter().all(|outcome| matches!(outcome, Outcome::Accepted { .. })));
     let third = start("s2", &folders[2], 7, fleet.now);
     fleet.stores[2] = Some(third);
     fleet.third_received_bytes = 0;
-    let back_at = fleet.now;
-    let wanted = fleet.stores[0].as_ref().unwrap().core.summary().accepted;
-    while fleet.stores[2].as_ref().unwrap().core.summary().accepted < wanted {
+    let restarted_at = fleet.now;
+    let expected = fleet.stores[0].as_ref().unwrap().replica.summary().accepted;
+    while fleet.stores[2].as_ref().unwrap().replica.summary().accepted < expected {
         fleet.run_for(Duration::from_millis(50));
-        assert!(fleet.now - back_at < Duration::from_secs(10), "it never catches up");
+        assert!(
+            fleet.now - restarted_at < Duration::from_secs(10),
+            "the restarted store does not catch up"
+        );
     }
-    let (caught_up_bytes, caught_up_after) = (fleet.third_received_bytes, fleet.now - back_at);
+    let (catch_up_bytes, catch_up_time) = (fleet.third_received_bytes, fleet.now - restarted_at);
     let first = fleet.stores[0].take().unwrap();
-    let versions = first.core.summary().versions;
+    let versions = first.replica.summary().versions;
     let disk_bytes = bytes_in(&first.folder);
     drop(first);
     let began = Instant::now();
-    let again = start("s0", &folders[0], 9, fleet.now);
-    let start = began.elapsed();
-    assert_eq!(again.core.summary().accepted, wanted, "what was acknowledged is there");
-    drop(again);
+    let restarted = start("s0", &folders[0], 9, fleet.now);
+    let start_time = began.elapsed();
+    assert_eq!(
+        restarted.replica.summary().accepted,
+        expected,
+        "all acknowledged changes are on the disk"
+    );
+    drop(restarted);
     drop(fleet);
     for folder in folders {
         std::fs::remove_dir_all(folder).unwrap();
     }
-    Measured { changes, versions, disk_bytes, start, caught_up_bytes, caught_up_after }
+    Measured { changes, versions, disk_bytes, start_time, catch_up_bytes, catch_up_time }
 }
 
 #[test]
@@ -219,25 +228,25 @@
     let max = std::env::var("VANEPATH_CHANGES").ok().and_then(|text| text.parse().ok());
     let max: u64 = max.unwrap_or(1500);
     let mut steps = vec![10, 100, 1000, 10_000];
-    steps.retain(|one| *one < max);
+    steps.retain(|changes| *changes < max);
     steps.push(max);
     for changes in steps {
         let measured = measure(changes);
         println!(
-            "{} changes: {} versions, {} bytes on the disk, started within {:?}; a member that was away \
+            "{} changes: {} versions, {} bytes on the disk, started within {:?}; a member that was down \
              caught up with {} bytes after {:?}",
             measured.changes,
             measured.versions,
             measured.disk_bytes,
-            measured.start,
-            measured.caught_up_bytes,
-            measured.caught_up_after,
+            measured.start_time,
+            measured.catch_up_bytes,
+            measured.catch_up_time,
         );
-        // The chain that stays readable, and what is not pruned yet.
+        // The readable history, and the versions that are not pruned yet.
         assert!(measured.versions <= 1024 + 64 + 1, "{measured:?}");
         assert!(measured.disk_bytes < 66 << 20, "{measured:?}");
-        // One value says all that it needs to go on; older versions come in the background.
-        assert!(measured.caught_up_after <= Duration::from_secs(4), "{measured:?}");
-        assert!(measured.caught_up_bytes < 4 << 20, "{measured:?}");
+        // The latest value alone is enough to continue; older versions are fetched in the background.
+        assert!(measured.catch_up_time <= Duration::from_secs(4), "{measured:?}");
+        assert!(measured.catch_up_bytes < 4 << 20, "{measured:?}");
     }
 }
--- a/store/tests/model/main.rs
+++ b/store/tests/model/main.rs
@@ -1,25 +1,25 @@
-//! Model checking of agreement, replacement and restart together: the replicas as the programs run them.
+//! Model checking of consensus, replacement and restarts together, on the replicas that the programs run.
 //!
-//! *Search.* By default every message arrives in order and calls come one after the other. From that
-//! schedule every execution with up to so many deviations is run: at any moment a message is lost,
-//! delayed or duplicated, a store is restarted, frozen (until it is called next) or loses its disk, or the
-//! next call comes early. Two deviations
-//! in CI; more with `VANEPATH_MODEL_DEVIATIONS=3 cargo test --release -p vanepath-store --test model`.
+//! *Search.* In the default schedule, messages arrive in order and calls come one after the other. The search
+//! runs every execution that differs from it by up to a given number of deviations. At any step, a deviation
+//! loses, delays or duplicates a message, restarts a store, freezes it until its next call, wipes its disk,
+//! or makes the next call early. CI runs two deviations; more with
+//! `VANEPATH_MODEL_DEVIATIONS=3 cargo test --release -p vanepath-store --test model`.
 //!
-//! *Walks.* Random schedules by seed, in which all of that happens all the time, with 3 and 5 members.
+//! *Random walks.* Random schedules by seed, in which these faults occur throughout, with 3 and 5 members.
 //!
-//! *Properties* (`history.rs`): one content for each version that is acknowledged; what was acknowledged is
-//! never lost, nor rejected when it is sent again; reads are linearizable; one content for each revision
-//! that any store knows as committed. Each broken shell (`world::Broken`) is found by the same search.
+//! *Properties* (`history.rs`): each acknowledged version has one content; acknowledged writes are never
+//! lost, nor rejected when they are sent again; reads are linearizable; each revision that any store knows as
+//! committed has one content. The same search finds each defect of the shell in `world::ShellDefect`.
 
 mod history;
 mod world;
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
-use world::{Broken, Call, World};
+use world::{Call, ShellDefect, World};
 
-/// Two operators under one version, one that sends again, and readers at other stores.
-fn race_of_operators() -> Vec<Call> {
+/// Two operators use the same version, one of them sends again, and others read at other stores.
+fn concurrent_operators() -> Vec<Call> {
     vec![
         Call::Config { store: 0, version: 1, text: "a" },
         Call::Config { store: 1, version: 2, text: "b" },
@@ -30,7 +30,7 @@
     ]
 }
 
-/// A keyed write that is sent again at another store, with another one between.
+/// A keyed write is sent again to another store, after another keyed write.
 fn keyed_write_sent_again() -> Vec<Call> {
     vec![
         Call::KeyedWrite { store: 0, key: "k", text: "x" },
@@ -41,7 +41,7 @@
     ]
 }
 
-/// A read at a store that may have been frozen while another one was written to.
+/// A read at a store that may have been frozen while another store accepted a write.
 fn read_after_a_freeze() -> Vec<Call> {
     vec![
         Call::Config { store: 0, version: 1, text: "a" },
@@ -53,7 +53,7 @@
 }
 
 fn scripts() -> [Vec<Call>; 3] {
-    [race_of_operators(), keyed_write_sent_again(), read_after_a_freeze()]
+    [concurrent_operators(), keyed_write_sent_again(), read_after_a_freeze()]
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -67,32 +67,32 @@
     CallEarly,
 }
 
-/// A world that executes a script.
+/// The execution of a script in a world.
 #[derive(Clone)]
 struct Run<'s> {
     world: World,
     script: &'s [Call],
-    next: usize,
+    next_call: usize,
     idle_ticks: u32,
     path: Vec<(u64, Deviation)>,
 }
 
-/// What a search has executed.
+/// Counters of the executions and steps of a search.
 #[derive(Default)]
 struct Count {
     executions: AtomicU64,
     steps: AtomicU64,
 }
 
-/// Ticks for which an open call, or a wiped store, is waited for.
+/// Maximum number of ticks to wait for open calls to end and for all stores to vote.
 const MAX_IDLE_TICKS: u32 = 90;
 
 impl<'s> Run<'s> {
     fn new(world: World, script: &'s [Call]) -> Run<'s> {
-        Run { world, script, next: 0, idle_ticks: 0, path: Vec::new() }
+        Run { world, script, next_call: 0, idle_ticks: 0, path: Vec::new() }
     }
 
-    /// One step of the schedule without deviations; false at its end.
+    /// Advances the schedule by one step without a deviation; returns false at its end.
     fn advance(&mut self) -> bool {
         if let Some(message) = self.world.messages.pop_front() {
             self.world.deliver(message);
@@ -103,14 +103,14 @@
             self.world.tick();
         } else {
             self.world.history.give_up();
-            return self.call_next() || self.thaw_at_the_end();
+            return self.make_next_call() || self.thaw_at_the_end();
         }
         true
     }
 
-    /// No call is open, and every store votes.
+    /// Whether no call is open and every store votes.
     fn is_settled(&self) -> bool {
-        self.world.history.is_over() && self.world.voting() == self.world.stores.len()
+        self.world.history.all_ended() && self.world.voting() == self.world.stores.len()
     }
 
     fn thaw_at_the_end(&mut self) -> bool {
@@ -118,9 +118,9 @@
         !self.world.messages.is_empty()
     }
 
-    fn call_next(&mut self) -> bool {
-        let Some(call) = self.script.get(self.next) else { return false };
-        self.next += 1;
+    fn make_next_call(&mut self) -> bool {
+        let Some(call) = self.script.get(self.next_call) else { return false };
+        self.next_call += 1;
         self.idle_ticks = 0;
         self.world.call(call);
         true
@@ -130,14 +130,14 @@
         let mut found = Vec::new();
         if !self.world.messages.is_empty() {
             found.extend([Deviation::Lose, Deviation::Delay, Deviation::Duplicate]);
-            if self.next < self.script.len() {
+            if self.next_call < self.script.len() {
                 found.push(Deviation::CallEarly);
             }
         }
         let stores = 0..self.world.stores.len();
         found.extend(stores.clone().map(Deviation::Restart));
         found.extend(stores.clone().map(Deviation::Freeze));
-        // No more disks are lost at one time than may be.
+        // A disk is only lost while all stores vote: the loss of more disks at a time need not be tolerated.
         if self.world.voting() == self.world.stores.len() {
             found.extend(stores.map(Deviation::Wipe));
         }
@@ -148,30 +148,44 @@
         self.path.push((self.world.steps(), deviation));
         match deviation {
             Deviation::Lose => {
-                let message = self.world.messages.pop_front().expect("offered");
+                let message = self
+                    .world
+                    .messages
+                    .pop_front()
+                    .expect("deviations of messages need one in flight");
                 self.world.lose(message);
             }
             Deviation::Delay => {
-                let message = self.world.messages.pop_front().expect("offered");
+                let message = self
+                    .world
+                    .messages
+                    .pop_front()
+                    .expect("deviations of messages need one in flight");
                 self.world.delayed.push_back(message);
             }
             Deviation::Duplicate => {
-                let message = self.world.messages.front().expect("offered").clone();
+                let message = self
+                    .world
+                    .messages
+                    .front()
+                    .expect("deviations of messages need one in flight")
+                    .clone();
                 self.world.delayed.push_back(message);
             }
             Deviation::Restart(index) => self.world.restart(index),
             Deviation::Wipe(index) => self.world.wipe(index),
             Deviation::Freeze(index) => self.world.freeze(index),
             Deviation::CallEarly => {
-                self.call_next();
+                self.make_next_call();
             }
         }
     }
 
-    /// Runs on to the end, and from each moment on with each deviation, as far as they go.
+    /// Runs to the end of the schedule, and at each step also explores every deviation, as long as any are
+    /// left. Returns the first violated property.
     fn explore(mut self, deviations: u32, count: &Count) -> Option<String> {
         loop {
-            // An idle store meets the same deviation at each tick: once is enough.
+            // While the stores are idle, a deviation has the same effect at each tick: one trial is enough.
             if deviations > 0 && (self.idle_ticks == 0 || !self.world.messages.is_empty()) {
                 for deviation in self.deviations() {
                     let mut other = self.clone();
@@ -194,15 +208,15 @@
     }
 }
 
-/// All executions with up to so many deviations, on all cores; the first fault that was found.
+/// Runs all executions with up to `deviations` deviations, on all cores; returns the first violated property.
 fn search(
     members: usize,
     script: &[Call],
-    broken: Option<Broken>,
+    defect: Option<ShellDefect>,
     deviations: u32,
 ) -> Option<String> {
     let mut runs = Vec::new();
-    let mut run = Run::new(World::new(members, broken), script);
+    let mut run = Run::new(World::new(members, defect), script);
     loop {
         for deviation in run.deviations() {
             let mut other = run.clone();
@@ -213,13 +227,13 @@
             break;
         }
     }
-    let plain = run.world.history.faults.first().cloned();
-    let (count, turn) = (Count::default(), AtomicUsize::new(0));
-    let found = std::sync::Mutex::new(plain);
+    let default_fault = run.world.history.faults.first().cloned();
+    let (count, next_run) = (Count::default(), AtomicUsize::new(0));
+    let found = std::sync::Mutex::new(default_fault);
     std::thread::scope(|scope| {
         for _ in 0..std::thread::available_parallelism().map_or(1, usize::from) {
             scope.spawn(|| {
-                while let Some(run) = runs.get(turn.fetch_add(1, Ordering::Relaxed)) {
+                while let Some(run) = runs.get(next_run.fetch_add(1, Ordering::Relaxed)) {
                     if found.lock().unwrap().is_some() {
                         return;
                     }
@@ -231,16 +245,16 @@
         }
     });
     println!(
-        "{members} seats, {broken:?}, up to {deviations} deviations: {} executions, {} steps",
+        "{members} members, {defect:?}, up to {deviations} deviations: {} executions, {} steps",
         count.executions.load(Ordering::Relaxed),
         count.steps.load(Ordering::Relaxed),
     );
     found.into_inner().unwrap()
 }
 
-fn deviations(otherwise: u32) -> u32 {
+fn deviations(default: u32) -> u32 {
     let setting = std::env::var("VANEPATH_MODEL_DEVIATIONS").ok();
-    setting.and_then(|text| text.parse().ok()).unwrap_or(otherwise)
+    setting.and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
 #[test]
@@ -257,24 +271,24 @@
     }
 }
 
-/// The same search finds every way in which the shell is broken.
+/// The search finds every defect of the shell.
 #[test]
 fn every_broken_shell_is_found() {
-    for broken in [
-        Broken::NoSync,
-        Broken::ReadsWithoutRound,
-        Broken::VotesAfterWipe,
-        Broken::CountsUnaskedVotes,
-        Broken::ForgetsKeys,
-        Broken::ForgetsVersions,
+    for defect in [
+        ShellDefect::NoSync,
+        ShellDefect::ReadsWithoutRound,
+        ShellDefect::VotesAfterWipe,
+        ShellDefect::CountsUnaskedVotes,
+        ShellDefect::ForgetsKeys,
+        ShellDefect::ForgetsVersions,
     ] {
-        let found = scripts().iter().find_map(|script| search(3, script, Some(broken), 2));
-        println!("{broken:?}: {found:?}");
-        assert!(found.is_some(), "{broken:?} breaks nothing that is seen");
+        let found = scripts().iter().find_map(|script| search(3, script, Some(defect), 2));
+        println!("{defect:?}: {found:?}");
+        assert!(found.is_some(), "{defect:?} violates no property");
     }
 }
 
-/// A stream of numbers by seed.
+/// A seeded generator of pseudo-random numbers.
 struct Random(u64);
 
 impl Random {
@@ -288,31 +302,32 @@
 const TEXTS: [&str; 3] = ["one", "two", "three"];
 const KEYS: [&str; 3] = ["k", "l", "m"];
 
-fn any_call(random: &mut Random, members: usize, highest: &mut u64) -> Call {
+fn random_call(random: &mut Random, members: usize, highest_version: &mut u64) -> Call {
     let store = random.below(members);
     match random.below(4) {
         0 => Call::Read { store },
         1 => {
-            let at = random.below(KEYS.len());
-            Call::KeyedWrite { store, key: KEYS[at], text: TEXTS[at] }
+            let index = random.below(KEYS.len());
+            Call::KeyedWrite { store, key: KEYS[index], text: TEXTS[index] }
         }
         _ => {
-            *highest += random.below(2) as u64;
-            let version = (*highest).saturating_sub(random.below(3) as u64).max(1);
+            *highest_version += random.below(2) as u64;
+            let version = (*highest_version).saturating_sub(random.below(3) as u64).max(1);
             Call::Config { store, version, text: TEXTS[random.below(TEXTS.len())] }
         }
     }
 }
 
-/// Faults happen all the time; at the end there are none, all stores vote again, and a read at each shows
-/// what was acknowledged. Gives the violated properties, and how many calls were acknowledged.
+/// Runs a random schedule in which faults occur throughout. At the end the faults stop; then all stores must
+/// vote again, and a read at each store must return what was acknowledged. Returns the violated properties
+/// and the number of acknowledged calls.
 fn random_walk(seed: u64, members: usize) -> (Vec<String>, usize) {
     let mut random = Random(seed);
     let mut world = World::new(members, None);
-    let mut highest = 1;
+    let mut highest_version = 1;
     for _ in 0..500 {
         match random.below(100) {
-            0..=5 => world.call(&any_call(&mut random, members, &mut highest)),
+            0..=5 => world.call(&random_call(&mut random, members, &mut highest_version)),
             6..=9 => world.tick(),
             10 => world.restart(random.below(members)),
             11 => match random.below(2) {
@@ -320,7 +335,7 @@
                 _ => world.thaw(),
             },
             12 if world.voting() > members / 2 + 1 => {
-                // Not more disks than may be lost at one time.
+                // No more disks are lost at a time than must be tolerated.
                 world.wipe(random.below(members));
             }
             _ if world.messages.is_empty() => {
@@ -328,10 +343,10 @@
                     world.tick();
                 }
             }
-            drawn => {
-                let at = random.below(world.messages.len());
-                let Some(message) = world.messages.remove(at) else { continue };
-                match drawn {
+            action => {
+                let index = random.below(world.messages.len());
+                let Some(message) = world.messages.remove(index) else { continue };
+                match action {
                     13..=17 => world.lose(message),
                     18..=24 => world.delayed.push_back(message),
                     25..=27 => {
@@ -357,7 +372,7 @@
     for store in 0..members {
         world.call(&Call::Read { store });
         world.deliver_all();
-        if !world.history.is_over() {
+        if !world.history.all_ended() {
             world.history.fault(format!("a read at store {store} is not answered at the end"));
         }
     }
@@ -367,31 +382,31 @@
 #[test]
 fn no_random_walk_violates_a_property() {
     let walks = 500 * u64::from(deviations(2));
-    let (turn, acknowledged) = (AtomicU64::new(0), AtomicUsize::new(0));
+    let (next_seed, acknowledged) = (AtomicU64::new(0), AtomicUsize::new(0));
     let found = std::sync::Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..std::thread::available_parallelism().map_or(1, usize::from) {
             scope.spawn(|| {
                 loop {
-                    let seed = turn.fetch_add(1, Ordering::Relaxed);
+                    let seed = next_seed.fetch_add(1, Ordering::Relaxed);
                     if seed >= walks {
                         return;
                     }
                     for members in [3, 5] {
-                        let (faults, known) = random_walk(seed, members);
-                        acknowledged.fetch_add(known, Ordering::Relaxed);
-                        let named = faults
+                        let (faults, count) = random_walk(seed, members);
+                        acknowledged.fetch_add(count, Ordering::Relaxed);
+                        let messages = faults
                             .into_iter()
-                            .map(|one| format!("seed {seed}, {members} seats: {one}"));
-                        found.lock().unwrap().extend(named);
+                            .map(|fault| format!("seed {seed}, {members} members: {fault}"));
+                        found.lock().unwrap().extend(messages);
                     }
                 }
             });
         }
     });
     let acknowledged = acknowledged.into_inner();
-    println!("{walks} walks with 3 and with 5 seats, {acknowledged} calls acknowledged");
+    println!("{walks} walks with 3 and with 5 members, {acknowledged} calls acknowledged");
     let found = found.into_inner().unwrap();
     assert!(found.is_empty(), "{}", found.join("\n"));
-    assert!(acknowledged as u64 > walks, "most walks get somewhere");
+    assert!(acknowledged as u64 > walks, "fewer calls were acknowledged than walks were run");
 }
--- a/store/tests/model/world.rs
+++ b/store/tests/model/world.rs
@@ -1,6 +1,6 @@
-//! A small world for the replicas of stores: their disks, the messages between them, and an operator's
-//! calls. The search decides what is delivered, lost, duplicated or delayed, and which store is restarted or
-//! loses its disk.
+//! A simulated environment for the replicas of stores: their disks, the messages between them, and an
+//! operator's calls. The search decides which messages are delivered, lost, duplicated or delayed, and which
+//! stores are restarted or lose their disks.
 
 use crate::history::History;
 use std::collections::{BTreeMap, VecDeque};
@@ -14,24 +14,24 @@
 use vanepath_store::protocol::{Change, Outcome, Request, Response};
 use vanepath_store::value::{AcceptedProposal, BOOTSTRAP_BALLOT, Ballot, Value, VersionId};
 
-/// Ways to break the shell round the replicas, to show that the checks find it.
+/// Defects of the shell around the replicas, injected to show that the model checking finds them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
-    /// The last save is lost with the process: replies left before the sync.
+pub enum ShellDefect {
+    /// The last save is lost when the process dies, because replies are sent before the sync.
     NoSync,
     /// A store answers reads from its own replica, without a round.
     ReadsWithoutRound,
-    /// A lost disk goes on voting under its old incarnation, with nothing promised.
+    /// A store that lost its disk continues to vote under its old incarnation, without its promises.
     VotesAfterWipe,
     /// A member counts as having accepted a value without being asked.
     CountsUnaskedVotes,
-    /// A write that is sent again bears another key.
+    /// A write that is sent again has another key.
     ForgetsKeys,
-    /// The operators' configuration versions are left out.
+    /// Changes are sent without the operators' configuration versions.
     ForgetsVersions,
 }
 
-/// What the operator requests, and of which store.
+/// A call of the operator, and the store to which it is made.
 #[derive(Clone, Debug)]
 pub enum Call {
     Config { store: usize, version: u64, text: &'static str },
@@ -58,11 +58,11 @@
 #[derive(Clone)]
 pub struct Store {
     name: String,
-    pub core: Replica,
+    pub replica: Replica,
     disk: Disk,
-    /// What is left of the disk if the process dies now.
+    /// What remains on the disk if the process dies now.
     durable: Disk,
-    /// Number of restarts: responses to an earlier generation are ignored.
+    /// Number of restarts; responses to calls of an earlier generation are ignored.
     generation: u32,
 }
 
@@ -90,12 +90,12 @@
 pub struct World {
     pub stores: Vec<Store>,
     pub messages: VecDeque<Message>,
-    /// Delayed until nothing else is in flight.
+    /// Messages that are held back until no others are in flight.
     pub delayed: VecDeque<Message>,
     pub history: History,
-    /// Frozen or partitioned from all other stores, with the messages that reach it when that is over.
+    /// The store that is frozen or partitioned from all others, and the messages that reach it afterwards.
     frozen: Option<(usize, VecDeque<Message>)>,
-    broken: Option<Broken>,
+    defect: Option<ShellDefect>,
     tickets: Vec<Ticket>,
     now: Duration,
     bootstrap_size: usize,
@@ -106,7 +106,7 @@
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 fn recovered(disk: &Disk) -> RecoveredState {
-    let state = disk.state.clone().expect("a disk has a state");
+    let state = disk.state.clone().expect("every disk has a state");
     let id = state.accepted.map(|accepted| accepted.version());
     let value = id.and_then(|id| disk.versions.get(&id).cloned());
     let versions = disk
@@ -121,15 +121,15 @@
 }
 
 impl World {
-    /// Stores that have bootstrapped, and no message in flight.
-    pub fn new(members: usize, broken: Option<Broken>) -> World {
+    /// Creates stores that have bootstrapped, with no message in flight.
+    pub fn new(members: usize, defect: Option<ShellDefect>) -> World {
         let mut world = World {
             stores: Vec::new(),
             messages: VecDeque::new(),
             delayed: VecDeque::new(),
             history: History::default(),
             frozen: None,
-            broken: None,
+            defect: None,
             tickets: Vec::new(),
             now: Duration::from_secs(1),
             bootstrap_size: members,
@@ -140,18 +140,18 @@
             let disk = world.empty_disk();
             let name = format!("s{number}");
             let identity = Identity { name: name.clone(), bootstrap_size: members };
-            let core = Replica::new(identity, recovered(&disk), world.now);
+            let replica = Replica::new(identity, recovered(&disk), world.now);
             let durable = disk.clone();
-            world.stores.push(Store { name, core, disk, durable, generation: 0 });
+            world.stores.push(Store { name, replica, disk, durable, generation: 0 });
         }
         for _ in 0..60 {
             world.tick();
             world.deliver_all();
         }
-        assert_eq!(world.voting(), members, "the word has begun");
-        // From here on nobody bootstraps.
+        assert_eq!(world.voting(), members, "the stores have bootstrapped");
+        // No store may bootstrap from here on.
         world.bootstrap_size = 0;
-        world.broken = broken;
+        world.defect = defect;
         world
     }
 
@@ -163,10 +163,10 @@
     }
 
     pub fn voting(&self) -> usize {
-        self.stores.iter().filter(|store| store.core.summary().is_voting).count()
+        self.stores.iter().filter(|store| store.replica.summary().is_voting).count()
     }
 
-    /// Steps of replicas so far.
+    /// Number of steps of all replicas so far.
     pub fn steps(&self) -> u64 {
         self.steps
     }
@@ -182,7 +182,7 @@
             && target_of(&message) == *index
         {
             queued.push_back(message.clone());
-            // The requester's timeout passes; the request may still arrive.
+            // The requester's call times out; the request may still arrive.
             if let Some(ticket) = ticket_of(&message) {
                 self.respond(ticket, None);
             }
@@ -190,7 +190,7 @@
         }
         match message {
             Message::Request { to, incarnation, ticket, request } => {
-                if self.stores[to].core.summary().incarnation != incarnation {
+                if self.stores[to].replica.summary().incarnation != incarnation {
                     return self.respond(ticket, None);
                 }
                 self.step(to, Event::RequestReceived { ticket, request: (*request).clone() });
@@ -204,7 +204,7 @@
         }
     }
 
-    /// It never arrives; the requester's call times out.
+    /// Loses a message; the requester's call times out.
     pub fn lose(&mut self, message: Message) {
         match message {
             Message::Request { ticket, .. } => self.respond(ticket, None),
@@ -214,20 +214,20 @@
         }
     }
 
-    /// Nothing else is in flight: delayed messages arrive now.
+    /// Puts the delayed messages in flight; returns whether there were any.
     pub fn release_delayed(&mut self) -> bool {
-        let is_any = !self.delayed.is_empty();
+        let were_any = !self.delayed.is_empty();
         self.messages.append(&mut self.delayed);
-        is_any
+        were_any
     }
 
-    /// It is frozen until an operator calls it, or it dies.
+    /// Freezes a store until an operator calls it or its process dies.
     pub fn freeze(&mut self, index: usize) {
         self.thaw();
         self.frozen = Some((index, VecDeque::new()));
     }
 
-    /// What was sent to it meanwhile arrives in order, before anything else.
+    /// Ends the freeze; what was sent to the store meanwhile arrives in order, before any other message.
     pub fn thaw(&mut self) {
         if let Some((_, queued)) = self.frozen.take() {
             for message in queued.into_iter().rev() {
@@ -240,7 +240,7 @@
         self.frozen.as_ref().is_some_and(|(frozen, _)| *frozen == index)
     }
 
-    /// The process dies and starts again at once, with what is durable on its disk.
+    /// Kills the process of a store and restarts it at once, with what is durable on its disk.
     pub fn restart(&mut self, index: usize) {
         if self.is_frozen(index) {
             self.frozen = None;
@@ -249,14 +249,14 @@
         store.disk = store.durable.clone();
         store.generation += 1;
         let identity = Identity { name: store.name.clone(), bootstrap_size: self.bootstrap_size };
-        store.core = Replica::new(identity, recovered(&store.disk), self.now);
+        store.replica = Replica::new(identity, recovered(&store.disk), self.now);
         self.close_tickets(index);
     }
 
-    /// The process dies, and its disk is an empty one afterwards.
+    /// Kills the process of a store and restarts it with an empty disk.
     pub fn wipe(&mut self, index: usize) {
-        let disk = match self.broken {
-            Some(Broken::VotesAfterWipe) => self.bootstrap_disk(index),
+        let disk = match self.defect {
+            Some(ShellDefect::VotesAfterWipe) => self.bootstrap_disk(index),
             _ => self.empty_disk(),
         };
         let store = &mut self.stores[index];
@@ -265,19 +265,19 @@
         self.restart(index);
     }
 
-    /// A disk with nothing on it but the bootstrap value, under the incarnation that it had.
+    /// A disk that contains only the bootstrap value, under the store's former incarnation.
     fn bootstrap_disk(&self, index: usize) -> Disk {
         let disk = &self.stores[index].disk;
         let first = disk.versions.iter().find(|(id, _)| id.revision == 0);
-        let (id, value) = first.expect("the beginning is kept");
+        let (id, value) = first.expect("the bootstrap version is kept");
         let ballot = Ballot { number: 2, ..BOOTSTRAP_BALLOT };
         let accepted = Some(AcceptedProposal { ballot, revision: 0, digest: id.digest });
-        let incarnation = self.stores[index].core.summary().incarnation;
+        let incarnation = self.stores[index].replica.summary().incarnation;
         let state = HardState { incarnation, promised: ballot, accepted };
         Disk { state: Some(state), versions: BTreeMap::from([(*id, value.clone())]) }
     }
 
-    /// Requests to a store that died get no response.
+    /// Requests that a store had received when it died get no response.
     fn close_tickets(&mut self, index: usize) {
         let open = |(number, ticket): (usize, &Ticket)| {
             (ticket.is_open && ticket.responder == index).then_some(number as u64)
@@ -290,19 +290,19 @@
         }
     }
 
-    /// Fifty milliseconds pass at all stores, and gossip reaches them.
+    /// Advances the time by 50 ms; all stores that are not frozen receive gossip and a tick.
     pub fn tick(&mut self) {
         self.now += TICK_INTERVAL;
         let live_store = |store: &Store| {
-            let summary = store.core.summary();
+            let summary = store.replica.summary();
             let (incarnation, is_empty) = (summary.incarnation, summary.is_empty);
             let may_bootstrap = is_empty && summary.may_bootstrap;
             LiveStore { name: store.name.clone(), incarnation, is_empty, may_bootstrap }
         };
         let live = (0..self.stores.len()).filter(|index| !self.is_frozen(*index));
         let live: Vec<LiveStore> = live.map(|index| live_store(&self.stores[index])).collect();
-        let summaries = self.stores.iter().map(|store| store.core.summary().committed);
-        let revision = summaries.max().unwrap_or(0);
+        let committed = self.stores.iter().map(|store| store.replica.summary().committed);
+        let revision = committed.max().unwrap_or(0);
         for index in 0..self.stores.len() {
             if self.is_frozen(index) {
                 continue;
@@ -319,15 +319,15 @@
         let request = match call {
             Call::Read { .. } => Request::Read,
             Call::Config { version, text, .. } => {
-                let keeps_version = self.broken != Some(Broken::ForgetsVersions);
+                let keeps_version = self.defect != Some(ShellDefect::ForgetsVersions);
                 let version = keeps_version.then_some(*version);
                 let bytes = text.as_bytes().to_vec();
                 let change = Change::ReplaceConfig { bytes, if_revision: None, version };
                 Request::Change { key: format!("made-{number}"), change, keyless_for: None }
             }
             Call::KeyedWrite { key, text, .. } => {
-                let key = match self.broken {
-                    Some(Broken::ForgetsKeys) => format!("{key}-{number}"),
+                let key = match self.defect {
+                    Some(ShellDefect::ForgetsKeys) => format!("{key}-{number}"),
                     _ => key.to_string(),
                 };
                 let bytes = text.as_bytes().to_vec();
@@ -335,7 +335,7 @@
                 Request::Change { key, change, keyless_for: None }
             }
         };
-        if self.broken == Some(Broken::ReadsWithoutRound) && matches!(request, Request::Read) {
+        if self.defect == Some(ShellDefect::ReadsWithoutRound) && matches!(request, Request::Read) {
             let disk = &self.stores[store].disk;
             let accepted = disk.state.as_ref().and_then(|state| state.accepted);
             let value = accepted.and_then(|accepted| disk.versions.get(&accepted.version()));
@@ -343,7 +343,7 @@
             return self.history.end(number, outcome);
         }
         let ticket = self.ticket(Requester::Operator { number }, store);
-        // A store that wakes up finds the call before the responses of its own last round.
+        // A thawed store receives the call before the responses of its own last round.
         let is_frozen = self.is_frozen(store);
         self.step(store, Event::RequestReceived { ticket, request });
         if is_frozen {
@@ -358,7 +358,7 @@
 
     fn step(&mut self, index: usize, event: Event) {
         self.steps += 1;
-        let effects = self.stores[index].core.step(self.now, event);
+        let effects = self.stores[index].replica.step(self.now, event);
         for effect in effects {
             self.perform(index, effect);
         }
@@ -370,9 +370,9 @@
             Effect::Send { call, incarnation, request } => {
                 let requester =
                     Requester::Store { index, generation: self.stores[index].generation, call };
-                let is_it = |store: &Store| store.core.summary().incarnation == incarnation;
-                match self.stores.iter().position(is_it) {
-                    Some(_) if self.counts_unsent(&request) => {
+                let is_target = |store: &Store| store.replica.summary().incarnation == incarnation;
+                match self.stores.iter().position(is_target) {
+                    Some(_) if self.counts_without_asking(&request) => {
                         let generation = self.stores[index].generation;
                         let response = Some(Arc::new(Response::Accepted { from: incarnation }));
                         self.messages.push_back(Message::Response {
@@ -427,20 +427,20 @@
         }
     }
 
-    fn counts_unsent(&self, request: &Request) -> bool {
-        let is_broken = self.broken == Some(Broken::CountsUnaskedVotes);
-        is_broken && matches!(request, Request::Accept { .. })
+    fn counts_without_asking(&self, request: &Request) -> bool {
+        let is_defective = self.defect == Some(ShellDefect::CountsUnaskedVotes);
+        is_defective && matches!(request, Request::Accept { .. })
     }
 
     fn save(&mut self, index: usize, writes: Vec<DiskWrite>) {
         let store = &mut self.stores[index];
-        if self.broken == Some(Broken::NoSync) {
+        if self.defect == Some(ShellDefect::NoSync) {
             store.durable = store.disk.clone();
         }
         for write in writes {
             match write {
                 DiskWrite::Version { id, bytes } => {
-                    let value: Value = wire::decode(&bytes).expect("own bytes");
+                    let value: Value = wire::decode(&bytes).expect("encoded by the replica");
                     store.disk.versions.insert(id, Arc::new(value));
                 }
                 DiskWrite::State(state) => store.disk.state = Some(state),
@@ -449,7 +449,7 @@
                 }
             }
         }
-        if self.broken != Some(Broken::NoSync) {
+        if self.defect != Some(ShellDefect::NoSync) {
             store.durable = store.disk.clone();
         }
     }
--- a/store/tests/stored_data.rs
+++ b/store/tests/stored_data.rs
@@ -1,5 +1,6 @@
-//! Data folders that an earlier version wrote are read as they were, and the same values are written
-//! as the same bytes: a store takes up the folder of the version before it (design 6.1).
+//! Compatibility of data folders with earlier versions: their folders are read with the same contents, and
+//! the same values are written as the same bytes, because after an update a store continues with its folder
+//! (design 6.1).
 
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
@@ -7,7 +8,7 @@
 use vanepath_store::disk::Disk;
 use vanepath_store::value::{Ballot, MemberTable, Value, VersionId, digest_of};
 
-/// What a folder's state gets as incarnation where its file counts as absent.
+/// The incarnation of a folder whose state file counts as absent.
 const NEW_INCARNATION: u64 = 4242;
 
 fn fixture(kind: &str) -> PathBuf {
@@ -39,7 +40,9 @@
     let shown: Vec<String> = members
         .iter()
         .map(|slot| match slot {
-            Some(one) => format!("{}/{}/{}", one.name, one.incarnation, one.joined_later),
+            Some(member) => {
+                format!("{}/{}/{}", member.name, member.incarnation, member.joined_later)
+            }
             None => "vacant".to_string(),
         })
         .collect();
@@ -58,11 +61,15 @@
         show_members(&value.members),
         value.batched_before
     );
-    for key in &value.recent_writes {
+    for record in &value.recent_writes {
         let _ = writeln!(
             text,
             "  key {} {:x} {} {} {}",
-            key.key, key.content_hash, key.revision, key.config_revision, key.is_generated
+            record.key,
+            record.content_hash,
+            record.revision,
+            record.config_revision,
+            record.is_generated
         );
     }
     for number in 1..=60 {
@@ -99,30 +106,30 @@
         let _ = writeln!(text, "together with {}", value.revision);
     }
     let mut versions: Vec<_> = recovered.versions.iter().collect();
-    versions.sort_by_key(|one| one.id);
-    for one in versions {
-        let (revision, digest) = (one.id.revision, hex(&one.id.digest));
-        let (parent_revision, parent) = (one.parent.revision, hex(&one.parent.digest));
-        let bytes = one.bytes;
+    versions.sort_by_key(|stored| stored.id);
+    for stored in versions {
+        let (revision, digest) = (stored.id.revision, hex(&stored.id.digest));
+        let (parent_revision, parent) = (stored.parent.revision, hex(&stored.parent.digest));
+        let bytes = stored.bytes;
         let _ = writeln!(text, "kept {revision} {digest} {parent_revision} {parent} {bytes}");
     }
     text
 }
 
-/// All files of a folder whose names start so, with what they hold.
-fn files(folder: &Path, start: &str) -> Vec<(String, Vec<u8>)> {
+/// The files of a folder whose names start with `prefix`, with their contents.
+fn files(folder: &Path, prefix: &str) -> Vec<(String, Vec<u8>)> {
     let mut all: Vec<(String, Vec<u8>)> = std::fs::read_dir(folder)
         .unwrap()
         .map(|entry| entry.unwrap().path())
         .map(|path| (path.file_name().unwrap().to_str().unwrap().to_string(), path))
-        .filter(|(name, _)| name.starts_with(start))
+        .filter(|(name, _)| name.starts_with(prefix))
         .map(|(name, path)| (name, std::fs::read(path).unwrap()))
         .collect();
     all.sort();
     all
 }
 
-/// Reads a folder and compares what it holds with what the version that wrote it had put there.
+/// Loads a folder and compares its contents with those that the writing version had stored.
 fn check(kind: &str, expected: expect_test::ExpectFile) {
     let folder = copied(kind, "read");
     let disk = Disk::open(&folder).unwrap();
@@ -132,7 +139,7 @@
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// Writes every version and the state that can be read into an empty folder: the files must be the same.
+/// Writes all readable versions and the state to an empty folder; the files must be identical.
 fn check_rewrite(kind: &str) {
     let folder = copied(kind, "source");
     let before_state = files(&folder, "state.cbor");
@@ -142,11 +149,14 @@
     let target = Disk::open(&target_folder).unwrap();
     target.load(NEW_INCARNATION).unwrap();
     let mut versions = 0;
-    for one in &recovered.versions {
-        let Some(value) = source.version(&one.id) else { continue };
-        let (bytes, revision) = (value.encode(), one.id.revision);
+    for stored in &recovered.versions {
+        let Some(value) = source.version(&stored.id) else { continue };
+        let (bytes, revision) = (value.encode(), stored.id.revision);
         let digest = digest_of(&bytes);
-        assert_eq!(digest, one.id.digest, "{kind}: revision {revision} digests otherwise now");
+        assert_eq!(
+            digest, stored.id.digest,
+            "{kind}: the digest of revision {revision} has changed"
+        );
         let id = VersionId { revision, digest };
         target.save(&[DiskWrite::Version { id, bytes }]).unwrap();
         versions += 1;
@@ -156,10 +166,10 @@
     let written = files(&target_folder, "version-");
     let before: Vec<(String, Vec<u8>)> = files(&folder, "version-")
         .into_iter()
-        .filter(|(name, _)| written.iter().any(|(one, _)| one == name))
+        .filter(|(name, _)| written.iter().any(|(written_name, _)| written_name == name))
         .collect();
-    assert_eq!(written, before, "{kind}: versions are written otherwise than they were");
-    assert_eq!(files(&target_folder, "state.cbor"), before_state, "{kind}: the state is");
+    assert_eq!(written, before, "{kind}: the version files differ");
+    assert_eq!(files(&target_folder, "state.cbor"), before_state, "{kind}: the state file differs");
     drop((source, target));
     std::fs::remove_dir_all(&folder).unwrap();
     std::fs::remove_dir_all(&target_folder).unwrap();
@@ -237,7 +247,7 @@
     let warming_up: Vec<String> = plan
         .warming_up
         .iter()
-        .map(|(server, one)| format!("{server} {} {}", one.age_ms, one.connection_refused))
+        .map(|(server, entry)| format!("{server} {} {}", entry.age_ms, entry.connection_refused))
         .collect();
     let _ = writeln!(text, "cold {warming_up:?}");
     let _ = writeln!(text, "away {:?}", plan.unreachable);
