--- a/store/tests/replica/batches.rs
+++ b/store/tests/replica/batches.rs
@@ -1,12 +1,12 @@
-//! Changes that are proposed in one round, and idempotency keys.
+//! Batches of changes that are proposed in one round, and idempotency keys.
 
 use crate::fleet::{Fleet, Requester};
 use std::time::Duration;
 use vanepath_store::consensus::Event;
 use vanepath_store::protocol::{Change, Outcome, Request, Response};
 
-/// Queued changes are proposed in one round; each has a response and a revision of its own, that of its own
-/// bytes, on all disks, and a rejection waits for what it rests on.
+/// Queued changes are proposed in one round. Each gets its own response and its own revision, under which all
+/// disks hold its document. A rejection is sent only once the changes on which it depends are committed.
 #[test]
 fn queued_changes_are_proposed_in_one_round() {
     let mut fleet = Fleet::of(3);
@@ -28,7 +28,7 @@
     for number in 0..20 {
         enqueue(&mut fleet, &format!("k{number}"), &format!("{number}"), None);
     }
-    // Conditional on a configuration that is superseded once the others are committed.
+    // Conditional on a revision that is outdated once the changes before it are committed.
     enqueue(&mut fleet, "late", "late", Some(0));
     enqueue(&mut fleet, "k3", "another matter", None);
     enqueue(&mut fleet, "k4", "4", None);
@@ -42,8 +42,9 @@
         assert_eq!(revision, config_revision);
         assert!(revisions.insert(*revision));
         for store in &fleet.stores {
-            let mut of = store.disk.versions.values().filter(|one| one.revision == *revision);
-            assert_eq!(of.next().unwrap().document, format!("{number}").into_bytes());
+            let mut matching =
+                store.disk.versions.values().filter(|value| value.revision == *revision);
+            assert_eq!(matching.next().unwrap().document, format!("{number}").into_bytes());
         }
     }
     assert!(matches!(outcomes[20], Outcome::Conflict { .. }), "{:?}", outcomes[20]);
@@ -53,7 +54,7 @@
         "{:?}",
         outcomes[22]
     );
-    assert!(accepts.get() <= 8, "{} accepts sent to two copies", accepts.get());
+    assert!(accepts.get() <= 8, "{} accept requests to two replicas", accepts.get());
     fleet.run_for(Duration::from_secs(4));
     for revision in 1..=20 {
         let before = fleet.outcomes.len();
@@ -64,8 +65,8 @@
     }
 }
 
-/// The proposer dies with several changes in flight that one replica has accepted: whoever goes on proposes
-/// all of them, not the last alone, and their operators get `Unknown`.
+/// The proposer dies with several changes in flight that only one replica has accepted. The next proposer
+/// completes all of them, not just the last one, and their operators get `Unknown`.
 #[test]
 fn a_batch_is_completed_as_a_whole() {
     for is_restarted in [false, true] {
@@ -86,7 +87,11 @@
         }
         fleet.run();
         fleet.run_for(Duration::from_secs(1));
-        assert!(fleet.outcomes.iter().all(|one| *one == Outcome::Unknown), "{:?}", fleet.outcomes);
+        assert!(
+            fleet.outcomes.iter().all(|outcome| *outcome == Outcome::Unknown),
+            "{:?}",
+            fleet.outcomes
+        );
         assert_eq!(fleet.outcomes.len(), 3);
         fleet.stores[0].is_up = false;
         fleet.drops_response = Box::new(|_, _, _| false);
@@ -98,13 +103,16 @@
         let stored: Vec<&[u8]> =
             fleet.stores[2].disk.versions.values().map(|value| &value.document[..]).collect();
         for key in [b"a", b"b", b"c", b"d"] {
-            assert!(stored.contains(&&key[..]), "{stored:?} without any fetch");
+            assert!(
+                stored.contains(&&key[..]),
+                "{stored:?}: all versions are stored without a fetch"
+            );
         }
     }
 }
 
-/// A day's writes under client-given keys are known to its end; keys that registries generated are needed
-/// for as long as one of their calls to the stores lasts.
+/// Client-given keys are recognized until the end of a day of changes. Keys that registries generate are
+/// needed only while one of their calls to the stores lasts.
 #[test]
 fn an_idempotency_key_is_known_after_a_day_of_changes() {
     let mut fleet = Fleet::of(3);
@@ -127,9 +135,12 @@
     }
     fleet.run();
     fleet.run_for(Duration::from_secs(1));
-    let last = fleet.outcomes.len();
+    let before = fleet.outcomes.len();
     assert!(
-        fleet.outcomes.iter().all(|one| matches!(one, Outcome::Accepted { is_repeat: false, .. }))
+        fleet
+            .outcomes
+            .iter()
+            .all(|outcome| matches!(outcome, Outcome::Accepted { is_repeat: false, .. }))
     );
     fleet.restart(0);
     fleet.run_for(Duration::from_secs(3));
@@ -138,10 +149,12 @@
         fleet.run();
         fleet.run_for(Duration::from_millis(100));
     }
-    let outcomes = &fleet.outcomes[last..];
-    assert!(outcomes.iter().all(|one| matches!(one, Outcome::Accepted { is_repeat: true, .. })));
+    let outcomes = &fleet.outcomes[before..];
+    assert!(
+        outcomes.iter().all(|outcome| matches!(outcome, Outcome::Accepted { is_repeat: true, .. }))
+    );
     assert_eq!(outcomes.len(), 4, "{outcomes:?}");
-    // Under a key that was used for another content nothing is done.
+    // A change under a key that was used for another content is rejected.
     fleet.tickets.push(Requester::Operator);
     let ticket = fleet.tickets.len() as u64 - 1;
     let change =
--- a/store/tests/replica/bootstrap.rs
+++ b/store/tests/replica/bootstrap.rs
@@ -8,65 +8,66 @@
 
 /// Whether no store holds a value.
 fn are_all_empty(fleet: &Fleet) -> bool {
-    fleet.stores.iter().all(|store| store.core.is_empty())
+    fleet.stores.iter().all(|store| store.replica.is_empty())
 }
 
-/// One, three, five and seven empty stores bootstrap, and all of them hold the same value; one fewer than
-/// the settings say do not, nor does one more, nor one whose settings differ.
+/// One, three, five and seven empty stores bootstrap and then hold the same value. There is no bootstrap with
+/// one store fewer or more than configured, nor if one store has other settings or does not respond.
 #[test]
 fn bootstrap_takes_exactly_as_many_stores_as_the_settings_say() {
     for stores in [1, 3, 5, 7] {
         let mut fleet = Fleet::of(stores);
         fleet.run_for(Duration::from_millis(600));
-        assert_eq!(fleet.voting(), stores, "all of {stores} vote soon");
+        assert_eq!(fleet.voting(), stores, "all {stores} stores vote after 600 ms");
         let members = fleet.value(0).members.clone();
-        let names: Vec<&str> = members.iter().flatten().map(|one| one.name.as_str()).collect();
+        let names: Vec<&str> =
+            members.iter().flatten().map(|member| member.name.as_str()).collect();
         assert!(names.is_sorted() && names.len() == stores, "{names:?}");
         assert!((0..stores).all(|index| fleet.value(index).members == members));
         assert_eq!(revision(fleet.write(0, "a")), 1);
     }
     let mut one_missing = Fleet::of(5);
     one_missing.stores[4].is_up = false;
-    let mut one_more = Fleet::of(3);
-    one_more.add("s3", 3, 500);
-    let mut another_number = Fleet::of(3);
-    another_number.stores[1].identity.bootstrap_size = 5;
-    another_number.restart(1);
-    let mut not_the_first_start = Fleet::of(3);
-    not_the_first_start.stores[1].identity.bootstrap_size = 0;
-    not_the_first_start.restart(1);
+    let mut one_too_many = Fleet::of(3);
+    one_too_many.add("s3", 3, 500);
+    let mut different_size = Fleet::of(3);
+    different_size.stores[1].identity.bootstrap_size = 5;
+    different_size.restart(1);
+    let mut no_bootstrap_allowed = Fleet::of(3);
+    no_bootstrap_allowed.stores[1].identity.bootstrap_size = 0;
+    no_bootstrap_allowed.restart(1);
     let mut one_unresponsive = Fleet::of(3);
     one_unresponsive.drops_request =
         Box::new(|_, target, request| target == 2 && matches!(request, Request::QueryStatus));
-    for mut fleet in [one_missing, one_more, another_number, not_the_first_start, one_unresponsive]
+    for mut fleet in
+        [one_missing, one_too_many, different_size, no_bootstrap_allowed, one_unresponsive]
     {
         fleet.run_for(Duration::from_secs(10));
         assert!(are_all_empty(&fleet));
     }
 }
 
-/// An empty store that may not bootstrap is a spare from the start on.
+/// An empty store that may not bootstrap waits for a slot while the others bootstrap without it.
 #[test]
 fn a_store_that_may_not_bootstrap_waits_as_a_spare() {
     let mut fleet = Fleet::of(3);
     fleet.add("s3", 0, 500);
     fleet.run_for(Duration::from_secs(5));
     assert_eq!(fleet.voting(), 3);
-    assert!(fleet.stores[3].core.is_empty());
+    assert!(fleet.stores[3].replica.is_empty());
     assert_eq!(revision(fleet.write(0, "a")), 1);
-    assert!(fleet.stores[3].core.is_empty(), "three hold the word already");
+    assert!(fleet.stores[3].replica.is_empty(), "all three slots are taken");
 }
 
-/// A bootstrap value that did not reach all members counts for nothing: no change is made on it. The
-/// bootstrap goes on once the last one is live, with another proposer too; and a replica that holds a
-/// bootstrap value accepts no other.
+/// A bootstrap value that has not reached all members is not committed, and no change is derived from it. The
+/// bootstrap continues once all members respond. A replica that holds a bootstrap value accepts no other one.
 #[test]
 fn the_bootstrap_value_counts_only_once_all_members_hold_it() {
     let mut fleet = Fleet::of(5);
     fleet.drops_request =
         Box::new(|_, target, request| target == 4 && matches!(request, Request::Accept { .. }));
     fleet.run_for(Duration::from_secs(5));
-    assert!(fleet.stores[4].core.is_empty());
+    assert!(fleet.stores[4].replica.is_empty());
     assert_eq!(fleet.voting(), 0);
     assert!(!matches!(fleet.write(1, "a"), Some(Outcome::Accepted { .. })));
     let other = Value { members: fleet.value(1).members[..3].to_vec(), ..fleet.value(1).clone() };
@@ -89,7 +90,7 @@
     assert_eq!(revision(fleet.write(1, "a")), 1);
 }
 
-/// Once the bootstrap is complete, the loss of a disk right after it does no harm.
+/// The loss of any one disk right after the bootstrap is tolerated, even if all stores restart as well.
 #[test]
 fn a_disk_lost_right_after_the_bootstrap_is_replaced() {
     for lost in 0..3 {
@@ -102,12 +103,12 @@
         }
         fleet.wipe(lost, 500);
         fleet.run_for(Duration::from_secs(8));
-        assert_eq!(fleet.voting(), 3, "{lost} lost");
+        assert_eq!(fleet.voting(), 3, "disk {lost} lost");
     }
 }
 
-/// Two of three disks are lost while the third is down, and a spare is there: three empty stores, and still
-/// no second bootstrap while any node knows a committed revision.
+/// Two of three disks are lost while the third store is down, and a spare store joins. The three empty stores
+/// must not bootstrap again while any node knows a committed revision.
 #[test]
 fn no_bootstrap_while_any_node_knows_a_committed_revision() {
     let mut fleet = Fleet::of(3);
@@ -121,5 +122,5 @@
         fleet.events.push_back((index, Event::RevisionHeard { revision: 1 }));
     }
     fleet.run_for(Duration::from_secs(10));
-    assert!(fleet.stores[1..].iter().all(|store| store.core.is_empty()));
+    assert!(fleet.stores[1..].iter().all(|store| store.replica.is_empty()));
 }
--- a/store/tests/replica/config_versions.rs
+++ b/store/tests/replica/config_versions.rs
@@ -5,8 +5,9 @@
 use vanepath_store::consensus::Event;
 use vanepath_store::protocol::{Change, Outcome, Request};
 
-/// A version that is not above the highest one changes nothing; one above replaces the document; and drained
-/// zones outlive both. For other contents under one version see `a_config_version_has_one_content`.
+/// A document whose version is not above the highest one changes nothing; one with a higher version replaces
+/// the document. Drained zones are kept in both cases. For several contents under one version see
+/// `a_config_version_has_one_content`.
 #[test]
 fn a_config_of_an_old_version_changes_nothing() {
     let mut fleet = Fleet::of(3);
@@ -30,11 +31,11 @@
     assert_eq!((&value.document[..], value.config_version), (&b"nine"[..], 9));
     assert_eq!(value.committed_config().config_version, 9);
     assert!(value.drained_zones.contains("a1"));
-    // Without a version it replaces the document; old versions stay superseded.
+    // A document without a version replaces the current one; old versions stay superseded.
     assert_eq!(accepted(replace_config(&mut fleet, "k", "by hand", None)), (5, false));
     assert_eq!(accepted(replace_config(&mut fleet, "k8", "eight", Some(8))), (6, true));
     assert_eq!(accepted(replace_config(&mut fleet, "k10", "ten", Some(10))), (7, false));
-    // Several queued changes are applied one after the other.
+    // Several queued changes are applied in order.
     for version in [12, 11, 13] {
         fleet.tickets.push(Requester::Operator);
         let ticket = fleet.tickets.len() as u64 - 1;
@@ -52,8 +53,8 @@
     assert_eq!(fleet.value(2).document, b"13");
 }
 
-/// Incident 0012: of two contents under one version one is accepted. The other one is rejected, whichever
-/// store is asked, after the version was superseded too.
+/// Incident 0012: of two contents under one version only one is accepted. The other one is rejected by every
+/// store, even after the version was superseded.
 #[test]
 fn a_config_version_has_one_content() {
     let mut fleet = Fleet::of(3);
@@ -66,15 +67,15 @@
     assert_eq!(accepted(&replace_config(&mut fleet, "a", "five", Some(5))), (1, false));
     rejected(replace_config(&mut fleet, "b", "other five", Some(5)));
     assert_eq!(accepted(&replace_config(&mut fleet, "c", "five", Some(5))), (1, true));
-    // By hand, without a version: the highest version stays, with its content.
+    // A document without a version changes neither the highest version nor its content.
     assert_eq!(accepted(&replace_config(&mut fleet, "d", "by hand", None)), (2, false));
     rejected(replace_config(&mut fleet, "e", "by hand", Some(5)));
     assert_eq!(accepted(&replace_config(&mut fleet, "f", "five", Some(5))), (2, true));
-    // Hundreds of changes later, after a restart of all.
+    // The same after hundreds of changes and a restart of all stores.
     for version in 6..306 {
         let text = format!("of {version}");
-        let outcomes = replace_config(&mut fleet, &text, &text, Some(version));
-        assert_eq!(accepted(&outcomes), (version - 3, false));
+        let outcome = replace_config(&mut fleet, &text, &text, Some(version));
+        assert_eq!(accepted(&outcome), (version - 3, false));
     }
     for index in 0..3 {
         fleet.restart(index);
@@ -83,7 +84,7 @@
     assert_eq!(accepted(&replace_config(&mut fleet, "g", "five", Some(5))), (302, true));
     rejected(replace_config(&mut fleet, "h", "other five", Some(5)));
     rejected(replace_config(&mut fleet, "i", "of 40", Some(41)));
-    // A version that was never accepted is superseded, and acknowledged for one content as well.
+    // A lower version that was never accepted counts as superseded, and is acknowledged for one content only.
     assert_eq!(accepted(&replace_config(&mut fleet, "j", "four", Some(4))), (303, true));
     assert_eq!(accepted(&replace_config(&mut fleet, "k", "four", Some(4))), (303, true));
     rejected(replace_config(&mut fleet, "l", "other four", Some(4)));
@@ -91,8 +92,8 @@
     assert_eq!(fleet.value(0).config_revision, 302);
 }
 
-/// Operators at two stores at one moment, one version: one of them is accepted, the others get
-/// `VersionTaken`.
+/// Several configurations under one version reach two stores at the same time: one is accepted, the others
+/// get `VersionTaken`.
 #[test]
 fn of_concurrent_configs_under_one_version_one_is_accepted() {
     let mut fleet = Fleet::of(3);
@@ -108,9 +109,9 @@
     fleet.run();
     fleet.run_for(Duration::from_secs(4));
     let accepted =
-        fleet.outcomes.iter().filter(|outcomes| matches!(outcomes, Outcome::Accepted { .. }));
+        fleet.outcomes.iter().filter(|outcome| matches!(outcome, Outcome::Accepted { .. }));
     assert_eq!(accepted.count(), 1, "{:?}", fleet.outcomes);
     let taken =
-        fleet.outcomes.iter().filter(|outcomes| matches!(outcomes, Outcome::VersionTaken { .. }));
+        fleet.outcomes.iter().filter(|outcome| matches!(outcome, Outcome::VersionTaken { .. }));
     assert_eq!(taken.count(), 2, "{:?}", fleet.outcomes);
 }
--- a/store/tests/replica/disk.rs
+++ b/store/tests/replica/disk.rs
@@ -1,4 +1,4 @@
-//! Disks that fail, and the bound on what they store.
+//! Disk failures, and the limit on the size of stored data.
 
 use crate::fleet::{Fleet, Requester, recovered, revision};
 use std::time::Duration;
@@ -6,8 +6,8 @@
 use vanepath_store::protocol::{Change, Outcome, Request};
 use vanepath_store::value::MAX_HISTORY_BYTES;
 
-/// What a disk stores is bounded in bytes as well: large documents push out old ones, and the chain of the
-/// latest version stays complete.
+/// The size of stored data is limited in bytes as well: large documents displace old ones, and the chain of
+/// versions that ends with the latest one stays complete.
 #[test]
 fn large_configs_do_not_fill_a_disk() {
     let mut fleet = Fleet::of(3);
@@ -25,7 +25,7 @@
             assert!(stored <= max + size, "{stored} bytes at revision {number}");
         }
     }
-    // A new disk fetches what fits, and no more, and then stops.
+    // A new disk fetches only as many versions as fit, and then stops.
     fleet.wipe(2, 500);
     fleet.run_for(Duration::from_secs(15));
     let stored = |index: usize| -> usize {
@@ -41,8 +41,8 @@
     assert!(fleet.outcomes[before..].iter().all(|one| matches!(one, Outcome::Value { .. })));
 }
 
-/// Incident 0014: a store whose disk refused writes for a while votes again once it works, by what is
-/// durable on it; what it had not saved was acknowledged to nobody.
+/// Incident 0014: a store whose disk failed for a while votes again once the disk works, based on the durable
+/// state. Anything that was not saved was never acknowledged.
 #[test]
 fn a_store_votes_again_once_its_disk_works() {
     let mut fleet = Fleet::of(3);
@@ -56,12 +56,12 @@
     fleet.events.push_back((0, Event::DiskRecovered(recovered)));
     fleet.run_for(Duration::from_secs(4));
     assert_eq!(fleet.voting(), 3);
-    // It bears the next loss.
+    // With the recovered store, the fleet tolerates the loss of another one.
     fleet.stores[2].is_up = false;
     assert_eq!(revision(fleet.write(0, "c")), 3);
 }
 
-/// Pending requests at a store whose disk fails are answered that nothing was done.
+/// When a store's disk fails, its pending requests are answered as not applied.
 #[test]
 fn a_failing_disk_leaves_no_request_pending() {
     let mut fleet = Fleet::of(3);
@@ -83,5 +83,8 @@
     fleet.run();
     let outcomes = &fleet.outcomes;
     assert_eq!(outcomes.len(), 2, "{outcomes:?}");
-    assert!(outcomes.iter().all(|one| matches!(one, Outcome::NotApplied { .. })), "{outcomes:?}");
+    assert!(
+        outcomes.iter().all(|outcome| matches!(outcome, Outcome::NotApplied { .. })),
+        "{outcomes:?}"
+    );
 }
--- a/store/tests/replica/drain_orders.rs
+++ b/store/tests/replica/drain_orders.rs
@@ -7,7 +7,7 @@
 use vanepath_store::protocol::{Outcome, Request};
 use vanepath_store::value::{MAX_DRAIN_ORDERS, Value};
 
-/// Each drain order is withdrawn for itself, and a withdrawal of none is acknowledged.
+/// Each drain order is withdrawn separately; a withdrawal is acknowledged even if there is no drain order.
 #[test]
 fn a_zone_is_drained_until_every_order_is_withdrawn() {
     let mut fleet = Fleet::of(3);
@@ -32,7 +32,7 @@
         assert_eq!(is_drained(&fleet), drain_orders > 0);
         fleet.run_for(Duration::from_millis(300));
     }
-    // With keys: the same key is the same order, another key another order.
+    // With keys: the same key means the same order, another key another order.
     for (key, change, drain_orders) in [
         ("a", drain(), 2),
         ("a", drain(), 2),
@@ -46,7 +46,7 @@
     }
 }
 
-/// The number of drain orders has a bound; the one above it does nothing, and says so.
+/// The number of drain orders of a zone is limited; an order above the limit is answered as not applied.
 #[test]
 fn drain_orders_of_one_zone_are_bounded() {
     let mut fleet = Fleet::of(3);
@@ -60,7 +60,7 @@
     assert!(matches!(fleet.outcomes.last(), Some(Outcome::NotApplied { .. })));
 }
 
-/// Without a clear response an order is sent again, to any store: it counts once. One that was never
+/// An order without a definite response is sent again, to any store, and counts once. An order that was never
 /// committed counts when it is sent again.
 #[test]
 fn a_retransmitted_order_counts_once() {
@@ -73,18 +73,18 @@
         assert!(is_repeat(&fleet.drain_order(store, drain(), 0)));
         assert_eq!(fleet.drain_orders(0), 1);
     }
-    // A store that restarts and forgets when the order came.
+    // A restarted store no longer knows when the order arrived.
     fleet.restart(0);
     fleet.run_for(second);
     let outcome = fleet.drain_order(0, drain(), 0);
     assert!(is_repeat(&outcome));
     fleet.acknowledge(&drain(), &outcome);
-    // It learns from the others' promises what a majority knows.
+    // A restarted store learns what a majority knows from the promises of the others.
     fleet.restart(0);
-    // Acknowledged: the next one is another order.
+    // The order was acknowledged: the next one is another order.
     fleet.run_for(second);
     assert!(!is_repeat(&fleet.drain_order(0, drain(), 0)));
-    // Not acknowledged, but no client retransmits it after so long.
+    // The order was not acknowledged, but after this long no client retransmits it.
     fleet.run_for(9 * second);
     assert!(!is_repeat(&fleet.drain_order(0, drain(), 0)));
     assert_eq!(fleet.drain_orders(0), 3);
@@ -93,7 +93,7 @@
     fleet.run_for(second);
     assert!(is_repeat(&fleet.drain_order(2, restore(), 0)));
     assert_eq!(fleet.drain_orders(0), 2);
-    // The first request finds no majority.
+    // No majority accepts the first request.
     fleet.run_for(9 * second);
     fleet.drops_request = Box::new(|_, _, request| {
         matches!(request, Request::Prepare { .. } | Request::Accept { .. })
@@ -106,8 +106,8 @@
     assert_eq!(fleet.drain_orders(0), 1);
 }
 
-/// Two orders in short succession: whether the second one is a retransmission shows once its registry has
-/// acknowledged the first, or by then should have; until then it is undecided.
+/// Of two orders in short succession, the second may be a retransmission of the first. That is undecided
+/// until the registry has acknowledged the first order, or the time limit for the acknowledgement has passed.
 #[test]
 fn an_order_right_after_another_waits_for_its_acknowledgement() {
     let mut fleet = Fleet::of(3);
@@ -123,18 +123,18 @@
     fleet.run_for(Duration::from_millis(200));
     enqueue(&mut fleet, 0);
     fleet.run_for(Duration::from_millis(200));
-    assert_eq!((fleet.outcomes.len(), fleet.drain_orders(0)), (1, 1), "nobody can tell yet");
+    assert_eq!((fleet.outcomes.len(), fleet.drain_orders(0)), (1, 1), "still undecided");
     fleet.acknowledge(&drain(), &first);
     let is_not_applied = |outcome: &Outcome| matches!(outcome, Outcome::NotApplied { .. });
     assert!(
         is_not_applied(&fleet.outcomes[1]),
-        "a registry that died does not: {:?}",
+        "a new order is not applied, since its registry may have died: {:?}",
         fleet.outcomes[1]
     );
     assert_eq!(fleet.drain_orders(0), 1);
     assert!(!is_repeat(&fleet.drain_order(0, drain(), 100)));
     assert_eq!(fleet.drain_orders(0), 2);
-    // Its registry is down: it is a retransmission, at whichever store.
+    // Without an acknowledgement, orders count as retransmissions at every store.
     fleet.run_for(Duration::from_millis(200));
     for store in 0..3 {
         enqueue(&mut fleet, store);
@@ -145,7 +145,7 @@
     assert_eq!(fleet.outcomes.len(), 6);
     assert!(fleet.outcomes[3..].iter().all(is_repeat), "{:?}", fleet.outcomes);
     assert_eq!(fleet.drain_orders(0), 2);
-    // Both are queued for one round.
+    // Two orders are queued for the same round.
     fleet.run_for(Duration::from_secs(9));
     enqueue(&mut fleet, 0);
     enqueue(&mut fleet, 0);
@@ -164,7 +164,7 @@
     assert!(is_not_applied(&fleet.outcomes[9]), "{:?}", fleet.outcomes[9]);
 }
 
-/// An order that was delayed at its registry has no effect once its retransmission has.
+/// An order that was delayed at its registry has no effect once its retransmission has been applied.
 #[test]
 fn a_delayed_order_is_overtaken_by_its_retransmission() {
     let mut fleet = Fleet::of(3);
@@ -174,12 +174,12 @@
     fleet.run_for(Duration::from_millis(500));
     assert!(is_repeat(&fleet.drain_order(0, drain(), 1600)));
     assert_eq!(fleet.drain_orders(0), 1);
-    // Also where the zone was restored meanwhile.
+    // Also if the zone was restored meanwhile.
     let outcome = fleet.drain_order(0, restore(), 0);
     fleet.acknowledge(&restore(), &outcome);
     assert!(is_repeat(&fleet.drain_order(0, drain(), 1700)));
     assert_eq!(fleet.drain_orders(0), 0);
-    // Delayed, but without a retransmission before it.
+    // A delayed order that was not retransmitted before counts.
     fleet.run_for(Duration::from_secs(3));
     assert!(!is_repeat(&fleet.drain_order(0, drain(), 1600)));
     assert_eq!(fleet.drain_orders(0), 1);
@@ -190,18 +190,21 @@
 fn a_value_without_extra_orders_keeps_its_encoding() {
     let mut fleet = Fleet::of(3);
     fleet.run_for(Duration::from_secs(2));
-    let name = b"further_orders";
-    let has_it = |bytes: &[u8]| bytes.windows(name.len()).any(|part| part == name);
+    let field = b"further_orders";
+    let has_field = |bytes: &[u8]| bytes.windows(field.len()).any(|part| part == field);
     fleet.request(0, Request::Change { key: "a".to_string(), change: drain(), keyless_for: None });
     let bytes = fleet.value(0).encode();
-    assert!(!has_it(&bytes));
-    let read: Value = wire::decode(&bytes).unwrap();
-    assert_eq!((read.drain_orders("a1"), read.drain_orders("b1"), read.encode()), (1, 0, bytes));
+    assert!(!has_field(&bytes));
+    let decoded: Value = wire::decode(&bytes).unwrap();
+    assert_eq!(
+        (decoded.drain_orders("a1"), decoded.drain_orders("b1"), decoded.encode()),
+        (1, 0, bytes)
+    );
     fleet.request(0, Request::Change { key: "b".to_string(), change: drain(), keyless_for: None });
     let bytes = fleet.value(0).encode();
-    assert!(has_it(&bytes));
+    assert!(has_field(&bytes));
     assert_eq!(wire::decode::<Value>(&bytes).unwrap().drain_orders("a1"), 2);
     let request = Request::Change { key: "c".to_string(), change: restore(), keyless_for: None };
     fleet.request(0, request);
-    assert!(!has_it(&fleet.value(0).encode()));
+    assert!(!has_field(&fleet.value(0).encode()));
 }
--- a/store/tests/replica/fleet.rs
+++ b/store/tests/replica/fleet.rs
@@ -1,4 +1,4 @@
-//! A few replicas with their disks, and messages that a test may drop or delay.
+//! Replicas with simulated disks, and messages that a test may drop or delay.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -19,19 +19,19 @@
 
 pub struct Store {
     pub identity: Identity,
-    pub core: Replica,
+    pub replica: Replica,
     pub disk: Disk,
     pub is_up: bool,
 }
 
-/// Who waits for the response to a ticket.
+/// The requester that waits for the response to a ticket.
 #[derive(Clone, Copy)]
 pub enum Requester {
     Store(usize, u64),
     Operator,
 }
 
-/// Whether a rule holds for a message from one store to another.
+/// A predicate on a message from one store to another.
 pub type LinkRule<M> = Box<dyn Fn(usize, usize, &M) -> bool>;
 
 pub struct Fleet {
@@ -45,7 +45,7 @@
     pub drops_request: LinkRule<Request>,
     /// Drops responses from one store to another.
     pub drops_response: LinkRule<Response>,
-    /// Holds responses from one store to another back in `delayed` until a test delivers them.
+    /// Puts responses from one store to another into `delayed`, until a test delivers them.
     pub delays_response: LinkRule<Response>,
     pub delayed: Vec<(usize, Event)>,
 }
@@ -62,7 +62,7 @@
         .collect();
     let batch = value.as_ref().map(|value| {
         RecoveredState::load_batch(value, |id| {
-            let ancestor = disk.versions.get(&id).expect("what was accepted together is there");
+            let ancestor = disk.versions.get(&id).expect("the accepted batch is on the disk");
             Some(Arc::new(ancestor.clone()))
         })
     });
@@ -74,7 +74,7 @@
         Fleet::of(3)
     }
 
-    /// This number of stores with empty disks that bootstrap together.
+    /// Creates this number of stores with empty disks, which bootstrap together.
     pub fn of(stores: usize) -> Fleet {
         let mut fleet = Fleet {
             stores: Vec::new(),
@@ -97,35 +97,36 @@
     pub fn add(&mut self, name: &str, bootstrap_size: usize, random: u64) {
         let mut disk = Disk::default();
         let identity = Identity { name: name.to_string(), bootstrap_size };
-        let core = Replica::new(identity.clone(), recovered(&mut disk, random), self.now);
-        self.stores.push(Store { identity, core, disk, is_up: true });
+        let replica = Replica::new(identity.clone(), recovered(&mut disk, random), self.now);
+        self.stores.push(Store { identity, replica, disk, is_up: true });
     }
 
-    /// Its disk is lost, and its process goes on with an empty one.
+    /// Replaces the disk of a store by an empty one, and restarts its process.
     pub fn wipe(&mut self, index: usize, random: u64) {
         let now = self.now;
         let store = &mut self.stores[index];
         store.disk = Disk::default();
         let recovered = recovered(&mut store.disk, random);
-        store.core = Replica::new(store.identity.clone(), recovered, now);
+        store.replica = Replica::new(store.identity.clone(), recovered, now);
         store.is_up = true;
     }
 
     pub fn voting(&self) -> usize {
         let up = self.stores.iter().filter(|store| store.is_up);
-        up.filter(|store| store.core.summary().is_voting).count()
+        up.filter(|store| store.replica.summary().is_voting).count()
     }
 
     pub fn value(&self, index: usize) -> &Value {
         let disk = &self.stores[index].disk;
-        let accepted = disk.state.as_ref().unwrap().accepted.expect("it holds something");
+        let accepted =
+            disk.state.as_ref().unwrap().accepted.expect("the store has accepted a value");
         &disk.versions[&accepted.version()]
     }
 
     pub fn restart(&mut self, index: usize) {
         let now = self.now;
         let store = &mut self.stores[index];
-        store.core = Replica::new(store.identity.clone(), recovered(&mut store.disk, 7), now);
+        store.replica = Replica::new(store.identity.clone(), recovered(&mut store.disk, 7), now);
         store.is_up = true;
     }
 
@@ -136,7 +137,7 @@
         self.run();
     }
 
-    /// Sends a change to one store; gives the outcome, if there is one within two seconds.
+    /// Sends a change to one store; returns the outcome if there is one within two seconds.
     pub fn write(&mut self, index: usize, key: &str) -> Option<Outcome> {
         let before = self.outcomes.len();
         let bytes = key.as_bytes().to_vec();
@@ -156,7 +157,7 @@
                 .iter()
                 .filter(|store| store.is_up)
                 .map(|store| {
-                    let summary = store.core.summary();
+                    let summary = store.replica.summary();
                     let (incarnation, is_empty) = (summary.incarnation, summary.is_empty);
                     let name = store.identity.name.clone();
                     LiveStore {
@@ -183,7 +184,7 @@
                 }
                 continue;
             }
-            for effect in self.stores[index].core.step(self.now, event) {
+            for effect in self.stores[index].replica.step(self.now, event) {
                 self.perform(index, effect);
             }
         }
@@ -202,7 +203,7 @@
                 for write in writes {
                     match write {
                         DiskWrite::Version { id, bytes } => {
-                            let value = wire::decode(&bytes).expect("own bytes");
+                            let value = wire::decode(&bytes).expect("encoded by the replica");
                             disk.versions.insert(id, value);
                         }
                         DiskWrite::State(state) => disk.state = Some(state),
@@ -216,7 +217,7 @@
                 let target = self
                     .stores
                     .iter()
-                    .position(|store| store.core.summary().incarnation == incarnation);
+                    .position(|store| store.replica.summary().incarnation == incarnation);
                 let target =
                     target.filter(|target| !(self.drops_request)(index, *target, &request));
                 self.tickets.push(Requester::Store(index, call));
@@ -265,7 +266,7 @@
     }
 
     pub fn accepted(&self) -> Vec<u64> {
-        self.stores.iter().map(|store| store.core.summary().accepted).collect()
+        self.stores.iter().map(|store| store.replica.summary().accepted).collect()
     }
 }
 
@@ -286,16 +287,17 @@
 }
 
 impl Fleet {
-    /// A drain or restore order without a client's key, which its registry has had for `waited` ms.
-    pub fn drain_order(&mut self, index: usize, change: Change, waited: u64) -> Outcome {
+    /// Sends a drain or restore order without a client's key that has waited at its registry for `waited_ms`;
+    /// returns the outcome.
+    pub fn drain_order(&mut self, index: usize, change: Change, waited_ms: u64) -> Outcome {
         let key = format!("made-{}", self.tickets.len());
-        let keyless_for = Some(Duration::from_millis(waited));
+        let keyless_for = Some(Duration::from_millis(waited_ms));
         let before = self.outcomes.len();
         self.request(index, Request::Change { key, change, keyless_for });
         self.outcomes[before].clone()
     }
 
-    /// The registry of an order has responded in time, and says so to all stores.
+    /// Tells all stores, on behalf of an order's registry, that it has responded to its client in time.
     pub fn acknowledge(&mut self, change: &Change, outcome: &Outcome) {
         let Outcome::Accepted { revision, .. } = outcome else { panic!("{outcome:?}") };
         let (content_hash, revision) = (change.content_hash(), *revision);
--- a/store/tests/replica/main.rs
+++ b/store/tests/replica/main.rs
@@ -1,4 +1,4 @@
-//! The replica step by step: state machines, their disks, and messages that a test may drop.
+//! Tests of the replica: state machines with simulated disks, and messages that a test may drop or delay.
 
 mod batches;
 mod bootstrap;
--- a/store/tests/replica/reads.rs
+++ b/store/tests/replica/reads.rs
@@ -14,7 +14,7 @@
     read_indexes.collect()
 }
 
-/// A majority confirms the read index, whichever store is asked; a minority cannot (design 5.8).
+/// Any store returns the read index if a majority confirms it; a minority cannot (design 5.8).
 #[test]
 fn the_read_index_takes_a_majority() {
     let mut fleet = Fleet::of(3);
@@ -27,16 +27,16 @@
     fleet.stores[1].is_up = false;
     fleet.request(2, Request::ReadIndex);
     assert_eq!(read_indexes(&fleet), [Some(2), Some(2), None]);
-    // Its disk holds revision 1; it queries the others and catches up before it responds.
+    // Its disk holds revision 1; the store queries the others and catches up before it responds.
     fleet.restart(0);
     fleet.run_for(Duration::from_millis(50));
     fleet.request(0, Request::ReadIndex);
-    // Its first repair round is in flight, and a read index takes a round that begins after its request.
+    // Its first repair round is in flight; a read index needs a round that begins after the request.
     fleet.run_for(Duration::from_millis(50));
     assert_eq!(read_indexes(&fleet)[3..], [Some(2)]);
 }
 
-/// All queued requests are answered by one round, and nothing is written for it.
+/// One round answers all queued requests, and nothing is written for it.
 #[test]
 fn one_round_answers_all_queued_read_index_requests() {
     let mut fleet = Fleet::of(3);
@@ -59,26 +59,26 @@
     assert!(queries.get() <= 4, "{} queries", queries.get());
 }
 
-/// A store whose round is in flight learns late that its proposal was accepted. Another one committed more
-/// since: a read index that was asked for after that is not what the old round shows.
+/// A store learns late that its proposal was accepted, after another store has committed a later revision. A
+/// read index requested after that must not be answered from the round that was already in flight.
 #[test]
 fn a_read_index_takes_a_round_of_its_own() {
     let meanwhile =
         Change::ReplaceConfig { bytes: b"c".to_vec(), if_revision: None, version: None };
     let (_, fleet) = ask_after_partition(meanwhile, Request::ReadIndex);
-    let outcomes = read_indexes(&fleet);
-    assert!(outcomes.iter().all(|one| one.is_none_or(|one| one >= 3)), "{outcomes:?}");
-    assert_eq!(outcomes.last(), Some(&Some(3)));
+    let indexes = read_indexes(&fleet);
+    assert!(indexes.iter().all(|index| index.is_none_or(|index| index >= 3)), "{indexes:?}");
+    assert_eq!(indexes.last(), Some(&Some(3)));
 }
 
-/// A store that is not the preferred proposer preempts nobody for a read index: it answers that it cannot
-/// tell.
+/// A store that is not the preferred proposer does not preempt another one for a read index: it answers that
+/// the read index is unknown.
 #[test]
 fn only_the_preferred_proposer_prepares_for_a_read_index() {
     let mut fleet = Fleet::of(3);
     fleet.run_for(Duration::from_secs(2));
     assert_eq!(revision(fleet.write(0, "a")), 1);
-    // Half accepted: only the third replica has it.
+    // Besides the proposer, only the third replica accepts the change.
     fleet.drops_request = Box::new(|from, to, request| {
         matches!(request, Request::Accept { .. }) && !(from == 0 && to == 2)
     });
@@ -100,8 +100,8 @@
     assert_eq!(read_indexes(&fleet), [None, Some(2)]);
 }
 
-/// A store is partitioned for a while, with its proposal accepted and the responses delayed, while another
-/// store commits more. `request` reaches the first one after that, but before the delayed responses.
+/// A store's proposal is accepted, but the responses are delayed. Then the store is partitioned while another
+/// store commits `meanwhile`. Afterwards `request` reaches the first store before the delayed responses do.
 fn ask_after_partition(meanwhile: Change, request: Request) -> (Vec<Outcome>, Fleet) {
     let mut fleet = Fleet::of(3);
     fleet.run_for(Duration::from_secs(2));
@@ -119,7 +119,7 @@
     assert_eq!(
         revision(fleet.outcomes.get(before).cloned()),
         3,
-        "it builds on what the others hold"
+        "it is derived from the value that the others hold"
     );
     fleet.drops_request = Box::new(|_, _, _| false);
     fleet.delays_response = Box::new(|_, _, _| false);
@@ -132,7 +132,7 @@
     (fleet.outcomes.split_off(before), fleet)
 }
 
-/// Incident 0011: a read takes a round that begins after it was asked for.
+/// Incident 0011: a read takes a round that begins after the read was requested.
 #[test]
 fn a_read_takes_a_round_of_its_own() {
     let meanwhile =
@@ -145,13 +145,17 @@
     assert_eq!(read.collect::<Vec<_>>(), [3], "{outcomes:?}");
 }
 
-/// Likewise the response to a change that changes nothing: a withdrawal is not accepted by a store that does
-/// not know yet that the zone was drained.
+/// The response to a change that changes nothing also takes a round of its own: a store that does not know
+/// yet that the zone was drained must not acknowledge a withdrawal without applying it.
 #[test]
 fn a_change_without_effect_takes_a_round_of_its_own() {
     let request = Request::Change { key: "d".into(), change: restore(), keyless_for: None };
     let (outcomes, fleet) = ask_after_partition(drain(), request);
     let accepted = outcomes.iter().filter(|outcome| matches!(outcome, Outcome::Accepted { .. }));
     assert!(accepted.count() >= 1, "{outcomes:?}");
-    assert_eq!(fleet.value(1).drain_orders("a1"), 0, "what was told as accepted is in force");
+    assert_eq!(
+        fleet.value(1).drain_orders("a1"),
+        0,
+        "the withdrawal that was acknowledged is in force"
+    );
 }
--- a/store/tests/replica/rounds.rs
+++ b/store/tests/replica/rounds.rs
@@ -5,36 +5,45 @@
 use vanepath_store::protocol::{Change, Outcome, Rejection, Request, Response};
 use vanepath_store::value::{Ballot, Value};
 
-/// Three empty stores bootstrap and two do not; one at a time may be down, and is repaired afterwards.
+/// Three empty stores bootstrap, two do not. Any one store may be down at a time, and is repaired afterwards.
 #[test]
 fn a_majority_accepts_and_the_third_is_repaired() {
     let mut fleet = Fleet::new();
     fleet.stores[2].is_up = false;
     fleet.run_for(Duration::from_secs(5));
-    assert!(fleet.stores.iter().all(|store| store.core.is_empty()), "two do not begin a word");
+    assert!(
+        fleet.stores.iter().all(|store| store.replica.is_empty()),
+        "two of three stores do not bootstrap"
+    );
     fleet.stores[2].is_up = true;
     fleet.run_for(Duration::from_secs(3));
     assert_eq!(revision(fleet.write(0, "a")), 1);
     fleet.stores[0].is_up = false;
     assert_eq!(revision(fleet.write(1, "b")), 2);
     fleet.stores[1].is_up = false;
-    assert!(!matches!(fleet.write(2, "c"), Some(Outcome::Accepted { .. })), "one is no majority");
+    assert!(
+        !matches!(fleet.write(2, "c"), Some(Outcome::Accepted { .. })),
+        "one is not a majority"
+    );
     fleet.restart(0);
     fleet.restart(1);
     fleet.run_for(Duration::from_secs(8));
     let accepted = fleet.accepted();
-    assert!(accepted.iter().all(|one| *one == accepted[0] && *one >= 2), "{accepted:?}");
+    assert!(
+        accepted.iter().all(|revision| *revision == accepted[0] && *revision >= 2),
+        "{accepted:?}"
+    );
 }
 
-/// A proposal that reached one replica only: its operator gets `Unknown`, and the next proposal builds on it
-/// or replaces it, with one content for each revision. The idempotency key tells which.
+/// The operator of a proposal that reached only one replica gets `Unknown`. The next proposal is derived from
+/// it or replaces it, so that each revision has one content. The idempotency key shows which has happened.
 #[test]
 fn a_proposal_that_reached_one_replica_is_unknown_until_it_is_decided() {
     for reached in [1_usize, 9] {
         let mut fleet = Fleet::new();
         fleet.run_for(Duration::from_secs(3));
         assert_eq!(revision(fleet.write(0, "a")), 1);
-        // The proposer dies right after; at most one of the others has accepted it, and all responses are lost.
+        // The proposer dies right afterwards. At most one other replica has accepted; all responses are lost.
         fleet.drops_request = Box::new(move |_, target, request| {
             matches!(request, Request::Accept { .. }) && target != reached
         });
@@ -49,7 +58,7 @@
         fleet.restart(0);
         fleet.run_for(Duration::from_secs(8));
         assert_eq!(fleet.accepted(), [next; 3]);
-        // The same key again: a repeat where it was committed, a new version where it was not.
+        // A retry with the same key: a repeat if the proposal was committed, a new version if not.
         match fleet.write(2, "b") {
             Some(Outcome::Accepted { revision: 2, is_repeat: true, .. }) => assert_eq!(reached, 1),
             Some(Outcome::Accepted { revision: 3, is_repeat: false, .. }) => assert_eq!(reached, 9),
@@ -58,8 +67,8 @@
     }
 }
 
-/// A replica that promised a ballot accepts nothing under a lower one, also after a restart; and from a disk
-/// that is not a member it accepts nothing at all.
+/// A replica that promised a ballot accepts nothing under a lower one, even after a restart. From a disk that
+/// is not a member it accepts nothing at all.
 #[test]
 fn a_promise_survives_restarts() {
     let mut fleet = Fleet::new();
@@ -97,18 +106,19 @@
         let (value, batch) = (value.clone(), Vec::new());
         Request::Accept { from, ballot: ballot(number), value, batch }
     };
-    let stranger = accept(999, 60);
-    let rejected = send(&mut fleet, stranger);
+    let from_non_member = accept(999, 60);
+    let rejected = send(&mut fleet, from_non_member);
     assert!(
         matches!(rejected, Response::Rejected { reason: Rejection::NotAMember, .. }),
         "{rejected:?}"
     );
-    let taken = send(&mut fleet, accept(from, 50));
-    assert!(matches!(taken, Response::Accepted { .. }), "{taken:?}");
+    let accepted = send(&mut fleet, accept(from, 50));
+    assert!(matches!(accepted, Response::Accepted { .. }), "{accepted:?}");
 }
 
-/// While a store repairs what was half accepted, its own disk goes on to another proposer's ballot and
-/// value. No version is derived from that value under the old ballot: nobody has seen it as committed.
+/// While a store repairs a value that only a minority had accepted, its own disk accepts another proposer's
+/// value under a higher ballot. No version is derived from that value under the old ballot, since it is not
+/// known to be committed.
 #[test]
 fn no_version_is_derived_from_a_value_of_another_ballot() {
     let mut fleet = Fleet::of(3);
@@ -126,14 +136,14 @@
         let ballot = Ballot { number, incarnation: 101 };
         Request::Accept { from: 101, ballot, value, batch: Vec::new() }
     };
-    let half = child(&fleet, 0, "half");
-    fleet.request(0, accept(half, 50));
+    let partial = child(&fleet, 0, "half");
+    fleet.request(0, accept(partial, 50));
     fleet.delays_response =
         Box::new(|_, _, response| matches!(response, Response::Accepted { .. }));
     let change = Change::DrainZone { zone: "a1".to_string() };
-    let outcomes = fleet.outcomes.len();
+    let before = fleet.outcomes.len();
     fleet.request(0, Request::Change { key: "k".to_string(), change, keyless_for: None });
-    assert_eq!(fleet.delayed.len(), 2, "two have accepted what was half done");
+    assert_eq!(fleet.delayed.len(), 2, "two replicas have accepted the repaired value");
     let other = child(&fleet, 0, "other");
     fleet.request(0, accept(other, 1000));
     fleet.drops_request = Box::new(|_, _, request| matches!(request, Request::Prepare { .. }));
@@ -141,10 +151,14 @@
     let delayed = std::mem::take(&mut fleet.delayed);
     fleet.events.extend(delayed);
     fleet.run();
-    assert_eq!(fleet.accepted(), [3, 2, 2], "no fourth revision on a third that one copy has");
-    assert!(!matches!(fleet.outcomes.get(outcomes), Some(Outcome::Accepted { .. })));
+    assert_eq!(
+        fleet.accepted(),
+        [3, 2, 2],
+        "no fourth revision derived from a third that one replica holds"
+    );
+    assert!(!matches!(fleet.outcomes.get(before), Some(Outcome::Accepted { .. })));
     fleet.drops_request = Box::new(|_, _, _| false);
     fleet.run_for(Duration::from_secs(2));
     assert_eq!(fleet.accepted(), [4; 3]);
-    assert!(matches!(fleet.outcomes[outcomes], Outcome::Accepted { revision: 4, .. }));
+    assert!(matches!(fleet.outcomes[before], Outcome::Accepted { revision: 4, .. }));
 }
