--- a/testbed/src/commands/simulate.rs
+++ b/testbed/src/commands/simulate.rs
@@ -117,7 +117,7 @@
                 let faults = match self.selection {
                     Selection::Each => self.faults.iter().map(|fault| vec![*fault]).collect(),
                     Selection::Mixed => vec![self.random_faults(seed)],
-                    Selection::Overlapping => vec![scenario::overlapping(seed)],
+                    Selection::Overlapping => vec![scenario::overlapping_faults(seed)],
                     Selection::Sequence => vec![self.faults.clone()],
                 };
                 let faults = faults.into_iter();
--- a/testbed/src/sim/event_loop.rs
+++ b/testbed/src/sim/event_loop.rs
@@ -2,7 +2,7 @@
 
 use super::mutations::Mutation;
 use super::network::{Body, Call, CallId, Event, HostId, Purpose, Timer};
-use super::scenario::{apply, operators};
+use super::scenario::{apply_action, operators};
 use super::state::Sim;
 use std::time::Duration;
 use vanepath_cluster::{gossip, wire};
@@ -30,7 +30,7 @@
 
     fn handle_event(&mut self, event: Event, call: Option<Call>) {
         match event {
-            Event::Script(number) => apply(self, number),
+            Event::Script(number) => apply_action(self, number),
             Event::Tick { host, incarnation } => {
                 self.net.schedule(self.net.now + TICK_INTERVAL, Event::Tick { host, incarnation });
                 if let Some(index) = self.by_host.get(&host).copied() {
--- a/testbed/src/sim/invariants/mod.rs
+++ b/testbed/src/sim/invariants/mod.rs
@@ -71,8 +71,8 @@
 pub fn check(run: &Run) -> Report {
     let sim = &run.sim;
     let mut report = Report { violations: sim.violations.clone(), ..Report::default() };
-    requests::at_most_once(run, &mut report);
-    requests::answered(run, &mut report);
+    requests::check_at_most_once(run, &mut report);
+    requests::check_answered(run, &mut report);
     region_bounds::check(run, &mut report);
     retry_budget::check(run, &mut report);
     steering::check(run, &mut report);
--- a/testbed/src/sim/invariants/recovery.rs
+++ b/testbed/src/sim/invariants/recovery.rs
@@ -19,7 +19,7 @@
 /// Checks that after the last fault all is back within 15 s, each kind of service by itself: from some
 /// moment within them on, each of its calls gets what it asked for.
 pub(super) fn check(run: &Run, report: &mut Report) {
-    let over = run.last_fault_over;
+    let over = run.last_fault_end;
     let kinds = [
         ("lookups", requests(run, &[RequestKind::Lookup, RequestKind::Bulk])),
         ("filings", requests(run, &[RequestKind::Filing, RequestKind::BoundFiling])),
--- a/testbed/src/sim/invariants/requests.rs
+++ b/testbed/src/sim/invariants/requests.rs
@@ -11,7 +11,7 @@
 use vanepath_config::ExecutionStatus;
 
 /// A filing runs at most once, and what its client is told of its execution is true.
-pub(super) fn at_most_once(run: &Run, report: &mut Report) {
+pub(super) fn check_at_most_once(run: &Run, report: &mut Report) {
     let mut runs: HashMap<usize, u32> = HashMap::new();
     for server in &run.sim.world.servers {
         for (request, count) in &server.runs {
@@ -53,7 +53,7 @@
 
 /// No request goes unanswered while some proxy and server could serve it, and a filing is reported as
 /// may-have-run only where a fault touched it.
-pub(super) fn answered(run: &Run, report: &mut Report) {
+pub(super) fn check_answered(run: &Run, report: &mut Report) {
     let apps = match run.sim.world.paths[0] {
         "/stock" => ["ordering", "documents"],
         _ => ["rolls", "extracts"],
--- a/testbed/src/sim/scenario/action.rs
+++ b/testbed/src/sim/scenario/action.rs
@@ -10,7 +10,7 @@
 use vanepath_store::protocol::Change;
 
 /// Carries out an action, by its number in the script.
-pub fn apply(sim: &mut Sim, number: usize) {
+pub fn apply_action(sim: &mut Sim, number: usize) {
     let Some(action) = sim.script.get(number).cloned() else { return };
     sim.trace_event(|| format!("script: {action:?}"));
     match action {
--- a/testbed/src/sim/scenario/fault.rs
+++ b/testbed/src/sim/scenario/fault.rs
@@ -48,7 +48,8 @@
     /// A core machine is replaced by an empty one.
     ReplaceCore,
     /// All core machines are replaced, one after the other.
-    SwapAllCore,
+    #[strum(serialize = "swap-all-core")]
+    ReplaceAllCore,
     /// A store's disk is full.
     DiskFull,
     /// A node's wall clock jumps, and the node is started again.
@@ -61,7 +62,8 @@
     #[strum(serialize = "server-cold-twice")]
     ServerRestartedTwice,
     /// The servers of an application are started again, one after the other.
-    ServersOneByOne,
+    #[strum(serialize = "servers-one-by-one")]
+    RollingServerRestart,
     /// All servers of the lookups and filings are started again at one time, and warm up together.
     #[strum(serialize = "all-servers-cold")]
     AllServersRestarted,
@@ -80,9 +82,11 @@
     /// calls in progress.
     OverlappingEvacuations,
     /// Twenty changes of the configuration within two seconds.
-    Storm,
+    #[strum(serialize = "storm")]
+    ConfigBurst,
     /// The registry and the store of one core machine go down together.
-    CoreMachineDies,
+    #[strum(serialize = "core-machine-dies")]
+    CoreMachineCrashes,
     /// Both machines' processes stand still.
     CoreMachineFreezes,
     /// Both are cut off from all other nodes.
@@ -90,9 +94,11 @@
     /// A server's machine stands still and goes on.
     ServerFreezes,
     /// Some proxies reach a server, others do not.
-    ServerHalfCut,
+    #[strum(serialize = "server-half-cut")]
+    ServerPartlyUnreachable,
     /// What a server sends is lost, what is sent to it comes.
-    ServerMute,
+    #[strum(serialize = "server-mute")]
+    ServerResponsesLost,
     /// A server's machine loses power for less than five seconds.
     ServerShortPower,
     /// All nodes and servers of a zone are cut off from all others; clients reach them all.
@@ -106,7 +112,8 @@
     FreezeProxyLong,
     /// All core machines are replaced, and then all nodes are killed: proxies start with their first seeds, of
     /// which none is left.
-    SwapAllCoreThenKillAll,
+    #[strum(serialize = "swap-all-core-then-kill-all")]
+    ReplaceAllCoreThenKillAll,
     /// A flood of downloads that take seconds, more than the limit of their class, and the limits of all classes
     /// are small.
     Downloads,
@@ -121,39 +128,42 @@
     Surge,
     /// Nodes of every role are started again, singly, in turn and all at once, amid a storm of changes, while a
     /// registry lags, one stands still, and a proxy starts where it hears only the one that lags.
-    RestartsInStorm,
+    #[strum(serialize = "restarts-in-storm")]
+    RestartsInConfigBurst,
     /// A core machine is cut off for 14 to 20 s. This and the next four are the worst cases of
     /// `docs/control.md`.
     #[strum(serialize = "control-cut-20s")]
     ControlCut20s,
     /// Operators race under one version, and their answers are lost.
-    OperatorsRaceLostAnswers,
+    #[strum(serialize = "operators-race-lost-answers")]
+    OperatorsRaceLostResponses,
     /// Disks are lost one after the other.
     SecondLossAfterRepair,
     /// A store misses hundreds of changes.
     HundredsOfChangesThenRestart,
     /// Servers answer wrongly while proxies die.
-    WrongAnswersAndResends,
+    #[strum(serialize = "wrong-answers-and-resends")]
+    WrongResponsesAndRetries,
 }
 
 impl Fault {
     /// Whether this is several faults at one time: seeds that draw from all kinds leave it out.
-    pub fn is_several(self) -> bool {
+    pub fn is_compound(self) -> bool {
         matches!(
             self,
-            Fault::RestartsInStorm
+            Fault::RestartsInConfigBurst
                 | Fault::ControlCut20s
-                | Fault::OperatorsRaceLostAnswers
+                | Fault::OperatorsRaceLostResponses
                 | Fault::SecondLossAfterRepair
                 | Fault::HundredsOfChangesThenRestart
-                | Fault::WrongAnswersAndResends
+                | Fault::WrongResponsesAndRetries
         )
     }
 }
 
 /// Two or three faults at one time: not more than one of them takes down a zone, a region or all nodes of a
 /// role, for that is what the users' deployments have to survive.
-pub fn overlapping(seed: u64) -> Vec<Fault> {
+pub fn overlapping_faults(seed: u64) -> Vec<Fault> {
     const WIDE: [Fault; 9] = [
         Fault::ZonePower,
         Fault::RegionPower,
@@ -163,7 +173,7 @@
         Fault::KillAll,
         Fault::KillManyProxies,
         Fault::ControlCutOff,
-        Fault::SwapAllCore,
+        Fault::ReplaceAllCore,
     ];
     // Losses of one core machine, or of a store's disk: one of them at a time.
     const CORE: [Fault; 13] = [
@@ -177,7 +187,7 @@
         Fault::DiskFull,
         Fault::ClockJump,
         Fault::RollingRestart,
-        Fault::CoreMachineDies,
+        Fault::CoreMachineCrashes,
         Fault::CoreMachineFreezes,
         Fault::CoreMachineCutOff,
     ];
@@ -188,12 +198,12 @@
         .filter(|fault| {
             ![
                 Fault::None,
-                Fault::SwapAllCoreThenKillAll,
+                Fault::ReplaceAllCoreThenKillAll,
                 Fault::AllServersRestarted,
                 Fault::OverlappingEvacuations,
             ]
             .contains(fault)
-                && !fault.is_several()
+                && !fault.is_compound()
         })
         .collect();
     let mut chosen: Vec<Fault> = Vec::new();
--- a/testbed/src/sim/scenario/fleet.rs
+++ b/testbed/src/sim/scenario/fleet.rs
@@ -11,7 +11,7 @@
 use vanepath_cluster::wire::Role;
 
 /// Sets up the fleet of a plan and runs it until clients and operators have begun.
-pub fn open(seed: u64, plan: &Plan) -> Sim {
+pub fn start_fleet(seed: u64, plan: &Plan) -> Sim {
     let topology = plan.deployment.topology();
     let mut sim = Sim::new(seed, delays(plan.deployment));
     sim.has_unversioned_lists = plan.unversioned_lists;
--- a/testbed/src/sim/scenario/mod.rs
+++ b/testbed/src/sim/scenario/mod.rs
@@ -9,9 +9,9 @@
 mod run;
 mod schedule;
 
-pub use action::apply;
-pub use fault::{Fault, overlapping};
-pub use fleet::open;
+pub use action::apply_action;
+pub use fault::{Fault, overlapping_faults};
+pub use fleet::start_fleet;
 pub use operators::{MOVED_BOUNDS, tagged};
 pub use plan::{Deployment, Plan};
 pub use run::{Run, run};
--- a/testbed/src/sim/scenario/run.rs
+++ b/testbed/src/sim/scenario/run.rs
@@ -2,7 +2,7 @@
 
 use super::operators::read_history;
 use super::schedule::schedule;
-use super::{Fault, Plan, open};
+use super::{Fault, Plan, start_fleet};
 use crate::sim::mutations::Mutation;
 use crate::sim::state::{FAULTS_BEGIN, FailureMode, RoleState, Sim};
 use std::time::Duration;
@@ -21,7 +21,7 @@
     /// The seed.
     pub seed: u64,
     /// When the last fault was over.
-    pub last_fault_over: Duration,
+    pub last_fault_end: Duration,
     /// When clients and operators had ended.
     pub end: Duration,
     /// The faults.
@@ -30,7 +30,7 @@
 
 /// Runs a plan from one seed.
 pub fn run(seed: u64, plan: &Plan) -> Run {
-    let mut sim = open(seed, plan);
+    let mut sim = start_fleet(seed, plan);
     let mut over = FAULTS_BEGIN;
     for (index, fault) in plan.faults.iter().enumerate() {
         let start = if plan.overlap {
@@ -50,7 +50,7 @@
     sim.run_until(end);
     let history = read_history(&mut sim);
     sim.world.history = history;
-    Run { sim, seed, last_fault_over: over, end, faults: plan.faults.clone() }
+    Run { sim, seed, last_fault_end: over, end, faults: plan.faults.clone() }
 }
 
 /// Whatever is still down, frozen or cut off comes back.
--- a/testbed/src/sim/startup.rs
+++ b/testbed/src/sim/startup.rs
@@ -1,7 +1,7 @@
 //! How long nodes take from their start until they are ready, in simulated time (design 5.8): for
 //! `vanepath-testbed starts`.
 
-use super::scenario::{Plan, open, operators};
+use super::scenario::{Plan, operators, start_fleet};
 use super::state::{Action, FAULTS_BEGIN, RoleState, Sim};
 use std::time::Duration;
 use vanepath_cluster::wire::Role;
@@ -44,7 +44,7 @@
 /// All starts of one scene.
 pub fn measure(seed: u64, scene: Scene, plan: &Plan) -> Vec<Start> {
     let plan = Plan { rate: 0.02, operator_interval: Duration::ZERO, ..plan.clone() };
-    let mut sim = open(seed, &plan);
+    let mut sim = start_fleet(seed, &plan);
     sim.run_until(FAULTS_BEGIN);
     let mut who = sim.nodes_of(Role::Proxy);
     who.extend(sim.nodes_of(Role::Registry));
--- a/testbed/tests/days.rs
+++ b/testbed/tests/days.rs
@@ -50,7 +50,7 @@
 #[test]
 fn core_machines_are_replaced_one_after_the_other() {
     let mut work = Vec::new();
-    for fault in [Fault::SwapAllCore, Fault::ReplaceCore, Fault::LoseDisk] {
+    for fault in [Fault::ReplaceAllCore, Fault::ReplaceCore, Fault::LoseDisk] {
         for seed in 1..=4 {
             work.push((seed, Deployment::Raiocerto, vec![fault]));
             work.push((seed, Deployment::Guild, vec![fault]));
@@ -76,10 +76,10 @@
         ControlCutOff,
         SplitControl,
         OneWayCut,
-        CoreMachineDies,
+        CoreMachineCrashes,
         CoreMachineFreezes,
         CoreMachineCutOff,
-        SwapAllCore,
+        ReplaceAllCore,
         SlowNetwork,
         ZoneCut,
         RegionCut,
@@ -113,10 +113,10 @@
 fn worst_cases_of_the_control_plane_violate_no_invariant() {
     let kinds = [
         Fault::ControlCut20s,
-        Fault::OperatorsRaceLostAnswers,
+        Fault::OperatorsRaceLostResponses,
         Fault::SecondLossAfterRepair,
         Fault::HundredsOfChangesThenRestart,
-        Fault::WrongAnswersAndResends,
+        Fault::WrongResponsesAndRetries,
     ];
     let found = std::sync::Mutex::new(Vec::new());
     let cases: Vec<(Fault, Deployment, usize, u64)> = kinds
@@ -143,7 +143,7 @@
 #[test]
 fn mixed_faults_violate_no_invariant() {
     // Faults that are several at one time have scenarios of their own.
-    let faults: Vec<Fault> = Fault::iter().filter(|fault| !fault.is_several()).collect();
+    let faults: Vec<Fault> = Fault::iter().filter(|fault| !fault.is_compound()).collect();
     let mut work = Vec::new();
     for seed in 101..=116 {
         let mut random = vanepath_testbed::sim::Random::new(seed);
@@ -219,14 +219,14 @@
 fn overlapping_faults_violate_no_invariant() {
     use Fault::*;
     let mut work: Vec<(u64, Vec<Fault>)> = (201..=214)
-        .map(|seed| (seed, vanepath_testbed::sim::scenario::overlapping(seed)))
+        .map(|seed| (seed, vanepath_testbed::sim::scenario::overlapping_faults(seed)))
         .collect();
     // These found what is listed in docs/proof.md.
-    work.push((1, vec![FreezeProxyLong, KillProxy, SwapAllCore]));
+    work.push((1, vec![FreezeProxyLong, KillProxy, ReplaceAllCore]));
     work.push((9, vec![ServerRestartedTwice, KillAll, FreezeProxyLong]));
-    work.push((29, vec![KillProxy, SwapAllCore, KillRegistry]));
-    work.push((65, vec![OneWayCut, Storm, DrainZone]));
-    work.push((205, vec![ClientsCut, SwapAllCore, DrainZone]));
+    work.push((29, vec![KillProxy, ReplaceAllCore, KillRegistry]));
+    work.push((65, vec![OneWayCut, ConfigBurst, DrainZone]));
+    work.push((205, vec![ClientsCut, ReplaceAllCore, DrainZone]));
     work.push((94, vec![FreezeProxy, KillManyProxies, Surge]));
     work.push((68, vec![RegionPower, ClientsCut, IsolateProxy]));
     let found = std::sync::Mutex::new(Vec::new());
@@ -246,7 +246,7 @@
 /// spread it.
 #[test]
 fn new_registries_reject_an_empty_endpoint_list() {
-    let faults = [Fault::ServerShortPower, Fault::SwapAllCore, Fault::FaultyEndpointLists];
+    let faults = [Fault::ServerShortPower, Fault::ReplaceAllCore, Fault::FaultyEndpointLists];
     let plan = Plan { overlap: true, rate: 0.4, ..Plan::new(Deployment::Guild, &faults) };
     let found = check(&run(209, &plan)).violations;
     assert!(found.is_empty(), "{}", found.join("\n"));
@@ -318,8 +318,8 @@
 fn a_restarted_node_never_uses_an_older_configuration() {
     let mut work = Vec::new();
     for seed in 1..=8 {
-        work.push((seed, Deployment::Raiocerto, vec![Fault::RestartsInStorm]));
-        work.push((seed, Deployment::Guild, vec![Fault::RestartsInStorm]));
+        work.push((seed, Deployment::Raiocerto, vec![Fault::RestartsInConfigBurst]));
+        work.push((seed, Deployment::Guild, vec![Fault::RestartsInConfigBurst]));
     }
     let found = violations_of(OPERATOR_INTERVAL, work);
     assert!(found.is_empty(), "{}", found.join("\n"));
@@ -352,7 +352,7 @@
 #[test]
 fn a_long_history_survives_the_loss_of_every_disk() {
     let often = Duration::from_millis(100);
-    let work = vec![(7, Deployment::Guild, vec![Fault::None, Fault::None, Fault::SwapAllCore])];
+    let work = vec![(7, Deployment::Guild, vec![Fault::None, Fault::None, Fault::ReplaceAllCore])];
     let found = violations_of(often, work);
     assert!(found.is_empty(), "{}", found.join("\n"));
 }
@@ -363,13 +363,13 @@
 fn five_stores_survive_the_loss_of_two() {
     use Fault::*;
     let mut work = Vec::new();
-    for fault in [LoseDisk, ReplaceCore, SwapAllCore, SwapAllCoreThenKillAll] {
+    for fault in [LoseDisk, ReplaceCore, ReplaceAllCore, ReplaceAllCoreThenKillAll] {
         work.extend((1..=2).map(|seed| (seed, vec![fault])));
     }
     for fault in [None, KillStore, KillControl, KillAll, RegionPower, RegionCut, SplitControl] {
         work.push((4, vec![fault]));
     }
-    for fault in [OneWayCut, DiskFull, RollingRestart, Storm, FreezeStore, SlowNetwork] {
+    for fault in [OneWayCut, DiskFull, RollingRestart, ConfigBurst, FreezeStore, SlowNetwork] {
         work.push((5, vec![fault, LoseDisk]));
     }
     spares_voting(5, 0, work);
@@ -385,7 +385,7 @@
         work.extend((1..=2).map(|seed| (seed, vec![fault, fault])));
     }
     work.push((4, vec![KillAll, LoseDisk, ReplaceCore]));
-    work.push((5, vec![SwapAllCoreThenKillAll]));
+    work.push((5, vec![ReplaceAllCoreThenKillAll]));
     work.push((6, vec![DiskFull, RollingRestart, RegionCut]));
     let taken = spares_voting(3, 1, work.clone()) + spares_voting(5, 2, work);
     assert!(taken > 10, "spares had {taken} seats at the ends of all days");
@@ -434,7 +434,7 @@
             let base = Plan { rate: 0.02, is_traced: true, stores, ..Plan::new(deployment, &[]) };
             for seed in 1..=3 {
                 let finished =
-                    run(seed, &Plan { faults: vec![Fault::SwapAllCore], ..base.clone() });
+                    run(seed, &Plan { faults: vec![Fault::ReplaceAllCore], ..base.clone() });
                 let at = |line: &String| line.trim_start()[..6].trim().parse::<f64>().unwrap();
                 let lines = finished.sim.trace.iter();
                 let replaced = lines.clone().filter(|line| line.contains("script: Replace"));
@@ -526,12 +526,12 @@
     let cases = [
         (Mutation::RetriesFilings, Fault::ServersMisbehave, "filing"),
         (Mutation::ClaimsNotRun, Fault::ServersMisbehave, "filing"),
-        (Mutation::NeverRetriesLookups, Fault::ServersOneByOne, "unanswered"),
+        (Mutation::NeverRetriesLookups, Fault::RollingServerRestart, "unanswered"),
         (Mutation::IgnoresDrainedZones, Fault::DrainZone, "in emptied"),
         (Mutation::IgnoresDrainingServers, Fault::ServerDrains, "got work"),
         (Mutation::RevertsConfig, Fault::None, "went back from revision"),
         (Mutation::DelaysConfig, Fault::None, "could have been known"),
-        (Mutation::SkipsSlowStart, Fault::ServersOneByOne, "cold server"),
+        (Mutation::SkipsSlowStart, Fault::RollingServerRestart, "cold server"),
         (Mutation::UnboundRetries, Fault::ServersMisbehave, "further goes"),
         (Mutation::ForgetsBounds, Fault::RegionPower, "bound filing"),
         (Mutation::LongSteeringTtl, Fault::None, "a receipt holds"),
@@ -560,12 +560,16 @@
         (Mutation::MergesDrains, Fault::OverlappingEvacuations, "in emptied"),
         (Mutation::CountsRetransmissions, Fault::OverlappingEvacuations, "is emptied still"),
         (Mutation::SteeringStaysDown, Fault::None, "directory polls served after the last fault"),
-        (Mutation::SkipsReadIndex, Fault::RestartsInStorm, ", and went by"),
-        (Mutation::ForgetsVersions, Fault::OperatorsRaceLostAnswers, "both accepted under version"),
+        (Mutation::SkipsReadIndex, Fault::RestartsInConfigBurst, ", and went by"),
+        (
+            Mutation::ForgetsVersions,
+            Fault::OperatorsRaceLostResponses,
+            "both accepted under version",
+        ),
         (Mutation::ForgetsKeys, Fault::ControlCut20s, "one submission came into force"),
         (Mutation::DisksLoseSyncs, Fault::SecondLossAfterRepair, "revision"),
         (Mutation::RevertsConfig, Fault::HundredsOfChangesThenRestart, "went back from revision"),
-        (Mutation::RetriesFilings, Fault::WrongAnswersAndResends, "filing"),
+        (Mutation::RetriesFilings, Fault::WrongResponsesAndRetries, "filing"),
     ];
     let blind = std::sync::Mutex::new(Vec::new());
     on_threads(cores(), cases.len(), |index| {
