--- a/testbed/src/sim/scenario/action.rs
+++ b/testbed/src/sim/scenario/action.rs
@@ -1,4 +1,4 @@
-//! Carries out the actions of a script.
+//! Executes the scheduled actions of a scenario.
 
 use super::operators;
 use super::platform::publish;
@@ -9,15 +9,15 @@
 use vanepath_cluster::wire::Role;
 use vanepath_store::protocol::Change;
 
-/// Carries out an action, by its number in the script.
-pub fn apply_action(sim: &mut Sim, number: usize) {
-    let Some(action) = sim.script.get(number).cloned() else { return };
+/// Executes the action at this index of the script.
+pub fn apply_action(sim: &mut Sim, script_index: usize) {
+    let Some(action) = sim.script.get(script_index).cloned() else { return };
     sim.trace_event(|| format!("script: {action:?}"));
     match action {
-        Action::Start(node) => start(sim, node, number),
+        Action::Start(node) => start(sim, node, script_index),
         Action::Crash { node, power } => sim.crash(node, power),
-        Action::CrashAll => for_all(sim, |sim, node| sim.crash(node, true)),
-        Action::StartAll => for_all(sim, Sim::start_node),
+        Action::CrashAll => for_all_nodes(sim, |sim, node| sim.crash(node, true)),
+        Action::StartAll => for_all_nodes(sim, Sim::start_node),
         Action::Terminate(node) => sim.terminate(node),
         Action::Freeze(node) => {
             let host = sim.nodes[node].host;
@@ -78,7 +78,7 @@
     }
 }
 
-fn start(sim: &mut Sim, node: usize, number: usize) {
+fn start(sim: &mut Sim, node: usize, script_index: usize) {
     if sim.has_mutation(Mutation::StaysDown) || sim.world.retired.contains(&node) {
         return;
     }
@@ -86,12 +86,12 @@
     if !sim.net.hosts[host].up || !sim.net.hosts[host].powered {
         sim.start_node(node);
     } else if sim.nodes[node].leaving {
-        // Still draining: it is started again once it has ended.
-        sim.net.schedule(sim.net.now + Duration::from_millis(200), Event::Script(number));
+        // The old process is still draining: the start is retried until it has exited.
+        sim.net.schedule(sim.net.now + Duration::from_millis(200), Event::Script(script_index));
     }
 }
 
-fn for_all(sim: &mut Sim, action: fn(&mut Sim, usize)) {
+fn for_all_nodes(sim: &mut Sim, action: fn(&mut Sim, usize)) {
     for node in 0..sim.nodes.len() {
         if !sim.world.retired.contains(&node) {
             action(sim, node);
@@ -103,30 +103,30 @@
     if sim.world.retired.contains(&registry) {
         return;
     }
-    for old in [registry, store] {
-        sim.crash(old, true);
-        sim.wipe(old);
-        sim.world.retired.insert(old);
-        let info = sim.nodes[old].info.clone();
-        let bootstrap_size = match &sim.nodes[old].role_state {
+    for old_node in [registry, store] {
+        sim.crash(old_node, true);
+        sim.wipe(old_node);
+        sim.world.retired.insert(old_node);
+        let info = sim.nodes[old_node].info.clone();
+        let bootstrap_size = match &sim.nodes[old_node].role_state {
             RoleState::Store(store) => store.identity.bootstrap_size,
             _ => 0,
         };
         let name = format!("{}x", info.name);
-        let new = sim.add_node(info.role, &name, &info.zone, &info.region, bootstrap_size);
-        // The new node's settings name registries that run; the others keep their first seeds.
-        sim.nodes[new].seeds = sim
+        let new_node = sim.add_node(info.role, &name, &info.zone, &info.region, bootstrap_size);
+        // The settings of the new node name running registries; all other nodes keep their initial seeds.
+        sim.nodes[new_node].seeds = sim
             .nodes_of(Role::Registry)
             .into_iter()
             .map(|index| sim.nodes[index].info.cluster_address)
             .take(3)
             .collect();
-        sim.start_node(new);
+        sim.start_node(new_node);
     }
 }
 
 fn start_server(sim: &mut Sim, server: usize) {
-    // Another fault may have had it started already.
+    // The server may already run: overlapping faults schedule starts of the same server.
     let host = &sim.net.hosts[sim.world.servers[server].host];
     if !host.up || !host.powered {
         sim.start_server(server);
@@ -147,27 +147,28 @@
     let (at, list_revision) = (sim.net.now, sim.platform.revision + 1);
     sim.world.server_drains.push(ServerDrain { at, server, list_revision });
     publish(sim, |list| {
-        for one in list.iter_mut().filter(|one| one.id == id) {
-            one.draining = true;
+        for entry in list.iter_mut().filter(|entry| entry.id == id) {
+            entry.draining = true;
         }
     });
 }
 
 fn remove_server(sim: &mut Sim, server: usize) {
     let id = sim.world.servers[server].id.clone();
-    publish(sim, |list| list.retain(|one| one.id != id));
+    publish(sim, |list| list.retain(|entry| entry.id != id));
     sim.world.servers[server].id += "-gone";
 }
 
-/// Another service's server starts at the address before the platform says so.
+/// Starts a server of another service at the address before the platform's endpoint list shows the change.
 fn reassign_address(sim: &mut Sim, server: usize) {
-    let old = sim.world.servers[server].id.clone();
-    sim.world.servers[server].id = format!("{old}-heir");
+    let old_id = sim.world.servers[server].id.clone();
+    sim.world.servers[server].id = format!("{old_id}-heir");
     sim.world.servers[server].app = "spare".to_string();
     sim.start_server(server);
-    publish(sim, |list| list.retain(|one| one.id != old));
+    publish(sim, |list| list.retain(|entry| entry.id != old_id));
 }
 
+/// Adds `extra` downloads a second that take 3 s each, or restores the ordinary traffic for 0.
 fn set_downloads(sim: &mut Sim, extra: f64) {
     let world = &mut sim.world;
     let app = if world.paths[3] == "/documents" { "documents" } else { "extracts" };
@@ -177,10 +178,10 @@
     }
     if is_flood {
         world.ordinary_traffic = Some((world.rate, world.mix));
-        let share = |part: u32| (f64::from(part) * world.rate) as u32;
-        let more = (100.0 * extra) as u32;
-        let [lookups, filings, bound, bulk] = world.mix.map(share);
-        world.mix = [lookups, filings, bound, bulk + more];
+        let weight = |percent: u32| (f64::from(percent) * world.rate) as u32;
+        let extra_bulk = (100.0 * extra) as u32;
+        let [lookups, filings, bound, bulk] = world.mix.map(weight);
+        world.mix = [lookups, filings, bound, bulk + extra_bulk];
         world.rate += extra;
     } else if let Some((rate, mix)) = world.ordinary_traffic.take() {
         (world.rate, world.mix) = (rate, mix);
--- a/testbed/src/sim/scenario/fault.rs
+++ b/testbed/src/sim/scenario/fault.rs
@@ -3,7 +3,7 @@
 use crate::sim::Random;
 use strum::IntoEnumIterator;
 
-/// A kind of fault. The names on the command line are those of earlier versions.
+/// A kind of fault. The command line keeps the names of earlier versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumIter)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Fault {
@@ -25,129 +25,131 @@
     ZonePower,
     /// All machines of a region lose power.
     RegionPower,
-    /// A proxy's machine stands still.
+    /// A proxy's machine is frozen for a while.
     FreezeProxy,
-    /// A registry's machine stands still.
+    /// A registry's machine is frozen for a while.
     FreezeRegistry,
-    /// A store's machine stands still.
+    /// A store's machine is frozen for a while.
     FreezeStore,
-    /// A proxy is cut off from all other nodes.
+    /// A proxy is partitioned from all other nodes.
     IsolateProxy,
-    /// A registry or store is cut off from all other nodes.
+    /// A registry or a store is partitioned from all other nodes.
     IsolateCore,
-    /// The core machines of a region are cut off from the others.
+    /// The core machines of a region are partitioned from the other core machines.
     SplitControl,
-    /// The core machines are cut off from the proxies.
+    /// The core machines are partitioned from the proxies.
     ControlCutOff,
-    /// What a node sends to other nodes is lost.
+    /// Messages from a node to other nodes are lost; messages to it arrive.
     OneWayCut,
-    /// Some messages take up to 300 ms longer.
+    /// Some messages are delayed by up to 300 ms.
     SlowNetwork,
     /// A store loses its disk.
     LoseDisk,
-    /// A core machine is replaced by an empty one.
+    /// A core machine is replaced by one with an empty disk.
     ReplaceCore,
     /// All core machines are replaced, one after the other.
     #[strum(serialize = "swap-all-core")]
     ReplaceAllCore,
     /// A store's disk is full.
     DiskFull,
-    /// A node's wall clock jumps, and the node is started again.
+    /// A node's wall clock jumps, and the node is restarted.
     ClockJump,
-    /// All nodes are started again, one after the other.
+    /// All nodes are terminated and restarted, one after the other.
     RollingRestart,
     /// A server is down for a while.
     ServerKilled,
-    /// A server goes down again in its slow start.
+    /// A server goes down again during its slow start.
     #[strum(serialize = "server-cold-twice")]
     ServerRestartedTwice,
-    /// The servers of an application are started again, one after the other.
+    /// The servers of an application are restarted one after the other.
     #[strum(serialize = "servers-one-by-one")]
     RollingServerRestart,
-    /// All servers of the lookups and filings are started again at one time, and warm up together.
+    /// All servers for lookups and filings are restarted at one time, so that all are in slow start together.
     #[strum(serialize = "all-servers-cold")]
     AllServersRestarted,
-    /// A server drains and is removed.
+    /// A server is drained and removed from the endpoint list.
     #[strum(serialize = "server-leaves")]
     ServerDrains,
-    /// The address of a server passes to a server of another service.
+    /// The address of a server is reassigned to a server of another service.
     #[strum(serialize = "address-passed")]
     AddressReassigned,
-    /// Servers lose responses, break them off or fall silent.
+    /// Servers close the connection after execution, truncate responses or do not respond.
     ServersMisbehave,
     /// An operator drains a zone and restores it.
     #[strum(serialize = "empty-zone")]
     DrainZone,
-    /// Two or three evacuations of one zone overlap, by calls without keys; registries die with some of the
-    /// calls in progress.
+    /// Two or three evacuations of one zone overlap. Their calls have no idempotency keys, and registries
+    /// crash with some of the calls in progress.
     OverlappingEvacuations,
-    /// Twenty changes of the configuration within two seconds.
+    /// Twenty configuration changes within two seconds.
     #[strum(serialize = "storm")]
     ConfigBurst,
-    /// The registry and the store of one core machine go down together.
+    /// The registry and the store of one core machine lose power together.
     #[strum(serialize = "core-machine-dies")]
     CoreMachineCrashes,
-    /// Both machines' processes stand still.
+    /// The registry and the store of one core machine are frozen together.
     CoreMachineFreezes,
-    /// Both are cut off from all other nodes.
+    /// The registry and the store of one core machine are partitioned from all other nodes.
     CoreMachineCutOff,
-    /// A server's machine stands still and goes on.
+    /// A server's machine is frozen for a while.
     ServerFreezes,
-    /// Some proxies reach a server, others do not.
+    /// Some proxies cannot reach a server, others can.
     #[strum(serialize = "server-half-cut")]
     ServerPartlyUnreachable,
-    /// What a server sends is lost, what is sent to it comes.
+    /// Messages from a server to proxies are lost; messages to it arrive.
     #[strum(serialize = "server-mute")]
     ServerResponsesLost,
     /// A server's machine loses power for less than five seconds.
     ServerShortPower,
-    /// All nodes and servers of a zone are cut off from all others; clients reach them all.
+    /// All nodes and servers of a zone are partitioned from all others. Clients still reach all of them.
     ZoneCut,
-    /// The same for a region.
+    /// All nodes and servers of a region are partitioned from all others. Clients still reach all of them.
     RegionCut,
-    /// The clients of one region do not reach its proxies.
+    /// The clients of one region cannot reach the proxies of this region.
     #[strum(serialize = "callers-cut")]
     ClientsCut,
-    /// A proxy's machine stands still for 25 s.
+    /// A proxy's machine is frozen for 25 s.
     FreezeProxyLong,
-    /// All core machines are replaced, and then all nodes are killed: proxies start with their first seeds, of
-    /// which none is left.
+    /// All core machines are replaced, and then all nodes are killed and restarted. The proxies start with
+    /// their initial seeds, none of which exists any more.
     #[strum(serialize = "swap-all-core-then-kill-all")]
     ReplaceAllCoreThenKillAll,
-    /// A flood of downloads that take seconds, more than the limit of their class, and the limits of all classes
-    /// are small.
+    /// More concurrent downloads of 3 s each than the concurrency limit of their class admits; the limits of
+    /// all classes are lowered.
     Downloads,
-    /// The platform serves invalid, empty or outdated lists, and a server drains meanwhile.
+    /// The platform serves invalid, empty or outdated endpoint lists while a server is marked as draining.
     #[strum(serialize = "platform-lies")]
     FaultyEndpointLists,
-    /// Configurations bind filings to another region, again and again.
+    /// Six configurations in turn move the region bounds of filings to another region and back.
     #[strum(serialize = "bounds-move")]
     RegionBoundsMove,
-    /// The clients of one zone send three times as much, for 40 s. Servers work on one request at a time and
-    /// report their load.
+    /// The clients of one zone send three times their ordinary rate for 40 s. Servers process one request at
+    /// a time and report their load.
     Surge,
-    /// Nodes of every role are started again, singly, in turn and all at once, amid a storm of changes, while a
-    /// registry lags, one stands still, and a proxy starts where it hears only the one that lags.
+    /// All nodes are restarted, in turn and then at once, during a burst of configuration changes. Meanwhile
+    /// one registry lags behind, another one is frozen, and a proxy starts that reaches only the lagging
+    /// registry.
     #[strum(serialize = "restarts-in-storm")]
     RestartsInConfigBurst,
-    /// A core machine is cut off for 14 to 20 s. This and the next four are the worst cases of
-    /// `docs/control.md`.
+    /// A core machine is partitioned or frozen for 14 to 20 s. This and the next four kinds are the worst
+    /// cases of `docs/control.md`.
     #[strum(serialize = "control-cut-20s")]
     ControlCut20s,
-    /// Operators race under one version, and their answers are lost.
+    /// Operators submit different configurations under one version, and their responses are lost.
     #[strum(serialize = "operators-race-lost-answers")]
     OperatorsRaceLostResponses,
-    /// Disks are lost one after the other.
+    /// Disks of several stores are lost, each after the previous loss was repaired.
     SecondLossAfterRepair,
-    /// A store misses hundreds of changes.
+    /// A store is down during hundreds of changes and has to catch up after its restart.
     HundredsOfChangesThenRestart,
-    /// Servers answer wrongly while proxies die.
+    /// Servers fail part of their requests while proxies are killed and frozen.
     #[strum(serialize = "wrong-answers-and-resends")]
     WrongResponsesAndRetries,
 }
 
 impl Fault {
-    /// Whether this is several faults at one time: seeds that draw from all kinds leave it out.
+    /// Whether this kind combines several faults at one time. Random selections of faults leave such kinds
+    /// out.
     pub fn is_compound(self) -> bool {
         matches!(
             self,
@@ -161,8 +163,8 @@
     }
 }
 
-/// Two or three faults at one time: not more than one of them takes down a zone, a region or all nodes of a
-/// role, for that is what the users' deployments have to survive.
+/// Draws two or three faults that overlap. At most one of them takes down a zone, a region or all nodes of a
+/// role, since the users' deployments have to survive one such fault at a time.
 pub fn overlapping_faults(seed: u64) -> Vec<Fault> {
     const WIDE: [Fault; 9] = [
         Fault::ZonePower,
@@ -175,7 +177,7 @@
         Fault::ControlCutOff,
         Fault::ReplaceAllCore,
     ];
-    // Losses of one core machine, or of a store's disk: one of them at a time.
+    // Faults of one core machine or one store's disk. At most one of them, or of the wide faults, is chosen.
     const CORE: [Fault; 13] = [
         Fault::KillStore,
         Fault::FreezeStore,
@@ -192,9 +194,9 @@
         Fault::CoreMachineCutOff,
     ];
     let mut random = Random::new(seed ^ 0x6f76_6572);
-    let all: Vec<Fault> = Fault::iter()
-        // Left out are no fault, what is two wide faults by itself, and what leaves too little capacity for
-        // another fault. Overlapping evacuations have scenarios of their own.
+    let candidates: Vec<Fault> = Fault::iter()
+        // The exceptions are: no fault; a kind that consists of two wide faults; and a kind that leaves too
+        // little capacity for another fault. Overlapping evacuations have scenarios of their own.
         .filter(|fault| {
             ![
                 Fault::None,
@@ -209,13 +211,13 @@
     let mut chosen: Vec<Fault> = Vec::new();
     let count = 2 + random.below(2);
     while chosen.len() < count {
-        let next = all[random.below(all.len())];
+        let next = candidates[random.below(candidates.len())];
         let is_wide = |fault: &Fault| WIDE.contains(fault);
         let is_core = |fault: &Fault| CORE.contains(fault) || is_wide(fault);
-        let is_too_much = chosen.contains(&next)
+        let is_excluded = chosen.contains(&next)
             || (is_wide(&next) && chosen.iter().any(is_wide))
             || (is_core(&next) && chosen.iter().any(is_core));
-        if !is_too_much {
+        if !is_excluded {
             chosen.push(next);
         }
     }
--- a/testbed/src/sim/scenario/fleet.rs
+++ b/testbed/src/sim/scenario/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet of a plan, with its servers, clients and operators.
+//! Sets up the fleet of a plan, with its servers, clients and operators.
 
 use super::operators::replace_config;
 use super::platform::publish;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use vanepath_cluster::wire::Role;
 
-/// Sets up the fleet of a plan and runs it until clients and operators have begun.
+/// Sets up the fleet of a plan and runs it until it is configured and clients and operators have started.
 pub fn start_fleet(seed: u64, plan: &Plan) -> Sim {
     let topology = plan.deployment.topology();
     let mut sim = Sim::new(seed, delays(plan.deployment));
@@ -42,7 +42,7 @@
     }
 }
 
-/// The deployment's configuration; with small concurrency limits for a flood of downloads.
+/// The configuration of the deployment, with smaller concurrency limits in scenarios with `Fault::Downloads`.
 fn config_text(topology: &Topology, plan: &Plan) -> String {
     let text = topology.config.clone();
     if !plan.faults.contains(&Fault::Downloads) {
@@ -89,9 +89,9 @@
     publish(sim, |_| {});
     sim.world.rate = topology.requests_per_second * plan.rate;
     if plan.faults.contains(&Fault::Surge) {
-        // At the ordinary rate the servers are 45 % busy.
-        let first = topology.servers[0];
-        let per_second = sim.world.rate * 0.85 / f64::from(first.1 as u32);
+        // The service time makes servers 45 % busy at the ordinary request rate.
+        let (_, count) = topology.servers[0];
+        let per_second = sim.world.rate * 0.85 / f64::from(count as u32);
         for server in sim.world.servers.iter_mut() {
             server.workers = 1;
             server.service_time = Duration::from_secs_f64(0.45 / per_second);
@@ -110,7 +110,7 @@
             sim.world.paths = ["/parcels", "/appeals", "/appeals/north", "/extracts"];
         }
     }
-    // Traffic shifts move whole clients: a few would move in leaps.
+    // Steering moves whole clients between zones: with only a few of them the load would shift in steps.
     let per_zone = if plan.faults.contains(&Fault::Surge) { 20 } else { 3 };
     for (zone, region) in &topology.zones {
         for index in 0..per_zone {
--- a/testbed/src/sim/scenario/mod.rs
+++ b/testbed/src/sim/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! Scenarios: a fleet of a deployment's size, its traffic and operators, and faults by seed.
+//! Scenarios: a simulated fleet of the size of a deployment, with traffic, operators and seeded faults.
 
 mod action;
 mod fault;
--- a/testbed/src/sim/scenario/operators.rs
+++ b/testbed/src/sim/scenario/operators.rs
@@ -1,4 +1,4 @@
-//! What operators do: their ordinary calls, and the calls of single actions.
+//! Operators: their periodic calls, and the calls that actions of a scenario make.
 
 use crate::sim::network::Timer;
 use crate::sim::state::{Action, OperatorCall, Sim};
@@ -7,21 +7,21 @@
 use vanepath_cluster::wire::Role;
 use vanepath_store::protocol::{Change, Outcome};
 
-/// The part of a configuration that binds the bound filings to the middle region.
+/// The part of a configuration that restricts bound filings to the region `middle`.
 pub const MOVED_BOUNDS: &str = r#""regions": ["middle"]"#;
-/// The part that binds them to the north, as usual.
+/// The part of the initial configuration that restricts bound filings to the region `north`.
 const ORDINARY_BOUNDS: &str = r#""regions": ["north"]"#;
-/// For so long the platform sends a call without a key again.
+/// How long the platform retransmits a call without an idempotency key, from the first transmission on.
 const RETRANSMISSION_PERIOD: Duration = Duration::from_secs(8);
 
-/// A configuration that no other operator submits: its tag is a label of a zone.
+/// The configuration with a unique tag, as a label of a zone, so that no two submissions are equal.
 pub fn tagged(config: &str, tag: usize) -> Vec<u8> {
     let from = r#"{"zone": "north-1", "region": "north"}"#;
     let to = format!(r#"{{"zone": "north-1", "region": "north", "labels": {{"tag": "t{tag}"}}}}"#);
     config.replace(from, &to).into_bytes()
 }
 
-/// A configuration that must be rejected, in one of several ways.
+/// A configuration that registries must reject; `way` selects the kind of error.
 fn invalid(config: &str, way: usize) -> Vec<u8> {
     let text = match way % 8 {
         0 => config.replacen("\"once\"", "\"twice\"", 1),
@@ -36,21 +36,21 @@
     text.into_bytes()
 }
 
-/// A registry that an operator would call: one that is up, if there is any.
+/// A random registry among those that are up, or among all if none is.
 fn any_registry(sim: &mut Sim) -> usize {
-    let all = sim.nodes_of(Role::Registry);
-    let up: Vec<usize> = all.iter().copied().filter(|index| sim.is_up(*index)).collect();
-    let from = if up.is_empty() { all } else { up };
-    from[sim.net.random.below(from.len())]
+    let registries = sim.nodes_of(Role::Registry);
+    let up: Vec<usize> = registries.iter().copied().filter(|index| sim.is_up(*index)).collect();
+    let candidates = if up.is_empty() { registries } else { up };
+    candidates[sim.net.random.below(candidates.len())]
 }
 
-/// Calls any registry, and returns the operation with the registry.
+/// Calls a random registry, and returns the indexes of the operation and of the registry.
 fn call_any(sim: &mut Sim, call: OperatorCall) -> (usize, usize) {
     let registry = any_registry(sim);
     (sim.call_registry(call, registry), registry)
 }
 
-/// Submits a tagged configuration, and returns the operation.
+/// Submits a tagged configuration, and returns the index of the operation.
 pub(in crate::sim) fn replace_config(sim: &mut Sim, if_revision: Option<u64>) -> usize {
     let tag = sim.operations.len();
     let bytes = tagged(&sim.world.config_text, tag);
@@ -58,7 +58,7 @@
     call_any(sim, OperatorCall::Change { key: format!("key-{tag}"), change }).0
 }
 
-/// The next of an operator's ordinary calls.
+/// Makes the next periodic call of an operator, of a random kind, and schedules the one after it.
 pub(in crate::sim) fn next_call(sim: &mut Sim) {
     if sim.world.stopped {
         return;
@@ -66,27 +66,28 @@
     let pause = sim.world.operator_interval.mul_f64(0.5 + sim.net.random.part());
     let operator = sim.operator;
     sim.net.set_timer(operator, pause, Timer::NextOperatorCall);
-    let turn = sim.net.random.below(100);
+    let percent = sim.net.random.below(100);
     let registry = any_registry(sim);
-    match turn {
+    match percent {
         0..35 => {
             replace_config(sim, None);
         }
         35..50 => {
-            // Two at once, both on condition of the revision that this operator saw last.
-            let last = accepted(sim).into_iter().map(|(_, config_revision)| config_revision).max();
-            replace_config(sim, last);
-            replace_config(sim, last);
+            // Two concurrent submissions, both conditional on the newest revision that operators know of.
+            let last_revision =
+                accepted_changes(sim).into_iter().map(|(_, config_revision)| config_revision).max();
+            replace_config(sim, last_revision);
+            replace_config(sim, last_revision);
         }
         50..60 => repeat_last_change(sim, registry),
         60..85 => {
             sim.call_registry(OperatorCall::Read, registry);
-            if turn >= 79 {
+            if percent >= 79 {
                 submit_invalid(sim, registry);
             }
         }
         _ => {
-            let known = accepted(sim);
+            let known = accepted_changes(sim);
             if !known.is_empty() {
                 let revision = known[sim.net.random.below(known.len())].0;
                 sim.call_registry(OperatorCall::History { revision }, registry);
@@ -96,7 +97,7 @@
 }
 
 /// The revisions of accepted changes, each with the revision of its configuration.
-fn accepted(sim: &Sim) -> Vec<(u64, u64)> {
+fn accepted_changes(sim: &Sim) -> Vec<(u64, u64)> {
     let outcomes = sim.operations.iter().map(|operation| &operation.outcome);
     let accepted = outcomes.filter_map(|outcome| match outcome {
         Some(Outcome::Accepted { revision, config_revision, .. }) => {
@@ -107,14 +108,14 @@
     accepted.collect()
 }
 
-/// The last submission again, under its key, at this registry.
+/// Sends the last valid submission again, with its key, to this registry.
 fn repeat_last_change(sim: &mut Sim, registry: usize) {
-    let last = sim.operations.iter().rev().map(|operation| &operation.call).find(|call| {
+    let last_change = sim.operations.iter().rev().map(|operation| &operation.call).find(|call| {
         matches!(call, OperatorCall::Change { .. })
             && !call.is_invalid()
             && call.evacuation().is_none()
     });
-    if let Some(call) = last.cloned() {
+    if let Some(call) = last_change.cloned() {
         sim.call_registry(call, registry);
     }
 }
@@ -131,13 +132,14 @@
     call_any(sim, OperatorCall::Read);
 }
 
-/// Submits a configuration with its classes in another order.
+/// Submits a configuration with its classes in another order, rotated by the tag.
 pub(super) fn reorder_classes(sim: &mut Sim) {
     let tag = sim.operations.len();
-    let mut document = jzon::parse(&tagged_text(sim, tag)).expect("the scenario's configuration");
+    let mut document =
+        jzon::parse(&tagged_text(sim, tag)).expect("the configuration of a scenario is valid JSON");
     if let JsonValue::Array(classes) = &mut document["classes"] {
-        let turn = tag % classes.len().max(1);
-        classes.rotate_left(turn);
+        let shift = tag % classes.len().max(1);
+        classes.rotate_left(shift);
     }
     let bytes = document.dump().into_bytes();
     let change = Change::ReplaceConfig { bytes, if_revision: None, version: None };
@@ -145,10 +147,10 @@
 }
 
 fn tagged_text(sim: &Sim, tag: usize) -> String {
-    String::from_utf8(tagged(&sim.world.config_text, tag)).expect("made of a string")
+    String::from_utf8(tagged(&sim.world.config_text, tag)).expect("a tagged configuration is UTF-8")
 }
 
-/// Binds the bound filings to the middle region, or to the north as usual.
+/// Restricts bound filings to the region `middle`, or to `north` as initially.
 pub(super) fn move_region_bounds(sim: &mut Sim, is_moved: bool) {
     let (from, to) = match is_moved {
         true => (ORDINARY_BOUNDS, MOVED_BOUNDS),
@@ -158,31 +160,31 @@
     replace_config(sim, None);
 }
 
-/// Drains or restores a zone, under a key.
+/// Drains or restores a zone, with an idempotency key.
 pub(super) fn change_zone(sim: &mut Sim, change: Change) {
     let key = format!("zone-{}", sim.operations.len());
     call_any(sim, OperatorCall::Change { key, change });
 }
 
-/// Submits two configurations under the next version, each sent again twice.
+/// Submits two configurations under the same new version, and schedules two resubmissions of each.
 pub(super) fn race(sim: &mut Sim) {
-    let named = sim.operations.iter().filter_map(|one| one.call.version());
-    let version = named.max().unwrap_or(0) + 1 + sim.net.random.draw() % 3;
+    let versions = sim.operations.iter().filter_map(|operation| operation.call.version());
+    let version = versions.max().unwrap_or(0) + 1 + sim.net.random.draw() % 3;
     for _ in 0..2 {
         let tag = sim.operations.len();
         let text = tagged_text(sim, tag);
         let bytes = text.replacen('{', &format!("{{\"version\": {version},"), 1).into_bytes();
         let change = Change::ReplaceConfig { bytes, if_revision: None, version: Some(version) };
         call_any(sim, OperatorCall::Change { key: format!("raced-{tag}"), change });
-        for turn in 1..=2 {
-            let later = Duration::from_millis(1100 * turn + sim.net.random.draw() % 600);
+        for attempt in 1..=2 {
+            let later = Duration::from_millis(1100 * attempt + sim.net.random.draw() % 600);
             sim.schedule(sim.net.now + later, Action::Resubmit(tag));
         }
     }
 }
 
-/// Submits the same configuration under its version, as an operator does whose answer was lost and who
-/// does not know the key.
+/// Submits the same configuration and version with a new key, as an operator does who got no response and
+/// does not know the first key.
 pub(super) fn resubmit(sim: &mut Sim, operation: usize) {
     let OperatorCall::Change { change, .. } = sim.operations[operation].call.clone() else {
         return;
@@ -191,30 +193,31 @@
     call_any(sim, OperatorCall::Change { key, change });
 }
 
-/// Sends a call of an evacuation, without a key; the registry that receives it may die soon after.
+/// Sends a call of an evacuation without an idempotency key. With `dies`, the registry that receives it
+/// crashes within 400 ms.
 pub(super) fn send_keyless_call(sim: &mut Sim, evacuation: usize, step: usize, dies: bool) {
     let now = sim.net.now;
-    let one = &mut sim.evacuations[evacuation];
-    let first = *one.sent_at[step].get_or_insert(now);
-    // A drain that was never acknowledged is not withdrawn, and no call is sent again for ever.
-    let is_due = step == 0 || one.acknowledged_at[0].is_some();
-    if !is_due || now > first + RETRANSMISSION_PERIOD {
+    let order = &mut sim.evacuations[evacuation];
+    let first_sent_at = *order.sent_at[step].get_or_insert(now);
+    // A drain that was never acknowledged is not withdrawn, and retransmissions end after a limited period.
+    let is_due = step == 0 || order.acknowledged_at[0].is_some();
+    if !is_due || now > first_sent_at + RETRANSMISSION_PERIOD {
         return;
     }
-    let zone = one.zone.to_string();
+    let zone = order.zone.to_string();
     let change = if step == 0 { Change::DrainZone { zone } } else { Change::RestoreZone { zone } };
     let key = format!("order-{evacuation}-{step}-{}", sim.operations.len());
     let (_, registry) = call_any(sim, OperatorCall::Change { key, change });
     if dies {
-        // Before the stores have the call, while they settle it, or after.
-        let most = [40, 150, 400][sim.net.random.below(3)];
-        let when = now + Duration::from_millis(sim.net.random.draw() % most);
+        // The crash comes before the stores have the call, while they agree on it, or afterwards.
+        let max_delay_ms = [40, 150, 400][sim.net.random.below(3)];
+        let when = now + Duration::from_millis(sim.net.random.draw() % max_delay_ms);
         sim.schedule(when, Action::Crash { node: registry, power: false });
         sim.schedule(when + Duration::from_secs(3), Action::Start(registry));
     }
 }
 
-/// A call ended: one of an evacuation is acknowledged, or is to be sent again.
+/// Handles the end of a call of an evacuation: records its acknowledgement, or schedules a retransmission.
 pub(in crate::sim) fn keyless_call_ended(sim: &mut Sim, operation: usize) {
     let ended = &sim.operations[operation];
     let Some(evacuation) = ended.call.evacuation() else { return };
@@ -233,7 +236,7 @@
     sim.schedule(soon, Action::KeylessCall { evacuation, step, dies: false });
 }
 
-/// Reads each revision in turn, at the end of a run.
+/// Reads all revisions in order, at the end of a run.
 pub(super) fn read_history(sim: &mut Sim) -> Vec<(u64, Option<Outcome>)> {
     let registries = (0..sim.nodes.len())
         .filter(|index| sim.nodes[*index].info.role == Role::Registry && sim.is_up(*index));
@@ -242,13 +245,14 @@
         Some(Outcome::Value { value }) => value.revision,
         other => return vec![(0, other)],
     };
-    let mut all = Vec::new();
+    let mut history = Vec::new();
     for revision in 1..=latest {
-        all.push((revision, call_and_wait(sim, OperatorCall::History { revision }, registry)));
+        history.push((revision, call_and_wait(sim, OperatorCall::History { revision }, registry)));
     }
-    all
+    history
 }
 
+/// Calls a registry and runs the simulation until the call ends, for at most 10 s.
 fn call_and_wait(sim: &mut Sim, call: OperatorCall, registry: usize) -> Option<Outcome> {
     let operation = sim.call_registry(call, registry);
     for _ in 0..100 {
--- a/testbed/src/sim/scenario/plan.rs
+++ b/testbed/src/sim/scenario/plan.rs
@@ -1,4 +1,4 @@
-//! What a scenario is made of.
+//! The parameters of a scenario.
 
 use super::Fault;
 use crate::sim::crash_points::PlannedCrash;
@@ -6,17 +6,17 @@
 use crate::topology::{self, Topology};
 use std::time::Duration;
 
-/// The users' deployments.
+/// The deployments of the project's users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Deployment {
-    /// Few zones, far apart.
+    /// Few proxies in zones that are far apart.
     Raiocerto,
-    /// Many proxies, close together.
+    /// Many proxies in zones that are close together.
     Guild,
 }
 
 impl Deployment {
-    /// Its zones, proxies, servers and configuration.
+    /// The zones, proxies, servers and configuration of the deployment.
     pub(super) fn topology(self) -> Topology {
         match self {
             Deployment::Raiocerto => topology::raiocerto(),
@@ -25,36 +25,37 @@
     }
 }
 
-/// A scenario without its seed.
+/// The parameters of a scenario, without the seed.
 #[derive(Clone)]
 pub struct Plan {
     /// The deployment.
     pub deployment: Deployment,
-    /// The faults in their order.
+    /// The faults, in the order in which they begin.
     pub faults: Vec<Fault>,
-    /// The traffic, as a part of the deployment's.
+    /// The request rate, as a share of the deployment's.
     pub rate: f64,
     /// The mean time between an operator's calls; zero for none.
     pub operator_interval: Duration,
     /// Records a trace.
     pub is_traced: bool,
-    /// Core machines, with a store and a registry each; with five of them the faults of disks and of
-    /// core machines come to two at one time.
+    /// The number of core machines, with a store and a registry each. With five of them, faults that lose a
+    /// disk or replace a core machine hit two at one time.
     pub stores: usize,
-    /// Stores beside them, with empty disks, which take over member slots that are lost.
+    /// The number of additional stores with empty disks, which take over lost member slots.
     pub spares: usize,
-    /// The faults begin at nearly one time, and not one after the other.
+    /// The faults begin within 3 s of each other instead of one after the other.
     pub overlap: bool,
-    /// The platform does not number its lists: registries do (design 4).
+    /// The platform serves endpoint lists without revisions, and registries number them (design 4).
     pub unversioned_lists: bool,
-    /// What is broken on purpose.
+    /// The deliberate defect to run with.
     pub mutation: Option<Mutation>,
-    /// Where a node is killed in the middle of a step.
+    /// The crash point at which a node is killed.
     pub planned_crash: Option<PlannedCrash>,
 }
 
 impl Plan {
-    /// A plan with three stores, half of the traffic and an operator's call each 0.9 s.
+    /// A plan with three stores, half of the deployment's traffic and 0.9 s between operators' calls on
+    /// average.
     pub fn new(deployment: Deployment, faults: &[Fault]) -> Plan {
         Plan {
             deployment,
--- a/testbed/src/sim/scenario/platform.rs
+++ b/testbed/src/sim/scenario/platform.rs
@@ -1,11 +1,12 @@
-//! The platform's endpoint list.
+//! Changes of the platform's endpoint list.
 
 use crate::sim::network::Network;
 use crate::sim::state::Sim;
 use std::sync::Arc;
 use vanepath_config::endpoint_list::Server;
 
-/// Publishes a new revision of the list; the first one has all servers.
+/// Applies a change to the endpoint list and publishes it as a new revision. The first revision lists all
+/// servers.
 pub(super) fn publish(sim: &mut Sim, change: impl FnOnce(&mut Vec<Server>)) {
     let mut list = (*sim.platform).clone();
     if list.revision == 0 {
--- a/testbed/src/sim/scenario/run.rs
+++ b/testbed/src/sim/scenario/run.rs
@@ -1,4 +1,4 @@
-//! One run of a scenario.
+//! Runs a scenario from one seed.
 
 use super::operators::read_history;
 use super::schedule::schedule;
@@ -7,22 +7,22 @@
 use crate::sim::state::{FAULTS_BEGIN, FailureMode, RoleState, Sim};
 use std::time::Duration;
 
-/// The time that each of several faults has, one after the other.
+/// The time from the start of one fault to the start of the next, for faults that do not overlap.
 const FAULT_INTERVAL: Duration = Duration::from_secs(22);
-/// How long a run goes on after the last fault is over.
+/// How long a run continues after the end of the last fault.
 const RECOVERY_PERIOD: Duration = Duration::from_secs(30);
-/// At the end of that, clients and operators begin nothing new for so long.
+/// The last part of the recovery period, in which clients and operators start no new calls.
 const QUIET_PERIOD: Duration = Duration::from_secs(6);
 
-/// A run that is over.
+/// A completed run.
 pub struct Run {
-    /// The fleet at the end, with its histories.
+    /// The final state of the simulation, with the recorded histories.
     pub sim: Sim,
     /// The seed.
     pub seed: u64,
-    /// When the last fault was over.
+    /// When the last fault ended.
     pub last_fault_end: Duration,
-    /// When clients and operators had ended.
+    /// When the run ended, after all calls of clients and operators.
     pub end: Duration,
     /// The faults.
     pub faults: Vec<Fault>,
@@ -31,42 +31,42 @@
 /// Runs a plan from one seed.
 pub fn run(seed: u64, plan: &Plan) -> Run {
     let mut sim = start_fleet(seed, plan);
-    let mut over = FAULTS_BEGIN;
+    let mut last_fault_end = FAULTS_BEGIN;
     for (index, fault) in plan.faults.iter().enumerate() {
         let start = if plan.overlap {
             FAULTS_BEGIN + Duration::from_millis(sim.net.random.draw() % 3000)
         } else {
             FAULTS_BEGIN + FAULT_INTERVAL * index as u32
         };
-        over = schedule(&mut sim, *fault, start).max(over);
+        last_fault_end = schedule(&mut sim, *fault, start).max(last_fault_end);
     }
-    sim.run_until(over);
+    sim.run_until(last_fault_end);
     if plan.mutation != Some(Mutation::StaysDown) {
         end_all_faults(&mut sim);
     }
-    let end = over + RECOVERY_PERIOD;
+    let end = last_fault_end + RECOVERY_PERIOD;
     sim.run_until(end - QUIET_PERIOD);
     sim.world.stopped = true;
     sim.run_until(end);
     let history = read_history(&mut sim);
     sim.world.history = history;
-    Run { sim, seed, last_fault_end: over, end, faults: plan.faults.clone() }
+    Run { sim, seed, last_fault_end, end, faults: plan.faults.clone() }
 }
 
-/// Whatever is still down, frozen or cut off comes back.
+/// Restores everything that is still down, frozen or partitioned.
 fn end_all_faults(sim: &mut Sim) {
     sim.net.heal();
     for index in 0..sim.nodes.len() {
         if !sim.world.retired.contains(&index) {
-            bring_node_back(sim, index);
+            restore_node(sim, index);
         }
     }
     for index in 0..sim.world.servers.len() {
-        bring_server_back(sim, index);
+        restore_server(sim, index);
     }
 }
 
-fn bring_node_back(sim: &mut Sim, index: usize) {
+fn restore_node(sim: &mut Sim, index: usize) {
     let host = sim.nodes[index].host;
     if sim.net.hosts[host].frozen {
         sim.net.resume(host);
@@ -83,7 +83,7 @@
     }
 }
 
-fn bring_server_back(sim: &mut Sim, index: usize) {
+fn restore_server(sim: &mut Sim, index: usize) {
     let host = sim.world.servers[index].host;
     sim.set_failure_mode(index, FailureMode::Healthy, 0.0);
     if sim.net.hosts[host].frozen {
--- a/testbed/src/sim/scenario/schedule/control_plane.rs
+++ b/testbed/src/sim/scenario/schedule/control_plane.rs
@@ -4,10 +4,10 @@
 use crate::sim::state::{Action, Sim};
 use std::time::Duration;
 
-/// Disks of stores are lost.
+/// Stores lose power and their disks, and start again with empty disks.
 pub(super) fn lose_disks(sim: &mut Sim, context: &Context) -> Duration {
-    let first = sim.net.random.below(context.registries.len());
-    for slot in context.lost_with(first) {
+    let first_slot = sim.net.random.below(context.registries.len());
+    for slot in context.slots_lost_with(first_slot) {
         let store = context.stores[slot];
         sim.schedule(context.start, Action::Crash { node: store, power: true });
         sim.schedule(context.start, Action::Wipe(store));
@@ -24,7 +24,7 @@
 }
 
 pub(super) fn replace_machines(sim: &mut Sim, context: &Context) -> Duration {
-    for slot in context.lost_with(context.slot) {
+    for slot in context.slots_lost_with(context.slot) {
         replace(sim, context, slot, context.start);
     }
     context.start + ms(8000)
@@ -38,10 +38,10 @@
 }
 
 pub(super) fn replace_all_machines_then_kill_all(sim: &mut Sim, context: &Context) -> Duration {
-    let over = replace_all_machines(sim, context);
-    sim.schedule(over + ms(2000), Action::CrashAll);
-    sim.schedule(over + ms(5000), Action::StartAll);
-    over + ms(5000)
+    let replaced_at = replace_all_machines(sim, context);
+    sim.schedule(replaced_at + ms(2000), Action::CrashAll);
+    sim.schedule(replaced_at + ms(5000), Action::StartAll);
+    replaced_at + ms(5000)
 }
 
 fn replace(sim: &mut Sim, context: &Context, slot: usize, at: Duration) {
@@ -70,32 +70,37 @@
     context.end
 }
 
-/// Every node is started again amid a storm of changes, while one registry hears of nothing new, one
-/// stands still, and one proxy starts where it hears only the registry that lags.
-pub(super) fn restart_in_storm(sim: &mut Sim, context: &Context) -> Duration {
+/// Restarts every node during a burst of configuration changes. Meanwhile one registry receives no updates,
+/// another one is frozen, and one proxy starts that reaches only the lagging registry.
+pub(super) fn restart_in_config_burst(sim: &mut Sim, context: &Context) -> Duration {
     let start = context.start;
     for _ in 0..50 {
-        let later = ms(sim.net.random.draw() % 20_000);
-        sim.schedule(start + later, Action::ReplaceConfig);
+        let delay = ms(sim.net.random.draw() % 20_000);
+        sim.schedule(start + delay, Action::ReplaceConfig);
     }
-    let lags = context.registries[context.slot];
-    let resting = context.registries[(context.slot + 1) % context.registries.len()];
-    let alone = context.proxies[0];
+    let lagging = context.registries[context.slot];
+    let frozen = context.registries[(context.slot + 1) % context.registries.len()];
+    let isolated_proxy = context.proxies[0];
     let other_core: Vec<usize> =
-        context.core.iter().copied().filter(|node| *node != lags).collect();
+        context.core.iter().copied().filter(|node| *node != lagging).collect();
     let one_way = sim.net.random.chance(0.3);
-    // Proxies still pull from it; it pulls from no node, and none of the core pulls from it.
-    let lag = (start + ms(2000), start + ms(11_000));
-    cut_off(sim, lags, &other_core, lag, false);
+    // Proxies still pull from the lagging registry. It pulls from no node, and no other core node pulls from
+    // it.
+    let lag_period = (start + ms(2000), start + ms(11_000));
+    cut_off(sim, lagging, &other_core, lag_period, false);
     if one_way {
         let others: Vec<usize> = other_core.iter().chain(&context.proxies).copied().collect();
-        cut_off(sim, lags, &others, (lag.0, lag.0 + ms(2000)), true);
+        cut_off(sim, lagging, &others, (lag_period.0, lag_period.0 + ms(2000)), true);
     }
-    freeze(sim, resting, start + ms(4000), start + ms(7000));
-    let rest: Vec<usize> =
-        context.all.iter().copied().filter(|node| *node != lags && *node != alone).collect();
-    cut_off(sim, alone, &rest, (start + ms(5000), start + ms(10_000)), false);
-    restart(sim, alone, start + ms(6000));
+    freeze(sim, frozen, start + ms(4000), start + ms(7000));
+    let rest: Vec<usize> = context
+        .all
+        .iter()
+        .copied()
+        .filter(|node| *node != lagging && *node != isolated_proxy)
+        .collect();
+    cut_off(sim, isolated_proxy, &rest, (start + ms(5000), start + ms(10_000)), false);
+    restart(sim, isolated_proxy, start + ms(6000));
     let mut when = start + ms(2500);
     for node in context.proxies.iter().skip(1) {
         restart(sim, *node, when);
--- a/testbed/src/sim/scenario/schedule/mod.rs
+++ b/testbed/src/sim/scenario/schedule/mod.rs
@@ -1,4 +1,4 @@
-//! Schedules: which actions make up a fault, and when they happen.
+//! Schedules of faults: the actions that make up each kind of fault, and their times.
 
 mod control_plane;
 mod network;
@@ -12,26 +12,26 @@
 use std::time::Duration;
 use vanepath_cluster::wire::Role;
 
-/// What a fault is scheduled by: its period, the fleet, and the core machine that was drawn for it.
+/// The input for the schedule of a fault: its period, the nodes and servers of the fleet, and random choices.
 struct Context {
     start: Duration,
     end: Duration,
     registries: Vec<usize>,
     stores: Vec<usize>,
     proxies: Vec<usize>,
-    /// Registries and stores.
+    /// All registries and stores.
     core: Vec<usize>,
     /// All nodes.
     all: Vec<usize>,
-    /// Servers, without the spare ones.
+    /// All servers except those of the application `spare`.
     servers: Vec<usize>,
     /// All zones, with their regions.
     zones: Vec<(&'static str, &'static str)>,
-    /// The core machine that was drawn, as an index into `registries` and `stores`.
+    /// The randomly chosen core machine, as an index into `registries` and `stores`.
     slot: usize,
-    /// The steps from a core machine to those that are lost with it: of five, two may be lost at one
-    /// time.
-    steps: Vec<usize>,
+    /// Offsets from a core machine to the machines that are lost together with it, the first being 0. With
+    /// five machines, two are lost at one time.
+    offsets: Vec<usize>,
 }
 
 impl Context {
@@ -46,24 +46,36 @@
             .filter(|index| !sim.world.servers[*index].app.contains("spare"))
             .collect();
         let slot = sim.net.random.below(registries.len());
-        let steps =
+        let offsets =
             if registries.len() < 5 { vec![0] } else { vec![0, 1 + sim.net.random.below(4)] };
         let zones = crate::topology::raiocerto().zones.to_vec();
-        Context { start, end, registries, stores, proxies, core, all, servers, zones, slot, steps }
+        Context {
+            start,
+            end,
+            registries,
+            stores,
+            proxies,
+            core,
+            all,
+            servers,
+            zones,
+            slot,
+            offsets,
+        }
     }
 
-    /// The registry and the store of the core machine that was drawn.
+    /// The registry and the store of the chosen core machine.
     fn machine(&self) -> [usize; 2] {
         [self.registries[self.slot], self.stores[self.slot]]
     }
 
-    /// A core machine and those that are lost with it.
-    fn lost_with(&self, slot: usize) -> Vec<usize> {
-        self.steps.iter().map(|step| (slot + step) % 5).collect()
+    /// The slots of a core machine and of those that are lost together with it.
+    fn slots_lost_with(&self, slot: usize) -> Vec<usize> {
+        self.offsets.iter().map(|offset| (slot + offset) % 5).collect()
     }
 }
 
-/// Puts a fault into the script, and returns when it is over.
+/// Schedules the actions of a fault, and returns the time at which the fault ends.
 pub(super) fn schedule(sim: &mut Sim, fault: Fault, start: Duration) -> Duration {
     let context = &Context::draw(sim, start);
     match fault {
@@ -101,30 +113,30 @@
         Fault::CoreMachineCrashes => control_plane::kill_machine(sim, context),
         Fault::CoreMachineFreezes => control_plane::freeze_machine(sim, context),
         Fault::CoreMachineCutOff => control_plane::cut_machine_off(sim, context),
-        Fault::RestartsInConfigBurst => control_plane::restart_in_storm(sim, context),
+        Fault::RestartsInConfigBurst => control_plane::restart_in_config_burst(sim, context),
         Fault::ServerKilled => servers::kill_one(sim, context),
         Fault::ServerRestartedTwice => servers::restart_one_twice(sim, context),
         Fault::RollingServerRestart => servers::restart_one_by_one(sim, context),
         Fault::AllServersRestarted => servers::restart_all(sim, context),
         Fault::ServerDrains => servers::drain_one(sim, context),
         Fault::AddressReassigned => servers::reassign_address(sim, context),
-        Fault::ServersMisbehave => servers::misbehave(sim, context),
+        Fault::ServersMisbehave => servers::fail_requests(sim, context),
         Fault::ServerFreezes => servers::freeze_one(sim, context),
-        Fault::ServerPartlyUnreachable => servers::cut_off_from_some(sim, context),
+        Fault::ServerPartlyUnreachable => servers::cut_off_from_some_proxies(sim, context),
         Fault::ServerResponsesLost => servers::lose_responses(sim, context),
         Fault::ServerShortPower => servers::short_power_loss(sim, context),
         Fault::FaultyEndpointLists => servers::faulty_endpoint_lists(sim, context),
-        Fault::Downloads => servers::flood_of_downloads(sim, context),
-        Fault::Surge => servers::surge(sim, context),
+        Fault::Downloads => servers::excess_downloads(sim, context),
+        Fault::Surge => servers::surge_in_zone(sim, context),
         Fault::DrainZone => operators::drain_zone(sim, context),
         Fault::OverlappingEvacuations => operators::overlapping_evacuations(sim, context),
-        Fault::ConfigBurst => operators::storm_of_changes(sim, context),
+        Fault::ConfigBurst => operators::burst_of_changes(sim, context),
         Fault::RegionBoundsMove => operators::move_region_bounds(sim, context),
         Fault::ControlCut20s => worst_case::control_plane_cut(sim, context),
         Fault::OperatorsRaceLostResponses => worst_case::racing_operators(sim, context),
-        Fault::SecondLossAfterRepair => worst_case::second_loss(sim, context),
+        Fault::SecondLossAfterRepair => worst_case::successive_disk_losses(sim, context),
         Fault::HundredsOfChangesThenRestart => worst_case::hundreds_of_changes(sim, context),
-        Fault::WrongResponsesAndRetries => worst_case::wrong_answers(sim, context),
+        Fault::WrongResponsesAndRetries => worst_case::failing_servers_and_proxies(sim, context),
     }
 }
 
@@ -132,8 +144,8 @@
     Duration::from_millis(count)
 }
 
-fn pick(sim: &mut Sim, from: &[usize]) -> usize {
-    from[sim.net.random.below(from.len())]
+fn pick(sim: &mut Sim, candidates: &[usize]) -> usize {
+    candidates[sim.net.random.below(candidates.len())]
 }
 
 fn pick_zone(sim: &mut Sim, context: &Context) -> (&'static str, &'static str) {
@@ -144,19 +156,19 @@
     nodes.iter().map(|index| sim.nodes[*index].host).collect()
 }
 
-/// A node is down for a period.
+/// Schedules a crash of a node and its restart at the end of the period.
 fn kill(sim: &mut Sim, node: usize, from: Duration, to: Duration, power: bool) {
     sim.schedule(from, Action::Crash { node, power });
     sim.schedule(to, Action::Start(node));
 }
 
-/// The machine of a node stands still for a period.
+/// Schedules a freeze of a node's machine for a period.
 fn freeze(sim: &mut Sim, node: usize, from: Duration, to: Duration) {
     sim.schedule(from, Action::Freeze(node));
     sim.schedule(to, Action::Resume(node));
 }
 
-/// The network between two sides is cut for a period.
+/// Schedules a network partition between two sides for a period.
 fn cut(
     sim: &mut Sim,
     (from, to): (Duration, Duration),
--- a/testbed/src/sim/scenario/schedule/nodes.rs
+++ b/testbed/src/sim/scenario/schedule/nodes.rs
@@ -1,11 +1,11 @@
-//! Faults of single nodes, of all nodes of a role, and of all nodes of a place.
+//! Faults of single nodes, of all nodes of a role, and of all nodes of a zone or region.
 
 use super::{Context, freeze, kill, ms, pick};
 use crate::sim::state::{Action, Sim};
 use std::time::Duration;
 
-pub(super) fn kill_one(sim: &mut Sim, context: &Context, from: &[usize]) -> Duration {
-    let node = pick(sim, from);
+pub(super) fn kill_one(sim: &mut Sim, context: &Context, candidates: &[usize]) -> Duration {
+    let node = pick(sim, candidates);
     let power = sim.net.random.chance(0.5);
     kill(sim, node, context.start, context.end, power);
     context.end
@@ -36,20 +36,24 @@
 }
 
 pub(super) fn zone_loses_power(sim: &mut Sim, context: &Context) -> Duration {
-    let (hit, _) = super::pick_zone(sim, context);
-    lose_power(sim, context, |zone, _| zone == hit)
+    let (affected, _) = super::pick_zone(sim, context);
+    lose_power(sim, context, |zone, _| zone == affected)
 }
 
 pub(super) fn region_loses_power(sim: &mut Sim, context: &Context) -> Duration {
-    let (_, hit) = super::pick_zone(sim, context);
-    lose_power(sim, context, |_, region| region == hit)
+    let (_, affected) = super::pick_zone(sim, context);
+    lose_power(sim, context, |_, region| region == affected)
 }
 
-/// All machines of a place, by zone and region, lose power.
-fn lose_power(sim: &mut Sim, context: &Context, is_hit: impl Fn(&str, &str) -> bool) -> Duration {
+/// Cuts the power of all machines whose zone and region match.
+fn lose_power(
+    sim: &mut Sim,
+    context: &Context,
+    is_affected: impl Fn(&str, &str) -> bool,
+) -> Duration {
     for node in context.all.iter().copied() {
         let info = sim.nodes[node].info.clone();
-        if is_hit(&info.zone, &info.region) {
+        if is_affected(&info.zone, &info.region) {
             kill(sim, node, context.start, context.end, true);
         }
     }
@@ -58,17 +62,17 @@
             let server = &sim.world.servers[server];
             (server.zone.clone(), server.region.clone())
         };
-        if is_hit(&zone, &region) {
+        if is_affected(&zone, &region) {
             sim.schedule(context.start, Action::StopServer { server, power: true });
-            let later = ms(sim.net.random.draw() % 2000);
-            sim.schedule(context.end + later, Action::StartServer(server));
+            let delay = ms(sim.net.random.draw() % 2000);
+            sim.schedule(context.end + delay, Action::StartServer(server));
         }
     }
     context.end + ms(2001)
 }
 
-pub(super) fn freeze_one(sim: &mut Sim, context: &Context, from: &[usize]) -> Duration {
-    let node = pick(sim, from);
+pub(super) fn freeze_one(sim: &mut Sim, context: &Context, candidates: &[usize]) -> Duration {
+    let node = pick(sim, candidates);
     freeze(sim, node, context.start, context.end);
     context.end
 }
@@ -80,7 +84,7 @@
     end
 }
 
-/// A wall clock jumps back by a day or forward by an hour, and the node is started again.
+/// Sets a node's wall clock back by a day or forward by an hour, and restarts the node.
 pub(super) fn clock_jumps(sim: &mut Sim, context: &Context) -> Duration {
     let start = context.start;
     let node = pick(sim, &context.all);
@@ -90,7 +94,7 @@
     start + ms(1500)
 }
 
-/// Every node is asked to stop and started again, one after the other.
+/// Terminates and restarts all nodes, one after the other.
 pub(super) fn rolling_restart(sim: &mut Sim, context: &Context) -> Duration {
     let mut when = context.start;
     for node in context.all.iter().copied() {
--- a/testbed/src/sim/scenario/schedule/operators.rs
+++ b/testbed/src/sim/scenario/schedule/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' work beside their ordinary calls.
+//! Changes by operators in addition to their periodic calls.
 
 use super::{Context, ms, pick_zone};
 use crate::sim::state::{Action, Evacuation, Sim};
@@ -11,7 +11,7 @@
     context.start + ms(10_000)
 }
 
-/// Two or three evacuations of one zone overlap.
+/// Schedules two or three overlapping evacuations of one zone.
 pub(super) fn overlapping_evacuations(sim: &mut Sim, context: &Context) -> Duration {
     let (zone, _) = pick_zone(sim, context);
     let count = 2 + sim.net.random.below(2);
@@ -28,18 +28,18 @@
     context.start + ms(19_000)
 }
 
-pub(super) fn storm_of_changes(sim: &mut Sim, context: &Context) -> Duration {
+pub(super) fn burst_of_changes(sim: &mut Sim, context: &Context) -> Duration {
     for _ in 0..20 {
-        let later = ms(sim.net.random.draw() % 2000);
-        sim.schedule(context.start + later, Action::ReplaceConfig);
+        let delay = ms(sim.net.random.draw() % 2000);
+        sim.schedule(context.start + delay, Action::ReplaceConfig);
     }
     context.start + ms(3000)
 }
 
 pub(super) fn move_region_bounds(sim: &mut Sim, context: &Context) -> Duration {
-    for turn in 0..6_u32 {
-        let at = context.start + ms(1500) * turn;
-        sim.schedule(at, Action::MoveRegionBounds(turn % 2 == 0));
+    for change in 0..6_u32 {
+        let at = context.start + ms(1500) * change;
+        sim.schedule(at, Action::MoveRegionBounds(change % 2 == 0));
     }
     context.start + ms(12_000)
 }
--- a/testbed/src/sim/scenario/schedule/servers.rs
+++ b/testbed/src/sim/scenario/schedule/servers.rs
@@ -1,4 +1,4 @@
-//! Faults of servers and of the endpoint list, and more traffic than usual.
+//! Faults of servers and of the endpoint list, and excess traffic.
 
 use super::{Context, cut, hosts, ms, pick, pick_zone};
 use crate::sim::mutations::Mutation;
@@ -26,7 +26,7 @@
     context.end + ms(5000)
 }
 
-/// A server goes down again in its slow start.
+/// Restarts a server, and stops and starts it again during its slow start.
 pub(super) fn restart_one_twice(sim: &mut Sim, context: &Context) -> Duration {
     let server = kill_for_the_period(sim, context);
     stop(sim, server, context.end + ms(2000), false);
@@ -34,7 +34,7 @@
     context.end + ms(9000)
 }
 
-/// The servers of one application are started again one after the other.
+/// Restarts the servers of one application one after the other.
 pub(super) fn restart_one_by_one(sim: &mut Sim, context: &Context) -> Duration {
     let server = pick(sim, &context.servers);
     let app = sim.world.servers[server].app.clone();
@@ -49,7 +49,7 @@
     when + ms(5000)
 }
 
-/// All servers of one application are started again at one time.
+/// Restarts all servers of one application at one time.
 pub(super) fn restart_all(sim: &mut Sim, context: &Context) -> Duration {
     let app = sim.world.servers[0].app.clone();
     for server in context.servers.iter().copied() {
@@ -61,7 +61,7 @@
     context.start + ms(11_000)
 }
 
-/// A server drains, is removed from the list and goes down.
+/// Marks a server as draining, and 6 s later removes it from the endpoint list and stops it.
 pub(super) fn drain_one(sim: &mut Sim, context: &Context) -> Duration {
     let server = pick(sim, &context.servers);
     sim.schedule(context.start, Action::MarkDraining(server));
@@ -77,10 +77,11 @@
     context.start + ms(8000)
 }
 
-pub(super) fn misbehave(sim: &mut Sim, context: &Context) -> Duration {
+/// Makes servers fail a part of their requests, in each failure mode.
+pub(super) fn fail_requests(sim: &mut Sim, context: &Context) -> Duration {
     let modes = [FailureMode::RunAndReset, FailureMode::Truncate, FailureMode::Silent];
-    let repeats = if sim.has_mutation(Mutation::UnboundRetries) { 30 } else { 1 };
-    for failure_mode in modes.repeat(repeats) {
+    let rounds = if sim.has_mutation(Mutation::UnboundRetries) { 30 } else { 1 };
+    for failure_mode in modes.repeat(rounds) {
         let server = pick(sim, &context.servers);
         let rate = 0.3 + 0.7 * sim.net.random.part();
         fail(sim, server, failure_mode, rate, (context.start, context.end));
@@ -88,7 +89,7 @@
     context.end
 }
 
-/// A part of a server's requests fails for a period.
+/// Makes a server fail a part of its requests for a period.
 pub(super) fn fail(
     sim: &mut Sim,
     server: usize,
@@ -108,8 +109,8 @@
     context.end + ms(2000)
 }
 
-/// Some proxies reach a server, others do not.
-pub(super) fn cut_off_from_some(sim: &mut Sim, context: &Context) -> Duration {
+/// Partitions a server from some of the proxies.
+pub(super) fn cut_off_from_some_proxies(sim: &mut Sim, context: &Context) -> Duration {
     let server = pick(sim, &context.servers);
     let left = vec![sim.world.servers[server].host];
     let mut right = hosts(sim, &context.proxies);
@@ -118,7 +119,7 @@
     context.end + ms(2000)
 }
 
-/// What a server sends is lost, what is sent to it arrives.
+/// Drops what a server sends to proxies; what is sent to the server arrives.
 pub(super) fn lose_responses(sim: &mut Sim, context: &Context) -> Duration {
     let server = pick(sim, &context.servers);
     let sides = (vec![sim.world.servers[server].host], hosts(sim, &context.proxies));
@@ -126,16 +127,16 @@
     context.end + ms(2000)
 }
 
-/// A server's machine loses power for less than five seconds.
+/// Cuts the power of a server's machine for less than five seconds.
 pub(super) fn short_power_loss(sim: &mut Sim, context: &Context) -> Duration {
     let server = pick(sim, &context.servers);
-    let back = context.start + ms(1600 + sim.net.random.draw() % 3400);
+    let restart_at = context.start + ms(1600 + sim.net.random.draw() % 3400);
     stop(sim, server, context.start, true);
-    start(sim, server, back);
-    back + ms(9000)
+    start(sim, server, restart_at);
+    restart_at + ms(9000)
 }
 
-/// The platform serves faulty endpoint lists while a server drains.
+/// Makes the platform serve faulty endpoint lists while a server is marked as draining.
 pub(super) fn faulty_endpoint_lists(sim: &mut Sim, context: &Context) -> Duration {
     let server = pick(sim, &context.servers);
     sim.schedule(context.start, Action::FaultyEndpointLists(true));
@@ -144,15 +145,16 @@
     context.start + ms(9000)
 }
 
-pub(super) fn flood_of_downloads(sim: &mut Sim, context: &Context) -> Duration {
+/// Adds 37 downloads a second for each proxy, for 5 s.
+pub(super) fn excess_downloads(sim: &mut Sim, context: &Context) -> Duration {
     let extra = 37.0 * context.proxies.len() as f64;
     sim.schedule(context.start, Action::Downloads(extra));
     sim.schedule(context.start + ms(5000), Action::Downloads(0.0));
     context.start + ms(20_000)
 }
 
-/// The clients of one zone send three times as much.
-pub(super) fn surge(sim: &mut Sim, context: &Context) -> Duration {
+/// Triples the request rate of the clients of one zone for 40 s.
+pub(super) fn surge_in_zone(sim: &mut Sim, context: &Context) -> Duration {
     let (zone, _) = pick_zone(sim, context);
     sim.schedule(context.start, Action::Surge(zone, 3.0));
     sim.schedule(context.start + ms(40_000), Action::Surge(zone, 1.0));
--- a/testbed/src/sim/scenario/schedule/worst_case.rs
+++ b/testbed/src/sim/scenario/schedule/worst_case.rs
@@ -1,42 +1,43 @@
-//! The users' worst cases for the control plane, one for each point of `docs/control.md`, with all that
-//! makes it worse at the same time.
+//! The users' worst cases for the control plane, one for each point of `docs/control.md`, each combined with
+//! other faults that aggravate it.
 
 use super::servers::fail;
 use super::{Context, cut, freeze, hosts, kill, ms, pick};
 use crate::sim::state::{Action, FailureMode, Sim};
 use std::time::Duration;
 
-/// How often two operators race. Each race is six calls. With twelve races a store that is far from the
-/// others has more calls than it can settle within their four seconds while two of the three stores are
-/// in trouble one after the other (docs/proof.md, Open).
+/// The number of races between two operators, of six calls each. With twelve races a store that is far from
+/// the others gets more calls than it can complete within their deadline of 4 s while two of the three stores
+/// fail one after the other (docs/proof.md, Open).
 const RACES: usize = 7;
 
-/// Actions, each at some moment of a period.
+/// Schedules `count` actions at random times within a period.
 fn spread(sim: &mut Sim, count: u64, from: Duration, period: Duration, action: fn() -> Action) {
     for _ in 0..count {
-        let later = ms(sim.net.random.draw() % period.as_millis() as u64);
-        sim.schedule(from + later, action());
+        let delay = ms(sim.net.random.draw() % period.as_millis() as u64);
+        sim.schedule(from + delay, action());
     }
 }
 
-/// A core machine is cut off for 14 to 20 s, silently, from the rest of the core or from all nodes, in one
-/// direction or both, or stands still; its clock jumps; changes, reads and a drain meanwhile.
+/// For 14 to 20 s a core machine is frozen, or partitioned from the other core machines or from all nodes, in
+/// one or both directions and without connection errors. Its wall clock jumps meanwhile, and operators make
+/// changes, reads and a drain.
 pub(super) fn control_plane_cut(sim: &mut Sim, context: &Context) -> Duration {
     let start = context.start;
     let end = start + ms(14_000 + sim.net.random.draw() % 6000);
     let slot = sim.net.random.below(context.registries.len());
     let machine = [context.registries[slot], context.stores[slot]];
-    let manner = sim.net.random.below(4);
-    if manner == 3 {
+    let variant = sim.net.random.below(4);
+    if variant == 3 {
         for node in machine {
             freeze(sim, node, start, end);
         }
     } else {
-        let others = if manner == 0 { &context.core } else { &context.all };
+        let others = if variant == 0 { &context.core } else { &context.all };
         let others: Vec<usize> =
             others.iter().copied().filter(|node| !machine.contains(node)).collect();
         let sides = (hosts(sim, &machine), hosts(sim, &others));
-        cut(sim, (start, end), sides, manner == 2);
+        cut(sim, (start, end), sides, variant == 2);
     }
     sim.schedule(start + ms(3000), Action::JumpWallClock(machine[1], -2000));
     sim.schedule(start + ms(9000), Action::JumpWallClock(machine[1], 2000));
@@ -44,19 +45,21 @@
     spread(sim, 12, start + ms(500), ms(16_000), || Action::Read);
     sim.schedule(start + ms(2000), Action::DrainZone("north-2"));
     sim.schedule(start + ms(9000), Action::RestoreZone("north-2"));
-    // The store that led meanwhile goes down just after the cut is over.
-    let other = (slot + 1) % context.registries.len();
-    kill(sim, context.stores[other], end + ms(1500), end + ms(3000), true);
+    // Another store, which may have been the leader meanwhile, loses power just after the end of the
+    // partition.
+    let other_slot = (slot + 1) % context.registries.len();
+    kill(sim, context.stores[other_slot], end + ms(1500), end + ms(3000), true);
     end + ms(4000)
 }
 
-/// Two operators race under one version again and again; each sends the same again twice, to any registry,
-/// since its answers are lost; stores and registries are killed or stand still meanwhile.
+/// Two operators repeatedly submit different configurations under one version. Each sends its submission
+/// twice more, to any registry, as if its responses had been lost. Meanwhile a store and a registry are
+/// killed and a store is frozen.
 pub(super) fn racing_operators(sim: &mut Sim, context: &Context) -> Duration {
     let start = context.start;
     for _ in 0..RACES {
-        let later = ms(sim.net.random.draw() % 14_000);
-        sim.schedule(start + later, Action::RaceOperators);
+        let delay = ms(sim.net.random.draw() % 14_000);
+        sim.schedule(start + delay, Action::RaceOperators);
     }
     let killed = pick(sim, &context.stores);
     kill(sim, killed, start + ms(3000), start + ms(5000), true);
@@ -67,15 +70,15 @@
     start + ms(16_000)
 }
 
-/// A disk is lost right after a change was sent; the next disk is lost once that is repaired, then a machine
-/// is replaced, and at the last loss of a disk all other nodes lose power too.
-pub(super) fn second_loss(sim: &mut Sim, context: &Context) -> Duration {
+/// A disk is lost right after a change was sent, and the next disk once the first loss is repaired. Then a
+/// core machine is replaced, and finally a disk is lost at the moment at which all nodes lose power.
+pub(super) fn successive_disk_losses(sim: &mut Sim, context: &Context) -> Duration {
     let count = context.stores.len();
     let first = sim.net.random.below(count);
     let mut when = context.start;
-    for turn in 0..2 {
-        let store = context.stores[(first + turn) % count];
-        change_before(sim, when);
+    for offset in 0..2 {
+        let store = context.stores[(first + offset) % count];
+        schedule_change_before(sim, when);
         sim.schedule(when, Action::Crash { node: store, power: true });
         sim.schedule(when, Action::Wipe(store));
         sim.schedule(when + ms(800), Action::Start(store));
@@ -85,7 +88,7 @@
     let (registry, store) = (context.registries[replaced], context.stores[replaced]);
     sim.schedule(when, Action::Replace { registry, store });
     when += ms(7000);
-    change_before(sim, when);
+    schedule_change_before(sim, when);
     let lost = context.stores[first];
     sim.schedule(when, Action::Crash { node: lost, power: true });
     sim.schedule(when, Action::Wipe(lost));
@@ -94,14 +97,14 @@
     when + ms(3000)
 }
 
-/// A change that is sent 5 to 400 ms before the loss of a disk.
-fn change_before(sim: &mut Sim, loss: Duration) {
-    let earlier = ms(5 + sim.net.random.draw() % 396);
-    sim.schedule(loss.saturating_sub(earlier), Action::ReplaceConfig);
+/// Schedules a configuration change 5 to 400 ms before the loss of a disk.
+fn schedule_change_before(sim: &mut Sim, loss: Duration) {
+    let lead = ms(5 + sim.net.random.draw() % 396);
+    sim.schedule(loss.saturating_sub(lead), Action::ReplaceConfig);
 }
 
-/// A store is down while hundreds of changes are made, each with its classes in another order; it comes
-/// back, and the store that led goes down before the first one can have caught up for long.
+/// A store is down during 300 configuration changes, each with the classes in another order. It restarts, and
+/// 1.5 s later another store loses power, before the first one can have caught up for long.
 pub(super) fn hundreds_of_changes(sim: &mut Sim, context: &Context) -> Duration {
     let start = context.start;
     let behind = pick(sim, &context.stores);
@@ -117,9 +120,9 @@
     start + ms(19_000)
 }
 
-/// Servers run requests and lose the response, break off and fall silent, several at one time; proxies die
-/// and stand still with requests in progress.
-pub(super) fn wrong_answers(sim: &mut Sim, context: &Context) -> Duration {
+/// Several servers at one time close connections after execution, truncate responses or do not respond, while
+/// one proxy is killed and one is frozen with requests in progress.
+pub(super) fn failing_servers_and_proxies(sim: &mut Sim, context: &Context) -> Duration {
     let start = context.start;
     let end = start + ms(12_000);
     for failure_mode in
