--- a/testbed/src/sim/invariants/config_revisions.rs
+++ b/testbed/src/sim/invariants/config_revisions.rs
@@ -1,19 +1,19 @@
-//! Configuration revisions: no node goes back to an older one.
+//! Configuration revisions: no node returns to an older revision.
 
 use super::{Report, seconds};
 use crate::sim::scenario::Run;
 use vanepath_cluster::wire::Role;
 use vanepath_store::protocol::Outcome;
 
-/// Checks that the revision of a node never falls, within an incarnation or over several, and measures
-/// how long changes took.
+/// Checks that the revision of a node never decreases, within an incarnation and across incarnations, and
+/// measures how long changes took to become active.
 pub(super) fn check(run: &Run, report: &mut Report) {
-    never_fall_within_incarnation(run, report);
-    never_fall_across_incarnations(run, report);
+    check_within_incarnations(run, report);
+    check_across_incarnations(run, report);
     measure_delays(run, report);
 }
 
-fn never_fall_within_incarnation(run: &Run, report: &mut Report) {
+fn check_within_incarnations(run: &Run, report: &mut Report) {
     for node in &run.sim.nodes {
         for pair in node.revisions.windows(2) {
             let is_same = pair[0].incarnation == pair[1].incarnation;
@@ -30,16 +30,17 @@
     }
 }
 
-/// What any incarnation of a name routed by or offered binds all later ones (design 5.8).
-fn never_fall_across_incarnations(run: &Run, report: &mut Report) {
+/// No incarnation of a node may use a revision older than one that an earlier incarnation routed by or
+/// offered to other nodes (design 5.8).
+fn check_across_incarnations(run: &Run, report: &mut Report) {
     for node in &run.sim.nodes {
         let (mut highest_incarnation, mut highest) = (0, 0);
         for change in &node.effective_revisions {
             let (incarnation, revision) = (change.incarnation, change.revision);
             if revision < highest && incarnation != highest_incarnation {
                 report.violations.push(format!(
-                    "{} goes by revision {revision} in life {incarnation} at {}, and went by \
-                     {highest} in life {highest_incarnation}",
+                    "{} uses revision {revision} in incarnation {incarnation} at {}, after revision \
+                     {highest} in incarnation {highest_incarnation}",
                     node.info.name,
                     seconds(change.at)
                 ));
@@ -51,7 +52,7 @@
     }
 }
 
-/// How long changes took to be in effect, for the record; whether too long, `reachability` checks.
+/// Records how long accepted changes took to become active. The module `reachability` checks the limit.
 fn measure_delays(run: &Run, report: &mut Report) {
     let sim = &run.sim;
     for operation in &sim.operations {
@@ -62,8 +63,10 @@
         };
         for node in sim.nodes.iter().filter(|node| node.info.role == Role::Proxy) {
             if sim.net.hosts[node.host].incarnation == 1 {
-                let reached = node.revisions.iter().find(|one| one.revision >= *revision);
-                report.config_delays.extend(reached.map(|one| one.at.saturating_sub(ended_at)));
+                let reached = node.revisions.iter().find(|change| change.revision >= *revision);
+                report
+                    .config_delays
+                    .extend(reached.map(|change| change.at.saturating_sub(ended_at)));
             }
         }
     }
--- a/testbed/src/sim/invariants/config_versions.rs
+++ b/testbed/src/sim/invariants/config_versions.rs
@@ -1,19 +1,19 @@
-//! Configuration versions: one content for each.
+//! Configuration versions: each version has a single content.
 
 use super::Report;
 use crate::sim::scenario::Run;
 use crate::sim::state::OperatorCall;
 use vanepath_store::protocol::{Change, Outcome};
 
-/// The most violations of versions in a report.
+/// The maximum number of violations of versions in a report.
 const MAX_REPORTED: usize = 4;
 
-/// Checks that of the configurations under one version one is acknowledged, and in effect once; what
-/// was acknowledged is not rejected when it is sent again.
+/// Checks that of several configurations under one version only one is accepted, and that an accepted
+/// configuration is not rejected when it is submitted again.
 pub(super) fn check(run: &Run, report: &mut Report) {
     let sim = &run.sim;
     let mut violations = Vec::new();
-    let named: Vec<(usize, u64, &[u8])> = (0..sim.operations.len())
+    let versioned: Vec<(usize, u64, &[u8])> = (0..sim.operations.len())
         .filter_map(|number| {
             let OperatorCall::Change {
                 change: Change::ReplaceConfig { bytes, version, .. }, ..
@@ -26,8 +26,8 @@
         .collect();
     let is_accepted =
         |number: usize| matches!(sim.operations[number].outcome, Some(Outcome::Accepted { .. }));
-    for (at, (number, version, bytes)) in named.iter().enumerate() {
-        for (other, other_version, other_bytes) in &named[..at] {
+    for (at, (number, version, bytes)) in versioned.iter().enumerate() {
+        for (other, other_version, other_bytes) in &versioned[..at] {
             if other_version != version || !is_accepted(*other) {
                 continue;
             }
@@ -44,7 +44,8 @@
             let is_after = first.ended_at.is_some_and(|ended_at| ended_at < later.started_at);
             if other_bytes == bytes && is_after && is_rejected {
                 violations.push(format!(
-                    "operation {number} was refused, and the same had been accepted as {other}"
+                    "operation {number} was rejected, although operation {other} with the same content \
+                     had been accepted"
                 ));
             }
         }
--- a/testbed/src/sim/invariants/drains.rs
+++ b/testbed/src/sim/invariants/drains.rs
@@ -1,4 +1,4 @@
-//! Drains of zones by evacuations.
+//! Evacuations: a zone is drained for as long as one of its evacuations lasts.
 
 use super::Report;
 use crate::sim::scenario::Run;
@@ -6,30 +6,34 @@
 use std::collections::BTreeSet;
 use vanepath_store::protocol::{Change, Outcome};
 
-/// Checks that a zone is restored once each evacuation of it was withdrawn, however often its calls were
-/// sent, and not before. (That no request goes to a drained zone, `reachability` checks.)
+/// Checks that a zone is restored when all its evacuations are withdrawn, however often their calls were
+/// retransmitted, and not before. The module `reachability` checks that drained zones get no requests.
 pub(super) fn check(run: &Run, report: &mut Report) {
     let sim = &run.sim;
     let Some((_, Some(Outcome::Value { value }))) = sim.world.history.last() else { return };
-    let zones: BTreeSet<&str> = sim.evacuations.iter().map(|one| one.zone).collect();
+    let zones: BTreeSet<&str> = sim.evacuations.iter().map(|evacuation| evacuation.zone).collect();
     for zone in zones {
-        let of_zone = || sim.evacuations.iter().filter(|one| one.zone == zone);
-        // Drained by a call under a key as well: that one is independent.
-        let is_other = sim.operations.iter().any(|one| {
-            matches!(&one.call, OperatorCall::Change { change: Change::DrainZone { zone: other }, .. }
-                if other == zone && one.call.evacuation().is_none())
+        let of_zone = || sim.evacuations.iter().filter(|evacuation| evacuation.zone == zone);
+        // A drain with an idempotency key is independent of the evacuations.
+        let has_keyed_drain = sim.operations.iter().any(|operation| {
+            matches!(&operation.call, OperatorCall::Change { change: Change::DrainZone { zone: other }, .. }
+                if other == zone && operation.call.evacuation().is_none())
         });
-        let standing = of_zone().filter(|one| {
-            one.acknowledged_at[0].is_some() && one.sent_at[1].is_none_or(|at| at > run.end)
+        let active = of_zone().filter(|evacuation| {
+            evacuation.acknowledged_at[0].is_some()
+                && evacuation.sent_at[1].is_none_or(|at| at > run.end)
         });
         let is_drained = value.drained_zones.contains(zone);
-        let is_over = of_zone().all(|one| one.acknowledged_at[1].is_some());
-        if is_over && is_drained && !is_other {
-            let text = format!("{zone} is emptied still, and every order was withdrawn");
+        let all_withdrawn = of_zone().all(|evacuation| evacuation.acknowledged_at[1].is_some());
+        if all_withdrawn && is_drained && !has_keyed_drain {
+            let text =
+                format!("{zone} is still drained, although all its evacuations were withdrawn");
             report.violations.push(text);
         }
-        if standing.count() > 0 && !is_drained {
-            report.violations.push(format!("{zone} is back, and an order to empty it stands"));
+        if active.count() > 0 && !is_drained {
+            report
+                .violations
+                .push(format!("{zone} was restored before all its evacuations were withdrawn"));
         }
     }
 }
--- a/testbed/src/sim/invariants/mod.rs
+++ b/testbed/src/sim/invariants/mod.rs
@@ -1,5 +1,5 @@
-//! Invariant checks, from outside: the histories of clients, servers and operators, and which
-//! configuration was in effect where. Each violation is one line.
+//! Invariant checks on the recorded histories of clients, servers and operators, and on the configurations
+//! that were active on each node. Each violation is one line.
 
 mod config_revisions;
 mod config_versions;
@@ -16,54 +16,54 @@
 use super::state::RoleState;
 use std::time::Duration;
 
-/// What the invariant checks found and measured.
+/// The violations and measurements of a run.
 #[derive(Debug, Default)]
 pub struct Report {
     /// The violations, one line each.
     pub violations: Vec<String>,
     /// Idempotent requests.
     pub lookups: usize,
-    /// Idempotent requests without a good answer.
+    /// Idempotent requests that were not executed, or may not have been.
     pub lookups_lost: usize,
     /// Requests that must not run twice.
     pub filings: usize,
-    /// Of these, those that clients were told not to have run.
+    /// Those of them that were reported to clients as not run.
     pub filings_not_run: usize,
-    /// Of these, those that clients were told may have run.
+    /// Those of them that were reported to clients as may-have-run.
     pub filings_may_have_run: usize,
-    /// Retries of proxies for each admitted request.
+    /// Retries by proxies per admitted request.
     pub proxy_retry_ratio: f64,
-    /// Requests that came to proxies beyond the first arrival of each, for each request.
+    /// Repeated arrivals of requests at proxies, per request.
     pub client_retry_ratio: f64,
-    /// The most retries in any ten seconds, less a fifth of the requests.
+    /// The highest number of retries in any ten seconds minus a fifth of the requests.
     pub worst_retry_excess: f64,
-    /// How often a client changed its zone, on the mean.
+    /// How often a client changed its zone, on average.
     pub zone_switches: f64,
-    /// The highest load of one server, of those that report a measured load.
+    /// The highest load of any server that reports a measured load.
     pub worst_load: f64,
-    /// The most requests that a server in slow start got in one second, in multiples of its rate.
+    /// The most requests in one second to a server in slow start, as a multiple of its slow-start rate.
     pub worst_slow_start: f64,
-    /// The longest time until a proxy used a configuration that it could have known.
+    /// The longest time from when a proxy could have known a configuration until it used it.
     pub worst_config_delay: Duration,
-    /// The longest time for which requests still went to what was drained.
+    /// The longest time for which requests still went to a drained server or zone.
     pub worst_drain_delay: Duration,
-    /// How long each accepted change took to be in effect on each proxy.
+    /// How long each accepted change took to become active on each proxy.
     pub config_delays: Vec<Duration>,
-    /// When the last lookup was lost after the last fault; `None` if none was served since.
+    /// The time from the end of the last fault to the last lost lookup; `None` if none was served since.
     pub resumed_after: Option<Duration>,
     /// Accepted changes.
     pub accepted: usize,
-    /// Changes whose outcome operators were told to be unknown.
+    /// Changes that were reported to operators as having an unknown outcome.
     pub unknown: usize,
-    /// Changes that operators were told not to have been applied.
+    /// Changes that were reported to operators as not applied.
     pub not_applied: usize,
-    /// Bytes of gossip a second, of all nodes together.
+    /// Bytes of gossip per second, of all nodes together.
     pub cluster_bytes: f64,
-    /// Bytes of gossip a second between zones.
+    /// Bytes of gossip per second between zones.
     pub cross_zone_cluster_bytes: f64,
-    /// Health checks a second.
+    /// Health checks per second.
     pub probes: f64,
-    /// Writes to the disks of all stores for each accepted change.
+    /// Disk syncs of all stores per accepted change.
     pub syncs_per_change: f64,
 }
 
@@ -89,17 +89,17 @@
     report
 }
 
-/// Figures that no invariant bounds.
+/// Adds measurements that no invariant limits.
 fn measure(run: &Run, report: &mut Report) {
     let sim = &run.sim;
     let clients = &sim.world.clients;
     let switches: u64 = clients.iter().map(|client| client.steering.switches).sum();
     report.zone_switches = switches as f64 / clients.len().max(1) as f64;
     report.worst_load = sim.world.worst_load;
-    let seconds = sim.net.now.as_secs_f64();
-    report.cluster_bytes = sim.net.cluster_bytes as f64 / seconds;
-    report.cross_zone_cluster_bytes = sim.net.cross_zone_cluster_bytes as f64 / seconds;
-    report.probes = sim.world.probes as f64 / seconds;
+    let elapsed = sim.net.now.as_secs_f64();
+    report.cluster_bytes = sim.net.cluster_bytes as f64 / elapsed;
+    report.cross_zone_cluster_bytes = sim.net.cross_zone_cluster_bytes as f64 / elapsed;
+    report.probes = sim.world.probes as f64 / elapsed;
     let syncs = sim.nodes.iter().map(|node| match &node.role_state {
         RoleState::Store(store) => store.disk.syncs,
         _ => 0,
@@ -107,7 +107,7 @@
     report.syncs_per_change = syncs.sum::<u64>() as f64 / report.accepted.max(1) as f64;
 }
 
-/// A time in seconds, for violations.
+/// Formats a time in seconds, for the texts of violations.
 fn seconds(time: Duration) -> String {
     format!("{:.3} s", time.as_secs_f64())
 }
--- a/testbed/src/sim/invariants/operator_calls.rs
+++ b/testbed/src/sim/invariants/operator_calls.rs
@@ -1,5 +1,5 @@
-//! Operators' calls against a register with a total order: each accepted change has one revision of its
-//! own, later ones have higher ones, and reads show what stands at their revision.
+//! Operators' calls, checked against a register with a total order: each accepted change has a revision of
+//! its own, later changes have higher revisions, and reads return the content of their revision.
 
 use super::Report;
 use crate::sim::scenario::Run;
@@ -8,16 +8,16 @@
 use std::time::Duration;
 use vanepath_store::protocol::{Change, Outcome};
 
-/// The most violations of operators' calls in a report.
+/// The maximum number of violations of operators' calls in a report.
 const MAX_REPORTED: usize = 8;
 
-/// A configuration document with the revision that brought it into effect.
+/// A configuration document with the revision at which it took effect.
 struct Content {
     config_revision: u64,
     document: Vec<u8>,
 }
 
-/// The contents of all revisions, as anyone saw them.
+/// The contents of all revisions, as reads returned them.
 #[derive(Default)]
 struct Contents {
     by_revision: BTreeMap<u64, Content>,
@@ -34,26 +34,26 @@
             Some(content)
                 if content.config_revision == config_revision && content.document == document => {}
             Some(_) => {
-                let text = format!("revision {revision} has two contents, by {seen_by}");
+                let text = format!("revision {revision} has two contents, according to {seen_by}");
                 self.violations.push(text);
             }
         }
     }
 }
 
-/// A call that saw a revision.
+/// A call that returned a revision.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Observation {
     started_at: Duration,
     ended_at: Duration,
     revision: u64,
-    /// It made the revision, and is no repeat.
+    /// Whether the call made the revision and is not a repeat of an earlier one.
     is_change: bool,
     operation: usize,
 }
 
-/// The revisions at which each document came into effect.
-type Effects = HashMap<Vec<u8>, Vec<u64>>;
+/// The revisions at which each document took effect.
+type EffectiveRevisions = HashMap<Vec<u8>, Vec<u64>>;
 
 /// Checks the history of operators' calls.
 pub(super) fn check(run: &Run, report: &mut Report) {
@@ -69,7 +69,7 @@
     report.violations.extend(violations);
 }
 
-/// What each revision holds, by the reads at the end and by operators' own reads.
+/// Collects the content of each revision from the reads at the end of the run and from operators' reads.
 fn collect_contents(run: &Run, report: &mut Report) -> Contents {
     let sim = &run.sim;
     let mut contents = Contents::default();
@@ -77,14 +77,19 @@
         match outcome {
             Some(Outcome::Value { value }) => {
                 let (config_revision, document) = (value.config_revision, &value.document);
-                contents.record(value.revision, config_revision, document, "the end of the day");
+                contents.record(
+                    value.revision,
+                    config_revision,
+                    document,
+                    "the reads at the end of the run",
+                );
                 if value.revision != *revision {
-                    let seen_by = "another revision's reply";
+                    let seen_by = "the response for another revision";
                     contents.record(*revision, config_revision, document, seen_by);
                 }
             }
-            // Revisions that a rescue skipped and changes of members have no configuration of their own
-            // that could be missing.
+            // Every revision can be read: revisions that a rescue skipped and changes of members have no
+            // configuration of their own that could be missing.
             other => report
                 .violations
                 .push(format!("revision {revision} cannot be read at the end: {other:?}")),
@@ -92,14 +97,19 @@
     }
     for operation in &sim.operations {
         if let Some(Outcome::Value { value }) = &operation.outcome {
-            contents.record(value.revision, value.config_revision, &value.document, "a read");
+            contents.record(
+                value.revision,
+                value.config_revision,
+                &value.document,
+                "an operator's read",
+            );
         }
     }
     contents
 }
 
-fn effects_of(contents: &BTreeMap<u64, Content>) -> Effects {
-    let mut effects = Effects::new();
+fn effects_of(contents: &BTreeMap<u64, Content>) -> EffectiveRevisions {
+    let mut effects = EffectiveRevisions::new();
     for (revision, content) in contents {
         if *revision == content.config_revision && *revision > 0 {
             effects.entry(content.document.clone()).or_default().push(*revision);
@@ -108,8 +118,8 @@
     effects
 }
 
-/// A submission comes into effect once for each key that it was sent under, at most.
-fn check_single_effect(run: &Run, effects: &Effects, violations: &mut Vec<String>) {
+/// Checks that a submission takes effect at most once for each idempotency key with which it was sent.
+fn check_single_effect(run: &Run, effects: &EffectiveRevisions, violations: &mut Vec<String>) {
     for (document, revisions) in effects {
         let keys: BTreeSet<&str> = run
             .sim
@@ -125,16 +135,16 @@
             })
             .collect();
         if revisions.len() > keys.len() {
-            violations.push(format!("one submission came into force as {revisions:?}"));
+            violations.push(format!("one submission took effect as revisions {revisions:?}"));
         }
     }
 }
 
-/// Checks the outcome of each call, and returns what the calls saw.
+/// Checks the outcome of each call, and returns the revisions that the calls returned.
 fn check_outcomes(
     run: &Run,
     contents: &BTreeMap<u64, Content>,
-    effects: &Effects,
+    effects: &EffectiveRevisions,
     report: &mut Report,
     violations: &mut Vec<String>,
 ) -> Vec<Observation> {
@@ -154,10 +164,11 @@
             ) => {
                 report.accepted += usize::from(!is_repeat);
                 if operation.call.is_invalid() {
-                    violations.push(format!("operation {number}: an invalid setup was accepted"));
+                    violations
+                        .push(format!("operation {number}: an invalid configuration was accepted"));
                 }
                 observations.push(observation(*revision, !is_repeat));
-                // A version that was overtaken changes nothing; its outcome `config_versions` checks.
+                // A superseded version changes nothing; the module `config_versions` checks its outcome.
                 if let Change::ReplaceConfig { bytes, version, .. } = change
                     && !(version.is_some() && *is_repeat)
                     && contents
@@ -165,8 +176,8 @@
                         .is_some_and(|content| content.document != *bytes)
                 {
                     violations.push(format!(
-                        "operation {number} was accepted as revision {revision}, which holds \
-                         something else"
+                        "operation {number} was accepted as revision {revision}, which has \
+                         another content"
                     ));
                 }
             }
@@ -174,19 +185,20 @@
                 OperatorCall::Change { change: Change::ReplaceConfig { bytes, .. }, key },
                 Some(outcome),
             ) => {
-                let is_denied = matches!(
+                let is_rejected = matches!(
                     outcome,
                     Outcome::NotApplied { .. }
                         | Outcome::Conflict { .. }
                         | Outcome::VersionTaken { .. }
                 );
-                report.not_applied += usize::from(is_denied);
+                report.not_applied += usize::from(is_rejected);
                 report.unknown += usize::from(*outcome == Outcome::Unknown);
-                // Another submission under the same key may have been applied.
-                let is_only = is_only_one_under(&run.sim.operations, key);
-                if is_denied && is_only && effects.contains_key(bytes) {
-                    violations
-                        .push(format!("operation {number} was told nothing done, and was done"));
+                // With several calls under one key, another one of them may have been applied.
+                let is_only = is_only_call_with_key(&run.sim.operations, key);
+                if is_rejected && is_only && effects.contains_key(bytes) {
+                    violations.push(format!(
+                        "operation {number} was reported as not applied, but took effect"
+                    ));
                 }
             }
             (OperatorCall::Read, Some(Outcome::Value { value })) => {
@@ -198,14 +210,14 @@
     observations
 }
 
-fn is_only_one_under(operations: &[Operation], key: &str) -> bool {
-    let under_key = operations.iter().filter(
+fn is_only_call_with_key(operations: &[Operation], key: &str) -> bool {
+    let with_key = operations.iter().filter(
         |other| matches!(&other.call, OperatorCall::Change { key: other, .. } if other == key),
     );
-    under_key.count() == 1
+    with_key.count() == 1
 }
 
-/// A call that began after another one had ended sees no older revision.
+/// Checks that a call that began after another one had ended returns no older revision.
 fn check_order(run: &Run, observations: &[Observation], violations: &mut Vec<String>) {
     for (index, later) in observations.iter().enumerate() {
         for earlier in &observations[..index] {
--- a/testbed/src/sim/invariants/recovery.rs
+++ b/testbed/src/sim/invariants/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery: each kind of service resumes after the last fault.
+//! Recovery: each kind of service resumes after the end of the last fault.
 
 use super::{Report, seconds};
 use crate::sim::scenario::Run;
@@ -7,40 +7,40 @@
 use vanepath_config::ExecutionStatus;
 use vanepath_store::protocol::Outcome;
 
-/// Within this time after the last fault service has to resume.
+/// The time after the end of the last fault within which service has to resume.
 pub(super) const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A call to a service: when it began, and whether it got what it asked for.
+/// A call to a service: when it began, and whether it was served.
 struct ServiceCall {
     at: Duration,
     is_served: bool,
 }
 
-/// Checks that after the last fault all is back within 15 s, each kind of service by itself: from some
-/// moment within them on, each of its calls gets what it asked for.
+/// Checks that each kind of service resumes within 15 s after the last fault: later calls are all served.
 pub(super) fn check(run: &Run, report: &mut Report) {
-    let over = run.last_fault_end;
+    let fault_end = run.last_fault_end;
     let kinds = [
         ("lookups", requests(run, &[RequestKind::Lookup, RequestKind::Bulk])),
         ("filings", requests(run, &[RequestKind::Filing, RequestKind::BoundFiling])),
-        ("directory polls", steering_polls(run)),
+        ("steering polls", steering_polls(run)),
         ("operators' writes", operations(run, true)),
         ("operators' reads", operations(run, false)),
     ];
     for (kind, calls) in kinds {
-        let after = || calls.iter().filter(|call| call.at >= over);
+        let after = || calls.iter().filter(|call| call.at >= fault_end);
         let served = after().filter(|call| call.is_served).count();
-        let lost = after().filter(|call| !call.is_served).map(|call| call.at - over).max();
-        let lost = lost.unwrap_or_default();
+        let last_lost =
+            after().filter(|call| !call.is_served).map(|call| call.at - fault_end).max();
+        let last_lost = last_lost.unwrap_or_default();
         if kind == "lookups" {
-            report.resumed_after = (served > 0).then_some(lost);
+            report.resumed_after = (served > 0).then_some(last_lost);
         }
-        let is_quiet = kind.starts_with("operators")
+        let may_have_no_calls = kind.starts_with("operators")
             && run.sim.world.operator_interval > Duration::from_secs(1);
-        if (served == 0 && !is_quiet) || lost > RECOVERY_TIMEOUT {
+        if (served == 0 && !may_have_no_calls) || last_lost > RECOVERY_TIMEOUT {
             report.violations.push(format!(
                 "{served} {kind} served after the last fault; the last one lost {} after it",
-                seconds(lost)
+                seconds(last_lost)
             ));
         }
     }
@@ -65,11 +65,11 @@
         .sim
         .operations
         .iter()
-        .filter(|one| !one.call.is_invalid() && one.call.evacuation().is_none())
-        .filter(|one| matches!(one.call, OperatorCall::Change { .. }) == is_write);
-    let calls = of_kind.map(|one| ServiceCall {
-        at: one.started_at,
-        is_served: match &one.outcome {
+        .filter(|operation| !operation.call.is_invalid() && operation.call.evacuation().is_none())
+        .filter(|operation| matches!(operation.call, OperatorCall::Change { .. }) == is_write);
+    let calls = of_kind.map(|operation| ServiceCall {
+        at: operation.started_at,
+        is_served: match &operation.outcome {
             Some(Outcome::NotApplied { .. } | Outcome::Unknown) | None => false,
             Some(_) => true,
         },
--- a/testbed/src/sim/invariants/region_bounds.rs
+++ b/testbed/src/sim/invariants/region_bounds.rs
@@ -1,4 +1,4 @@
-//! Region bounds: requests bound to a region stay there.
+//! Region bounds: requests that are bound to a region are processed only there.
 
 use super::{Report, seconds};
 use crate::sim::scenario::{MOVED_BOUNDS, Run};
@@ -8,10 +8,11 @@
 use vanepath_proxy::connector;
 use vanepath_store::protocol::Outcome;
 
-/// Checks that filings bound to a region are neither forwarded nor served elsewhere.
+/// Checks that filings bound to a region are neither forwarded nor served in another region.
 pub(super) fn check(run: &Run, report: &mut Report) {
-    // The revisions that bind them to the middle, as they were read back at the end.
-    let moved: BTreeSet<u64> = run
+    // The revisions whose configurations bind filings to `middle`, according to the reads at the end of the
+    // run.
+    let moved_revisions: BTreeSet<u64> = run
         .sim
         .world
         .history
@@ -23,19 +24,19 @@
         .filter(|(_, value)| String::from_utf8_lossy(&value.document).contains(MOVED_BOUNDS))
         .map(|(revision, _)| revision)
         .collect();
-    // A proxy uses the configuration that it had when it selected the server: before it connected and
-    // checked the connection.
+    // A proxy uses the configuration that was active when it selected the server, which is before it
+    // connected and checked the connection.
     let may_forward = |proxy: usize, at: Duration| {
         let Some(node) = run.sim.nodes.iter().find(|node| node.host == proxy) else {
             return false;
         };
         let from = at.saturating_sub(2 * connector::TIMEOUT);
-        let before = node.revisions.iter().rev().find(|one| one.at <= from);
-        let since = node.revisions.iter().filter(|one| one.at > from && one.at <= at);
+        let before = node.revisions.iter().rev().find(|change| change.at <= from);
+        let since = node.revisions.iter().filter(|change| change.at > from && change.at <= at);
         let region = node.info.region.as_str();
-        since
-            .chain(before)
-            .any(|one| region == if moved.contains(&one.revision) { "middle" } else { "north" })
+        since.chain(before).any(|change| {
+            region == if moved_revisions.contains(&change.revision) { "middle" } else { "north" }
+        })
     };
     for server in &run.sim.world.servers {
         for ServerArrival { at, request, proxy } in &server.arrivals {
@@ -43,7 +44,7 @@
             let proxy_region = &run.sim.net.hosts[*proxy].region;
             if is_bound && (server.region != *proxy_region || !may_forward(*proxy, *at)) {
                 report.violations.push(format!(
-                    "bound filing {request} was carried in {proxy_region} and served in {} at {}",
+                    "bound filing {request} was forwarded in {proxy_region} and served in {} at {}",
                     server.region,
                     seconds(*at)
                 ));
--- a/testbed/src/sim/invariants/requests.rs
+++ b/testbed/src/sim/invariants/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: at most one execution of filings, and an answer where one was possible.
+//! Requests: filings run at most once, and requests are answered wherever that was possible.
 
 use super::recovery::RECOVERY_TIMEOUT;
 use super::{Report, seconds};
@@ -10,7 +10,7 @@
 use vanepath_cluster::wire::{NodeInfo, Role};
 use vanepath_config::ExecutionStatus;
 
-/// A filing runs at most once, and what its client is told of its execution is true.
+/// Checks that a filing runs at most once, and that its client gets the correct execution status.
 pub(super) fn check_at_most_once(run: &Run, report: &mut Report) {
     let mut runs: HashMap<usize, u32> = HashMap::new();
     for server in &run.sim.world.servers {
@@ -35,14 +35,14 @@
             ExecutionStatus::MayHaveRun => report.filings_may_have_run += 1,
             ExecutionStatus::Ran => {}
         }
-        let is_true = match request.execution {
+        let is_correct = match request.execution {
             ExecutionStatus::Ran => count == 1,
             ExecutionStatus::NotRun => count == 0,
             ExecutionStatus::MayHaveRun => count <= 1,
         };
-        if !is_true {
+        if !is_correct {
             report.violations.push(format!(
-                "filing {number} at {} was told {} and ran {count} times: {}",
+                "filing {number} at {} was reported as {} and ran {count} times: {}",
                 seconds(request.started_at),
                 request.execution,
                 request.reasons
@@ -51,15 +51,15 @@
     }
 }
 
-/// No request goes unanswered while some proxy and server could serve it, and a filing is reported as
-/// may-have-run only where a fault touched it.
+/// Checks that no request is unanswered while some proxy and server could serve it, and that a filing is
+/// reported as may-have-run only if a fault affected it.
 pub(super) fn check_answered(run: &Run, report: &mut Report) {
     let apps = match run.sim.world.paths[0] {
         "/stock" => ["ordering", "documents"],
         _ => ["rolls", "extracts"],
     };
     let outages = outages(run);
-    let mut shown = 0;
+    let mut reported = 0;
     for (number, request) in run.sim.world.requests.iter().enumerate() {
         let (app, region) = match request.kind {
             RequestKind::Lookup | RequestKind::Filing => (apps[0], None),
@@ -78,19 +78,19 @@
         }
         let may_have_run = is_filing && request.execution == ExecutionStatus::MayHaveRun;
         let is_violation = if may_have_run {
-            !had_a_reason(run, request, end)
+            !is_affected_by_fault(run, request, end)
         } else {
-            should_have_been_served(run, request, (app, region), end)
+            could_have_been_served(run, request, (app, region), end)
         };
-        if is_violation && shown < 5 {
-            shown += 1;
+        if is_violation && reported < 5 {
+            reported += 1;
             report.violations.push(format!(
                 "{:?} {number} from {} at {} ended {} {}: {} {} after {} tries: {}",
                 request.kind,
                 run.sim.world.clients[request.client].name,
                 seconds(request.started_at),
                 request.ended_at.map_or("never".to_string(), seconds),
-                if may_have_run { "in doubt for nothing" } else { "unanswered" },
+                if may_have_run { "may-have-run without a fault" } else { "unanswered" },
                 request.execution,
                 request.status,
                 request.attempts,
@@ -100,33 +100,34 @@
     }
 }
 
-/// Whether a fault touched a filing that is reported as may-have-run: its client, or a host that it
-/// was sent to.
-fn had_a_reason(run: &Run, request: &Request, end: Duration) -> bool {
-    // A connection that was checked a second ago may have failed since.
+/// Whether a fault affected a request: its client, or a host to which it was sent.
+fn is_affected_by_fault(run: &Run, request: &Request, end: Duration) -> bool {
+    // The fault may have come up to a second before the request: a connection checked then may have failed
+    // since.
     let from = request.started_at.saturating_sub(Duration::from_secs(1));
     let hosts = request.proxies_tried.iter().chain(&request.forwarded_by).chain(&request.sent_to);
     let client = &run.sim.world.clients[request.client].host;
     hosts.chain([client]).any(|host| run.sim.net.had_fault(*host, from, end))
 }
 
-/// Whether proxies and servers without a fault could have served an unanswered request.
-fn should_have_been_served(
+/// Whether a proxy and a server without a fault could have served an unanswered request.
+fn could_have_been_served(
     run: &Run,
     request: &Request,
     (app, region): (&str, Option<&str>),
     end: Duration,
 ) -> bool {
-    // Where region bounds moved, both regions must have been without a fault.
-    let moves = run.faults.contains(&Fault::RegionBoundsMove);
-    let other = region.filter(|_| moves).map(|_| "middle");
+    // If region bounds moved, a proxy and a server without a fault must have existed in both regions.
+    let bounds_move = run.faults.contains(&Fault::RegionBoundsMove);
+    let other = region.filter(|_| bounds_move).map(|_| "middle");
     [region, other.or(region)]
         .into_iter()
         .all(|region| could_serve(run, app, region, request.client, (request.started_at, end)))
 }
 
-/// Whether there was a proxy without a fault from a little before, since it needs the configuration
-/// first, and a server of the application without a fault, both in the region if one is given.
+/// Whether there were a proxy and a server of the application without a fault in this period, both in the
+/// region if one is given. The proxy must have had no fault for 3 s before, since it needs the configuration
+/// first.
 fn could_serve(
     run: &Run,
     app: &str,
@@ -135,18 +136,20 @@
     (from, to): (Duration, Duration),
 ) -> bool {
     let sim = &run.sim;
-    // Clients are only ever cut off from the proxies of their own region.
+    // The only partition of clients separates them from the proxies of their own region.
     let client = &sim.world.clients[client];
     let is_cut = sim.net.had_fault(client.host, from, to);
     let is_reached =
         |info: &NodeInfo| !is_cut || client.zone.split('-').next() != Some(info.region.as_str());
-    let is_within = |one: &str| region.is_none_or(|region| one == region);
-    // A drained zone serves nothing, from when proxies may know of the drain until its end is due
-    // everywhere.
+    let is_within = |location: &str| region.is_none_or(|region| location == region);
+    // A drained zone serves no requests, from the earliest time at which proxies may know of the drain until
+    // all of them must know of its end.
     let is_drained = |zone: &str| {
-        let soon = PROPAGATION_TIMEOUT;
-        sim.reachability.zone_drains.iter().any(|one| {
-            one.zone == zone && one.from <= to + soon && one.to.is_none_or(|at| at + soon >= from)
+        let delay = PROPAGATION_TIMEOUT;
+        sim.reachability.zone_drains.iter().any(|drain| {
+            drain.zone == zone
+                && drain.from <= to + delay
+                && drain.to.is_none_or(|at| at + delay >= from)
         })
     };
     let before = from.saturating_sub(Duration::from_secs(3));
@@ -167,7 +170,7 @@
         })
 }
 
-/// The periods in which no proxy ran, each with the 15 s after it in which service has to resume.
+/// The periods in which no proxy ran, each extended by the 15 s within which service has to resume.
 fn outages(run: &Run) -> Vec<(Duration, Duration)> {
     let sim = &run.sim;
     let proxies: Vec<_> = sim.nodes.iter().filter(|node| node.info.role == Role::Proxy).collect();
@@ -176,15 +179,16 @@
     };
     let mut outages = Vec::new();
     for down in proxies.iter().flat_map(|node| &node.down_periods) {
-        // The last proxy to go down begins an outage.
+        // An outage begins when the last running proxy goes down.
         if proxies.iter().all(|node| is_down(node, down.from)) {
-            let back = proxies
+            let restored_at = proxies
                 .iter()
                 .flat_map(|node| &node.down_periods)
                 .filter_map(|other| other.to)
                 .filter(|to| *to > down.from)
                 .min();
-            outages.push((down.from, back.or(down.to).unwrap_or(run.end) + RECOVERY_TIMEOUT));
+            outages
+                .push((down.from, restored_at.or(down.to).unwrap_or(run.end) + RECOVERY_TIMEOUT));
         }
     }
     outages
--- a/testbed/src/sim/invariants/slow_start.rs
+++ b/testbed/src/sim/invariants/slow_start.rs
@@ -1,12 +1,12 @@
-//! Slow start: a server that comes back gets its load step by step.
+//! Slow start: the request rate to a restarted server is limited at first.
 
 use super::{Report, seconds};
 use crate::sim::scenario::Run;
 use std::time::Duration;
 
-/// Checks that a server that just came back gets no more than its slow-start rate: 10 requests a second
-/// for 4 s here, in any second and without tolerance, for the proxies divide the rate and none of them
-/// takes another's part.
+/// Checks that a restarted server gets no more than its slow-start rate, which is 10 requests per second for
+/// 4 s in these scenarios. The limit holds in any second and without tolerance, since proxies divide the rate
+/// and none of them exceeds its share.
 pub(super) fn check(run: &Run, report: &mut Report) {
     const RATE: usize = 10;
     let period = Duration::from_secs(4);
@@ -28,8 +28,8 @@
                 report.worst_slow_start = report.worst_slow_start.max(count as f64 / RATE as f64);
                 if count > RATE {
                     report.violations.push(format!(
-                        "cold server {} (back at {}, away {}) got {count} requests in the second \
-                         from {}",
+                        "server {} in slow start (restarted at {} after {} down) got {count} requests in the \
+                         second from {}",
                         server.id,
                         seconds(restart.at),
                         seconds(restart.away),
--- a/testbed/src/sim/invariants/steering.rs
+++ b/testbed/src/sim/invariants/steering.rs
@@ -1,4 +1,4 @@
-//! Steering: how long answers are valid, and that they do not go back.
+//! Steering: the TTL of answers is limited, and their revisions do not decrease.
 
 use super::Report;
 use crate::sim::scenario::Run;
@@ -6,18 +6,18 @@
 /// The longest TTL that a steering answer may have, in seconds.
 const MAX_TTL_SECONDS: f64 = 5.0;
 
-/// Checks that no steering answer is valid for longer than 5 s, and that a client never gets one of an
-/// older revision than before.
+/// Checks that no steering answer is valid for longer than 5 s, and that a client never gets an answer of an
+/// older revision than the answer before.
 pub(super) fn check(run: &Run, report: &mut Report) {
     let longest = run.sim.world.longest_steering_ttl;
     if longest > MAX_TTL_SECONDS {
-        report.violations.push(format!("a receipt holds {longest} s"));
+        report.violations.push(format!("a steering answer is valid for {longest} s"));
     }
     for client in &run.sim.world.clients {
         for pair in client.steering_revisions.windows(2) {
             if pair[1] < pair[0] {
                 report.violations.push(format!(
-                    "{} got an order of revision {} after one of {}",
+                    "{} got a steering answer of revision {} after one of revision {}",
                     client.name, pair[1], pair[0]
                 ));
             }
--- a/testbed/src/sim/mutations.rs
+++ b/testbed/src/sim/mutations.rs
@@ -1,58 +1,58 @@
-//! Mutations: ways to break the product on purpose, which show that the invariant checks notice it
-//! (design 10.3). They live in the simulator's shells alone; no program has them.
+//! Mutations: deliberate defects that show whether the invariant checks detect them (design 10.3). They are
+//! part of the simulator only; no program of the product contains them.
 
-/// A way to break the product. The names on the command line are those of earlier versions.
+/// A deliberate defect. Displayed names are those of earlier versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumIter)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Mutation {
-    /// A filing is retried like a lookup after it may have run.
+    /// Proxies retry a filing like a lookup, although it may have run.
     #[strum(serialize = "filings-go-again")]
     RetriesFilings,
-    /// Every rejection claims that the request did not run.
+    /// Every rejection reports the request as not run.
     #[strum(serialize = "lies-not-run")]
     ClaimsNotRun,
-    /// The first failed attempt of a lookup ends it.
+    /// Proxies do not retry a lookup after a failed attempt.
     #[strum(serialize = "lookups-give-up")]
     NeverRetriesLookups,
     /// Proxies select servers in drained zones.
     #[strum(serialize = "ignores-emptied")]
     IgnoresDrainedZones,
-    /// Proxies do not see that servers are draining.
+    /// Proxies ignore that servers are draining.
     #[strum(serialize = "ignores-leaving")]
     IgnoresDrainingServers,
-    /// A node goes back to an earlier configuration after a while.
+    /// A node returns to an earlier configuration after a while.
     #[strum(serialize = "slips-back")]
     RevertsConfig,
-    /// Gossip brings a new configuration only after six seconds.
+    /// Gossip delivers a new configuration only after six seconds.
     #[strum(serialize = "late-word")]
     DelaysConfig,
-    /// A server that comes back gets its full share at once.
+    /// A restarted server gets its full share of the load at once.
     #[strum(serialize = "floods-cold")]
     SkipsSlowStart,
-    /// The retry budget has no bound, and servers misbehave.
+    /// The retry budget is unlimited, and more servers fail requests.
     UnboundRetries,
     /// The region bounds of rules are dropped.
     ForgetsBounds,
     /// Steering answers are valid for nine seconds.
     #[strum(serialize = "long-receipts")]
     LongSteeringTtl,
-    /// Disks report a sync that did not happen.
+    /// Disks report syncs that did not happen.
     #[strum(serialize = "disks-lie")]
     DisksLoseSyncs,
-    /// A read shows a byte that was never accepted.
+    /// A read returns a byte that was never accepted.
     AltersReads,
-    /// Two operators' changes get one revision: a reader gets the wrong number.
+    /// Reads return wrong revisions, as if two operators' changes had the same revision.
     WrongRevisions,
-    /// A submission is applied twice: idempotency keys are dropped.
+    /// Idempotency keys are dropped, so that a submission can be applied twice.
     ForgetsKeys,
-    /// The version that a configuration names is not compared.
+    /// The version of a configuration is not compared with earlier versions.
     ForgetsVersions,
     /// Nodes stay down after the last fault.
     StaysDown,
-    /// A proxy that starts uses the first configuration it ever saw and does not wait for gossip.
+    /// A starting proxy uses the first configuration that it ever had, and does not wait for gossip.
     #[strum(serialize = "starts-stale")]
     StartsFromStaleConfig,
-    /// The steering service knows of no drained zone.
+    /// The steering service ignores drained zones.
     #[strum(serialize = "still-steers-there")]
     SteersToDrainedZones,
     /// Some filings are rejected though servers are available.
@@ -60,23 +60,23 @@
     /// Some filings that ran are reported as may-have-run.
     #[strum(serialize = "doubts-filings")]
     ReportsFilingsUnknown,
-    /// Some operators' calls are rejected by a registry that reaches its stores.
+    /// A registry rejects some operators' calls although it reaches its stores.
     RefusesOperators,
     /// Registries do not validate configurations.
     #[strum(serialize = "takes-invalid")]
     AcceptsInvalidConfigs,
-    /// A call to drain a zone that is drained already changes nothing.
+    /// A drain of a zone that is already drained changes nothing.
     #[strum(serialize = "one-order-for-all")]
     MergesDrains,
-    /// A call without a key that is sent again counts once more.
+    /// A retransmitted call without an idempotency key counts as another call.
     #[strum(serialize = "counts-sent-again")]
     CountsRetransmissions,
-    /// The steering service gives no answers once faults have begun.
+    /// The steering service does not respond once faults have begun.
     #[strum(serialize = "directories-stay-down")]
     SteeringStaysDown,
-    /// A request that is sent to another server is cut off at those that have it.
+    /// When a request is sent to another server, the attempts in progress are cancelled.
     CutsOffSlowServers,
-    /// A node that starts uses whatever configuration it hears of first, without a read index.
+    /// A starting node uses the first configuration that it receives, without waiting for a read index.
     #[strum(serialize = "no-floor")]
     SkipsReadIndex,
 }
--- a/testbed/src/sim/scenario/fleet.rs
+++ b/testbed/src/sim/scenario/fleet.rs
@@ -90,8 +90,8 @@
     sim.world.rate = topology.requests_per_second * plan.rate;
     if plan.faults.contains(&Fault::Surge) {
         // The service time makes servers 45 % busy at the ordinary request rate.
-        let (_, count) = topology.servers[0];
-        let per_second = sim.world.rate * 0.85 / f64::from(count as u32);
+        let first_app = topology.servers[0];
+        let per_second = sim.world.rate * 0.85 / f64::from(first_app.1 as u32);
         for server in sim.world.servers.iter_mut() {
             server.workers = 1;
             server.service_time = Duration::from_secs_f64(0.45 / per_second);
