--- a/testbed/src/commands/simulate.rs
+++ b/testbed/src/commands/simulate.rs
@@ -1,4 +1,4 @@
-//! Simulated scenarios over a range of seeds.
+//! The command `simulate`: runs simulated scenarios over a range of seeds.
 
 use super::{matches, seeds};
 use std::collections::BTreeMap;
@@ -9,9 +9,9 @@
 use vanepath_testbed::sim::scenario::{self, Deployment, Fault, Plan};
 use vanepath_testbed::sim::{Random, cores, on_threads};
 
-/// Mixed into a seed for the choice of faults, so that it does not follow the scenario's own draws.
+/// XORed into a seed for the choice of faults, so that it is independent of the random draws of the scenario.
 const MIX_SEED: u64 = 0x6d69_7865;
-/// Violations of one scenario that are printed.
+/// The maximum number of violations printed for one scenario.
 const MAX_SHOWN_VIOLATIONS: usize = 6;
 const DEFAULT_OPERATOR_INTERVAL_MS: u64 = 900;
 
@@ -28,17 +28,17 @@
     on_threads(options.threads, scenarios.len(), |index| {
         run_scenario(&scenarios[index], &options, &totals);
     });
-    let mut totals = totals.into_inner().expect("no panic under this lock");
+    let mut totals = totals.into_inner().expect("no thread panics while it holds the lock");
     print_results(&totals);
     print_costs(&mut totals);
     let failed: usize = totals.values().map(|totals| totals.failed).sum();
     if failed > 0 {
-        miette::bail!("{failed} days with faults");
+        miette::bail!("{failed} scenarios violated an invariant");
     }
     Ok(())
 }
 
-/// Which faults a scenario has.
+/// How the faults of a scenario are selected.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Selection {
     /// One of the given kinds, each in a scenario of its own.
@@ -58,10 +58,10 @@
     selection: Selection,
     faults: Vec<Fault>,
     deployments: Vec<Deployment>,
-    /// Share of the deployment's traffic.
+    /// The request rate, as a share of the deployment's.
     rate: f64,
-    /// Whether the history of each failed scenario is printed.
-    traces: bool,
+    /// Whether the trace of each scenario with violations is printed.
+    print_traces: bool,
     operator_interval: Duration,
     threads: usize,
 }
@@ -74,17 +74,17 @@
 }
 
 impl Options {
-    /// `None` if help was requested, which was then printed.
+    /// Parses the arguments. `None` if help was requested, which is then already printed.
     fn parse(arguments: &[String]) -> miette::Result<Option<Options>> {
-        let kinds: Vec<String> = Fault::iter().map(|fault| fault.to_string()).collect();
-        let more = &format!("Kinds of fault: {}", kinds.join(", "));
+        let fault_names: Vec<String> = Fault::iter().map(|fault| fault.to_string()).collect();
+        let footer = &format!("Kinds of fault: {}", fault_names.join(", "));
         let usage = "vanepath-testbed simulate [options]";
-        let Some(matches) = matches(accepted_options(), arguments, usage, more)? else {
+        let Some(matches) = matches(accepted_options(), arguments, usage, footer)? else {
             return Ok(None);
         };
         let (first_seed, last_seed) = seeds(matches.opt_str("seeds"), "1-20")?;
-        let kind = matches.opt_str("fault").unwrap_or("each".to_string());
-        let (selection, faults) = parse_faults(&kind)?;
+        let fault_option = matches.opt_str("fault").unwrap_or("each".to_string());
+        let (selection, faults) = parse_faults(&fault_option)?;
         let deployments = match matches.opt_str("deployment").as_deref() {
             None | Some("both") => vec![Deployment::Raiocerto, Deployment::Guild],
             Some("raiocerto") => vec![Deployment::Raiocerto],
@@ -99,7 +99,7 @@
             faults,
             deployments,
             rate: matches.opt_str("rate").and_then(|text| text.parse().ok()).unwrap_or(1.0),
-            traces: matches.opt_present("trace"),
+            print_traces: matches.opt_present("trace"),
             operator_interval: Duration::from_millis(
                 operator_ms.unwrap_or(DEFAULT_OPERATOR_INTERVAL_MS),
             ),
@@ -110,6 +110,7 @@
         }))
     }
 
+    /// The scenarios to run, in the order of their seeds.
     fn scenarios(&self) -> Vec<Scenario> {
         let mut scenarios = Vec::new();
         for seed in self.first_seed..=self.last_seed {
@@ -175,7 +176,7 @@
 fn run_scenario(scenario: &Scenario, options: &Options, totals: &Mutex<BTreeMap<String, Totals>>) {
     let plan = Plan {
         rate: options.rate,
-        is_traced: options.traces,
+        is_traced: options.print_traces,
         operator_interval: options.operator_interval,
         overlap: options.selection == Selection::Overlapping,
         ..Plan::new(scenario.deployment, &scenario.faults)
@@ -189,17 +190,17 @@
         Selection::Mixed => "mixed".to_string(),
         Selection::Each | Selection::Sequence => names.clone(),
     };
-    let mut totals = totals.lock().expect("no panic under this lock");
+    let mut totals = totals.lock().expect("no thread panics while it holds the lock");
     let world = &run.sim.world;
-    let other_zone_share = world.cross_zone_attempts as f64 / world.attempts.max(1) as f64;
-    totals.entry(row).or_default().add(&report, other_zone_share);
-    // The lock is held, so that the lines of one scenario stay together.
+    let cross_zone_share = world.cross_zone_attempts as f64 / world.attempts.max(1) as f64;
+    totals.entry(row).or_default().add(&report, cross_zone_share);
+    // The lock is still held, so that the lines of concurrent scenarios are not interleaved.
     if !report.violations.is_empty() {
         println!("seed {} {:?} {names}", scenario.seed, scenario.deployment);
         for violation in report.violations.iter().take(MAX_SHOWN_VIOLATIONS) {
             println!("    {violation}");
         }
-        if options.traces {
+        if options.print_traces {
             for line in &run.sim.trace {
                 println!("        {line}");
             }
@@ -217,45 +218,46 @@
     lookups_lost: usize,
     filings: usize,
     filings_may_have_run: usize,
-    /// Shares of retries, summed over the scenarios; so are the figures below that are not maxima.
-    retries: f64,
+    /// The sum of the retry ratios of all scenarios. All values below are sums as well, except maxima and
+    /// `config_times`.
+    proxy_retries: f64,
     max_config_time: Duration,
     max_drain_time: Duration,
     max_resume_time: Duration,
     cluster_bytes_per_second: f64,
-    cluster_bytes_per_second_other_zone: f64,
+    cross_zone_cluster_bytes_per_second: f64,
     probes_per_second: f64,
-    saves_per_change: f64,
-    /// The time until each configuration was active.
+    syncs_per_change: f64,
+    /// The time until each accepted configuration was active on each proxy.
     config_times: Vec<Duration>,
-    other_zone_share: f64,
-    client_retries: f64,
-    max_repeats: f64,
-    max_warming_up_rate: f64,
-    pathway_switches: f64,
+    cross_zone_share: f64,
+    client_retry_ratio: f64,
+    max_retry_excess: f64,
+    max_slow_start_ratio: f64,
+    zone_switches: f64,
     max_server_load: f64,
 }
 
 impl Totals {
-    fn add(&mut self, report: &Report, other_zone_share: f64) {
+    fn add(&mut self, report: &Report, cross_zone_share: f64) {
         self.scenarios += 1;
         self.failed += usize::from(!report.violations.is_empty());
         self.lookups += report.lookups;
         self.lookups_lost += report.lookups_lost;
         self.filings += report.filings;
         self.filings_may_have_run += report.filings_may_have_run;
-        self.retries += report.proxy_retry_ratio;
+        self.proxy_retries += report.proxy_retry_ratio;
         self.cluster_bytes_per_second += report.cluster_bytes;
-        self.cluster_bytes_per_second_other_zone += report.cross_zone_cluster_bytes;
+        self.cross_zone_cluster_bytes_per_second += report.cross_zone_cluster_bytes;
         self.probes_per_second += report.probes;
-        self.client_retries += report.client_retry_ratio;
-        self.pathway_switches += report.zone_switches;
+        self.client_retry_ratio += report.client_retry_ratio;
+        self.zone_switches += report.zone_switches;
         self.max_server_load = self.max_server_load.max(report.worst_load);
-        self.max_repeats = self.max_repeats.max(report.worst_retry_excess);
-        self.max_warming_up_rate = self.max_warming_up_rate.max(report.worst_slow_start);
-        self.saves_per_change += report.syncs_per_change;
+        self.max_retry_excess = self.max_retry_excess.max(report.worst_retry_excess);
+        self.max_slow_start_ratio = self.max_slow_start_ratio.max(report.worst_slow_start);
+        self.syncs_per_change += report.syncs_per_change;
         self.config_times.extend(&report.config_delays);
-        self.other_zone_share += other_zone_share;
+        self.cross_zone_share += cross_zone_share;
         self.max_config_time = self.max_config_time.max(report.worst_config_delay);
         self.max_drain_time = self.max_drain_time.max(report.worst_drain_delay);
         let resume_time = report.resumed_after.unwrap_or_default();
@@ -287,7 +289,7 @@
             totals.lookups_lost,
             totals.filings,
             totals.filings_may_have_run,
-            totals.retries / totals.scenarios as f64,
+            totals.proxy_retries / totals.scenarios as f64,
             totals.max_config_time.as_secs_f64(),
             totals.max_drain_time.as_secs_f64(),
             totals.max_resume_time.as_secs_f64()
@@ -302,21 +304,21 @@
         let median = totals.config_times.get(totals.config_times.len() / 2);
         let median = median.copied().unwrap_or_default();
         println!(
-            "{name:28} siblings {:.1} kB/s, {:.1} kB/s to other zones; {:.0} probes/s; \
-             {:.1} saves for each change; setups in force after {:.3} s (median); {:.1} % of goes \
-             to other zones; callers' further tries {:.4}, repeats in 10 s a fifth and {:.0} at most; \
-             cold servers {:.1} times their rate at most; {:.2} changes of place for each caller; \
-             server under {:.1} times its work at most",
+            "{name:28} gossip {:.1} kB/s, {:.1} kB/s between zones; {:.0} health checks/s; \
+             {:.1} disk syncs per change; configurations active after {:.3} s (median); {:.1} % of \
+             attempts to other zones; client retry ratio {:.4}, retries in 10 s at most a fifth of \
+             requests plus {:.0}; servers in slow start at most {:.1} times their rate; {:.2} zone \
+             switches per client; server load at most {:.1}",
             totals.cluster_bytes_per_second / scenarios / 1000.0,
-            totals.cluster_bytes_per_second_other_zone / scenarios / 1000.0,
+            totals.cross_zone_cluster_bytes_per_second / scenarios / 1000.0,
             totals.probes_per_second / scenarios,
-            totals.saves_per_change / scenarios,
+            totals.syncs_per_change / scenarios,
             median.as_secs_f64(),
-            100.0 * totals.other_zone_share / scenarios,
-            totals.client_retries / scenarios,
-            totals.max_repeats,
-            totals.max_warming_up_rate,
-            totals.pathway_switches / scenarios,
+            100.0 * totals.cross_zone_share / scenarios,
+            totals.client_retry_ratio / scenarios,
+            totals.max_retry_excess,
+            totals.max_slow_start_ratio,
+            totals.zone_switches / scenarios,
             totals.max_server_load
         );
     }
--- a/testbed/src/sim/invariants/operator_calls.rs
+++ b/testbed/src/sim/invariants/operator_calls.rs
@@ -135,7 +135,7 @@
             })
             .collect();
         if revisions.len() > keys.len() {
-            violations.push(format!("one submission took effect as revisions {revisions:?}"));
+            violations.push(format!("one submission took effect more than once: {revisions:?}"));
         }
     }
 }
--- a/testbed/tests/control.rs
+++ b/testbed/tests/control.rs
@@ -1,5 +1,5 @@
-//! The operator's configuration with real processes: acknowledgements, races, lost and damaged disks, kills and
-//! suspensions.
+//! The operator's configuration, with real processes: acknowledgements, concurrent changes, lost and damaged
+//! disks, kills and suspensions.
 
 use std::time::Duration;
 use vanepath_config::ExecutionStatus;
@@ -18,14 +18,14 @@
 
 async fn put(fleet: &Fleet, registry: usize, headers: &[(&str, &str)], body: &[u8]) -> Response {
     let address = fleet.registry_addresses()[registry];
-    call(address, "PUT", "/v1/setup", headers, body).await.expect("the registry replies")
+    call(address, "PUT", "/v1/setup", headers, body).await.expect("the registry responds")
 }
 
 fn tagged_config(fleet: &Fleet, tag: usize) -> Vec<u8> {
     tagged(&fleet.topology.config, tag)
 }
 
-/// The active configuration, from the first registry that returns it.
+/// The active configuration, from the first registry that returns one.
 async fn active_config(fleet: &Fleet) -> Option<Vec<u8>> {
     for address in fleet.registry_addresses() {
         if let Some(reply) = call(address, "GET", "/v1/setup", &[], b"").await
@@ -39,7 +39,8 @@
 
 const SOON: Duration = Duration::from_secs(15);
 
-/// Two registries receive the observations of all proxies; every registry reports the same of them.
+/// Each server's observations by all proxies go to two registries, and every registry reports the same on its
+/// status page.
 #[tokio::test(flavor = "multi_thread")]
 async fn any_registry_reports_the_observations_of_all_proxies() {
     let fleet = Fleet::start(topology::Topology { proxies: 6, ..tiny_topology() }).await;
@@ -47,16 +48,22 @@
     fleet.wait_until_active(revision, SOON).await;
     let reasons = async |registry: usize| -> Vec<String> {
         let address = fleet.registry_addresses()[registry];
-        let status = call(address, "GET", "/v1/status", &[], b"").await.expect("it replies").json();
+        let status = call(address, "GET", "/v1/status", &[], b"")
+            .await
+            .expect("the registry responds")
+            .json();
         status["servers"].members().map(|server| server["why"].to_string()).collect()
     };
-    let is_by_all = |why: &String| why.starts_with("live for ") && !why.starts_with("live for 1 ");
+    let is_from_several_proxies =
+        |why: &String| why.starts_with("live for ") && !why.starts_with("live for 1 ");
     for registry in [0, 2, 1] {
         let is_reported = async || {
             let shown = reasons(registry).await;
-            shown.len() == 2 && shown.iter().all(is_by_all) && shown == reasons(0).await
+            shown.len() == 2
+                && shown.iter().all(is_from_several_proxies)
+                && shown == reasons(0).await
         };
-        wait_until(&format!("registry {registry} tells of both servers"), SOON, is_reported).await;
+        wait_until(&format!("registry {registry} reports both servers"), SOON, is_reported).await;
     }
 }
 
@@ -64,23 +71,23 @@
 async fn responses_state_what_was_done() {
     let fleet = Fleet::start(tiny_topology()).await;
     let first = fleet.put_config(&fleet.topology.config).await;
-    // Only if the active revision is the one that the operator saw.
-    let at = format!("\"{first}\"");
-    let second = put(&fleet, 1, &[("if-match", &at)], &tagged_config(&fleet, 2)).await;
+    // A conditional change is accepted only if the active revision is the one that the operator saw.
+    let etag = format!("\"{first}\"");
+    let second = put(&fleet, 1, &[("if-match", &etag)], &tagged_config(&fleet, 2)).await;
     assert_eq!(second.status, 200, "{:?}", second.body);
-    let third = put(&fleet, 2, &[("if-match", &at)], &tagged_config(&fleet, 3)).await;
+    let third = put(&fleet, 2, &[("if-match", &etag)], &tagged_config(&fleet, 3)).await;
     assert_eq!(third.status, 412);
     assert_eq!(third.json()["outcome"].as_str(), Some("nothing-done"));
-    // A repeat is no second change; another submission under the same key is rejected.
+    // A repeat makes no second change; a different submission with the same key is rejected.
     let key = [("idempotency-key", "spring-prices")];
     let once = put(&fleet, 0, &key, &tagged_config(&fleet, 4)).await.json();
     let again = put(&fleet, 1, &key, &tagged_config(&fleet, 4)).await.json();
     assert_eq!(once["revision"], again["revision"]);
     assert_eq!(again["repeat"].as_bool(), Some(true));
     assert_eq!(put(&fleet, 2, &key, &tagged_config(&fleet, 5)).await.status, 409);
-    let looked =
+    let submission =
         call(fleet.registry_addresses()[2], "GET", "/v1/submissions/spring-prices", &[], b"").await;
-    assert_eq!(looked.unwrap().json()["revision"], once["revision"]);
+    assert_eq!(submission.unwrap().json()["revision"], once["revision"]);
     // All errors of an invalid configuration are listed, and it is not stored.
     let before = active_config(&fleet).await;
     let bad = fleet.topology.config.replace("\"kind\": \"once\"", "\"kind\": \"twice\", \"x\": 1");
@@ -101,7 +108,7 @@
         assert_eq!(reply.status, status, "{method} {path}");
     }
     assert_eq!(active_config(&fleet).await, before);
-    // Concurrent writes: each accepted one has a revision of its own and stays readable.
+    // Concurrent writes: each accepted one gets a revision of its own and stays readable.
     let mut race = tokio::task::JoinSet::new();
     for tag in 10..22 {
         let (address, body) = (fleet.registry_addresses()[tag % 3], tagged_config(&fleet, tag));
@@ -115,15 +122,16 @@
         let (status, revision, body) = done.unwrap();
         assert_eq!(status, 200);
         let revision = revision.unwrap();
-        assert!(revisions.insert(revision), "one revision for two setups");
+        assert!(revisions.insert(revision), "two configurations have revision {revision}");
         let path = format!("/v1/setup/{revision}");
         let read = call(fleet.registry_addresses()[0], "GET", &path, &[], b"").await.unwrap();
         assert_eq!(read.body, body);
     }
 }
 
-/// A configuration that states its version changes nothing unless it is newer, whatever its key: it is a repeat or
-/// was superseded. Another content under the same version is rejected (incident 0012).
+/// A configuration with a version takes effect only if the version is newer than all before, whatever its
+/// key. Otherwise it is a repeat or is superseded, or, with other content under the same version, rejected
+/// (incident 0012).
 #[tokio::test(flavor = "multi_thread")]
 async fn an_old_version_of_a_configuration_changes_nothing() {
     let fleet = Fleet::start(tiny_topology()).await;
@@ -150,7 +158,7 @@
     assert_eq!(active_config(&fleet).await, Some(versioned("7", 1)));
     let next = put(&fleet, 1, &[], &versioned("8", 4)).await.json();
     // One revision records the version that was superseded.
-    assert_eq!(next["revision"].as_u64(), first["revision"].as_u64().map(|one| one + 2));
+    assert_eq!(next["revision"].as_u64(), first["revision"].as_u64().map(|revision| revision + 2));
     assert_eq!(active_config(&fleet).await, Some(versioned("8", 4)));
     let zones = call(fleet.registry_addresses()[2], "GET", "/v1/zones", &[], b"").await.unwrap();
     assert_eq!(zones.json()["emptied"][0].as_str(), Some("north-2"));
@@ -174,11 +182,11 @@
     assert_eq!(active_config(&fleet).await.as_deref(), Some(&body[..]));
     fleet.start_daemon(stores[0]);
     let fleet_ref = &fleet;
-    wait_until("the empty disk votes", SOON, async || {
+    wait_until("the store with the empty disk votes", SOON, async || {
         fleet_ref.page(stores[0], "ready").await["ready"].as_bool() == Some(true)
     })
     .await;
-    // A power loss everywhere at once: everything is there afterwards.
+    // All daemons are killed at once: the configuration is still there after the restart.
     for index in 0..fleet.daemons.len() {
         fleet.kill(index);
     }
@@ -186,7 +194,7 @@
         fleet.start_daemon(index);
     }
     let fleet_ref = &fleet;
-    wait_until("the word is back", SOON, async || {
+    wait_until("the configuration is readable again", SOON, async || {
         active_config(fleet_ref).await.as_deref() == Some(&body[..])
     })
     .await;
@@ -200,13 +208,13 @@
         .collect();
     versions.sort();
     let last = versions.pop().unwrap();
-    let whole = std::fs::read(&last).unwrap();
-    std::fs::write(&last, &whole[..whole.len() / 2]).unwrap();
+    let original = std::fs::read(&last).unwrap();
+    std::fs::write(&last, &original[..original.len() / 2]).unwrap();
     fleet.start_daemon(stores[2]);
     let fleet_ref = &fleet;
-    wait_until("the damaged file is mended", SOON, async || {
+    wait_until("the damaged file is repaired", SOON, async || {
         fleet_ref.page(stores[2], "ready").await["ready"].as_bool() == Some(true)
-            && std::fs::read(&last).is_ok_and(|bytes| bytes == whole)
+            && std::fs::read(&last).is_ok_and(|bytes| bytes == original)
     })
     .await;
     // Two of three disks are lost: there is no new bootstrap, and nothing is accepted.
@@ -220,7 +228,7 @@
     for index in &stores[1..] {
         assert_eq!(fleet.page(*index, "status").await["votes"].as_bool(), Some(false));
     }
-    // The operator orders to continue from the remaining replica.
+    // The operator starts a rescue from the remaining replica.
     fleet.kill(stores[0]);
     let rescue = std::process::Command::new(fleet.program("store"))
         .arg("--settings")
@@ -231,12 +239,12 @@
     assert!(rescue.status.success(), "{}", String::from_utf8_lossy(&rescue.stderr));
     fleet.start_daemon(stores[0]);
     let fleet_ref = &fleet;
-    wait_until("all three vote again", Duration::from_secs(30), async || {
-        let mut all = true;
+    wait_until("all three stores vote again", Duration::from_secs(30), async || {
+        let mut all_ready = true;
         for index in &stores {
-            all &= fleet_ref.page(*index, "ready").await["ready"].as_bool() == Some(true);
+            all_ready &= fleet_ref.page(*index, "ready").await["ready"].as_bool() == Some(true);
         }
-        all
+        all_ready
     })
     .await;
     assert_eq!(active_config(&fleet).await.as_deref(), Some(&body[..]));
@@ -258,16 +266,16 @@
         let reply = call(address, "GET", "/stock/1", &[("x-request", "1")], b"").await;
         reply.is_some_and(|reply| reply.status == 200)
     };
-    wait_until("it serves", SOON, async || lookup().await).await;
+    wait_until("the proxy serves lookups", SOON, async || lookup().await).await;
     for index in fleet.with_role("registry").into_iter().chain(fleet.with_role("store")) {
         fleet.kill(index);
     }
     assert!(lookup().await);
-    // The proxy is suspended meanwhile and resumed: it serves again once its wait for updates has timed out.
+    // The proxy is suspended meanwhile and resumed: it serves again when its wait for updates times out.
     fleet.suspend(proxy);
-    let frozen = std::time::Instant::now();
-    wait_until("a freeze long enough to be one", SOON, async || {
-        frozen.elapsed() > Duration::from_secs(2)
+    let suspended = std::time::Instant::now();
+    wait_until("the suspension is long enough to be detected", SOON, async || {
+        suspended.elapsed() > Duration::from_secs(2)
     })
     .await;
     fleet.resume(proxy);
@@ -293,7 +301,7 @@
     fleet.wait_until_active(revision, SOON).await;
     let registry = fleet.with_role("registry")[0];
     let cluster_address = fleet.daemons[registry].cluster_address;
-    let greeting = vanepath_cluster::wire::encode(&vanepath_cluster::wire::Handshake {
+    let handshake = vanepath_cluster::wire::encode(&vanepath_cluster::wire::Handshake {
         system: vanepath_cluster::wire::SYSTEM.to_string(),
         fleet: "another".to_string(),
         name: "stranger".to_string(),
@@ -302,13 +310,13 @@
     for bytes in [
         framed(b"nonsense"),
         u32::MAX.to_be_bytes().to_vec(),
-        framed(&greeting),
+        framed(&handshake),
         b"GET / HTTP/1.1\r\n\r\n".to_vec(),
     ] {
         let mut stream = tokio::net::TcpStream::connect(cluster_address).await.unwrap();
         stream.write_all(&bytes).await.unwrap();
         let mut rest = Vec::new();
-        // Ends by itself: the other side closes the connection.
+        // The read ends because the registry closes the connection.
         let _ = tokio::time::timeout(SOON, stream.read_to_end(&mut rest)).await.unwrap();
     }
     let metrics = fleet.page(registry, "metrics").await;
@@ -316,21 +324,21 @@
     assert_eq!(metrics["siblingFramesOversized"].as_u64(), Some(2));
     assert_eq!(metrics["siblingsTurnedAway"].as_u64(), Some(1));
     let state = async || fleet.page(registry, "status").await["platform"]["state"].to_string();
-    for (text, wanted) in [
+    for (text, expected) in [
         ("{", "malformed"),
         (r#"{"revision": 9, "servers": []}"#, "empty"),
         (r#"{"revision": 0, "servers": []}"#, "older"),
     ] {
         fleet.platform.override_response(Some(text.to_string()));
-        wait_until(wanted, SOON, async || state().await == wanted).await;
+        wait_until(expected, SOON, async || state().await == expected).await;
     }
     let status = fleet.page(registry, "status").await;
     assert_eq!(status["servers"].as_array().unwrap().len(), 2);
     fleet.platform.override_response(None);
-    wait_until("good again", SOON, async || state().await == "good").await;
+    wait_until("the endpoint list is good again", SOON, async || state().await == "good").await;
 }
 
-/// Invalid settings prevent the start; the error names the key.
+/// A daemon does not start with invalid settings, and the error names the key.
 #[test]
 fn invalid_settings_prevent_the_start() {
     let folder = std::env::temp_dir().join(format!("vanepath-settings-{}", std::process::id()));
@@ -350,13 +358,13 @@
         ("[".to_string(), "not JSON"),
     ] {
         std::fs::write(&file, text).unwrap();
-        let run =
+        let output =
             std::process::Command::new(&program).arg("--settings").arg(&file).output().unwrap();
-        assert!(!run.status.success(), "{key}");
-        let said = String::from_utf8_lossy(&run.stderr).to_string();
-        assert!(said.contains(key), "{key}: {said}");
+        assert!(!output.status.success(), "{key}");
+        let error = String::from_utf8_lossy(&output.stderr).to_string();
+        assert!(error.contains(key), "{key}: {error}");
     }
-    // Keys that only a store has.
+    // Keys that only stores accept.
     let of_store = good.replacen('{', "{\"dataFolder\": \"/tmp\", \"stores\": 5,", 1);
     for (program, text, key) in [
         (&store, of_store.replace("5,", "4,"), "$.stores: must be odd"),
@@ -371,10 +379,10 @@
     ] {
         std::fs::write(&file, text).unwrap();
         let check = ["--check", "--settings"];
-        let run = std::process::Command::new(program).args(check).arg(&file).output().unwrap();
-        assert_eq!(run.status.success(), key.is_empty(), "{key}");
-        let said = String::from_utf8_lossy(&run.stderr).to_string();
-        assert!(said.contains(key), "{key}: {said}");
+        let output = std::process::Command::new(program).args(check).arg(&file).output().unwrap();
+        assert_eq!(output.status.success(), key.is_empty(), "{key}");
+        let error = String::from_utf8_lossy(&output.stderr).to_string();
+        assert!(error.contains(key), "{key}: {error}");
     }
     std::fs::write(&file, good).unwrap();
     let check = std::process::Command::new(&program)
@@ -383,16 +391,17 @@
         .output()
         .unwrap();
     assert!(check.status.success());
-    for (flag, said) in [("--help", "Usage: vanepath-proxy"), ("--version", "vanepath-proxy 0")] {
-        let run = std::process::Command::new(&program).arg(flag).output().unwrap();
-        assert!(run.status.success());
-        assert!(String::from_utf8_lossy(&run.stdout).contains(said));
+    for (flag, expected) in [("--help", "Usage: vanepath-proxy"), ("--version", "vanepath-proxy 0")]
+    {
+        let output = std::process::Command::new(&program).arg(flag).output().unwrap();
+        assert!(output.status.success());
+        assert!(String::from_utf8_lossy(&output.stdout).contains(expected));
     }
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// Partitioned and slow links: proxies keep serving, accepted configurations stay, and all are active soon after
-/// the links are restored.
+/// With partitioned and slow links, proxies keep serving, accepted configurations are kept, and they are
+/// active everywhere soon after the links are restored.
 #[tokio::test(flavor = "multi_thread")]
 async fn partitioned_and_slow_links_delay_nothing_for_long() {
     use vanepath_testbed::relay::Link;
@@ -404,7 +413,8 @@
     fleet.wait_until_active(revision, SOON).await;
     let traffic = Traffic::start(&fleet, 1, 0.2).await;
     traffic.wait_for_requests(30).await;
-    // No core machine can be reached: clients keep their last steering response, proxies their configuration.
+    // No core machine is reachable: clients use their last steering response, and proxies their
+    // configuration.
     let core: Vec<usize> =
         fleet.with_role("registry").into_iter().chain(fleet.with_role("store")).collect();
     for index in &core {
@@ -434,8 +444,8 @@
     assert_eq!(lost, 0, "{:?}", count_outcomes(&records));
 }
 
-/// Servers and proxies are killed and suspended under traffic: every lookup is answered, no filing is executed
-/// twice, and nothing is sent to another service at a reused address.
+/// While proxies are killed and suspended and a server is stopped, every lookup is answered and no filing is
+/// executed twice. No request is sent to the server of another service that gets a reused address.
 #[tokio::test(flavor = "multi_thread")]
 async fn kills_and_suspensions_under_traffic_lose_no_lookup() {
     use vanepath_testbed::traffic::{RequestKind, Traffic, check_filings};
@@ -454,7 +464,7 @@
     fleet.suspend(proxies[1]);
     traffic.wait_for_requests(150).await;
     fleet.resume(proxies[1]);
-    // A server ends, and a server of another service gets its address.
+    // A server stops, and a server of another service starts at its address.
     let address = fleet.servers[0].address;
     fleet.servers[0].stop();
     let successor = loop {
@@ -464,7 +474,11 @@
         }
     };
     traffic.wait_for_requests(150).await;
-    assert_eq!(successor.state.arrivals.lock().unwrap().len(), 0, "work went to another service");
+    assert_eq!(
+        successor.state.arrivals.lock().unwrap().len(),
+        0,
+        "requests were sent to another service"
+    );
     fleet.platform.update_list(|list| list.retain(|one| one.address != address));
     traffic.wait_for_requests(60).await;
     let (records, mismatches) = traffic.finish().await;
@@ -477,9 +491,9 @@
     assert!(lost.is_empty(), "{lost:?}");
 }
 
-/// Points 1 and 4 of docs/control.md: the registry and the store of one core machine are suspended for seconds
-/// while the others accept dozens of versions. From their resumption on, and through a restart of the store, no
-/// registry returns an older configuration, and the store catches up.
+/// Points 1 and 4 of docs/control.md: the registry and the store of one core machine are suspended while the
+/// others accept dozens of versions. After their resumption, also during a restart of the store, no registry
+/// returns an older configuration, and the store catches up.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_resumed_core_machine_returns_no_older_configuration() {
     let mut fleet = Fleet::start(tiny_topology()).await;
@@ -492,10 +506,11 @@
     assert_eq!(put(&fleet, 0, &[], &bodies[1]).await.status, 200);
     let (registry, store) = (fleet.with_role("registry")[0], fleet.with_role("store")[0]);
     let addresses = fleet.registry_addresses();
-    // A write and a read are in flight there when it is suspended.
-    let (write, read) = (addresses[0], addresses[0]);
+    // A write is in flight at the registry when it is suspended, and a read when it is resumed.
+    let (write_address, read_address) = (addresses[0], addresses[0]);
     let body = bodies[2].clone();
-    let in_flight = tokio::spawn(async move { call(write, "PUT", "/v1/setup", &[], &body).await });
+    let in_flight =
+        tokio::spawn(async move { call(write_address, "PUT", "/v1/setup", &[], &body).await });
     fleet.suspend(store);
     fleet.suspend(registry);
     for (version, body) in bodies.iter().enumerate().skip(3) {
@@ -503,31 +518,32 @@
         assert_eq!(response.status, 200, "version {version}");
     }
     let newest = bodies.last().unwrap().clone();
-    let reading = tokio::spawn(async move { call(read, "GET", "/v1/setup", &[], b"").await });
+    let reading =
+        tokio::spawn(async move { call(read_address, "GET", "/v1/setup", &[], b"").await });
     fleet.resume(store);
     fleet.resume(registry);
     let is_newest = |reply: Option<Response>| match reply {
         Some(reply) if reply.status == 200 => reply.body == newest,
-        // It does not know, and says so.
+        // An error is allowed: the registry does not know the newest configuration and says so.
         _ => true,
     };
-    assert!(is_newest(reading.await.unwrap()), "what was asked while it stood still");
-    for turn in 0..30 {
-        let reply = call(addresses[turn % 3], "GET", "/v1/setup", &[], b"").await;
-        assert!(is_newest(reply), "turn {turn}");
+    assert!(is_newest(reading.await.unwrap()), "the read that was sent during the suspension");
+    for round in 0..30 {
+        let reply = call(addresses[round % 3], "GET", "/v1/setup", &[], b"").await;
+        assert!(is_newest(reply), "read {round}");
     }
     let _ = in_flight.await.unwrap();
     fleet.kill(store);
     fleet.start_daemon(store);
-    for turn in 0..30 {
-        let reply = call(addresses[turn % 3], "GET", "/v1/setup", &[], b"").await;
-        assert!(is_newest(reply), "turn {turn} after the restart");
+    for round in 0..30 {
+        let reply = call(addresses[round % 3], "GET", "/v1/setup", &[], b"").await;
+        assert!(is_newest(reply), "read {round} after the restart");
     }
     wait_until("the store has caught up", SOON, async || {
         let other = fleet.with_role("store")[1];
-        let of =
+        let accepted_revision =
             async |index: usize| fleet.page(index, "status").await["acceptedRevision"].as_u64();
-        let (own, others) = (of(store).await, of(other).await);
+        let (own, others) = (accepted_revision(store).await, accepted_revision(other).await);
         own.is_some() && own == others
     })
     .await;
--- a/testbed/tests/days.rs
+++ b/testbed/tests/days.rs
@@ -1,5 +1,5 @@
-//! Simulated scenarios with fixed seeds: each kind of fault in both deployments, with all invariants
-//! checked from outside.
+//! Simulated scenarios with fixed seeds: each kind of fault in both deployments, with a check of all
+//! invariants on the recorded histories.
 //! Longer runs: `cargo run --release -p vanepath-testbed -- simulate --seeds 1-1000`.
 
 use std::time::Duration;
@@ -14,7 +14,7 @@
 /// The mean time between an operator's calls.
 const OPERATOR_INTERVAL: Duration = Duration::from_millis(900);
 
-/// Runs scenarios on all processor cores, and returns the violations.
+/// Runs scenarios on all processor cores, and returns the violations of invariants.
 fn violations_of(
     operator_interval: Duration,
     work: Vec<(u64, Deployment, Vec<Fault>)>,
@@ -25,8 +25,8 @@
         let plan = Plan { operator_interval, ..Plan::new(*deployment, faults) };
         let report = check(&run(*seed, &plan));
         assert!(report.lookups > 500 && report.filings > 100);
-        for fault in report.violations {
-            let line = format!("seed {seed} {deployment:?} {faults:?}: {fault}");
+        for violation in report.violations {
+            let line = format!("seed {seed} {deployment:?} {faults:?}: {violation}");
             found.lock().unwrap().push(line);
         }
     });
@@ -60,8 +60,9 @@
     assert!(found.is_empty(), "{}", found.join("\n"));
 }
 
-/// Faults of registries, core machines, the network and servers, with a platform that does not number its
-/// endpoint lists: all proxies use in time what any registry has read, and none goes back (incident 0017).
+/// With a platform that does not number its endpoint lists, all proxies use in time the list that any
+/// registry has read, and none returns to an older list, under faults of registries, core machines, the
+/// network and servers (incident 0017).
 #[test]
 fn unversioned_endpoint_lists_are_followed() {
     use Fault::*;
@@ -87,7 +88,7 @@
     let found = std::sync::Mutex::new(Vec::new());
     on_threads(cores(), 2 * kinds.len(), |index| {
         let deployment = [Deployment::Raiocerto, Deployment::Guild][index % 2];
-        // Servers leave on each of them.
+        // Each scenario also drains a server, so that the endpoint list changes.
         let faults = [kinds[index / 2], ServerDrains];
         let plan = Plan {
             unversioned_lists: true,
@@ -96,11 +97,11 @@
             ..Plan::new(deployment, &faults)
         };
         for seed in 1..=2 {
-            for text in check(&run(seed, &plan)).violations {
+            for violation in check(&run(seed, &plan)).violations {
                 found
                     .lock()
                     .unwrap()
-                    .push(format!("seed {seed} {deployment:?} {faults:?}: {text}"));
+                    .push(format!("seed {seed} {deployment:?} {faults:?}: {violation}"));
             }
         }
     });
@@ -108,7 +109,8 @@
     assert!(found.is_empty(), "{}", found.join("\n"));
 }
 
-/// The users' five worst cases of the control plane (docs/control.md), with three core machines and five.
+/// The five worst cases of the control plane for users (docs/control.md), with three and with five core
+/// machines.
 #[test]
 fn worst_cases_of_the_control_plane_violate_no_invariant() {
     let kinds = [
@@ -130,8 +132,8 @@
     on_threads(cores(), cases.len(), |index| {
         let (fault, deployment, stores, seed) = cases[index];
         let plan = Plan { stores, rate: 0.3, ..Plan::new(deployment, &[fault]) };
-        for text in check(&run(seed, &plan)).violations {
-            let line = format!("{fault} {deployment:?}, {stores} stores, seed {seed}: {text}");
+        for violation in check(&run(seed, &plan)).violations {
+            let line = format!("{fault} {deployment:?}, {stores} stores, seed {seed}: {violation}");
             found.lock().unwrap().push(line);
         }
     });
@@ -142,7 +144,7 @@
 /// Several faults, one after the other.
 #[test]
 fn mixed_faults_violate_no_invariant() {
-    // Faults that are several at one time have scenarios of their own.
+    // Kinds that combine several faults are left out: they have scenarios of their own.
     let faults: Vec<Fault> = Fault::iter().filter(|fault| !fault.is_compound()).collect();
     let mut work = Vec::new();
     for seed in 101..=116 {
@@ -155,18 +157,18 @@
     assert!(found.is_empty(), "{}", found.join("\n"));
 }
 
-/// A surge that makes servers slow, beside a zone that is cut off.
-/// Found what is listed in docs/proof.md.
+/// A surge that slows servers down, with a killed server and a partitioned zone. This seed found a fault that
+/// is listed in docs/proof.md.
 #[test]
-fn what_comes_beside_a_surge() {
+fn a_killed_server_and_a_zone_cut_during_a_surge_violate_no_invariant() {
     use Fault::{ServerKilled, Surge, ZoneCut};
     let work = vec![(113, Deployment::Guild, vec![ServerKilled, Surge, ZoneCut])];
     let found = violations_of(OPERATOR_INTERVAL, work);
     assert!(found.is_empty(), "{}", found.join("\n"));
 }
 
-/// The same with other seeds. An isolated proxy's part of the retry budget is used up by its slow servers when
-/// others fall silent (docs/proof.md, Open).
+/// The same faults with other seeds. Slow servers use up an isolated proxy's share of the retry budget, and
+/// none is left for lookups at servers that become unreachable (docs/proof.md, Open).
 #[test]
 fn lookups_survive_a_zone_cut_during_a_surge() {
     use Fault::{ServerKilled, Surge, ZoneCut};
@@ -176,10 +178,11 @@
     assert!(found.is_empty(), "{}", found.join("\n"));
 }
 
-/// Incident 0019: a rolling restart beside a surge ends no request whose server may be at work on it. Proxies
-/// that cut a request off at a slow server before another one has responded are noticed.
+/// Incident 0019: during a surge, a rolling restart cancels no request that its server may still be
+/// processing. The check detects proxies that cancel a request at a slow server before another server has
+/// responded.
 #[test]
-fn a_rolling_restart_during_a_surge_gives_up_no_request_at_its_server() {
+fn a_rolling_restart_during_a_surge_cancels_no_request_at_its_server() {
     use Fault::{RollingRestart, Surge, ZoneCut};
     use vanepath_testbed::sim::mutations::Mutation;
     let mut work = Vec::new();
@@ -195,16 +198,16 @@
         let plan = Plan { mutation, ..Plan::new(Deployment::Guild, faults) };
         let violations = check(&run(*seed, &plan)).violations;
         let count =
-            violations.iter().filter(|line| line.contains("given up at its server")).count();
+            violations.iter().filter(|text| text.contains("given up at its server")).count();
         given_up.lock().unwrap()[usize::from(is_mutated)] += count;
     });
     let [intact, mutated] = given_up.into_inner().unwrap();
     assert_eq!(intact, 0);
-    assert!(mutated > 0, "the check is blind");
+    assert!(mutated > 0, "the check does not detect the mutation");
 }
 
-/// A surge beside downloads that take seconds: clients that left slow proxies without taking from their
-/// retry budget had 586 of 2,621 requests run twice in ten seconds of the first of these scenarios.
+/// A surge with downloads that take seconds. Clients that switched from slow proxies without counting this in
+/// their retry budget had 586 of 2,621 requests run twice in ten seconds of the first of these scenarios.
 #[test]
 fn downloads_during_a_surge_violate_no_invariant() {
     use Fault::{Downloads, KillRegistry, Surge};
@@ -214,14 +217,15 @@
     assert!(found.is_empty(), "{}", found.join("\n"));
 }
 
-/// Two and three faults at one time, no more of them wide than the users' deployments have to survive.
+/// Two or three faults at one time, of which at most one takes down a zone, a region or all nodes of a role,
+/// as the users' deployments have to survive.
 #[test]
 fn overlapping_faults_violate_no_invariant() {
     use Fault::*;
     let mut work: Vec<(u64, Vec<Fault>)> = (201..=214)
         .map(|seed| (seed, vanepath_testbed::sim::scenario::overlapping_faults(seed)))
         .collect();
-    // These found what is listed in docs/proof.md.
+    // These combinations found faults that are listed in docs/proof.md.
     work.push((1, vec![FreezeProxyLong, KillProxy, ReplaceAllCore]));
     work.push((9, vec![ServerRestartedTwice, KillAll, FreezeProxyLong]));
     work.push((29, vec![KillProxy, ReplaceAllCore, KillRegistry]));
@@ -234,16 +238,19 @@
         let (seed, faults) = work[index / 2].clone();
         let deployment = [Deployment::Raiocerto, Deployment::Guild][index % 2];
         let plan = Plan { overlap: true, rate: 0.4, ..Plan::new(deployment, &faults) };
-        for fault in check(&run(seed, &plan)).violations {
-            found.lock().unwrap().push(format!("seed {seed} {deployment:?} {faults:?}: {fault}"));
+        for violation in check(&run(seed, &plan)).violations {
+            found
+                .lock()
+                .unwrap()
+                .push(format!("seed {seed} {deployment:?} {faults:?}: {violation}"));
         }
     });
     let found = found.into_inner().unwrap();
     assert!(found.is_empty(), "{}", found.join("\n"));
 }
 
-/// A platform serves an empty endpoint list now and then, and new registries know no other: they must not
-/// spread it.
+/// Replaced registries that get an empty endpoint list from a faulty platform do not distribute it, although
+/// they have no earlier list.
 #[test]
 fn new_registries_reject_an_empty_endpoint_list() {
     let faults = [Fault::ServerShortPower, Fault::ReplaceAllCore, Fault::FaultyEndpointLists];
@@ -252,7 +259,7 @@
     assert!(found.is_empty(), "{}", found.join("\n"));
 }
 
-/// A second fault in the middle of a surge: half of the fleet's capacity is in use, and a part of the fleet
+/// A second fault after a surge has begun: half of the fleet's capacity is in use, and a part of the fleet
 /// goes down.
 #[test]
 fn faults_during_a_surge_violate_no_invariant() {
@@ -262,14 +269,14 @@
         work.push((1, Deployment::Raiocerto, vec![Surge, second]));
         work.push((2, Deployment::Guild, vec![Surge, second]));
     }
-    // Found what is listed in docs/proof.md.
+    // This combination found a fault that is listed in docs/proof.md.
     work.push((5, Deployment::Guild, vec![Surge, RegionPower]));
     let found = violations_of(OPERATOR_INTERVAL, work);
     assert!(found.is_empty(), "{}", found.join("\n"));
 }
 
-/// Evacuations of one zone that overlap, by calls that are sent again without a key: each holds until it is
-/// withdrawn itself, and then the zone is restored (incident 0006).
+/// Overlapping evacuations of one zone, whose calls have no idempotency keys and are retransmitted: the zone
+/// is drained until each of them is withdrawn, and then restored (incident 0006).
 #[test]
 fn each_evacuation_drains_its_zone_until_it_is_withdrawn() {
     use Fault::*;
@@ -279,41 +286,43 @@
         work.push((seed, Deployment::Guild, vec![OverlappingEvacuations]));
     }
     let mut found = violations_of(OPERATOR_INTERVAL, work);
-    // With stores that die or are slow as well.
-    let beside = [SlowNetwork, KillStore, KillRegistry, FreezeStore];
+    // The same together with a slow network, or with a store or registry that is killed or frozen.
+    let second_faults = [SlowNetwork, KillStore, KillRegistry, FreezeStore];
     let beside: Vec<(u64, Fault)> =
-        (1..=4).flat_map(|seed| beside.map(|fault| (seed, fault))).collect();
-    // The other seeds with a slow network are below.
-    let beside = beside.into_iter().filter(|one| *one != (4, SlowNetwork)).collect();
-    found.extend(evacuations_beside(beside));
+        (1..=4).flat_map(|seed| second_faults.map(|fault| (seed, fault))).collect();
+    // This seed fails as those of `orders_to_empty_a_zone_on_a_slow_network` do.
+    let beside = beside.into_iter().filter(|case| *case != (4, SlowNetwork)).collect();
+    found.extend(violations_of_evacuations_with(beside));
     assert!(found.is_empty(), "{}", found.join("\n"));
 }
 
-/// Calls without keys where the network is slow: some that are sent again are counted as others.
-/// Found what is listed in docs/proof.md.
+/// Evacuations whose calls have no idempotency keys, on a slow network: a retransmission may be counted as a
+/// second evacuation. These seeds found a fault that is listed in docs/proof.md.
 #[test]
 fn orders_to_empty_a_zone_on_a_slow_network() {
     let seeds = [4, 6, 18, 21, 23, 27, 34, 42];
-    let found = evacuations_beside(seeds.map(|seed| (seed, Fault::SlowNetwork)).to_vec());
+    let found =
+        violations_of_evacuations_with(seeds.map(|seed| (seed, Fault::SlowNetwork)).to_vec());
     assert!(found.is_empty(), "{}", found.join("\n"));
 }
 
-/// The violations of overlapping evacuations beside another fault.
-fn evacuations_beside(beside: Vec<(u64, Fault)>) -> Vec<String> {
+/// Runs overlapping evacuations together with another fault, and returns the violations.
+fn violations_of_evacuations_with(cases: Vec<(u64, Fault)>) -> Vec<String> {
     let found = std::sync::Mutex::new(Vec::new());
-    on_threads(cores(), beside.len(), |index| {
-        let (seed, fault) = beside[index];
+    on_threads(cores(), cases.len(), |index| {
+        let (seed, fault) = cases[index];
         let faults = [Fault::OverlappingEvacuations, fault];
         let plan = Plan { overlap: true, rate: 0.4, ..Plan::new(Deployment::Raiocerto, &faults) };
-        for fault in check(&run(seed, &plan)).violations {
-            found.lock().unwrap().push(format!("seed {seed} {faults:?}: {fault}"));
+        for violation in check(&run(seed, &plan)).violations {
+            found.lock().unwrap().push(format!("seed {seed} {faults:?}: {violation}"));
         }
     });
     found.into_inner().unwrap()
 }
 
-/// Nodes of every role are started again amid a storm of changes, while others lag, stand still and are cut
-/// off: none uses an older configuration than any earlier incarnation of it, and no lookup is lost for that.
+/// Nodes of every role are restarted during a burst of configuration changes, while other nodes lag behind,
+/// are frozen or are partitioned. No node uses a configuration older than one that an earlier incarnation of
+/// it used, and no lookup is lost because of that.
 #[test]
 fn a_restarted_node_never_uses_an_older_configuration() {
     let mut work = Vec::new();
@@ -325,19 +334,19 @@
     assert!(found.is_empty(), "{}", found.join("\n"));
 }
 
-/// The read index delays no start for long (design 5.8), whatever is down or cut off, and with all nodes at
-/// one time. Figures: docs/measurements.md, "From start to ready".
+/// Waiting for the read index delays no start for long (design 5.8), whichever nodes are down or partitioned,
+/// and also when all nodes start at one time. Figures: docs/measurements.md, "From start to ready".
 #[test]
-fn a_started_node_is_ready_soon() {
+fn a_started_node_is_ready_within_its_limit() {
     use vanepath_testbed::sim::startup::{Scene, measure};
     let mut late = Vec::new();
     for deployment in [Deployment::Raiocerto, Deployment::Guild] {
         for scene in Scene::iter() {
-            // Without a majority of stores in reach, a node waits for the read index of its peers.
-            let most = if scene == Scene::RegionCut { 2200 } else { 1000 };
+            // If no majority of stores is reachable, a node waits for the read index from its peers.
+            let limit_ms = if scene == Scene::RegionCut { 2200 } else { 1000 };
             for seed in 1..=2 {
                 for start in measure(seed, scene, &Plan::new(deployment, &[])) {
-                    if start.took.is_none_or(|took| took > Duration::from_millis(most)) {
+                    if start.took.is_none_or(|took| took > Duration::from_millis(limit_ms)) {
                         let (role, took) = (start.role, start.took);
                         late.push(format!("{deployment:?} {scene} {seed} {role}: {took:?}"));
                     }
@@ -348,17 +357,17 @@
     assert!(late.is_empty(), "{}", late.join("\n"));
 }
 
-/// Every accepted configuration is still readable when all three disks are new.
+/// Every accepted configuration is still readable after all three disks were replaced.
 #[test]
 fn a_long_history_survives_the_loss_of_every_disk() {
-    let often = Duration::from_millis(100);
+    let short_interval = Duration::from_millis(100);
     let work = vec![(7, Deployment::Guild, vec![Fault::None, Fault::None, Fault::ReplaceAllCore])];
-    let found = violations_of(often, work);
+    let found = violations_of(short_interval, work);
     assert!(found.is_empty(), "{}", found.join("\n"));
 }
 
-/// With five stores two disks, or two core machines, are lost at one time, and all five machines are
-/// replaced in turn.
+/// With five stores, the fleet survives the loss of two disks or two core machines at one time, and the
+/// replacement of all five machines in turn.
 #[test]
 fn five_stores_survive_the_loss_of_two() {
     use Fault::*;
@@ -375,8 +384,8 @@
     spares_voting(5, 0, work);
 }
 
-/// With a spare store: a store that is cut off or down for long loses its member slot to the spare, comes
-/// back empty and is a spare itself; no operator has to act.
+/// A store that is partitioned or down for long loses its member slot to a spare store. It returns with an
+/// empty disk and becomes a spare itself, without any action of an operator.
 #[test]
 fn a_spare_store_takes_a_lost_member_slot() {
     use Fault::*;
@@ -388,11 +397,11 @@
     work.push((5, vec![ReplaceAllCoreThenKillAll]));
     work.push((6, vec![DiskFull, RollingRestart, RegionCut]));
     let taken = spares_voting(3, 1, work.clone()) + spares_voting(5, 2, work);
-    assert!(taken > 10, "spares had {taken} seats at the ends of all days");
+    assert!(taken > 10, "spares had {taken} member slots at the ends of all runs");
 }
 
-/// Runs scenarios with so many stores and spares: no invariant is violated, and at the end so many stores
-/// vote. Returns how many spares are among these.
+/// Runs scenarios with these numbers of stores and spares. Checks that no invariant is violated and that
+/// `stores` stores vote at the end, and returns how many of the voting stores are spares.
 fn spares_voting(stores: usize, spares: usize, work: Vec<(u64, Vec<Fault>)>) -> usize {
     let taken = std::sync::atomic::AtomicUsize::new(0);
     let found = std::sync::Mutex::new(Vec::new());
@@ -401,7 +410,7 @@
         let deployment = [Deployment::Raiocerto, Deployment::Guild][index % 2];
         let plan = Plan { stores, spares, rate: 0.3, ..Plan::new(deployment, faults) };
         let finished = run(*seed, &plan);
-        let mut faults_found = check(&finished).violations;
+        let mut violations = check(&finished).violations;
         let mut voting = 0;
         for (index, node) in finished.sim.nodes.iter().enumerate() {
             let RoleState::Store(store) = &node.role_state else { continue };
@@ -412,10 +421,11 @@
             }
         }
         if voting != stores {
-            faults_found.push(format!("{voting} stores vote at the end"));
+            violations.push(format!("{voting} stores vote at the end"));
         }
-        for fault in faults_found {
-            let line = format!("{stores} stores, seed {seed} {deployment:?} {faults:?}: {fault}");
+        for violation in violations {
+            let line =
+                format!("{stores} stores, seed {seed} {deployment:?} {faults:?}: {violation}");
             found.lock().unwrap().push(line);
         }
     });
@@ -424,8 +434,8 @@
     taken.into_inner()
 }
 
-/// An empty core machine that is started as another one dies has its member slot and votes before the next
-/// one may be replaced.
+/// A core machine with an empty disk that starts when another one fails gets its member slot and votes before
+/// the next machine is replaced.
 #[test]
 fn a_replaced_core_machine_votes_within_five_seconds() {
     let mut took = Vec::new();
@@ -446,13 +456,13 @@
             }
         }
     }
-    let most = took.iter().copied().fold(0.0, f64::max);
-    println!("{} machines, at the most {most:.1} s", took.len());
-    assert!(most < 5.0, "{most} s");
+    let longest = took.iter().copied().fold(0.0, f64::max);
+    println!("{} machines, maximum {longest:.1} s", took.len());
+    assert!(longest < 5.0, "{longest} s");
 }
 
-/// All stores start within a second, each with up to three others as seeds: two seconds after the last start
-/// they have formed the first member table and vote.
+/// Stores that start within one second, each with up to three others as seeds, form the first member table
+/// and vote within two seconds after the last start.
 #[test]
 fn stores_bootstrap_within_two_seconds() {
     let mut late = Vec::new();
@@ -467,7 +477,7 @@
                 sim.add_node(Role::Store, &name, &format!("zone-{number}"), &region, stores);
             }
             for number in 0..stores {
-                // The three after it in a ring, or as many as there are.
+                // Its seeds are the next three stores in a ring, or all others if there are fewer.
                 let others = (1..=3.min(stores - 1)).map(|step| (number + step) % stores);
                 let seeds = others.map(|other| sim.nodes[other].info.cluster_address).collect();
                 sim.nodes[number].seeds = seeds;
@@ -478,23 +488,23 @@
                 sim.start_node((number + seed as usize) % stores);
             }
             sim.run_until(Duration::from_secs(3));
-            let votes = sim.nodes.iter().filter(|node| match &node.role_state {
+            let voting = sim.nodes.iter().filter(|node| match &node.role_state {
                 RoleState::Store(store) => store.core.summary().is_voting,
                 _ => false,
             });
-            let votes = votes.count();
-            if votes < stores {
-                late.push(format!("seed {seed}: {votes} of {stores} stores vote"));
+            let voting = voting.count();
+            if voting < stores {
+                late.push(format!("seed {seed}: {voting} of {stores} stores vote"));
             }
         }
     }
     assert!(late.is_empty(), "{}", late.join("\n"));
 }
 
-/// Over a hundred changes in ten seconds, where a round trip between stores takes longer than the pause
-/// between two changes: none waits for those before it.
+/// Over a hundred changes in ten seconds, where a round trip between stores takes longer than the interval
+/// between two changes: no change waits for the earlier ones.
 #[test]
-fn a_storm_of_changes_does_not_queue_up() {
+fn a_burst_of_changes_does_not_queue_up() {
     for stores in [3, 5] {
         let operator_interval = Duration::from_millis(80);
         let plan = Plan {
@@ -504,22 +514,22 @@
             ..Plan::new(Deployment::Raiocerto, &[Fault::None])
         };
         let finished = run(1, &plan);
-        let faults = check(&finished).violations;
-        assert!(faults.is_empty(), "{}", faults.join("\n"));
+        let violations = check(&finished).violations;
+        assert!(violations.is_empty(), "{}", violations.join("\n"));
         let took: Vec<Duration> = finished
             .sim
             .operations
             .iter()
-            .filter(|one| matches!(one.call, OperatorCall::Change { .. }))
-            .map(|one| one.ended_at.expect("it is over") - one.started_at)
+            .filter(|operation| matches!(operation.call, OperatorCall::Change { .. }))
+            .map(|operation| operation.ended_at.expect("the call ended") - operation.started_at)
             .collect();
         assert!(took.len() > 300, "{} changes", took.len());
-        let most = took.iter().max().unwrap();
-        assert!(*most < Duration::from_millis(900), "{stores} stores: one took {most:?}");
+        let longest = took.iter().max().unwrap();
+        assert!(*longest < Duration::from_millis(900), "{stores} stores: one took {longest:?}");
     }
 }
 
-/// Each invariant check notices the mutation that it is there for.
+/// Each mutation is detected by the invariant check that covers it.
 #[test]
 fn every_invariant_check_detects_its_mutation() {
     use vanepath_testbed::sim::mutations::Mutation;
@@ -540,7 +550,7 @@
         (Mutation::WrongRevisions, Fault::None, "saw revision"),
         (Mutation::ForgetsKeys, Fault::None, "one submission took effect"),
         (Mutation::StaysDown, Fault::KillAll, "lookups served after the last fault"),
-        // Scenarios that the checks left out before they took account of what each node could know.
+        // These cases went undetected before the checks modelled what each node could know.
         (Mutation::DelaysConfig, Fault::FreezeProxy, "could have been known"),
         (Mutation::DelaysConfig, Fault::KillControl, "could have been known"),
         (Mutation::IgnoresDrainingServers, Fault::ServerDrains, "after it could have known"),
@@ -571,28 +581,31 @@
         (Mutation::RevertsConfig, Fault::HundredsOfChangesThenRestart, "went back from revision"),
         (Mutation::RetriesFilings, Fault::WrongResponsesAndRetries, "filing"),
     ];
-    let blind = std::sync::Mutex::new(Vec::new());
+    let undetected = std::sync::Mutex::new(Vec::new());
     on_threads(cores(), cases.len(), |index| {
-        let (one, fault, wanted) = &cases[index];
-        // One seed may not show it; one of four must.
+        let (mutation, fault, expected) = &cases[index];
+        // A single seed may not reveal the mutation; one of four must.
         let mut found = Vec::new();
         for seed in 1..=4 {
-            let plan =
-                Plan { mutation: Some(*one), rate: 1.0, ..Plan::new(Deployment::Guild, &[*fault]) };
+            let plan = Plan {
+                mutation: Some(*mutation),
+                rate: 1.0,
+                ..Plan::new(Deployment::Guild, &[*fault])
+            };
             found.extend(check(&run(seed, &plan)).violations);
-            if found.iter().any(|fault| fault.contains(wanted)) {
+            if found.iter().any(|violation| violation.contains(expected)) {
                 break;
             }
         }
-        if !found.iter().any(|fault| fault.contains(wanted)) {
-            blind.lock().unwrap().push(format!("{one}: {found:?}"));
+        if !found.iter().any(|violation| violation.contains(expected)) {
+            undetected.lock().unwrap().push(format!("{mutation}: {found:?}"));
         }
     });
-    let blind = blind.into_inner().unwrap();
-    assert!(blind.is_empty(), "{}", blind.join("\n"));
+    let undetected = undetected.into_inner().unwrap();
+    assert!(undetected.is_empty(), "{}", undetected.join("\n"));
 }
 
-/// Nodes are killed at every crash point, each in turn.
+/// A node is killed at a crash point, for each crash point and for several visits of it.
 #[test]
 fn nodes_killed_at_every_crash_point_violate_no_invariant() {
     use vanepath_testbed::sim::crash_points::{CrashPoint, PlannedCrash};
@@ -611,19 +624,20 @@
             ..Plan::new(deployment, &[Fault::None])
         };
         let finished = run(u64::from(turn), &plan);
-        let mut faults = check(&finished).violations;
+        let mut violations = check(&finished).violations;
         if finished.sim.crashed_at.is_none() {
-            faults.push("the point was never passed".to_string());
+            violations.push("the crash point was never reached".to_string());
         }
-        for fault in faults {
-            found.lock().unwrap().push(format!("{point} {turn}: {fault}"));
+        for violation in violations {
+            found.lock().unwrap().push(format!("{point} {turn}: {violation}"));
         }
     });
     let found = found.into_inner().unwrap();
     assert!(found.is_empty(), "{}", found.join("\n"));
 }
 
-/// Thousands of changes: the stores' versions stay bounded, and the last thousand stay readable.
+/// After thousands of changes the number of versions that stores keep is bounded, and the last thousand
+/// revisions are readable.
 #[test]
 fn stored_versions_stay_bounded_over_months_of_changes() {
     let plan = Plan {
@@ -632,7 +646,7 @@
         ..Plan::new(Deployment::Guild, &[Fault::None; 20])
     };
     let finished = run(3, &plan);
-    let latest = finished.sim.world.history.last().map_or(0, |one| one.0);
+    let latest = finished.sim.world.history.last().map_or(0, |entry| entry.0);
     assert!(latest > 1300, "{latest} revisions");
     for node in &finished.sim.nodes {
         if let RoleState::Store(store) = &node.role_state {
@@ -644,12 +658,12 @@
     let is_read = |outcome: &Option<vanepath_store::protocol::Outcome>| {
         matches!(outcome, Some(vanepath_store::protocol::Outcome::Value { .. }))
     };
-    assert!(readable.clone().count() == 1000 && readable.clone().all(|one| is_read(&one.1)));
+    assert!(readable.clone().count() == 1000 && readable.clone().all(|entry| is_read(&entry.1)));
 }
 
-/// With nine of twelve proxies down, clients find the others.
+/// Clients find the remaining proxies when nine of twelve are down.
 #[test]
-fn clients_find_the_last_proxies() {
+fn clients_find_the_remaining_proxies() {
     let found = std::sync::Mutex::new(Vec::new());
     let seeds = [15, 16, 36];
     on_threads(cores(), seeds.len(), |index| {
