--- a/testbed/tests/control.rs
+++ b/testbed/tests/control.rs
@@ -122,7 +122,7 @@
         let (status, revision, body) = done.unwrap();
         assert_eq!(status, 200);
         let revision = revision.unwrap();
-        assert!(revisions.insert(revision), "two configurations have revision {revision}");
+        assert!(revisions.insert(revision), "two configurations have one revision");
         let path = format!("/v1/setup/{revision}");
         let read = call(fleet.registry_addresses()[0], "GET", &path, &[], b"").await.unwrap();
         assert_eq!(read.body, body);
--- a/testbed/tests/edges.rs
+++ b/testbed/tests/edges.rs
@@ -38,7 +38,7 @@
     fleet
 }
 
-/// Sends send_raw bytes and reads until the connection is closed or idle for 700 ms.
+/// Sends raw bytes and reads until the connection is closed or idle for 700 ms.
 async fn send_raw(address: std::net::SocketAddr, bytes: &[u8]) -> String {
     let mut stream = tokio::net::TcpStream::connect(address).await.unwrap();
     stream.write_all(bytes).await.unwrap();
