--- a/testbed/src/sim/scenario/mod.rs
+++ b/testbed/src/sim/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! Scenarios: a fleet of a deployment's size, its traffic and operators, and faults by seed.
+//! Scenarios: a simulated fleet of the size of a deployment, with traffic, operators and seeded faults.
 
 mod action;
 mod fault;
@@ -9,9 +9,9 @@
 mod run;
 mod schedule;
 
-pub use action::apply;
-pub use fault::{Fault, overlapping};
-pub use fleet::open;
+pub use action::apply_action;
+pub use fault::{Fault, overlapping_faults};
+pub use fleet::start_fleet;
 pub use operators::{MOVED_BOUNDS, tagged};
 pub use plan::{Deployment, Plan};
 pub use run::{Run, run};
