--- a/testbed/src/sim/network/mod.rs
+++ b/testbed/src/sim/network/mod.rs
@@ -98,14 +98,14 @@
         } else {
             self.delays.region
         };
-        let part = 0.9 + 0.3 * self.random.part();
+        let part = 0.9 + 0.3 * self.random.fraction();
         let mut delay = base.mul_f64(part) + Duration::from_micros(self.random.draw() % 200);
         // Now and then a message is held up.
         if self.random.chance(0.002) {
             delay += Duration::from_millis(self.random.draw() % 40);
         }
         if self.extra_delay > Duration::ZERO && self.random.chance(0.3) {
-            delay += self.extra_delay.mul_f64(self.random.part());
+            delay += self.extra_delay.mul_f64(self.random.fraction());
         }
         delay
     }
--- a/testbed/src/sim/random.rs
+++ b/testbed/src/sim/random.rs
@@ -28,17 +28,17 @@
     }
 
     /// A fraction from 0 up to, but not including, 1.
-    pub fn part(&mut self) -> f64 {
+    pub fn fraction(&mut self) -> f64 {
         (self.draw() >> 11) as f64 / (1_u64 << 53) as f64
     }
 
     /// True with this probability.
     pub fn chance(&mut self, probability: f64) -> bool {
-        self.part() < probability
+        self.fraction() < probability
     }
 
     /// A duration between two others.
     pub fn between(&mut self, low: Duration, high: Duration) -> Duration {
-        low + (high - low).mul_f64(self.part())
+        low + (high - low).mul_f64(self.fraction())
     }
 }
--- a/testbed/src/sim/scenario/operators.rs
+++ b/testbed/src/sim/scenario/operators.rs
@@ -63,7 +63,7 @@
     if sim.world.stopped {
         return;
     }
-    let pause = sim.world.operator_interval.mul_f64(0.5 + sim.net.random.part());
+    let pause = sim.world.operator_interval.mul_f64(0.5 + sim.net.random.fraction());
     let operator = sim.operator;
     sim.net.set_timer(operator, pause, Timer::NextOperatorCall);
     let turn = sim.net.random.below(100);
--- a/testbed/src/sim/scenario/schedule/servers.rs
+++ b/testbed/src/sim/scenario/schedule/servers.rs
@@ -82,7 +82,7 @@
     let repeats = if sim.has_mutation(Mutation::UnboundRetries) { 30 } else { 1 };
     for failure_mode in modes.repeat(repeats) {
         let server = pick(sim, &context.servers);
-        let rate = 0.3 + 0.7 * sim.net.random.part();
+        let rate = 0.3 + 0.7 * sim.net.random.fraction();
         fail(sim, server, failure_mode, rate, (context.start, context.end));
     }
     context.end
--- a/testbed/src/sim/scenario/schedule/worst_case.rs
+++ b/testbed/src/sim/scenario/schedule/worst_case.rs
@@ -126,7 +126,7 @@
         [FailureMode::RunAndReset, FailureMode::Truncate, FailureMode::Silent].repeat(2)
     {
         let server = pick(sim, &context.servers);
-        let rate = 0.05 + 0.2 * sim.net.random.part();
+        let rate = 0.05 + 0.2 * sim.net.random.fraction();
         fail(sim, server, failure_mode, rate, (start, end));
     }
     let killed = pick(sim, &context.proxies);
--- a/testbed/src/sim/traffic/clients.rs
+++ b/testbed/src/sim/traffic/clients.rs
@@ -71,7 +71,7 @@
         let host = self.world.clients[client].host;
         let weight = self.world.clients[client].weight;
         let mean = self.world.clients.len() as f64 / self.world.rate / weight;
-        let pause = -(1.0 - self.net.random.part()).ln() * mean;
+        let pause = -(1.0 - self.net.random.fraction()).ln() * mean;
         self.net.set_timer(host, Duration::from_secs_f64(pause), Timer::NextRequest(client));
         if self.world.clients[client].steering.response().is_none() {
             return;
--- a/testbed/src/sim/traffic/servers.rs
+++ b/testbed/src/sim/traffic/servers.rs
@@ -138,7 +138,7 @@
                     return self.net.reply(call, Body::Reset);
                 }
                 let now = self.net.now;
-                let fails = self.net.random.part() < self.world.servers[index].failure_rate;
+                let fails = self.net.random.fraction() < self.world.servers[index].failure_rate;
                 let server = &mut self.world.servers[index];
                 server.arrivals.push(ServerArrival { at: now, request, proxy: source });
                 self.check_server_arrival(index, request, source, sent_at);
@@ -164,7 +164,7 @@
     }
 
     fn begin_service(&mut self, index: usize, call: CallId, request: usize) {
-        let part = 0.5 + self.net.random.part();
+        let part = 0.5 + self.net.random.fraction();
         let server = &self.world.servers[index];
         let (host, service) = (server.host, server.service_time.mul_f64(part));
         self.net.set_timer(host, service, Timer::ServerDone { call, request });
@@ -195,7 +195,7 @@
                 None => server.busy_workers = server.busy_workers.saturating_sub(1),
             }
         }
-        let fails = self.net.random.part() < self.world.servers[index].failure_rate;
+        let fails = self.net.random.fraction() < self.world.servers[index].failure_rate;
         let server = &self.world.servers[index];
         let failure_mode = if fails { server.failure_mode } else { FailureMode::Healthy };
         let demand_milli = server.demand_milli;
