--- a/testbed/src/commands/starts.rs
+++ b/testbed/src/commands/starts.rs
@@ -13,7 +13,7 @@
 const MAX_THREADS: usize = 3;
 
 /// Start-up times by deployment, scene and role; `None` for a daemon that was never ready.
-type Rows = BTreeMap<(String, startup::Scene, String), Vec<Option<Duration>>>;
+type Rows = BTreeMap<(String, startup::StartCondition, String), Vec<Option<Duration>>>;
 
 /// Measures how long daemons take from their start until they accept work (design 5.8), and prints a table.
 ///
@@ -34,7 +34,7 @@
     let mutation = matches.opt_present("without-floor").then_some(Mutation::SkipsReadIndex);
     let mut work = Vec::new();
     for deployment in [Deployment::Raiocerto, Deployment::Guild] {
-        for scene in startup::Scene::iter() {
+        for scene in startup::StartCondition::iter() {
             work.extend((first..=last).map(|seed| (deployment, scene, seed)));
         }
     }
--- a/testbed/src/sim/startup.rs
+++ b/testbed/src/sim/startup.rs
@@ -16,7 +16,7 @@
 /// What happens around the starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, strum::Display, strum::EnumIter)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Scene {
+pub enum StartCondition {
     /// One after the other, while nothing else happens.
     Quiet,
     /// The same, while a change comes each 150 ms.
@@ -42,7 +42,7 @@
 }
 
 /// All starts of one scene.
-pub fn measure(seed: u64, scene: Scene, plan: &Plan) -> Vec<Start> {
+pub fn measure(seed: u64, scene: StartCondition, plan: &Plan) -> Vec<Start> {
     let plan = Plan { rate: 0.02, operator_interval: Duration::ZERO, ..plan.clone() };
     let mut sim = open(seed, &plan);
     sim.run_until(FAULTS_BEGIN);
@@ -56,8 +56,8 @@
         all.iter().copied().filter(|one| sim.nodes[*one].info.region == region).collect();
     let mut starts = Vec::new();
     match scene {
-        Scene::Quiet | Scene::Storm => {}
-        Scene::MachineLost => {
+        StartCondition::Quiet | StartCondition::Storm => {}
+        StartCondition::MachineLost => {
             // The first core machine has the store that proposes first.
             for name in ["store-0", "registry-0"] {
                 let one = sim.index(name);
@@ -67,14 +67,14 @@
             let until = sim.net.now + Duration::from_secs(5);
             sim.run_until(until);
         }
-        Scene::ZoneLost | Scene::ZoneBack => {
+        StartCondition::ZoneLost | StartCondition::ZoneBack => {
             in_zone.iter().for_each(|one| sim.crash(*one, true));
             who.retain(|one| !in_zone.contains(one));
             let until = sim.net.now + Duration::from_secs(5);
             sim.run_until(until);
         }
-        Scene::AllAtOnce => all.iter().for_each(|one| sim.crash(*one, false)),
-        Scene::RegionCut => {
+        StartCondition::AllAtOnce => all.iter().for_each(|one| sim.crash(*one, false)),
+        StartCondition::RegionCut => {
             let hosts = |sim: &Sim, of: &[usize]| -> Vec<usize> {
                 of.iter().map(|one| sim.nodes[*one].host).collect()
             };
@@ -88,8 +88,8 @@
         }
     }
     let together = match scene {
-        Scene::ZoneBack => in_zone,
-        Scene::AllAtOnce => all,
+        StartCondition::ZoneBack => in_zone,
+        StartCondition::AllAtOnce => all,
         _ => Vec::new(),
     };
     if !together.is_empty() {
@@ -107,7 +107,7 @@
 }
 
 /// Starts nodes at one time and waits until they are ready.
-fn measure_start(sim: &mut Sim, who: &[usize], scene: Scene, starts: &mut Vec<Start>) {
+fn measure_start(sim: &mut Sim, who: &[usize], scene: StartCondition, starts: &mut Vec<Start>) {
     who.iter().for_each(|one| sim.start_node(*one));
     let from = sim.net.now;
     let mut waiting: Vec<usize> = who.to_vec();
@@ -136,9 +136,9 @@
 }
 
 /// Time passes; in a storm, with changes.
-fn pass_time(sim: &mut Sim, span: Duration, scene: Scene) {
+fn pass_time(sim: &mut Sim, span: Duration, scene: StartCondition) {
     let end = sim.net.now + span;
-    if scene == Scene::Storm {
+    if scene == StartCondition::Storm {
         let every = Duration::from_millis(150);
         let gone = sim.net.now.as_nanos() % every.as_nanos();
         let mut next = sim.net.now + every - Duration::from_nanos(gone as u64);
--- a/testbed/tests/days.rs
+++ b/testbed/tests/days.rs
@@ -329,12 +329,12 @@
 /// one time. Figures: docs/measurements.md, "From start to ready".
 #[test]
 fn a_started_node_is_ready_soon() {
-    use vanepath_testbed::sim::startup::{Scene, measure};
+    use vanepath_testbed::sim::startup::{StartCondition, measure};
     let mut late = Vec::new();
     for deployment in [Deployment::Raiocerto, Deployment::Guild] {
-        for scene in Scene::iter() {
+        for scene in StartCondition::iter() {
             // Without a majority of stores in reach, a node waits for the read index of its peers.
-            let most = if scene == Scene::RegionCut { 2200 } else { 1000 };
+            let most = if scene == StartCondition::RegionCut { 2200 } else { 1000 };
             for seed in 1..=2 {
                 for start in measure(seed, scene, &Plan::new(deployment, &[])) {
                     if start.took.is_none_or(|took| took > Duration::from_millis(most)) {
