--- a/testbed/src/sim/control/nodes.rs
+++ b/testbed/src/sim/control/nodes.rs
@@ -23,7 +23,7 @@
             return false;
         }
         self.point_visits += 1;
-        if self.point_visits < planned.turn {
+        if self.point_visits < planned.visit {
             return false;
         }
         self.crashed_at = Some(self.net.now);
--- a/testbed/src/sim/crash_points.rs
+++ b/testbed/src/sim/crash_points.rs
@@ -43,13 +43,13 @@
     AfterResponse,
 }
 
-/// A planned crash, at the `turn`-th visit of the point from `from` on.
+/// A planned crash, at the `visit`-th visit of the point from `from` on.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannedCrash {
     /// The point.
     pub point: CrashPoint,
     /// Which visit, counted from 1.
-    pub turn: u32,
+    pub visit: u32,
     /// The visits before this time do not count.
     pub from: Duration,
 }
--- a/testbed/tests/days.rs
+++ b/testbed/tests/days.rs
@@ -601,7 +601,7 @@
         let from = Duration::from_secs(13);
         let deployment = if turn % 2 == 0 { Deployment::Raiocerto } else { Deployment::Guild };
         let plan = Plan {
-            planned_crash: Some(PlannedCrash { point, turn, from }),
+            planned_crash: Some(PlannedCrash { point, visit: turn, from }),
             operator_interval: Duration::from_millis(300),
             rate: 0.3,
             ..Plan::new(deployment, &[Fault::None])
