--- a/testbed/src/sim/control/nodes.rs
+++ b/testbed/src/sim/control/nodes.rs
@@ -142,10 +142,10 @@
         self.observe_reachability();
     }
 
-    /// Ends a node's process at once; with `power`, its machine too.
-    pub fn crash(&mut self, index: usize, power: bool) {
+    /// Ends a node's process at once; with `loses_power`, its machine too.
+    pub fn crash(&mut self, index: usize, loses_power: bool) {
         let host = self.nodes[index].host;
-        if power {
+        if loses_power {
             self.net.hosts[host].powered = false;
         }
         if self.net.hosts[host].up {
@@ -166,7 +166,7 @@
             store.disk.unsynced.clear();
         }
         let name = self.nodes[index].info.name.clone();
-        self.trace_event(|| format!("{name} ends{}", if power { ", no power" } else { "" }));
+        self.trace_event(|| format!("{name} ends{}", if loses_power { ", no power" } else { "" }));
     }
 
     /// Empties a store's disk. The store must be down.
--- a/testbed/src/sim/scenario/action.rs
+++ b/testbed/src/sim/scenario/action.rs
@@ -15,7 +15,7 @@
     sim.trace_event(|| format!("script: {action:?}"));
     match action {
         Action::Start(node) => start(sim, node, number),
-        Action::Crash { node, power } => sim.crash(node, power),
+        Action::Crash { node, loses_power } => sim.crash(node, loses_power),
         Action::CrashAll => for_all(sim, |sim, node| sim.crash(node, true)),
         Action::StartAll => for_all(sim, Sim::start_node),
         Action::Terminate(node) => sim.terminate(node),
@@ -42,7 +42,7 @@
         Action::Cut { left, right, one_way } => sim.net.cut(&left, &right, one_way),
         Action::Uncut { left, right, one_way } => sim.net.uncut(&left, &right, one_way),
         Action::DelayNetwork(delay) => sim.net.extra_delay = delay,
-        Action::StopServer { server, power } => sim.stop_server(server, power),
+        Action::StopServer { server, loses_power } => sim.stop_server(server, loses_power),
         Action::StartServer(server) => start_server(sim, server),
         Action::FreezeServer(server, is_frozen) => freeze_server(sim, server, is_frozen),
         Action::SetFailureMode { server, failure_mode, rate } => {
--- a/testbed/src/sim/scenario/operators.rs
+++ b/testbed/src/sim/scenario/operators.rs
@@ -209,7 +209,7 @@
         // Before the stores have the call, while they settle it, or after.
         let most = [40, 150, 400][sim.net.random.below(3)];
         let when = now + Duration::from_millis(sim.net.random.draw() % most);
-        sim.schedule(when, Action::Crash { node: registry, power: false });
+        sim.schedule(when, Action::Crash { node: registry, loses_power: false });
         sim.schedule(when + Duration::from_secs(3), Action::Start(registry));
     }
 }
--- a/testbed/src/sim/scenario/schedule/control_plane.rs
+++ b/testbed/src/sim/scenario/schedule/control_plane.rs
@@ -9,7 +9,7 @@
     let first = sim.net.random.below(context.registries.len());
     for slot in context.lost_with(first) {
         let store = context.stores[slot];
-        sim.schedule(context.start, Action::Crash { node: store, power: true });
+        sim.schedule(context.start, Action::Crash { node: store, loses_power: true });
         sim.schedule(context.start, Action::Wipe(store));
         sim.schedule(context.end, Action::Start(store));
     }
@@ -123,6 +123,6 @@
 }
 
 fn restart(sim: &mut Sim, node: usize, at: Duration) {
-    let power = sim.net.random.chance(0.5);
-    kill(sim, node, at, at + ms(400), power);
+    let loses_power = sim.net.random.chance(0.5);
+    kill(sim, node, at, at + ms(400), loses_power);
 }
--- a/testbed/src/sim/scenario/schedule/mod.rs
+++ b/testbed/src/sim/scenario/schedule/mod.rs
@@ -145,8 +145,8 @@
 }
 
 /// A node is down for a period.
-fn kill(sim: &mut Sim, node: usize, from: Duration, to: Duration, power: bool) {
-    sim.schedule(from, Action::Crash { node, power });
+fn kill(sim: &mut Sim, node: usize, from: Duration, to: Duration, loses_power: bool) {
+    sim.schedule(from, Action::Crash { node, loses_power });
     sim.schedule(to, Action::Start(node));
 }
 
--- a/testbed/src/sim/scenario/schedule/nodes.rs
+++ b/testbed/src/sim/scenario/schedule/nodes.rs
@@ -6,8 +6,8 @@
 
 pub(super) fn kill_one(sim: &mut Sim, context: &Context, from: &[usize]) -> Duration {
     let node = pick(sim, from);
-    let power = sim.net.random.chance(0.5);
-    kill(sim, node, context.start, context.end, power);
+    let loses_power = sim.net.random.chance(0.5);
+    kill(sim, node, context.start, context.end, loses_power);
     context.end
 }
 
@@ -28,9 +28,9 @@
 }
 
 pub(super) fn kill_all(sim: &mut Sim, context: &Context) -> Duration {
-    let power = sim.net.random.chance(0.5);
+    let loses_power = sim.net.random.chance(0.5);
     for node in context.all.iter().copied() {
-        kill(sim, node, context.start, context.end, power);
+        kill(sim, node, context.start, context.end, loses_power);
     }
     context.end
 }
@@ -59,7 +59,7 @@
             (server.zone.clone(), server.region.clone())
         };
         if is_hit(&zone, &region) {
-            sim.schedule(context.start, Action::StopServer { server, power: true });
+            sim.schedule(context.start, Action::StopServer { server, loses_power: true });
             let later = ms(sim.net.random.draw() % 2000);
             sim.schedule(context.end + later, Action::StartServer(server));
         }
--- a/testbed/src/sim/scenario/schedule/servers.rs
+++ b/testbed/src/sim/scenario/schedule/servers.rs
@@ -5,8 +5,8 @@
 use crate::sim::state::{Action, FailureMode, Sim};
 use std::time::Duration;
 
-fn stop(sim: &mut Sim, server: usize, at: Duration, power: bool) {
-    sim.schedule(at, Action::StopServer { server, power });
+fn stop(sim: &mut Sim, server: usize, at: Duration, loses_power: bool) {
+    sim.schedule(at, Action::StopServer { server, loses_power });
 }
 
 fn start(sim: &mut Sim, server: usize, at: Duration) {
@@ -15,8 +15,8 @@
 
 fn kill_for_the_period(sim: &mut Sim, context: &Context) -> usize {
     let server = pick(sim, &context.servers);
-    let power = sim.net.random.chance(0.5);
-    stop(sim, server, context.start, power);
+    let loses_power = sim.net.random.chance(0.5);
+    stop(sim, server, context.start, loses_power);
     start(sim, server, context.end);
     server
 }
--- a/testbed/src/sim/scenario/schedule/worst_case.rs
+++ b/testbed/src/sim/scenario/schedule/worst_case.rs
@@ -76,7 +76,7 @@
     for turn in 0..2 {
         let store = context.stores[(first + turn) % count];
         change_before(sim, when);
-        sim.schedule(when, Action::Crash { node: store, power: true });
+        sim.schedule(when, Action::Crash { node: store, loses_power: true });
         sim.schedule(when, Action::Wipe(store));
         sim.schedule(when + ms(800), Action::Start(store));
         when += ms(6000);
@@ -87,7 +87,7 @@
     when += ms(7000);
     change_before(sim, when);
     let lost = context.stores[first];
-    sim.schedule(when, Action::Crash { node: lost, power: true });
+    sim.schedule(when, Action::Crash { node: lost, loses_power: true });
     sim.schedule(when, Action::Wipe(lost));
     sim.schedule(when, Action::CrashAll);
     sim.schedule(when + ms(1000), Action::StartAll);
@@ -105,8 +105,8 @@
 pub(super) fn hundreds_of_changes(sim: &mut Sim, context: &Context) -> Duration {
     let start = context.start;
     let behind = pick(sim, &context.stores);
-    let power = sim.net.random.chance(0.5);
-    sim.schedule(start, Action::Crash { node: behind, power });
+    let loses_power = sim.net.random.chance(0.5);
+    sim.schedule(start, Action::Crash { node: behind, loses_power });
     spread(sim, 300, start + ms(200), ms(13_000), || Action::ReorderClasses);
     sim.schedule(start + ms(13_500), Action::Start(behind));
     let leader = context.stores.iter().copied().find(|store| *store != behind);
--- a/testbed/src/sim/state/action.rs
+++ b/testbed/src/sim/state/action.rs
@@ -18,7 +18,7 @@
         /// The node.
         node: usize,
         /// Its machine loses power.
-        power: bool,
+        loses_power: bool,
     },
     /// Asks a node to stop in the planned way.
     Terminate(usize),
@@ -57,7 +57,7 @@
         /// The server.
         server: usize,
         /// Its machine loses power.
-        power: bool,
+        loses_power: bool,
     },
     /// Starts a server that is down.
     StartServer(usize),
--- a/testbed/src/sim/traffic/servers.rs
+++ b/testbed/src/sim/traffic/servers.rs
@@ -49,21 +49,21 @@
         })
     }
 
-    /// Ends a server's process; with `power`, its machine too.
-    pub fn stop_server(&mut self, index: usize, power: bool) {
+    /// Ends a server's process; with `loses_power`, its machine too.
+    pub fn stop_server(&mut self, index: usize, loses_power: bool) {
         let host = self.world.servers[index].host;
-        if power {
+        if loses_power {
             self.net.hosts[host].powered = false;
         }
         self.net.stop(host);
         self.world.servers[index].down_at.get_or_insert(self.net.now);
         self.world.servers[index].was_observed = self.is_observed();
-        self.world.servers[index].lost_power = power;
+        self.world.servers[index].lost_power = loses_power;
         self.world.servers[index].busy_workers = 0;
         self.world.servers[index].queue.clear();
         let learned_at = self.net.now + Duration::from_millis(2);
         for connection in self.world.connections.values_mut() {
-            if connection.server == index && !power {
+            if connection.server == index && !loses_power {
                 connection.closed_at.get_or_insert(learned_at);
             }
         }
