--- a/testbed/src/sim/scenario/action.rs
+++ b/testbed/src/sim/scenario/action.rs
@@ -65,8 +65,8 @@
         Action::RestoreZone(zone) => {
             operators::change_zone(sim, Change::RestoreZone { zone: zone.to_string() });
         }
-        Action::KeylessCall { evacuation, step, dies } => {
-            operators::send_keyless_call(sim, evacuation, step, dies);
+        Action::KeylessCall { evacuation, step, registry_dies } => {
+            operators::send_keyless_call(sim, evacuation, step, registry_dies);
         }
         Action::ReplaceConfig => {
             operators::replace_config(sim, None);
--- a/testbed/src/sim/scenario/operators.rs
+++ b/testbed/src/sim/scenario/operators.rs
@@ -192,7 +192,12 @@
 }
 
 /// Sends a call of an evacuation, without a key; the registry that receives it may die soon after.
-pub(super) fn send_keyless_call(sim: &mut Sim, evacuation: usize, step: usize, dies: bool) {
+pub(super) fn send_keyless_call(
+    sim: &mut Sim,
+    evacuation: usize,
+    step: usize,
+    registry_dies: bool,
+) {
     let now = sim.net.now;
     let one = &mut sim.evacuations[evacuation];
     let first = *one.sent_at[step].get_or_insert(now);
@@ -205,7 +210,7 @@
     let change = if step == 0 { Change::DrainZone { zone } } else { Change::RestoreZone { zone } };
     let key = format!("order-{evacuation}-{step}-{}", sim.operations.len());
     let (_, registry) = call_any(sim, OperatorCall::Change { key, change });
-    if dies {
+    if registry_dies {
         // Before the stores have the call, while they settle it, or after.
         let most = [40, 150, 400][sim.net.random.below(3)];
         let when = now + Duration::from_millis(sim.net.random.draw() % most);
@@ -230,7 +235,7 @@
         return;
     }
     let soon = sim.net.now + Duration::from_millis(50);
-    sim.schedule(soon, Action::KeylessCall { evacuation, step, dies: false });
+    sim.schedule(soon, Action::KeylessCall { evacuation, step, registry_dies: false });
 }
 
 /// Reads each revision in turn, at the end of a run.
--- a/testbed/src/sim/scenario/schedule/operators.rs
+++ b/testbed/src/sim/scenario/schedule/operators.rs
@@ -20,8 +20,8 @@
         sim.evacuations.push(Evacuation { zone, sent_at: [None; 2], acknowledged_at: [None; 2] });
         let evacuation = sim.evacuations.len() - 1;
         for (step, when) in when.iter_mut().enumerate() {
-            let dies = sim.net.random.chance(0.5);
-            sim.schedule(*when, Action::KeylessCall { evacuation, step, dies });
+            let registry_dies = sim.net.random.chance(0.5);
+            sim.schedule(*when, Action::KeylessCall { evacuation, step, registry_dies });
             *when += ms(1200 + sim.net.random.draw() % 1500);
         }
     }
--- a/testbed/src/sim/state/action.rs
+++ b/testbed/src/sim/state/action.rs
@@ -104,7 +104,7 @@
         /// 0 drains the zone, 1 restores it.
         step: usize,
         /// The registry that receives the call dies soon after.
-        dies: bool,
+        registry_dies: bool,
     },
     /// An operator submits a new configuration.
     ReplaceConfig,
