--- a/testbed/src/sim/scenario/fleet.rs
+++ b/testbed/src/sim/scenario/fleet.rs
@@ -72,7 +72,7 @@
         .filter(|node| node.info.role == Role::Registry)
         .map(|node| node.info.cluster_address)
         .collect();
-    sim.world.directories = registries.clone();
+    sim.world.steering_addresses = registries.clone();
     let seeds: Vec<SocketAddr> = registries.into_iter().take(3).collect();
     for node in &mut sim.nodes {
         node.seeds = seeds.clone();
--- a/testbed/src/sim/state/traffic.rs
+++ b/testbed/src/sim/state/traffic.rs
@@ -205,7 +205,7 @@
     /// All requests.
     pub requests: Vec<Request>,
     /// The addresses of the steering service.
-    pub directories: Vec<SocketAddr>,
+    pub steering_addresses: Vec<SocketAddr>,
     /// Requests a second of all clients together.
     pub rate: f64,
     /// The shares of the kinds of requests.
--- a/testbed/src/sim/traffic/clients.rs
+++ b/testbed/src/sim/traffic/clients.rs
@@ -21,7 +21,7 @@
         self.net.hosts[host].incarnation = 1;
         let query = format!("/v1/steer?caller={name}&zone={zone}&region={region}");
         let spread = self.net.random.draw() % 1000;
-        let steering = Steering::new(self.world.directories.clone(), query, spread);
+        let steering = Steering::new(self.world.steering_addresses.clone(), query, spread);
         self.world.clients.push(Client {
             host,
             steering,
