--- a/testbed/src/sim/scenario/action.rs
+++ b/testbed/src/sim/scenario/action.rs
@@ -176,13 +176,13 @@
         server.service_time = Duration::from_millis(if is_flood { 3000 } else { 20 });
     }
     if is_flood {
-        world.ordinary_traffic = Some((world.rate, world.mix));
-        let share = |part: u32| (f64::from(part) * world.rate) as u32;
+        world.ordinary_traffic = Some((world.request_rate, world.request_mix));
+        let share = |part: u32| (f64::from(part) * world.request_rate) as u32;
         let more = (100.0 * extra) as u32;
-        let [lookups, filings, bound, bulk] = world.mix.map(share);
-        world.mix = [lookups, filings, bound, bulk + more];
-        world.rate += extra;
+        let [lookups, filings, bound, bulk] = world.request_mix.map(share);
+        world.request_mix = [lookups, filings, bound, bulk + more];
+        world.request_rate += extra;
     } else if let Some((rate, mix)) = world.ordinary_traffic.take() {
-        (world.rate, world.mix) = (rate, mix);
+        (world.request_rate, world.request_mix) = (rate, mix);
     }
 }
--- a/testbed/src/sim/scenario/fleet.rs
+++ b/testbed/src/sim/scenario/fleet.rs
@@ -87,11 +87,11 @@
         }
     }
     publish(sim, |_| {});
-    sim.world.rate = topology.requests_per_second * plan.rate;
+    sim.world.request_rate = topology.requests_per_second * plan.rate;
     if plan.faults.contains(&Fault::Surge) {
         // At the ordinary rate the servers are 45 % busy.
         let first = topology.servers[0];
-        let per_second = sim.world.rate * 0.85 / f64::from(first.1 as u32);
+        let per_second = sim.world.request_rate * 0.85 / f64::from(first.1 as u32);
         for server in sim.world.servers.iter_mut() {
             server.workers = 1;
             server.service_time = Duration::from_secs_f64(0.45 / per_second);
@@ -102,11 +102,11 @@
 fn add_clients(sim: &mut Sim, topology: &Topology, plan: &Plan) {
     match plan.deployment {
         Deployment::Raiocerto => {
-            sim.world.mix = [60, 25, 0, 15];
+            sim.world.request_mix = [60, 25, 0, 15];
             sim.world.paths = ["/stock", "/orders", "/orders", "/documents"];
         }
         Deployment::Guild => {
-            sim.world.mix = [65, 15, 5, 15];
+            sim.world.request_mix = [65, 15, 5, 15];
             sim.world.paths = ["/parcels", "/appeals", "/appeals/north", "/extracts"];
         }
     }
--- a/testbed/src/sim/state/traffic.rs
+++ b/testbed/src/sim/state/traffic.rs
@@ -207,9 +207,9 @@
     /// The addresses of the steering service.
     pub steering_addresses: Vec<SocketAddr>,
     /// Requests a second of all clients together.
-    pub rate: f64,
+    pub request_rate: f64,
     /// The shares of the kinds of requests.
-    pub mix: [u32; 4],
+    pub request_mix: [u32; 4],
     /// The rate and the mix of ordinary traffic, while a flood replaces them.
     pub ordinary_traffic: Option<(f64, [u32; 4])>,
     /// The paths of the kinds of requests.
--- a/testbed/src/sim/traffic/clients.rs
+++ b/testbed/src/sim/traffic/clients.rs
@@ -70,16 +70,16 @@
         }
         let host = self.world.clients[client].host;
         let weight = self.world.clients[client].weight;
-        let mean = self.world.clients.len() as f64 / self.world.rate / weight;
+        let mean = self.world.clients.len() as f64 / self.world.request_rate / weight;
         let pause = -(1.0 - self.net.random.fraction()).ln() * mean;
         self.net.set_timer(host, Duration::from_secs_f64(pause), Timer::NextRequest(client));
         if self.world.clients[client].steering.response().is_none() {
             return;
         }
-        let sum: u32 = self.world.mix.iter().sum();
+        let sum: u32 = self.world.request_mix.iter().sum();
         let mut turn = (self.net.random.draw() % u64::from(sum)) as u32;
         let mut kind = RequestKind::Lookup;
-        for (part, one) in self.world.mix.iter().zip([
+        for (part, one) in self.world.request_mix.iter().zip([
             RequestKind::Lookup,
             RequestKind::Filing,
             RequestKind::BoundFiling,
