--- a/testbed/src/sim/reachability.rs
+++ b/testbed/src/sim/reachability.rs
@@ -184,7 +184,7 @@
     }
 
     fn majority(&self) -> usize {
-        self.stores / 2 + 1
+        self.member_slots / 2 + 1
     }
 
     /// Whether a registry reaches voting stores, and each of these a majority: a store that only the
--- a/testbed/src/sim/scenario/fleet.rs
+++ b/testbed/src/sim/scenario/fleet.rs
@@ -18,7 +18,7 @@
     sim.is_traced = plan.is_traced;
     sim.mutation = plan.mutation;
     sim.planned_crash = plan.planned_crash;
-    sim.stores = plan.stores;
+    sim.member_slots = plan.stores;
     sim.world.config_text = config_text(&topology, plan);
     add_nodes(&mut sim, &topology, plan);
     add_servers(&mut sim, &topology, plan);
--- a/testbed/src/sim/state/mod.rs
+++ b/testbed/src/sim/state/mod.rs
@@ -59,7 +59,7 @@
     /// The platform's own list for each number that a registry gave.
     pub source_list_revisions: HashMap<u64, u64>,
     /// The number of member slots of the stores.
-    pub stores: usize,
+    pub member_slots: usize,
     /// Servers, clients and requests.
     pub world: World,
     /// What each node could have known.
@@ -106,7 +106,7 @@
             platform: Arc::default(),
             has_unversioned_lists: false,
             source_list_revisions: HashMap::new(),
-            stores: 3,
+            member_slots: 3,
             world: World::default(),
             reachability: Reachability::default(),
             trace: Vec::new(),
