--- a/testbed/src/sim/control/discovery.rs
+++ b/testbed/src/sim/control/discovery.rs
@@ -85,10 +85,10 @@
     /// answers are good even then.
     pub(in crate::sim) fn endpoint_list_reply(&mut self) -> Option<Body> {
         if !self.endpoint_lists_faulty {
-            return Some(Body::EndpointList(self.platform.clone()));
+            return Some(Body::EndpointList(self.platform_list.clone()));
         }
-        let revision = self.platform.revision;
-        let mut list = (*self.platform).clone();
+        let revision = self.platform_list.revision;
+        let mut list = (*self.platform_list).clone();
         match self.net.random.below(12) {
             0 => Some(Body::EndpointListText("{\"revision\": ".to_string())),
             1 => Some(Body::EndpointListText(format!(
@@ -107,7 +107,7 @@
                 Some(Body::EndpointList(Arc::new(list)))
             }
             5 => None,
-            _ => Some(Body::EndpointList(self.platform.clone())),
+            _ => Some(Body::EndpointList(self.platform_list.clone())),
         }
     }
 
--- a/testbed/src/sim/reachability.rs
+++ b/testbed/src/sim/reachability.rs
@@ -173,7 +173,7 @@
             |index: usize| self.are_connected(self.nodes[index].host, self.platform_host);
         let registries = self.of_role_in(part, Role::Registry, |_, _| true);
         if registries.into_iter().any(reaches_platform) {
-            best.max(self.platform.revision)
+            best.max(self.platform_list.revision)
         } else {
             best
         }
--- a/testbed/src/sim/scenario/action.rs
+++ b/testbed/src/sim/scenario/action.rs
@@ -144,7 +144,7 @@
 
 fn mark_draining(sim: &mut Sim, server: usize) {
     let id = sim.world.servers[server].id.clone();
-    let (at, list_revision) = (sim.net.now, sim.platform.revision + 1);
+    let (at, list_revision) = (sim.net.now, sim.platform_list.revision + 1);
     sim.world.server_drains.push(ServerDrain { at, server, list_revision });
     publish(sim, |list| {
         for one in list.iter_mut().filter(|one| one.id == id) {
--- a/testbed/src/sim/scenario/platform.rs
+++ b/testbed/src/sim/scenario/platform.rs
@@ -7,7 +7,7 @@
 
 /// Publishes a new revision of the list; the first one has all servers.
 pub(super) fn publish(sim: &mut Sim, change: impl FnOnce(&mut Vec<Server>)) {
-    let mut list = (*sim.platform).clone();
+    let mut list = (*sim.platform_list).clone();
     if list.revision == 0 {
         for server in &sim.world.servers {
             list.servers.push(Server {
@@ -24,5 +24,5 @@
     }
     change(&mut list.servers);
     list.revision += 1;
-    sim.platform = Arc::new(list);
+    sim.platform_list = Arc::new(list);
 }
--- a/testbed/src/sim/state/mod.rs
+++ b/testbed/src/sim/state/mod.rs
@@ -53,7 +53,7 @@
     /// The platform serves faulty or outdated lists now and then.
     pub endpoint_lists_faulty: bool,
     /// The platform's endpoint list.
-    pub platform: Arc<EndpointList>,
+    pub platform_list: Arc<EndpointList>,
     /// The platform does not number its lists.
     pub has_unversioned_lists: bool,
     /// The platform's own list for each number that a registry gave.
@@ -103,7 +103,7 @@
             evacuations: Vec::new(),
             platform_host,
             endpoint_lists_faulty: false,
-            platform: Arc::default(),
+            platform_list: Arc::default(),
             has_unversioned_lists: false,
             source_list_revisions: HashMap::new(),
             member_slots: 3,
