--- a/testbed/src/sim/control/operators.rs
+++ b/testbed/src/sim/control/operators.rs
@@ -27,7 +27,7 @@
         let is_keyless = self.operations[operation].call.evacuation().is_some();
         let timeout = if is_keyless { KEYLESS_CALL_TIMEOUT } else { CALL_TIMEOUT };
         let purpose = Purpose::OperatorCall { operation };
-        self.net.send(self.operator, target, timeout, Body::OperatorCall(operation), purpose);
+        self.net.send(self.operator_host, target, timeout, Body::OperatorCall(operation), purpose);
         operation
     }
 
--- a/testbed/src/sim/scenario/fleet.rs
+++ b/testbed/src/sim/scenario/fleet.rs
@@ -131,7 +131,7 @@
     }
     sim.world.operator_interval = plan.operator_interval;
     if plan.operator_interval > Duration::ZERO {
-        let operator = sim.operator;
+        let operator = sim.operator_host;
         sim.net.set_timer(operator, plan.operator_interval, Timer::NextOperatorCall);
     }
 }
--- a/testbed/src/sim/scenario/operators.rs
+++ b/testbed/src/sim/scenario/operators.rs
@@ -64,7 +64,7 @@
         return;
     }
     let pause = sim.world.operator_interval.mul_f64(0.5 + sim.net.random.fraction());
-    let operator = sim.operator;
+    let operator = sim.operator_host;
     sim.net.set_timer(operator, pause, Timer::NextOperatorCall);
     let turn = sim.net.random.below(100);
     let registry = any_registry(sim);
--- a/testbed/src/sim/state/mod.rs
+++ b/testbed/src/sim/state/mod.rs
@@ -43,7 +43,7 @@
     /// The node on a host.
     pub by_host: HashMap<HostId, usize>,
     /// The operators' host.
-    pub operator: HostId,
+    pub operator_host: HostId,
     /// The operators' calls in the order in which they were sent.
     pub operations: Vec<Operation>,
     /// The evacuations of zones.
@@ -88,9 +88,9 @@
     /// An empty fleet; all chance comes from the seed.
     pub fn new(seed: u64, delays: Delays) -> Sim {
         let mut net = Network::new(seed, delays);
-        let operator = net.add_host("operator", "", "");
+        let operator_host = net.add_host("operator", "", "");
         let platform_host = net.add_host("platform", "", "");
-        for host in [operator, platform_host] {
+        for host in [operator_host, platform_host] {
             net.hosts[host].up = true;
             net.hosts[host].incarnation = 1;
         }
@@ -98,7 +98,7 @@
             net,
             nodes: Vec::new(),
             by_host: HashMap::new(),
-            operator,
+            operator_host,
             operations: Vec::new(),
             evacuations: Vec::new(),
             platform_host,
