--- a/testbed/src/sim/scenario/schedule/servers.rs
+++ b/testbed/src/sim/scenario/schedule/servers.rs
@@ -78,7 +78,7 @@
 }
 
 pub(super) fn misbehave(sim: &mut Sim, context: &Context) -> Duration {
-    let modes = [FailureMode::RunAndReset, FailureMode::Truncate, FailureMode::Silent];
+    let modes = [FailureMode::RunAndReset, FailureMode::Truncate, FailureMode::NoResponse];
     let repeats = if sim.has_mutation(Mutation::UnboundRetries) { 30 } else { 1 };
     for failure_mode in modes.repeat(repeats) {
         let server = pick(sim, &context.servers);
--- a/testbed/src/sim/scenario/schedule/worst_case.rs
+++ b/testbed/src/sim/scenario/schedule/worst_case.rs
@@ -123,7 +123,7 @@
     let start = context.start;
     let end = start + ms(12_000);
     for failure_mode in
-        [FailureMode::RunAndReset, FailureMode::Truncate, FailureMode::Silent].repeat(2)
+        [FailureMode::RunAndReset, FailureMode::Truncate, FailureMode::NoResponse].repeat(2)
     {
         let server = pick(sim, &context.servers);
         let rate = 0.05 + 0.2 * sim.net.random.fraction();
--- a/testbed/src/sim/state/traffic.rs
+++ b/testbed/src/sim/state/traffic.rs
@@ -14,7 +14,7 @@
     /// As it should.
     Healthy,
     /// Not at all, and nothing runs.
-    Silent,
+    NoResponse,
     /// The request runs, and the connection is reset.
     RunAndReset,
     /// The request runs, and the response breaks off.
--- a/testbed/src/sim/traffic/servers.rs
+++ b/testbed/src/sim/traffic/servers.rs
@@ -119,7 +119,7 @@
                     Connection { server: index, server_incarnation: incarnation, closed_at: None };
                 self.world.connections.insert(connection, entry);
                 let server = &self.world.servers[index];
-                if server.failure_mode == FailureMode::Silent && server.failure_rate >= 1.0 {
+                if server.failure_mode == FailureMode::NoResponse && server.failure_rate >= 1.0 {
                     return;
                 }
                 let reply = Body::HealthCheckResult {
@@ -144,7 +144,7 @@
                 self.check_server_arrival(index, request, source, sent_at);
                 let server = &mut self.world.servers[index];
                 let failure_mode = if fails { server.failure_mode } else { FailureMode::Healthy };
-                if failure_mode == FailureMode::Silent {
+                if failure_mode == FailureMode::NoResponse {
                     return;
                 }
                 *server.runs.entry(request).or_default() += 1;
