--- a/testbed/src/sim/control/nodes.rs
+++ b/testbed/src/sim/control/nodes.rs
@@ -79,7 +79,7 @@
             gossip,
             view: Arc::default(),
             role_state,
-            leaving: false,
+            is_draining: false,
             seeds: Vec::new(),
             revisions: Vec::new(),
             effective_revisions: Vec::new(),
@@ -101,7 +101,7 @@
         let incarnation = ((wall_ms.max(0) as u64) << 12) | (self.net.random.draw() & 0xfff);
         let random = self.net.random.draw();
         let node = &mut self.nodes[index];
-        node.leaving = false;
+        node.is_draining = false;
         let mut hints = Hints::default();
         if let Some(DownPeriod { to: to @ None, .. }) = node.down_periods.last_mut() {
             *to = Some(self.net.now);
--- a/testbed/src/sim/control/registries.rs
+++ b/testbed/src/sim/control/registries.rs
@@ -20,8 +20,8 @@
         let now = self.net.local_time(host);
         let view = self.nodes[index].view.clone();
         let name = self.nodes[index].info.name.clone();
-        let leaving = self.nodes[index].leaving;
-        let ready = view.committed.revision > 0 && view.is_fresh && !leaving;
+        let is_draining = self.nodes[index].is_draining;
+        let ready = view.committed.revision > 0 && view.is_fresh && !is_draining;
         let RoleState::Registry(registry) = &mut self.nodes[index].role_state else { return };
         registry.ready = ready;
         self.poll_endpoint_list(index, now, &view);
@@ -31,7 +31,7 @@
         let revision = view.committed.revision;
         let status = wire::NodeStatus {
             ready,
-            draining: leaving,
+            draining: is_draining,
             revision,
             synced: may_lead,
             hears_majority: leader::hears_majority(&view),
--- a/testbed/src/sim/reachability.rs
+++ b/testbed/src/sim/reachability.rs
@@ -120,7 +120,7 @@
             }
         }
         for registry in self.of_role_in(part, Role::Registry, |_, _| true) {
-            if !self.reaches_majority(registry, &voting) || self.nodes[registry].leaving {
+            if !self.reaches_majority(registry, &voting) || self.nodes[registry].is_draining {
                 reachability.majority_since[registry] = None;
             } else {
                 reachability.majority_since[registry].get_or_insert(now);
--- a/testbed/src/sim/scenario/action.rs
+++ b/testbed/src/sim/scenario/action.rs
@@ -85,7 +85,7 @@
     let host = sim.nodes[node].host;
     if !sim.net.hosts[host].up || !sim.net.hosts[host].powered {
         sim.start_node(node);
-    } else if sim.nodes[node].leaving {
+    } else if sim.nodes[node].is_draining {
         // Still draining: it is started again once it has ended.
         sim.net.schedule(sim.net.now + Duration::from_millis(200), Event::Script(number));
     }
--- a/testbed/src/sim/state/node.rs
+++ b/testbed/src/sim/state/node.rs
@@ -91,7 +91,7 @@
     /// The state of its role.
     pub role_state: RoleState,
     /// It was asked to stop and drains.
-    pub leaving: bool,
+    pub is_draining: bool,
     /// The addresses in its settings.
     pub seeds: Vec<SocketAddr>,
     /// The committed revisions that it showed, over all incarnations.
--- a/testbed/src/sim/traffic/attempts.rs
+++ b/testbed/src/sim/traffic/attempts.rs
@@ -236,10 +236,14 @@
         };
         let pending = progress.pending();
         let (table, budget) = (&progress.table, &mut proxy.retry_budget);
-        let decision =
-            proxy.endpoints.decide_hedge(now, table, &context, &pending, node.leaving, |reason| {
-                budget.would_allow(now, live, reason)
-            });
+        let decision = proxy.endpoints.decide_hedge(
+            now,
+            table,
+            &context,
+            &pending,
+            node.is_draining,
+            |reason| budget.would_allow(now, live, reason),
+        );
         match decision {
             HedgeDecision::Hedge(reason) if self.begin_hedge(index, progress_id, reason) => return,
             HedgeDecision::GiveUp => {
--- a/testbed/src/sim/traffic/proxies.rs
+++ b/testbed/src/sim/traffic/proxies.rs
@@ -50,7 +50,7 @@
         let view = self.nodes[index].view.clone();
         let name = self.nodes[index].info.name.clone();
         let info = self.nodes[index].info.clone();
-        let leaving = self.nodes[index].leaving;
+        let is_draining = self.nodes[index].is_draining;
         let RoleState::Proxy(proxy) = &mut self.nodes[index].role_state else { return };
         proxy.ticked_at = now;
         let revision = endpoints::revision_of(&view);
@@ -66,7 +66,7 @@
         self.world.probes += ticked.probes.len() as u64;
         let is_fresh = view.is_fresh || self.mutation == Some(Mutation::StartsFromStaleConfig);
         let is_current = proxy.endpoints.is_ready(now, is_fresh, revision);
-        let ready = is_current && !leaving;
+        let ready = is_current && !is_draining;
         let accepts = is_current && !proxy.closed;
         let mut observations = None;
         let has_changes = ticked.has_changes || std::mem::take(&mut proxy.has_phase_changes);
@@ -94,7 +94,7 @@
         }
         let status = wire::NodeStatus {
             ready: accepts,
-            draining: leaving,
+            draining: is_draining,
             revision: view.committed.revision,
             ..wire::NodeStatus::default()
         };
@@ -110,7 +110,7 @@
 
     /// Asks a node to stop in the planned way.
     pub fn terminate(&mut self, index: usize) {
-        self.nodes[index].leaving = true;
+        self.nodes[index].is_draining = true;
         let host = self.nodes[index].host;
         let linger = match self.nodes[index].info.role {
             wire::Role::Proxy => Duration::from_millis(3500),
--- a/testbed/src/sim/traffic/requests.rs
+++ b/testbed/src/sim/traffic/requests.rs
@@ -211,7 +211,7 @@
         let node = &self.nodes[index];
         let is_late = self.net.local_time(node.host) >= progress.deadline;
         let is_given_up = !is_served && !progress.pending().is_empty();
-        if node.leaving && !is_late && (is_given_up || progress.was_cut_off) {
+        if node.is_draining && !is_late && (is_given_up || progress.was_cut_off) {
             let (request, name) = (progress.request, node.info.name.clone());
             self.violations
                 .push(format!("request {request} given up at its server by {name}, which drains"));
