--- a/testbed/src/sim/scenario/operators.rs
+++ b/testbed/src/sim/scenario/operators.rs
@@ -242,7 +242,7 @@
 pub(super) fn read_history(sim: &mut Sim) -> Vec<(u64, Option<Outcome>)> {
     let registries = (0..sim.nodes.len())
         .filter(|index| sim.nodes[*index].info.role == Role::Registry && sim.is_up(*index));
-    let registry = registries.min().unwrap_or_else(|| sim.index("registry-0"));
+    let registry = registries.min().unwrap_or_else(|| sim.node_index("registry-0"));
     let latest = match call_and_wait(sim, OperatorCall::Read, registry) {
         Some(Outcome::Value { value }) => value.revision,
         other => return vec![(0, other)],
--- a/testbed/src/sim/startup.rs
+++ b/testbed/src/sim/startup.rs
@@ -60,7 +60,7 @@
         StartCondition::MachineLost => {
             // The first core machine has the store that proposes first.
             for name in ["store-0", "registry-0"] {
-                let one = sim.index(name);
+                let one = sim.node_index(name);
                 sim.crash(one, true);
                 who.retain(|other| *other != one);
             }
--- a/testbed/src/sim/state/mod.rs
+++ b/testbed/src/sim/state/mod.rs
@@ -146,7 +146,7 @@
     /// # Panics
     ///
     /// If there is none: scenarios name only nodes that they added.
-    pub fn index(&self, name: &str) -> usize {
+    pub fn node_index(&self, name: &str) -> usize {
         self.nodes
             .iter()
             .position(|node| node.info.name == name)
