--- a/testbed/src/commands/starts.rs
+++ b/testbed/src/commands/starts.rs
@@ -47,7 +47,7 @@
         let mut rows = rows.lock().expect("no panic under this lock");
         for start in all {
             let key = (format!("{deployment:?}"), scene, start.role.to_string());
-            rows.entry(key).or_default().push(start.took);
+            rows.entry(key).or_default().push(start.time_to_ready);
         }
     });
     print_table(rows.into_inner().expect("no panic under this lock"));
--- a/testbed/src/sim/startup.rs
+++ b/testbed/src/sim/startup.rs
@@ -38,7 +38,7 @@
     /// The node's role.
     pub role: Role,
     /// How long until it was ready; `None`: not within the timeout.
-    pub took: Option<Duration>,
+    pub time_to_ready: Option<Duration>,
 }
 
 /// All starts of one scene.
@@ -117,12 +117,13 @@
         waiting.retain(|one| {
             let is_ready = is_ready(sim, *one);
             if is_ready {
-                starts.push(Start { role: sim.nodes[*one].info.role, took: Some(took) });
+                starts.push(Start { role: sim.nodes[*one].info.role, time_to_ready: Some(took) });
             }
             !is_ready
         });
     }
-    let never = waiting.iter().map(|one| Start { role: sim.nodes[*one].info.role, took: None });
+    let never =
+        waiting.iter().map(|one| Start { role: sim.nodes[*one].info.role, time_to_ready: None });
     starts.extend(never);
 }
 
--- a/testbed/tests/days.rs
+++ b/testbed/tests/days.rs
@@ -337,8 +337,8 @@
             let most = if scene == StartCondition::RegionCut { 2200 } else { 1000 };
             for seed in 1..=2 {
                 for start in measure(seed, scene, &Plan::new(deployment, &[])) {
-                    if start.took.is_none_or(|took| took > Duration::from_millis(most)) {
-                        let (role, took) = (start.role, start.took);
+                    if start.time_to_ready.is_none_or(|took| took > Duration::from_millis(most)) {
+                        let (role, took) = (start.role, start.time_to_ready);
                         late.push(format!("{deployment:?} {scene} {seed} {role}: {took:?}"));
                     }
                 }
