--- a/testbed/src/sim/invariants/slow_start.rs
+++ b/testbed/src/sim/invariants/slow_start.rs
@@ -32,7 +32,7 @@
                          from {}",
                         server.id,
                         seconds(restart.at),
-                        seconds(restart.away),
+                        seconds(restart.down_time),
                         seconds(*from)
                     ));
                     break;
--- a/testbed/src/sim/state/traffic.rs
+++ b/testbed/src/sim/state/traffic.rs
@@ -37,8 +37,8 @@
 pub struct ServerRestart {
     /// When it was back.
     pub at: Duration,
-    /// How long it had been away.
-    pub away: Duration,
+    /// How long it had been down.
+    pub down_time: Duration,
     /// Whether proxies were there and it was away long enough for them to notice.
     pub is_noticeable: bool,
 }
--- a/testbed/src/sim/traffic/servers.rs
+++ b/testbed/src/sim/traffic/servers.rs
@@ -94,14 +94,14 @@
         let now = self.net.now;
         let is_observed = self.is_observed();
         let server = &mut self.world.servers[index];
-        let away = now - server.down_at.take().unwrap_or(now);
+        let down_time = now - server.down_at.take().unwrap_or(now);
         // The next probe notices that a process is down; a silent machine takes two probes that time
         // out.
         let lost = server.lost_power;
         let noticeable = Duration::from_millis(if lost { 5000 } else { 1500 });
         // Down and back while no proxy ran: none could notice.
-        let is_noticeable = away >= noticeable && (server.was_observed || is_observed);
-        server.restarts.push(ServerRestart { at: now, away, is_noticeable });
+        let is_noticeable = down_time >= noticeable && (server.was_observed || is_observed);
+        server.restarts.push(ServerRestart { at: now, down_time, is_noticeable });
         let id = server.id.clone();
         self.trace_event(|| format!("server {id} is back, cold"));
     }
