--- a/testbed/tests/days.rs
+++ b/testbed/tests/days.rs
@@ -593,26 +593,26 @@
 fn nodes_killed_at_every_crash_point_violate_no_invariant() {
     use vanepath_testbed::sim::crash_points::{CrashPoint, PlannedCrash};
     let points: Vec<(CrashPoint, u32)> = CrashPoint::iter()
-        .flat_map(|point| [1, 2, 3, 5, 8, 13].map(|turn| (point, turn)))
+        .flat_map(|point| [1, 2, 3, 5, 8, 13].map(|visit| (point, visit)))
         .collect();
     let found = std::sync::Mutex::new(Vec::new());
     on_threads(cores(), points.len(), |index| {
-        let (point, turn) = points[index];
+        let (point, visit) = points[index];
         let from = Duration::from_secs(13);
-        let deployment = if turn % 2 == 0 { Deployment::Raiocerto } else { Deployment::Guild };
+        let deployment = if visit % 2 == 0 { Deployment::Raiocerto } else { Deployment::Guild };
         let plan = Plan {
-            planned_crash: Some(PlannedCrash { point, visit: turn, from }),
+            planned_crash: Some(PlannedCrash { point, visit, from }),
             operator_interval: Duration::from_millis(300),
             rate: 0.3,
             ..Plan::new(deployment, &[Fault::None])
         };
-        let finished = run(u64::from(turn), &plan);
+        let finished = run(u64::from(visit), &plan);
         let mut faults = check(&finished).violations;
         if finished.sim.crashed_at.is_none() {
             faults.push("the point was never passed".to_string());
         }
         for fault in faults {
-            found.lock().unwrap().push(format!("{point} {turn}: {fault}"));
+            found.lock().unwrap().push(format!("{point} {visit}: {fault}"));
         }
     });
     let found = found.into_inner().unwrap();
