--- a/testbed/src/sim/control/nodes.rs
+++ b/testbed/src/sim/control/nodes.rs
@@ -87,7 +87,7 @@
             down_periods: Vec::new(),
         });
         let index = self.nodes.len() - 1;
-        self.by_host.insert(host, index);
+        self.node_by_host.insert(host, index);
         index
     }
 
--- a/testbed/src/sim/crash_points.rs
+++ b/testbed/src/sim/crash_points.rs
@@ -2,8 +2,9 @@
 
 use std::time::Duration;
 
-/// A point in the steps of a node. Visits of a point are counted, and the planned one kills the node.
-/// The names on the command line are those of earlier versions.
+/// A point in a node's processing at which it can be killed. Visits of the planned point are
+/// counted, and the planned visit kills the node. The command line uses the names of earlier
+/// versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumIter)]
 #[strum(serialize_all = "kebab-case")]
 pub enum CrashPoint {
@@ -43,13 +44,14 @@
     AfterResponse,
 }
 
-/// A planned crash, at the `visit`-th visit of the point from `from` on.
+/// A planned crash: the node is killed when the point is visited for the `visit`-th time, counted
+/// from time `from` on.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannedCrash {
     /// The point.
     pub point: CrashPoint,
-    /// Which visit, counted from 1.
+    /// Which visit kills the node, counted from 1.
     pub visit: u32,
-    /// The visits before this time do not count.
+    /// Visits before this time are not counted.
     pub from: Duration,
 }
--- a/testbed/src/sim/event_loop.rs
+++ b/testbed/src/sim/event_loop.rs
@@ -1,4 +1,5 @@
-//! The event loop: takes events off the queue and brings them to whom they are for.
+//! The event loop: takes events from the queue and dispatches them to the nodes, servers and
+//! clients that they concern.
 
 use super::mutations::Mutation;
 use super::network::{Body, Call, CallId, Event, HostId, Purpose, Timer};
@@ -9,7 +10,7 @@
 use vanepath_store::consensus;
 use vanepath_store::protocol::{Request, Response};
 
-/// How often a node's cores get their regular tick.
+/// The interval of a node's regular tick.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Sim {
@@ -33,29 +34,41 @@
             Event::Script(number) => apply(self, number),
             Event::Tick { host, incarnation } => {
                 self.net.schedule(self.net.now + TICK_INTERVAL, Event::Tick { host, incarnation });
-                if let Some(index) = self.by_host.get(&host).copied() {
+                if let Some(index) = self.node_by_host.get(&host).copied() {
                     self.tick(index);
                 }
             }
             Event::DiskWriteDone { host, .. } => {
-                if let Some(index) = self.by_host.get(&host).copied() {
+                if let Some(index) = self.node_by_host.get(&host).copied() {
                     self.disk_write_done(index);
                 }
             }
             Event::Timer { host, timer, .. } => self.timer_fired(host, timer),
             Event::RequestArrived { call: number, body } => {
-                let entry = call.expect("arrivals carry their call");
-                self.deliver_request(entry.target, entry.source, number, body);
+                let call_entry = call.expect("an arriving request belongs to a call");
+                self.deliver_request(call_entry.target, call_entry.source, number, body);
             }
             Event::ReplyArrived { body, .. } => {
-                let entry = call.expect("replies carry their call");
+                let call_entry = call.expect("an arriving reply belongs to a call");
                 let body = if matches!(body, Body::Reset) { None } else { Some(body) };
                 let is_reset = body.is_none();
-                self.deliver_reply(entry.source, entry.target, entry.purpose, body, is_reset);
+                self.deliver_reply(
+                    call_entry.source,
+                    call_entry.target,
+                    call_entry.purpose,
+                    body,
+                    is_reset,
+                );
             }
             Event::CallTimedOut { .. } => {
-                let entry = call.expect("expiries carry their call");
-                self.deliver_reply(entry.source, entry.target, entry.purpose, None, false);
+                let call_entry = call.expect("an expired timeout belongs to a call");
+                self.deliver_reply(
+                    call_entry.source,
+                    call_entry.target,
+                    call_entry.purpose,
+                    None,
+                    false,
+                );
             }
         }
     }
@@ -63,7 +76,7 @@
     fn timer_fired(&mut self, host: HostId, timer: Timer) {
         match timer {
             Timer::StoreCall(store_call) => {
-                if let Some(index) = self.by_host.get(&host).copied() {
+                if let Some(index) = self.node_by_host.get(&host).copied() {
                     self.step_store_call(index, store_call);
                 }
             }
@@ -79,7 +92,7 @@
             }
             return;
         }
-        let Some(index) = self.by_host.get(&host).copied() else {
+        let Some(index) = self.node_by_host.get(&host).copied() else {
             return self.arrive_at_server(host, source, call, body);
         };
         match body {
@@ -87,7 +100,8 @@
                 if self.has_mutation(Mutation::DelaysConfig)
                     && !self.net.now.as_secs().is_multiple_of(7)
                 {
-                    // The puller seems to have every revision already.
+                    // The request claims that its sender has every revision, so that the response
+                    // carries no newer one.
                     request.config_revision = u64::MAX;
                 }
                 self.step_gossip(index, gossip::Event::PullReceived { ticket: call, request });
@@ -116,7 +130,7 @@
         body: Option<Body>,
         is_reset: bool,
     ) {
-        let index = self.by_host.get(&source).copied();
+        let index = self.node_by_host.get(&source).copied();
         match (purpose, index) {
             (Purpose::Pull { address }, Some(index)) => {
                 let response = match body {
--- a/testbed/src/sim/mod.rs
+++ b/testbed/src/sim/mod.rs
@@ -1,10 +1,11 @@
-//! The simulator: the programs' own cores on simulated time, network, disks and clocks, from one
-//! seed (design 10.2). A seed replays exactly.
+//! The simulator: runs the programs' own cores on a simulated network with simulated clocks and
+//! disks. All randomness comes from one seed, so a run with the same seed repeats exactly (design
+//! 10.2).
 //!
-//! Imports go one way: [`network`], [`mutations`] and [`crash_points`] know nothing of the fleet;
-//! [`state`] holds its state; [`control`], [`traffic`] and [`reachability`] are its behaviour;
-//! [`scenario`] scripts faults and operators; `event_loop` runs it all; [`invariants`] checks what
-//! happened.
+//! Dependencies between the modules point one way: [`network`], [`mutations`] and [`crash_points`]
+//! do not depend on the fleet; [`state`] holds the state of the fleet; [`control`], [`traffic`] and
+//! [`reachability`] implement its behaviour; [`scenario`] schedules faults and operators' calls;
+//! `event_loop` dispatches all events; [`invariants`] checks the finished run.
 
 pub mod control;
 pub mod crash_points;
--- a/testbed/src/sim/network/event.rs
+++ b/testbed/src/sim/network/event.rs
@@ -4,7 +4,7 @@
 use super::message::{Body, CallId};
 use std::time::Duration;
 
-/// What happens at a moment of simulated time.
+/// Something that happens at a point in simulated time.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A node's regular tick.
@@ -28,7 +28,7 @@
         /// The reply.
         body: Body,
     },
-    /// The timeout of a call is over.
+    /// The timeout of a call has expired.
     CallTimedOut {
         /// The call.
         call: CallId,
@@ -46,7 +46,7 @@
         host: HostId,
         /// The incarnation that set it.
         incarnation: u32,
-        /// What it is for.
+        /// What the timer is for.
         timer: Timer,
     },
     /// An action of the scenario, by its number in the script.
@@ -62,14 +62,15 @@
     SteeringPoll(usize),
     /// A client's next request.
     NextRequest(usize),
-    /// A request was written to a connection that its machine had forgotten.
+    /// A client learns that the connection to which it wrote a request is unknown to the proxy's
+    /// machine, which lost power meanwhile.
     StaleConnection {
         /// The request.
         request: usize,
         /// The proxy's host.
         target: HostId,
     },
-    /// A client considers whether to give up on a proxy that has its request and does not answer.
+    /// A client decides whether to give up on a proxy that has its request and has not answered.
     SwitchProxy {
         /// The request.
         request: usize,
@@ -78,7 +79,7 @@
         /// The call that carries the request.
         call: CallId,
     },
-    /// A new connection to that proxy was opened, or the attempt timed out.
+    /// A client's new connection to a proxy that has not answered was opened, or timed out.
     ProbeConnected {
         /// The request.
         request: usize,
@@ -87,11 +88,11 @@
         /// The call that carries the request.
         call: CallId,
         /// Whether the connection was opened.
-        is_there: bool,
+        is_reachable: bool,
     },
     /// An operator's next call.
     NextOperatorCall,
-    /// A proxy admits a request, or waits until it is ready itself.
+    /// A proxy tries to admit a request, which it does only once it is ready.
     AdmitRequest(usize),
     /// A proxy selects a server for a request.
     SelectServer(usize),
@@ -101,21 +102,22 @@
     HedgeRequest {
         /// The request in progress.
         progress_id: usize,
-        /// Only the latest timer of a request counts.
+        /// The number of the timer: only the latest timer of a request takes effect.
         timer: u32,
     },
-    /// A server has done a request.
+    /// A server has finished a request.
     ServerDone {
         /// The call that carries the request.
         call: CallId,
         /// The request.
         request: usize,
     },
-    /// A node that drains closes its listeners.
-    Close,
+    /// A draining proxy closes its listeners; a draining node of another role stops.
+    CloseListeners,
 }
 
-/// An event in the queue. Events of one moment happen in the order in which they were scheduled.
+/// An event in the queue. Events with the same time are handled in the order in which they were
+/// scheduled.
 pub(super) struct Queued {
     pub(super) at: Duration,
     pub(super) sequence: u64,
@@ -137,7 +139,8 @@
 }
 
 impl Ord for Queued {
-    // Reversed: the greatest of the heap is the earliest event.
+    // Reversed, because the heap returns the greatest entry first and that must be the earliest
+    // event.
     fn cmp(&self, other: &Queued) -> std::cmp::Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
--- a/testbed/src/sim/network/host.rs
+++ b/testbed/src/sim/network/host.rs
@@ -1,4 +1,5 @@
-//! Machines of the simulation: each runs one process and may lose power, stand still or be cut off.
+//! The simulated machines. Each runs one process and can lose power, freeze or be cut off from
+//! others.
 
 use super::Network;
 use super::event::Event;
@@ -15,34 +16,34 @@
 pub struct Host {
     /// The name, for traces.
     pub name: String,
-    /// The zone; empty for what stands outside all zones.
+    /// The zone; empty for a host outside all zones.
     pub zone: String,
-    /// The region; empty for what stands outside all zones.
+    /// The region; empty for a host outside all zones.
     pub region: String,
     /// Whether the process runs.
     pub up: bool,
-    /// Whether the machine has power: a machine with power resets connections to a process that is
-    /// down, one without power is silent.
+    /// Whether the machine has power. With power it resets connections to a process that is down;
+    /// without power it sends nothing.
     pub powered: bool,
-    /// Whether the machine stands still: its events are deferred until it resumes.
+    /// Whether the machine is frozen: its events are deferred until it resumes.
     pub frozen: bool,
     /// Counts the starts of the process; events of an earlier incarnation are dropped.
     pub incarnation: u32,
-    /// What the host's monotonic clock shows at the start of the simulation.
+    /// The reading of the host's monotonic clock at the start of the simulation.
     pub clock_offset: Duration,
-    /// What the host's wall clock shows at the start of the simulation, in milliseconds.
+    /// The reading of the host's wall clock at the start of the simulation, in milliseconds.
     pub wall_ms: i64,
     pub(super) deferred: Vec<Event>,
-    /// Incarnations that ended with the machine's power: no peer received a reset.
+    /// Incarnations that ended because the machine lost power, so that no peer received a reset.
     pub unclean_incarnations: Vec<u32>,
 }
 
-/// What can be wrong with a host.
+/// The kinds of faults of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostFaultKind {
     /// The process or the machine is down.
     Down,
-    /// The machine stands still.
+    /// The machine is frozen.
     Frozen,
     /// The network to some other hosts is cut.
     Cut,
@@ -50,12 +51,12 @@
     Misbehaving,
 }
 
-/// A period in which something was wrong with a host.
+/// A period in which a host had a fault.
 #[derive(Clone, Copy, Debug)]
 pub struct HostFault {
     /// The host.
     pub host: HostId,
-    /// What was wrong.
+    /// The kind of the fault.
     pub kind: HostFaultKind,
     /// When it began.
     pub from: Duration,
@@ -100,17 +101,17 @@
         }
     }
 
-    /// The host's own monotonic clock.
+    /// The current reading of the host's own monotonic clock.
     pub fn local_time(&self, host: HostId) -> Duration {
         self.now + self.hosts[host].clock_offset
     }
 
-    /// Records that something is wrong with a host from now on.
+    /// Records that a fault of a host begins now.
     pub fn begin_fault(&mut self, host: HostId, kind: HostFaultKind) {
         self.host_faults.push(HostFault { host, kind, from: self.now, to: None });
     }
 
-    /// Records that all faults of this kind of a host are over.
+    /// Records that all faults of this kind on a host end now.
     pub fn end_fault(&mut self, host: HostId, kind: HostFaultKind) {
         let now = self.now;
         for fault in self.host_faults.iter_mut() {
@@ -120,14 +121,14 @@
         }
     }
 
-    /// Whether a host had any fault within this period.
+    /// Whether a host had any fault during this period.
     pub fn had_fault(&self, host: HostId, from: Duration, to: Duration) -> bool {
-        self.host_faults.iter().any(|one| {
-            one.host == host && one.from <= to && one.to.is_none_or(|ended| ended >= from)
+        self.host_faults.iter().any(|fault| {
+            fault.host == host && fault.from <= to && fault.to.is_none_or(|ended| ended >= from)
         })
     }
 
-    /// Lets a machine stand still.
+    /// Freezes a machine.
     pub fn freeze(&mut self, host: HostId) {
         if !self.hosts[host].frozen {
             self.hosts[host].frozen = true;
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Starts the process; its state is up to whoever calls this.
+    /// Starts the process. The caller has to initialize the state of the process.
     pub fn start(&mut self, host: HostId) {
         self.end_fault(host, HostFaultKind::Down);
         self.end_fault(host, HostFaultKind::Frozen);
@@ -148,7 +149,8 @@
         self.schedule(self.now + jitter, Event::Tick { host, incarnation });
     }
 
-    /// Ends the process at once. Whoever waits for a reply of it gets a reset if the machine has power.
+    /// Ends the process at once. Hosts that wait for its replies get a reset if the machine has
+    /// power.
     pub fn stop(&mut self, host: HostId) {
         self.begin_fault(host, HostFaultKind::Down);
         if !self.hosts[host].powered {
@@ -158,18 +160,18 @@
         self.hosts[host].up = false;
         self.hosts[host].frozen = false;
         self.hosts[host].deferred.clear();
-        let open: Vec<CallId> = self
+        let open_calls: Vec<CallId> = self
             .calls
             .iter()
             .filter(|(_, entry)| entry.target == host && entry.target_incarnation.is_some())
             .map(|(call, _)| *call)
             .collect();
-        for call in open {
+        for call in open_calls {
             self.reply(call, Body::Reset);
         }
     }
 
-    /// Lets a machine that stood still go on: what was deferred happens now.
+    /// Resumes a frozen machine: its deferred events happen now.
     pub fn resume(&mut self, host: HostId) {
         self.end_fault(host, HostFaultKind::Frozen);
         self.hosts[host].frozen = false;
--- a/testbed/src/sim/network/message.rs
+++ b/testbed/src/sim/network/message.rs
@@ -11,12 +11,12 @@
 /// The number of a call.
 pub type CallId = u64;
 
-/// What a message says.
+/// The content of a message.
 #[derive(Clone, Debug)]
 pub enum Body {
-    /// A pull of gossip.
+    /// A gossip pull request.
     Pull(wire::PullRequest),
-    /// The gossip that was pulled.
+    /// The response to a gossip pull request.
     PullResponse(wire::PullResponse),
     /// A request to a store.
     StoreRequest(Request),
@@ -30,11 +30,11 @@
     ReadEndpointList,
     /// The platform's endpoint list.
     EndpointList(Arc<EndpointList>),
-    /// What the platform answers in place of its list, as text.
+    /// Text that the platform sends in place of its endpoint list.
     EndpointListText(String),
     /// A client's poll of the steering service, with its query.
     SteeringRequest(String),
-    /// The steering service's answer, as JSON; empty for none.
+    /// The steering service's answer, as JSON; empty if it gives none.
     SteeringResponse(String),
     /// A client's request to a proxy, by its number.
     Forward(usize),
@@ -55,10 +55,10 @@
         server: String,
         /// The number of the connection.
         connection: u64,
-        /// Whether the server says that it is warming up.
+        /// Whether the server reports that it is warming up.
         is_warming_up: bool,
         /// The server's load, in thousandths of its capacity.
-        demand_milli: u32,
+        load_milli: u32,
     },
     /// A request that a proxy sends to a server.
     UpstreamRequest {
@@ -72,25 +72,25 @@
     /// A server's response.
     UpstreamResponse {
         /// The server's load, in thousandths of its capacity.
-        demand_milli: u32,
-        /// Whether the response breaks off.
+        load_milli: u32,
+        /// Whether the response is truncated.
         is_truncated: bool,
     },
     /// Nothing listens at the target, or the connection was reset.
     Reset,
 }
 
-/// What a call is about, on the side that made it.
+/// What a call is for, as the calling host records it.
 #[derive(Clone, Debug)]
 pub enum Purpose {
-    /// A pull of gossip from this address.
+    /// A gossip pull from this address.
     Pull {
         /// The peer's address.
         address: SocketAddr,
     },
     /// A store's request to another store.
     Store {
-        /// The consensus core's own number of the request.
+        /// The number that the consensus core gave to the request.
         call: u64,
     },
     /// The read index of the store at this address.
@@ -145,7 +145,7 @@
     None,
 }
 
-/// A request from one host to another, until its reply or its timeout.
+/// A request from one host to another that has neither been answered nor timed out.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// The host that sent the request.
@@ -153,8 +153,8 @@
     pub(super) source_incarnation: u32,
     /// The host that it was sent to.
     pub target: HostId,
-    /// The incarnation that received the request, once it has.
+    /// The incarnation that received the request; `None` until it arrives.
     pub(super) target_incarnation: Option<u32>,
-    /// What it is about.
+    /// What the call is for.
     pub purpose: Purpose,
 }
--- a/testbed/src/sim/network/mod.rs
+++ b/testbed/src/sim/network/mod.rs
@@ -17,11 +17,11 @@
 /// One-way delays of messages.
 #[derive(Clone, Copy, Debug)]
 pub struct Delays {
-    /// Between zones of one region; within a zone a quarter of it.
+    /// Between zones of one region. Within a zone a quarter of it applies.
     pub zone: Duration,
     /// Between regions.
     pub region: Duration,
-    /// To and from what stands outside all zones, such as clients.
+    /// To and from hosts outside all zones, such as clients.
     pub client: Duration,
 }
 
@@ -35,26 +35,27 @@
     pub hosts: Vec<Host>,
     /// The ordinary delays.
     pub delays: Delays,
-    /// Directed pairs between which nothing passes, with the number of cuts between them.
+    /// Directed pairs of hosts between which all messages are lost, with the number of cuts that
+    /// apply to them.
     pub cuts: BTreeMap<(HostId, HostId), u32>,
-    /// Some messages take up to this much longer.
+    /// Some messages are delayed by up to this much more.
     pub extra_delay: Duration,
     calls: BTreeMap<CallId, Call>,
     queue: BinaryHeap<Queued>,
     next_call: CallId,
     next_sequence: u64,
-    /// Bytes of gossip so far.
+    /// Bytes of gossip sent so far.
     pub cluster_bytes: u64,
-    /// Bytes of gossip between zones so far.
+    /// Bytes of gossip sent between zones so far.
     pub cross_zone_cluster_bytes: u64,
-    /// Messages so far.
+    /// Messages sent so far.
     pub messages: u64,
     /// When hosts were down, frozen, cut off or misbehaving, for the invariant checks.
     pub host_faults: Vec<HostFault>,
 }
 
 impl Network {
-    /// A network without hosts; all chance comes from the seed.
+    /// Creates a network without hosts. All randomness comes from the seed.
     pub fn new(seed: u64, delays: Delays) -> Network {
         Network {
             now: Duration::ZERO,
@@ -74,33 +75,33 @@
         }
     }
 
-    /// Schedules an event.
+    /// Schedules an event for this time.
     pub fn schedule(&mut self, at: Duration, event: Event) {
         self.next_sequence += 1;
         self.queue.push(Queued { at, sequence: self.next_sequence, event });
     }
 
-    /// Sets a timer of a host; it is dropped if the process ends before.
+    /// Sets a timer of a host. It is dropped if the process ends first.
     pub fn set_timer(&mut self, host: HostId, after: Duration, timer: Timer) {
         let incarnation = self.hosts[host].incarnation;
         self.schedule(self.now + after, Event::Timer { host, incarnation, timer });
     }
 
     fn delay(&mut self, from: HostId, to: HostId) -> Duration {
-        let (left, right) = (&self.hosts[from], &self.hosts[to]);
-        let is_outside = left.zone.is_empty() || right.zone.is_empty();
+        let (sender, receiver) = (&self.hosts[from], &self.hosts[to]);
+        let is_outside = sender.zone.is_empty() || receiver.zone.is_empty();
         let base = if is_outside {
             self.delays.client
-        } else if left.zone == right.zone {
+        } else if sender.zone == receiver.zone {
             self.delays.zone / 4
-        } else if left.region == right.region {
+        } else if sender.region == receiver.region {
             self.delays.zone
         } else {
             self.delays.region
         };
-        let part = 0.9 + 0.3 * self.random.fraction();
-        let mut delay = base.mul_f64(part) + Duration::from_micros(self.random.draw() % 200);
-        // Now and then a message is held up.
+        let factor = 0.9 + 0.3 * self.random.fraction();
+        let mut delay = base.mul_f64(factor) + Duration::from_micros(self.random.draw() % 200);
+        // Some messages are delayed for longer than usual.
         if self.random.chance(0.002) {
             delay += Duration::from_millis(self.random.draw() % 40);
         }
@@ -114,7 +115,8 @@
         self.hosts[host].up && self.hosts[host].powered
     }
 
-    /// Sends a request to another host; the reply, a reset or a timeout comes back under the call.
+    /// Sends a request to another host. The reply, reset or timeout is delivered under the returned
+    /// call number.
     pub fn send(
         &mut self,
         source: HostId,
@@ -137,7 +139,7 @@
         call
     }
 
-    /// A call that is neither answered nor timed out.
+    /// Finds a call that has neither been answered nor timed out.
     pub fn find_call(&self, call: CallId) -> Option<&Call> {
         self.calls.get(&call)
     }
@@ -159,8 +161,8 @@
         self.calls.remove(&call);
     }
 
-    /// Takes the next event that takes effect, and moves the clock to it. Events of ended calls and of
-    /// earlier incarnations are skipped, those of frozen hosts deferred.
+    /// Takes the next event that takes effect and advances the clock to it. Events of ended calls
+    /// and of earlier incarnations are dropped, and events of frozen hosts are deferred.
     pub fn next_event(&mut self) -> Option<(Event, Option<Call>)> {
         loop {
             let Queued { at, event, .. } = self.queue.pop()?;
@@ -177,13 +179,13 @@
                 Event::Script(_) => return Some((event, None)),
                 Event::RequestArrived { call, .. } => {
                     let Some(entry) = self.calls.get(call) else { continue };
-                    let (target, wanted) = (entry.target, entry.target_incarnation);
+                    let (target, receiver_incarnation) = (entry.target, entry.target_incarnation);
                     if !self.hosts[target].powered {
                         continue;
                     }
-                    let is_other = wanted
+                    let is_other_incarnation = receiver_incarnation
                         .is_some_and(|incarnation| incarnation != self.hosts[target].incarnation);
-                    if !self.hosts[target].up || is_other {
+                    if !self.hosts[target].up || is_other_incarnation {
                         let call = *call;
                         self.reply(call, Body::Reset);
                         continue;
--- a/testbed/src/sim/network/partition.rs
+++ b/testbed/src/sim/network/partition.rs
@@ -10,8 +10,8 @@
         self.cuts.contains_key(&(from, to))
     }
 
-    /// Cuts every host of the left side off from every other host of the right side. A one-way cut
-    /// loses only what the left side sends.
+    /// Cuts every host of the left side off from every other host of the right side. In a one-way
+    /// cut only messages from the left side are lost.
     pub fn cut(&mut self, left: &[HostId], right: &[HostId], is_one_way: bool) {
         for host in left {
             self.begin_fault(*host, HostFaultKind::Cut);
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Ends one cut; other cuts between the same hosts stay.
+    /// Ends one cut. Other cuts between the same hosts remain.
     pub fn uncut(&mut self, left: &[HostId], right: &[HostId], is_one_way: bool) {
         for host in left {
             self.end_fault(*host, HostFaultKind::Cut);
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Ends all cuts and delays.
+    /// Ends all cuts and additional delays.
     pub fn heal(&mut self) {
         for host in 0..self.hosts.len() {
             self.end_fault(host, HostFaultKind::Cut);
--- a/testbed/src/sim/random.rs
+++ b/testbed/src/sim/random.rs
@@ -1,19 +1,19 @@
-//! The random numbers of a simulation.
+//! The pseudo-random number generator of a simulation.
 
 use std::time::Duration;
 
-/// A generator of pseudo-random numbers (SplitMix64): all chance of a simulation comes from one seed.
+/// A SplitMix64 generator. All randomness of a simulation comes from the seed of one generator.
 pub struct Random(u64);
 
 impl Random {
-    /// The generator of a seed.
+    /// Creates the generator for a seed.
     pub fn new(seed: u64) -> Random {
         let mut random = Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x1234_5678_9abc_def0);
         random.draw();
         random
     }
 
-    /// The next number.
+    /// Returns the next number.
     pub fn draw(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
@@ -32,12 +32,12 @@
         (self.draw() >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    /// True with this probability.
+    /// Returns true with the given probability.
     pub fn chance(&mut self, probability: f64) -> bool {
         self.fraction() < probability
     }
 
-    /// A duration between two others.
+    /// A duration from `low` up to `high`.
     pub fn between(&mut self, low: Duration, high: Duration) -> Duration {
         low + (high - low).mul_f64(self.fraction())
     }
--- a/testbed/src/sim/reachability.rs
+++ b/testbed/src/sim/reachability.rs
@@ -275,7 +275,7 @@
     ) {
         // A frozen server receives it later than it was sent.
         let now = sent_at;
-        let Some(proxy) = self.by_host.get(&proxy_host).copied() else { return };
+        let Some(proxy) = self.node_by_host.get(&proxy_host).copied() else { return };
         let Some(knowable) = self.reachability.knowable.get(proxy) else { return };
         let (id, zone) = {
             let server = &self.world.servers[server];
--- a/testbed/src/sim/startup.rs
+++ b/testbed/src/sim/startup.rs
@@ -1,35 +1,35 @@
-//! How long nodes take from their start until they are ready, in simulated time (design 5.8): for
-//! `vanepath-testbed starts`.
+//! Measures how long nodes take from their start until they are ready, in simulated time (design
+//! 5.8). Used by `vanepath-testbed starts`.
 
 use super::scenario::{Plan, open, operators};
 use super::state::{Action, FAULTS_BEGIN, RoleState, Sim};
 use std::time::Duration;
 use vanepath_cluster::wire::Role;
 
-/// How often readiness is observed.
+/// How often readiness is checked.
 const OBSERVATION_INTERVAL: Duration = Duration::from_millis(5);
-/// A node that is not ready after so long counts as never ready.
+/// A node that is not ready after this time counts as never ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(8);
-/// How long a process is down.
+/// How long a process is down before it is started again.
 const DOWN_TIME: Duration = Duration::from_millis(400);
 
-/// What happens around the starts.
+/// The conditions under which nodes are started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, strum::Display, strum::EnumIter)]
 #[strum(serialize_all = "kebab-case")]
 pub enum StartCondition {
-    /// One after the other, while nothing else happens.
+    /// One node after the other, while nothing else happens.
     Quiet,
-    /// The same, while a change comes each 150 ms.
+    /// One node after the other, while the configuration is changed every 150 ms.
     Storm,
-    /// The same, while the core machine whose store proposes is down.
+    /// One node after the other, while the core machine whose store proposes is down.
     MachineLost,
-    /// The same, while the first zone is down.
+    /// One node after the other, while the first zone is down.
     ZoneLost,
-    /// The first zone comes back, all of it at one time.
+    /// All nodes of the first zone at the same time, after the zone was down.
     ZoneBack,
-    /// All nodes at one time.
+    /// All nodes of the fleet at the same time.
     AllAtOnce,
-    /// One after the other within the first region, which is cut off from the others.
+    /// One node after the other in the first region, which is cut off from the other regions.
     RegionCut,
 }
 
@@ -37,94 +37,99 @@
 pub struct Start {
     /// The node's role.
     pub role: Role,
-    /// How long until it was ready; `None`: not within the timeout.
+    /// The time until it was ready; `None` if it was not ready within the timeout.
     pub time_to_ready: Option<Duration>,
 }
 
-/// All starts of one scene.
-pub fn measure(seed: u64, scene: StartCondition, plan: &Plan) -> Vec<Start> {
+/// Measures all starts under one condition.
+pub fn measure(seed: u64, condition: StartCondition, plan: &Plan) -> Vec<Start> {
     let plan = Plan { rate: 0.02, operator_interval: Duration::ZERO, ..plan.clone() };
     let mut sim = open(seed, &plan);
     sim.run_until(FAULTS_BEGIN);
-    let mut who = sim.nodes_of(Role::Proxy);
-    who.extend(sim.nodes_of(Role::Registry));
+    let mut to_restart = sim.nodes_of(Role::Proxy);
+    to_restart.extend(sim.nodes_of(Role::Registry));
     let all: Vec<usize> = (0..sim.nodes.len()).collect();
     let (zone, region) = (sim.nodes[0].info.zone.clone(), sim.nodes[0].info.region.clone());
-    let in_zone: Vec<usize> =
-        all.iter().copied().filter(|one| sim.nodes[*one].info.zone == zone).collect();
-    let in_region: Vec<usize> =
-        all.iter().copied().filter(|one| sim.nodes[*one].info.region == region).collect();
+    let zone_nodes: Vec<usize> =
+        all.iter().copied().filter(|node| sim.nodes[*node].info.zone == zone).collect();
+    let region_nodes: Vec<usize> =
+        all.iter().copied().filter(|node| sim.nodes[*node].info.region == region).collect();
     let mut starts = Vec::new();
-    match scene {
+    match condition {
         StartCondition::Quiet | StartCondition::Storm => {}
         StartCondition::MachineLost => {
-            // The first core machine has the store that proposes first.
+            // The store of the first core machine is the first one to propose.
             for name in ["store-0", "registry-0"] {
-                let one = sim.node_index(name);
-                sim.crash(one, true);
-                who.retain(|other| *other != one);
+                let node = sim.node_index(name);
+                sim.crash(node, true);
+                to_restart.retain(|other| *other != node);
             }
             let until = sim.net.now + Duration::from_secs(5);
             sim.run_until(until);
         }
         StartCondition::ZoneLost | StartCondition::ZoneBack => {
-            in_zone.iter().for_each(|one| sim.crash(*one, true));
-            who.retain(|one| !in_zone.contains(one));
+            zone_nodes.iter().for_each(|node| sim.crash(*node, true));
+            to_restart.retain(|node| !zone_nodes.contains(node));
             let until = sim.net.now + Duration::from_secs(5);
             sim.run_until(until);
         }
-        StartCondition::AllAtOnce => all.iter().for_each(|one| sim.crash(*one, false)),
+        StartCondition::AllAtOnce => all.iter().for_each(|node| sim.crash(*node, false)),
         StartCondition::RegionCut => {
-            let hosts = |sim: &Sim, of: &[usize]| -> Vec<usize> {
-                of.iter().map(|one| sim.nodes[*one].host).collect()
+            let hosts = |sim: &Sim, nodes: &[usize]| -> Vec<usize> {
+                nodes.iter().map(|node| sim.nodes[*node].host).collect()
             };
-            let rest: Vec<usize> =
-                all.iter().copied().filter(|one| !in_region.contains(one)).collect();
-            let (left, right) = (hosts(&sim, &in_region), hosts(&sim, &rest));
+            let other_nodes: Vec<usize> =
+                all.iter().copied().filter(|node| !region_nodes.contains(node)).collect();
+            let (left, right) = (hosts(&sim, &region_nodes), hosts(&sim, &other_nodes));
             let now = sim.net.now;
             sim.schedule(now, Action::Cut { left, right, one_way: false });
             sim.run_until(now + Duration::from_secs(5));
-            who.retain(|one| in_region.contains(one));
+            to_restart.retain(|node| region_nodes.contains(node));
         }
     }
-    let together = match scene {
-        StartCondition::ZoneBack => in_zone,
+    let started_together = match condition {
+        StartCondition::ZoneBack => zone_nodes,
         StartCondition::AllAtOnce => all,
         _ => Vec::new(),
     };
-    if !together.is_empty() {
-        pass_time(&mut sim, DOWN_TIME, scene);
-        measure_start(&mut sim, &together, scene, &mut starts);
+    if !started_together.is_empty() {
+        advance_time(&mut sim, DOWN_TIME, condition);
+        measure_start(&mut sim, &started_together, condition, &mut starts);
         return starts;
     }
-    for one in who {
-        sim.crash(one, false);
-        pass_time(&mut sim, DOWN_TIME, scene);
-        measure_start(&mut sim, &[one], scene, &mut starts);
-        pass_time(&mut sim, Duration::from_millis(500), scene);
+    for node in to_restart {
+        sim.crash(node, false);
+        advance_time(&mut sim, DOWN_TIME, condition);
+        measure_start(&mut sim, &[node], condition, &mut starts);
+        advance_time(&mut sim, Duration::from_millis(500), condition);
     }
     starts
 }
 
-/// Starts nodes at one time and waits until they are ready.
-fn measure_start(sim: &mut Sim, who: &[usize], scene: StartCondition, starts: &mut Vec<Start>) {
-    who.iter().for_each(|one| sim.start_node(*one));
+/// Starts nodes at the same time and waits until they are ready.
+fn measure_start(
+    sim: &mut Sim,
+    to_start: &[usize],
+    condition: StartCondition,
+    starts: &mut Vec<Start>,
+) {
+    to_start.iter().for_each(|node| sim.start_node(*node));
     let from = sim.net.now;
-    let mut waiting: Vec<usize> = who.to_vec();
+    let mut waiting: Vec<usize> = to_start.to_vec();
     while !waiting.is_empty() && sim.net.now < from + READY_TIMEOUT {
-        pass_time(sim, OBSERVATION_INTERVAL, scene);
+        advance_time(sim, OBSERVATION_INTERVAL, condition);
         let took = sim.net.now - from;
-        waiting.retain(|one| {
-            let is_ready = is_ready(sim, *one);
+        waiting.retain(|node| {
+            let is_ready = is_ready(sim, *node);
             if is_ready {
-                starts.push(Start { role: sim.nodes[*one].info.role, time_to_ready: Some(took) });
+                starts.push(Start { role: sim.nodes[*node].info.role, time_to_ready: Some(took) });
             }
             !is_ready
         });
     }
-    let never =
-        waiting.iter().map(|one| Start { role: sim.nodes[*one].info.role, time_to_ready: None });
-    starts.extend(never);
+    let not_ready =
+        waiting.iter().map(|node| Start { role: sim.nodes[*node].info.role, time_to_ready: None });
+    starts.extend(not_ready);
 }
 
 fn is_ready(sim: &Sim, index: usize) -> bool {
@@ -136,17 +141,18 @@
     }
 }
 
-/// Time passes; in a storm, with changes.
-fn pass_time(sim: &mut Sim, span: Duration, scene: StartCondition) {
+/// Lets simulated time pass. Under [`StartCondition::Storm`] the configuration changes meanwhile.
+fn advance_time(sim: &mut Sim, span: Duration, condition: StartCondition) {
     let end = sim.net.now + span;
-    if scene == StartCondition::Storm {
-        let every = Duration::from_millis(150);
-        let gone = sim.net.now.as_nanos() % every.as_nanos();
-        let mut next = sim.net.now + every - Duration::from_nanos(gone as u64);
-        while next < end {
-            sim.run_until(next);
+    if condition == StartCondition::Storm {
+        let change_interval = Duration::from_millis(150);
+        let since_last_change = sim.net.now.as_nanos() % change_interval.as_nanos();
+        let mut next_change =
+            sim.net.now + change_interval - Duration::from_nanos(since_last_change as u64);
+        while next_change < end {
+            sim.run_until(next_change);
             operators::replace_config(sim, None);
-            next += every;
+            next_change += change_interval;
         }
     }
     sim.run_until(end);
--- a/testbed/src/sim/state/mod.rs
+++ b/testbed/src/sim/state/mod.rs
@@ -41,7 +41,7 @@
     /// The nodes, those that were replaced among them.
     pub nodes: Vec<Node>,
     /// The node on a host.
-    pub by_host: HashMap<HostId, usize>,
+    pub node_by_host: HashMap<HostId, usize>,
     /// The operators' host.
     pub operator_host: HostId,
     /// The operators' calls in the order in which they were sent.
@@ -97,7 +97,7 @@
         Sim {
             net,
             nodes: Vec::new(),
-            by_host: HashMap::new(),
+            node_by_host: HashMap::new(),
             operator_host,
             operations: Vec::new(),
             evacuations: Vec::new(),
--- a/testbed/src/sim/state/traffic.rs
+++ b/testbed/src/sim/state/traffic.rs
@@ -62,7 +62,7 @@
     /// The mean time that a request takes.
     pub service_time: Duration,
     /// The load that it reports, in thousandths of its capacity.
-    pub demand_milli: u32,
+    pub load_milli: u32,
     /// The number of requests that it works on at one time, the others wait; 0: no bound, and the
     /// reported load is constant.
     pub workers: u32,
--- a/testbed/src/sim/threads.rs
+++ b/testbed/src/sim/threads.rs
@@ -1,8 +1,9 @@
-//! Independent simulations on several threads.
+//! Runs independent simulations in parallel.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Calls `work` with each number below `count`, on so many threads. Simulations share no state.
+/// Calls `work` once with each index below `count`, on the given number of threads. The simulations
+/// share no state.
 pub fn on_threads(threads: usize, count: usize, work: impl Fn(usize) + Sync) {
     let next = AtomicUsize::new(0);
     std::thread::scope(|scope| {
@@ -20,7 +21,7 @@
     });
 }
 
-/// The number of processor cores; 1 if it is unknown.
+/// The number of available processor cores; 1 if it is unknown.
 pub fn cores() -> usize {
     std::thread::available_parallelism().map_or(1, |cores| cores.get())
 }
--- a/testbed/src/sim/traffic/attempts.rs
+++ b/testbed/src/sim/traffic/attempts.rs
@@ -334,8 +334,8 @@
         };
         let slot = attempt.slot;
         let outcome = match body {
-            Some(Body::UpstreamResponse { demand_milli, is_truncated: false }) => {
-                proxy.endpoints.observe_load(now, slot, demand_milli);
+            Some(Body::UpstreamResponse { load_milli, is_truncated: false }) => {
+                proxy.endpoints.observe_load(now, slot, load_milli);
                 Ok(())
             }
             Some(_) => Err(AttemptError::Truncated),
--- a/testbed/src/sim/traffic/clients.rs
+++ b/testbed/src/sim/traffic/clients.rs
@@ -157,16 +157,16 @@
         if let Some(stale) = stale {
             open.remove(&stale);
         }
-        let is_there = self.net.hosts[target].powered && !self.net.is_cut(host, target);
+        let is_reachable = self.net.hosts[target].powered && !self.net.is_cut(host, target);
         let request = &mut self.world.requests[number];
         request.is_stale = is_stale;
-        request.connecting = !is_open && !is_there && !is_stale;
+        request.connecting = !is_open && !is_reachable && !is_stale;
         let is_last = request.next_candidate >= request.candidates.len().min(MAX_ATTEMPTS);
         let timeout = if request.connecting { Duration::from_secs(1) } else { CALL_TIMEOUT };
         let may_leave = !request.is_once && !is_last && !request.connecting;
         self.world.clients[client].steering.request_started(now, address);
         self.world.requests[number].proxies_tried.push(target);
-        if is_stale && is_there {
+        if is_stale && is_reachable {
             let delay = 2 * self.net.delays.client;
             let timer = Timer::StaleConnection { request: number, target };
             self.net.set_timer(host, delay, timer);
@@ -263,12 +263,12 @@
         let client = self.world.requests[request].client;
         let (now, address) = (self.net.now, Network::address_of(target));
         if self.world.clients[client].steering.is_suspect(now, &address) {
-            let is_there = self.net.hosts[target].powered && !self.net.is_cut(host, target);
-            let pause = match is_there {
+            let is_reachable = self.net.hosts[target].powered && !self.net.is_cut(host, target);
+            let pause = match is_reachable {
                 true => 2 * self.net.delays.client,
                 false => CONNECT_TIMEOUT,
             };
-            let timer = Timer::ProbeConnected { request, target, call, is_there };
+            let timer = Timer::ProbeConnected { request, target, call, is_reachable };
             self.net.set_timer(host, pause, timer);
         } else {
             let timer = Timer::SwitchProxy { request, target, call };
@@ -283,11 +283,11 @@
         request: usize,
         target: HostId,
         call: CallId,
-        is_there: bool,
+        is_reachable: bool,
     ) {
         let client = self.world.requests[request].client;
         let (now, address) = (self.net.now, Network::address_of(target));
-        if self.world.clients[client].steering.may_abandon(now, &address, is_there) {
+        if self.world.clients[client].steering.may_abandon(now, &address, is_reachable) {
             self.net.cancel(call);
             self.proxy_replied(request, target, None, false);
         } else {
--- a/testbed/src/sim/traffic/mod.rs
+++ b/testbed/src/sim/traffic/mod.rs
@@ -32,10 +32,10 @@
             Timer::SwitchProxy { request, target, call } if self.net.find_call(call).is_some() => {
                 self.consider_switching(host, request, target, call);
             }
-            Timer::ProbeConnected { request, target, call, is_there }
+            Timer::ProbeConnected { request, target, call, is_reachable }
                 if self.net.find_call(call).is_some() =>
             {
-                self.probe_connected(host, request, target, call, is_there);
+                self.probe_connected(host, request, target, call, is_reachable);
             }
             Timer::StaleConnection { request, target } => {
                 self.proxy_replied(request, target, None, true);
@@ -45,8 +45,8 @@
             | Timer::SelectServer(_)
             | Timer::QueueTimeout(_)
             | Timer::HedgeRequest { .. }
-            | Timer::Close => {
-                if let Some(index) = self.by_host.get(&host).copied() {
+            | Timer::CloseListeners => {
+                if let Some(index) = self.node_by_host.get(&host).copied() {
                     self.proxy_timer(index, timer);
                 }
             }
@@ -63,7 +63,7 @@
         body: Option<Body>,
         is_reset: bool,
     ) {
-        let index = self.by_host.get(&source).copied();
+        let index = self.node_by_host.get(&source).copied();
         match (purpose, index) {
             (Purpose::SteeringPoll { client }, _) => self.steering_replied(client, body),
             (Purpose::Forward { request }, _) => {
--- a/testbed/src/sim/traffic/proxies.rs
+++ b/testbed/src/sim/traffic/proxies.rs
@@ -116,7 +116,7 @@
             wire::Role::Proxy => Duration::from_millis(3500),
             _ => Duration::from_millis(300),
         };
-        self.net.set_timer(host, linger, Timer::Close);
+        self.net.set_timer(host, linger, Timer::CloseListeners);
     }
 
     /// A server answered a health check, or did not.
@@ -137,10 +137,10 @@
             return;
         };
         let phase = match body {
-            Some(Body::HealthCheckResult { server, connection, is_warming_up, demand_milli })
+            Some(Body::HealthCheckResult { server, connection, is_warming_up, load_milli })
                 if server == endpoint.server.id =>
             {
-                proxy.endpoints.observe_load(now, slot, demand_milli);
+                proxy.endpoints.observe_load(now, slot, load_milli);
                 if is_warming_up {
                     proxy.endpoints.update_health(slot, |health| {
                         if health.phase == ServerPhase::Healthy {
@@ -189,7 +189,7 @@
             Timer::HedgeRequest { progress_id, timer } => {
                 self.hedge_request(index, progress_id, timer);
             }
-            Timer::Close => {
+            Timer::CloseListeners => {
                 if let RoleState::Proxy(proxy) = &mut self.nodes[index].role_state {
                     proxy.closed = true;
                     // For clients it is down from now on.
--- a/testbed/src/sim/traffic/servers.rs
+++ b/testbed/src/sim/traffic/servers.rs
@@ -20,7 +20,7 @@
             failure_mode: FailureMode::Healthy,
             failure_rate: 0.0,
             service_time,
-            demand_milli: 200,
+            load_milli: 200,
             workers: 0,
             busy_workers: 0,
             queue: VecDeque::new(),
@@ -126,7 +126,7 @@
                     server: server.id.clone(),
                     connection,
                     is_warming_up: server.reports_warming_up,
-                    demand_milli: server.demand_milli,
+                    load_milli: server.load_milli,
                 };
                 self.net.reply(call, reply);
             }
@@ -180,7 +180,7 @@
             server.load += part * (wanted / f64::from(server.workers) - server.load);
             self.world.worst_load = self.world.worst_load.max(server.load);
             server.load_at = now;
-            server.demand_milli = (server.load * 1000.0).min(5000.0) as u32;
+            server.load_milli = (server.load * 1000.0).min(5000.0) as u32;
         }
     }
 
@@ -198,11 +198,11 @@
         let fails = self.net.random.fraction() < self.world.servers[index].failure_rate;
         let server = &self.world.servers[index];
         let failure_mode = if fails { server.failure_mode } else { FailureMode::Healthy };
-        let demand_milli = server.demand_milli;
+        let load_milli = server.load_milli;
         let body = match failure_mode {
             FailureMode::RunAndReset => Body::Reset,
             failure_mode => Body::UpstreamResponse {
-                demand_milli,
+                load_milli,
                 is_truncated: failure_mode == FailureMode::Truncate,
             },
         };
