--- a/testbed/src/sim/reachability.rs
+++ b/testbed/src/sim/reachability.rs
@@ -4,7 +4,8 @@
 
 use super::network::HostId;
 use super::state::{
-    Knowable, KnownRevisions, OperatorCall, Reachability, RoleState, Sim, ZoneDrain, knowable_since,
+    KnowableRevisions, KnownRevisions, OperatorCall, Reachability, RoleState, Sim, ZoneDrain,
+    knowable_since,
 };
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -43,7 +44,7 @@
         let now = self.net.now;
         let mut reachability = std::mem::take(&mut self.reachability);
         reachability.sampled_at = now;
-        reachability.knowable.resize(self.nodes.len(), Knowable::default());
+        reachability.knowable.resize(self.nodes.len(), KnowableRevisions::default());
         reachability.minimum_at_start.resize(self.nodes.len(), KnownRevisions::default());
         reachability.incarnations.resize(self.nodes.len(), (0, false));
         reachability.started_at.resize(self.nodes.len(), Duration::ZERO);
@@ -56,7 +57,7 @@
             let node = &self.nodes[index];
             let is_up = self.is_up(index);
             if !is_up {
-                reachability.knowable[index] = Knowable::default();
+                reachability.knowable[index] = KnowableRevisions::default();
                 reachability.majority_since[index] = None;
             }
             let incarnation = (self.net.hosts[node.host].incarnation, is_up);
@@ -153,11 +154,13 @@
         let revisions = part.iter().map(|index| self.nodes[*index].gossip.committed.revision);
         let best = revisions.max().unwrap_or(0);
         let has_accepted = |index: &&usize| match &self.nodes[**index].role_state {
-            RoleState::Store(store) => store.core.summary().accepted >= reachability.acknowledged,
+            RoleState::Store(store) => {
+                store.core.summary().accepted >= reachability.acknowledged_revision
+            }
             _ => false,
         };
         if voting.iter().filter(has_accepted).count() >= self.majority() {
-            best.max(reachability.acknowledged)
+            best.max(reachability.acknowledged_revision)
         } else {
             best
         }
@@ -383,7 +386,8 @@
             self.reachability.report(operation.registry, "operation", 0, text);
         }
         if let Some(revision) = revision {
-            self.reachability.acknowledged = self.reachability.acknowledged.max(revision);
+            self.reachability.acknowledged_revision =
+                self.reachability.acknowledged_revision.max(revision);
         }
         match (&operation.call, revision) {
             (OperatorCall::Change { change: Change::DrainZone { zone }, .. }, Some(revision)) => {
--- a/testbed/src/sim/state/action.rs
+++ b/testbed/src/sim/state/action.rs
@@ -1,34 +1,34 @@
-//! The actions of a scenario, which the simulator carries out at their times.
+//! The actions of a scenario, which the simulator carries out at scheduled times.
 
 use super::traffic::FailureMode;
 use crate::sim::network::HostId;
 use std::time::Duration;
 
-/// A single action. Nodes and servers are named by their indexes.
+/// A single action. Nodes and servers are identified by their indexes.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Starts a node that is down.
     Start(usize),
-    /// Ends all nodes and their machines.
+    /// Ends all nodes' processes and cuts the power of their machines.
     CrashAll,
     /// Starts all nodes.
     StartAll,
-    /// Ends a node at once.
+    /// Kills a node's process.
     Crash {
         /// The node.
         node: usize,
         /// Its machine loses power.
         loses_power: bool,
     },
-    /// Asks a node to stop in the planned way.
+    /// Asks a node to stop gracefully.
     Terminate(usize),
-    /// A node's machine stands still.
+    /// Freezes a node's machine.
     Freeze(usize),
-    /// A node's machine goes on.
+    /// Resumes a node's machine.
     Resume(usize),
-    /// A store's disk is lost.
+    /// Erases a store's disk.
     Wipe(usize),
-    /// Messages between the two sides are lost.
+    /// Drops messages between the two sides.
     Cut {
         /// One side.
         left: Vec<HostId>,
@@ -46,13 +46,13 @@
         /// Only what the left side sends was lost.
         one_way: bool,
     },
-    /// Some messages take up to this much longer.
+    /// Delays some messages by up to this much more.
     DelayNetwork(Duration),
-    /// A store's disk is full, or has room again.
+    /// Makes a store's disk full, or gives it free space again.
     DiskFull(usize, bool),
-    /// A node's wall clock jumps by so many milliseconds.
+    /// Moves a node's wall clock by this many milliseconds.
     JumpWallClock(usize, i64),
-    /// Ends a server.
+    /// Kills a server's process.
     StopServer {
         /// The server.
         server: usize,
@@ -61,24 +61,24 @@
     },
     /// Starts a server that is down.
     StartServer(usize),
-    /// A server's machine stands still, or goes on.
+    /// Freezes a server's machine, or resumes it.
     FreezeServer(usize, bool),
-    /// So many times the ordinary traffic from the clients of this zone.
+    /// Multiplies the ordinary traffic from the clients of this zone by this factor.
     Surge(&'static str, f64),
-    /// A part of a server's requests fails.
+    /// Makes a fraction of a server's requests fail.
     SetFailureMode {
         /// The server.
         server: usize,
         /// How they fail.
         failure_mode: FailureMode,
-        /// The part that fails, from 0 to 1.
+        /// The fraction that fails, from 0 to 1.
         rate: f64,
     },
     /// The platform marks a server as draining.
     MarkDraining(usize),
     /// The platform removes a server from its list.
     RemoveServer(usize),
-    /// The address of a server passes to another service's new server.
+    /// Reassigns the address of a server to a new server of another service.
     ReassignAddress(usize),
     /// Replaces a core machine by an empty one at a new address.
     Replace {
@@ -87,23 +87,23 @@
         /// The store on it.
         store: usize,
     },
-    /// So many more downloads a second, of three seconds each; 0: ordinary traffic again.
+    /// Adds this many downloads a second, of three seconds each; 0 restores the ordinary traffic.
     Downloads(f64),
     /// The platform serves faulty endpoint lists, or good ones again.
     FaultyEndpointLists(bool),
-    /// Binds filings to the middle region, or to the north as usual.
+    /// Restricts filings to the middle region, or to the north region as usual.
     MoveRegionBounds(bool),
-    /// An operator drains a zone, under a key.
+    /// An operator drains a zone, with an idempotency key.
     DrainZone(&'static str),
-    /// An operator restores a zone, under a key.
+    /// An operator restores a zone, with an idempotency key.
     RestoreZone(&'static str),
-    /// A call of an evacuation, without a key.
+    /// A call of an evacuation, without an idempotency key.
     KeylessCall {
         /// The evacuation.
         evacuation: usize,
         /// 0 drains the zone, 1 restores it.
         step: usize,
-        /// The registry that receives the call dies soon after.
+        /// The registry that receives the call is killed soon after.
         registry_dies: bool,
     },
     /// An operator submits a new configuration.
@@ -112,8 +112,8 @@
     ReorderClasses,
     /// An operator reads the configuration.
     Read,
-    /// Two operators submit different configurations under one version.
+    /// Two operators submit different configurations that name the same version.
     RaceOperators,
-    /// What this operation submitted, by an operator whose answer was lost.
+    /// An operator whose answer was lost submits the change of this operation again.
     Resubmit(usize),
 }
--- a/testbed/src/sim/state/disk.rs
+++ b/testbed/src/sim/state/disk.rs
@@ -7,7 +7,8 @@
 use vanepath_store::hints::Hints;
 use vanepath_store::value::{Value, VersionId};
 
-/// A store's disk: what was synced stays; of the writes in flight any first part may stay.
+/// A store's disk. Synced writes survive a crash; of the writes in flight, any number of the first
+/// ones may survive.
 #[derive(Default)]
 pub struct Disk {
     /// The replica's hard state; `None` on an empty disk.
@@ -15,18 +16,18 @@
     /// All stored versions.
     pub versions: BTreeMap<VersionId, Arc<Value>>,
     pub(in crate::sim) in_flight_writes: Vec<consensus::DiskWrite>,
-    /// Writes that a disk reported and did not sync.
+    /// Writes that the disk reported as complete without syncing them.
     pub(in crate::sim) unsynced: Vec<consensus::DiskWrite>,
-    /// Writes fail.
+    /// Whether the disk is full, so that writes fail.
     pub is_full: bool,
-    /// Writes so far.
+    /// The number of writes so far.
     pub syncs: u64,
-    /// The last hints on peers (see `HintWriter`).
+    /// The last saved hints about peers (see `HintWriter`).
     pub hints: Hints,
 }
 
 impl Disk {
-    /// Completes a write.
+    /// Applies a write to the disk.
     pub(in crate::sim) fn apply(&mut self, write: consensus::DiskWrite) {
         match write {
             consensus::DiskWrite::Version { id, bytes } => {
@@ -40,7 +41,8 @@
         }
     }
 
-    /// What a store that starts reads; an empty disk gets a new incarnation from `random`.
+    /// The state that a starting store reads from the disk. An empty disk gets a new incarnation
+    /// from `random`.
     pub(in crate::sim) fn recover(&mut self, random: u64) -> consensus::RecoveredState {
         let state = self.state.get_or_insert_with(|| consensus::HardState::empty(random)).clone();
         let accepted = state.accepted.map(|accepted| accepted.version());
--- a/testbed/src/sim/state/mod.rs
+++ b/testbed/src/sim/state/mod.rs
@@ -1,5 +1,5 @@
-//! The state of a simulation. Nothing here acts on the fleet: that is up to the modules
-//! [`control`](super::control), [`traffic`](super::traffic) and [`scenario`](super::scenario).
+//! The state of a simulation. The modules [`control`](super::control), [`traffic`](super::traffic)
+//! and [`scenario`](super::scenario) act on it.
 
 mod action;
 mod disk;
@@ -15,7 +15,9 @@
 pub use operators::{Evacuation, Operation, OperatorCall};
 pub use proxy::Proxy;
 pub(in crate::sim) use proxy::{AttemptInProgress, RequestInProgress};
-pub use reachability::{Knowable, KnownRevisions, Reachability, ZoneDrain, knowable_since};
+pub use reachability::{
+    KnowableRevisions, KnownRevisions, Reachability, ZoneDrain, knowable_since,
+};
 pub(in crate::sim) use traffic::Connection;
 pub use traffic::{
     Client, FailureMode, ProxyArrival, Request, RequestKind, Server, ServerArrival, ServerDrain,
@@ -31,14 +33,14 @@
 use vanepath_cluster::wire::{CommittedConfig, Role};
 use vanepath_config::endpoint_list::EndpointList;
 
-/// When the fleet is up and the first fault of a scenario begins.
+/// The time at which the first fault of a scenario begins. The fleet is up by then.
 pub const FAULTS_BEGIN: Duration = Duration::from_secs(12);
 
 /// A simulated fleet with its operators, clients, servers and platform.
 pub struct Sim {
     /// The network, the clock and all events.
     pub net: Network,
-    /// The nodes, those that were replaced among them.
+    /// All nodes, including those whose machines were replaced.
     pub nodes: Vec<Node>,
     /// The node on a host.
     pub node_by_host: HashMap<HostId, usize>,
@@ -50,31 +52,31 @@
     pub evacuations: Vec<Evacuation>,
     /// The host of the platform that serves the endpoint list.
     pub platform_host: HostId,
-    /// The platform serves faulty or outdated lists now and then.
+    /// Whether the platform sometimes serves faulty or outdated lists.
     pub endpoint_lists_faulty: bool,
     /// The platform's endpoint list.
     pub platform_list: Arc<EndpointList>,
-    /// The platform does not number its lists.
+    /// Whether the platform's lists have no revision, so that registries have to assign one.
     pub has_unversioned_lists: bool,
-    /// The platform's own list for each number that a registry gave.
+    /// The platform's own revision of each list, by the revision that a registry assigned.
     pub source_list_revisions: HashMap<u64, u64>,
     /// The number of member slots of the stores.
     pub member_slots: usize,
     /// Servers, clients and requests.
     pub world: World,
-    /// What each node could have known.
+    /// What each node could have known, and the violations found.
     pub reachability: Reachability,
-    /// The trace, if it is recorded.
+    /// The recorded trace; empty unless `is_traced`.
     pub trace: Vec<String>,
-    /// Records the trace.
+    /// Whether the trace is recorded.
     pub is_traced: bool,
     /// Violations that the programs' cores reported themselves.
     pub violations: Vec<String>,
-    /// The actions of the scenario; events name them by their numbers.
+    /// The actions of the scenario. Events refer to them by their indexes.
     pub script: Vec<Action>,
-    /// What is broken on purpose.
+    /// The active mutation of the product, if any.
     pub mutation: Option<Mutation>,
-    /// Where a node is to be killed.
+    /// The crash point at which a node is to be killed, if any.
     pub planned_crash: Option<PlannedCrash>,
     /// When the planned crash happened.
     pub crashed_at: Option<Duration>,
@@ -85,7 +87,7 @@
 }
 
 impl Sim {
-    /// An empty fleet; all chance comes from the seed.
+    /// Creates an empty fleet. All randomness comes from the seed.
     pub fn new(seed: u64, delays: Delays) -> Sim {
         let mut net = Network::new(seed, delays);
         let operator_host = net.add_host("operator", "", "");
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Whether the product is broken in this way.
+    /// Whether this mutation is active.
     pub fn has_mutation(&self, mutation: Mutation) -> bool {
         self.mutation == Some(mutation)
     }
@@ -134,18 +136,18 @@
         }
     }
 
-    /// Puts an action into the script, to happen at this time.
+    /// Adds an action to the script, to be carried out at this time.
     pub fn schedule(&mut self, at: Duration, action: Action) {
         self.script.push(action);
         let number = self.script.len() - 1;
         self.net.schedule(at, Event::Script(number));
     }
 
-    /// The node of this name.
+    /// The index of the node with this name.
     ///
     /// # Panics
     ///
-    /// If there is none: scenarios name only nodes that they added.
+    /// Panics if no node has this name. Scenarios use only names of nodes that they have added.
     pub fn node_index(&self, name: &str) -> usize {
         self.nodes
             .iter()
@@ -153,7 +155,7 @@
             .unwrap_or_else(|| panic!("no node is named {name}"))
     }
 
-    /// Whether a node's process runs, on a machine that does not stand still.
+    /// Whether a node's process runs on a machine that has power and is not frozen.
     pub fn is_up(&self, index: usize) -> bool {
         let host = &self.net.hosts[self.nodes[index].host];
         host.up && host.powered && !host.frozen
--- a/testbed/src/sim/state/node.rs
+++ b/testbed/src/sim/state/node.rs
@@ -16,7 +16,7 @@
 use vanepath_store::hints::HintWriter;
 use vanepath_store::shell::StoreDirectory;
 
-/// A store: the consensus core with its disk.
+/// The state of a store: the consensus core and its disk.
 pub struct Store {
     /// The replica's name and the size of the first member table.
     pub identity: consensus::Identity,
@@ -26,25 +26,27 @@
     pub disk: Disk,
     pub(in crate::sim) inbox: VecDeque<consensus::Event>,
     pub(in crate::sim) pending: VecDeque<consensus::Effect>,
-    /// A write is in flight.
+    /// Whether a write is in flight.
     pub(in crate::sim) busy: bool,
-    /// A write failed, and the disk was not read since.
+    /// Whether a write failed and the disk has not been read again since.
     pub(in crate::sim) disk_failed: bool,
     pub(in crate::sim) directory: StoreDirectory,
     pub(in crate::sim) hint_writer: HintWriter,
 }
 
-/// A registry: operators' calls to the stores, the endpoint list and the traffic-shift plan.
+/// The state of a registry: operators' calls to the stores, reads of the endpoint list, and the
+/// traffic-shift plan.
 #[derive(Default)]
 pub struct Registry {
     pub(in crate::sim) store_calls: HashMap<usize, (StoreRequest, CallId)>,
     pub(in crate::sim) next_store_call: usize,
-    /// Whether it says that it is ready.
+    /// Whether it reports that it is ready.
     pub ready: bool,
     pub(in crate::sim) next_plan_at: Duration,
     pub(in crate::sim) leadership: LeadershipReadiness,
     pub(in crate::sim) polled_at: Option<Duration>,
-    /// Numbers the lists of a platform that does not; a new one with each incarnation.
+    /// Assigns revisions to the lists of a platform that does not number them. Each incarnation has
+    /// a new one.
     pub(in crate::sim) list_sequencer: Option<ListSequencer>,
 }
 
@@ -58,10 +60,10 @@
     Proxy(Box<Proxy>),
 }
 
-/// A revision of the configuration that a node had from some moment on.
+/// A change of a node's configuration revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RevisionChange {
-    /// From when on.
+    /// When the node got the revision.
     pub at: Duration,
     /// The incarnation of the node.
     pub incarnation: u32,
@@ -86,20 +88,20 @@
     pub info: wire::NodeInfo,
     /// The gossip core.
     pub gossip: gossip::Gossip,
-    /// What the gossip core shows to the role.
+    /// The view of the cluster that the gossip core gives to the role.
     pub view: Arc<ClusterView>,
     /// The state of its role.
     pub role_state: RoleState,
-    /// It was asked to stop and drains.
+    /// Whether it was asked to stop and is draining.
     pub is_draining: bool,
-    /// The addresses in its settings.
+    /// The seed addresses in its settings.
     pub seeds: Vec<SocketAddr>,
-    /// The committed revisions that it showed, over all incarnations.
+    /// The committed revisions that its view had, over all incarnations.
     pub revisions: Vec<RevisionChange>,
-    /// The revisions that it routed by or offered to others, over all incarnations.
+    /// The revisions that it routed by or served to other nodes, over all incarnations.
     pub effective_revisions: Vec<RevisionChange>,
-    /// Whether it says that it is ready.
+    /// Whether it reports that it is ready.
     pub is_ready: bool,
-    /// When its process was down.
+    /// The periods in which its process was down.
     pub down_periods: Vec<DownPeriod>,
 }
--- a/testbed/src/sim/state/operators.rs
+++ b/testbed/src/sim/state/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' calls, as the operators saw them.
+//! The history of operators' calls, as the operators see them.
 
 use std::time::Duration;
 use vanepath_store::protocol::{Change, Outcome};
@@ -6,7 +6,7 @@
 /// A call of an operator to a registry.
 #[derive(Clone, Debug)]
 pub struct Operation {
-    /// What was called.
+    /// The call.
     pub call: OperatorCall,
     /// The registry that was called.
     pub registry: usize,
@@ -18,7 +18,7 @@
     pub outcome: Option<Outcome>,
 }
 
-/// What an operator calls for.
+/// What an operator asks a registry to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorCall {
     /// A change under an idempotency key.
@@ -51,16 +51,16 @@
         }
     }
 
-    /// The evacuation that this call belongs to. The platform sends these calls without a key; the
-    /// key here only tells the simulator which call it is.
+    /// The evacuation that this call belongs to. The platform sends these calls without an
+    /// idempotency key; the key here only identifies the call within the simulator.
     pub fn evacuation(&self) -> Option<usize> {
         let OperatorCall::Change { key, .. } = self else { return None };
         key.strip_prefix("order-")?.split('-').next()?.parse().ok()
     }
 }
 
-/// An evacuation of a zone by calls without a key: one to drain it and one to restore it, each sent
-/// again after a sending without a clear answer.
+/// An evacuation of a zone by calls without an idempotency key. One call drains the zone and one
+/// restores it; each is sent again until its outcome is known.
 #[derive(Clone, Debug)]
 pub struct Evacuation {
     /// The zone.
--- a/testbed/src/sim/state/proxy.rs
+++ b/testbed/src/sim/state/proxy.rs
@@ -26,35 +26,35 @@
     pub(in crate::sim) received_at: Duration,
     pub(in crate::sim) deadline: Duration,
     pub(in crate::sim) permit: Option<AdmissionSlot>,
-    /// Its number in the admission queue while it waits.
+    /// Its ticket while it waits in the admission queue.
     pub(in crate::sim) queue_ticket: Option<u64>,
     /// The attempts in progress, the latest last.
     pub(in crate::sim) attempts: Vec<AttemptInProgress>,
-    /// The timer that may hedge the request is the one with this number.
+    /// The number of the latest hedge timer. Earlier timers have no effect.
     pub(in crate::sim) hedge_timer: u32,
-    /// An attempt was cut off at a server that may have been at work on it.
+    /// Whether an attempt was aborted while its server may have been processing it.
     pub(in crate::sim) was_cut_off: bool,
 }
 
 /// An attempt of a request at one server.
 pub(in crate::sim) struct AttemptInProgress {
-    /// Counts the attempts of the request.
+    /// The number of the attempt within the request, from 1.
     pub(in crate::sim) number: u32,
-    /// The table that the server was selected from, and its index there.
+    /// The table that the server was selected from. `endpoint_index` is its index there.
     pub(in crate::sim) table: Arc<RoutingTable>,
     pub(in crate::sim) endpoint_index: usize,
-    /// The slot of the endpoint, which counts the request as in flight.
+    /// The slot of the endpoint, where the request counts as in flight.
     pub(in crate::sim) slot: usize,
     /// The connection, and when it was last verified.
     pub(in crate::sim) connection: Option<(u64, Duration)>,
     /// The call to the server, and when it was sent.
     pub(in crate::sim) upstream_call: Option<(CallId, Duration)>,
-    /// It counts as silent at its server already.
+    /// Whether the attempt was already recorded at its server as timed out.
     pub(in crate::sim) is_overdue: bool,
 }
 
 impl RequestInProgress {
-    /// The attempts whose servers may be at work, the latest last.
+    /// The attempts whose servers may be processing the request, the latest last.
     pub(in crate::sim) fn pending(&self) -> Vec<PendingAttempt> {
         let sent = |attempt: &AttemptInProgress| {
             let (_, sent_at) = attempt.upstream_call?;
@@ -63,14 +63,14 @@
         self.attempts.iter().filter_map(sent).collect()
     }
 
-    /// Takes an attempt out that has ended.
+    /// Removes an attempt that has ended, and returns it.
     pub(in crate::sim) fn take_attempt(&mut self, number: u32) -> Option<AttemptInProgress> {
         let position = self.attempts.iter().position(|attempt| attempt.number == number)?;
         Some(self.attempts.remove(position))
     }
 }
 
-/// A proxy: its cores, and the requests in progress.
+/// The state of a proxy: its cores and the requests in progress.
 #[derive(Default)]
 pub struct Proxy {
     /// The servers as the proxy knows them.
@@ -84,10 +84,11 @@
     pub(in crate::sim) table_revision: Option<TableRevision>,
     pub(in crate::sim) reporter: ObservationReporter,
     pub(in crate::sim) ticked_at: Duration,
-    /// Its listeners are closed.
+    /// Whether its listeners are closed.
     pub closed: bool,
     pub(in crate::sim) applied_plan: Option<(wire::PlanVersion, TableRevision)>,
-    /// A server's phase changed: registries are to hear of it soon.
+    /// Whether a server's phase changed since the last report to the registries. Such a change
+    /// makes the next report due early.
     pub(in crate::sim) has_phase_changes: bool,
     pub(in crate::sim) probe_schedule: ProbeSchedule,
     pub(in crate::sim) request_rates: RequestRates,
--- a/testbed/src/sim/state/reachability.rs
+++ b/testbed/src/sim/state/reachability.rs
@@ -1,4 +1,4 @@
-//! What each node could have known, and since when.
+//! The record of what each node could have known, and since when.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,50 +12,52 @@
     pub endpoint_list: u64,
 }
 
-/// The revisions that a node could have known, each with the time since when without a break.
+/// The revisions that a node could have known, each with the time since which it could have known
+/// it without interruption.
 #[derive(Clone, Debug, Default)]
-pub struct Knowable {
+pub struct KnowableRevisions {
     /// Revisions of the committed configuration.
     pub config: BTreeMap<u64, Duration>,
     /// Revisions of the endpoint list.
     pub endpoint_list: BTreeMap<u64, Duration>,
 }
 
-/// Since when something of at least this revision could have been known.
+/// Since when this revision or a later one could have been known.
 pub fn knowable_since(revisions: &BTreeMap<u64, Duration>, revision: u64) -> Option<Duration> {
     revisions.range(revision..).map(|(_, since)| *since).min()
 }
 
-/// A drained zone, from the operator's acknowledgement to the call that restores it.
+/// A drained zone, from the acknowledgement to the operator until the call that restores the zone.
 #[derive(Clone, Debug)]
 pub struct ZoneDrain {
     /// The zone.
     pub zone: String,
-    /// The evacuation that it belongs to: only the evacuation's own restore ends it. `None`: a call
-    /// under a key.
+    /// The evacuation that it belongs to, whose own restoring call alone ends it. `None` if the
+    /// zone was drained by a call with an idempotency key.
     pub evacuation: Option<usize>,
     /// The revision that drains the zone.
     pub revision: u64,
-    /// When it was acknowledged.
+    /// When the drain was acknowledged.
     pub from: Duration,
     /// When the call that restores the zone was sent.
     pub to: Option<Duration>,
 }
 
-/// Whose fault it is, its kind, and a number that tells several apart: each is reported once.
+/// The subject of a violation, its kind, and a number that distinguishes several of one kind. Each
+/// key is reported once.
 type ViolationKey = (usize, &'static str, u64);
 
-/// What each node could have known, from outside, and what was found wrong with it.
+/// What each node could have known, as observed from outside, and the violations found.
 #[derive(Default)]
 pub struct Reachability {
     pub(in crate::sim) sampled_at: Duration,
     /// What each node could have known.
-    pub knowable: Vec<Knowable>,
+    pub knowable: Vec<KnowableRevisions>,
     /// The highest revisions that were in effect on every running proxy at some moment.
     pub(in crate::sim) in_effect_everywhere: KnownRevisions,
-    /// What was in effect everywhere when each node started or resumed.
+    /// What was in effect everywhere when each node last started or resumed.
     pub(in crate::sim) minimum_at_start: Vec<KnownRevisions>,
-    /// The incarnation of each node and whether it is up.
+    /// The incarnation of each node, and whether the node is up.
     pub(in crate::sim) incarnations: Vec<(u32, bool)>,
     /// When that incarnation started, or resumed.
     pub(in crate::sim) started_at: Vec<Duration>,
@@ -64,13 +66,13 @@
     /// All drains of zones.
     pub zone_drains: Vec<ZoneDrain>,
     /// The highest revision that was acknowledged to an operator.
-    pub(in crate::sim) acknowledged: u64,
+    pub(in crate::sim) acknowledged_revision: u64,
     reported: BTreeSet<ViolationKey>,
-    /// What was found wrong.
+    /// The violations found; at most 40 are kept.
     pub violations: Vec<String>,
     /// The longest time until a proxy used a revision that it could have known.
     pub worst_config_delay: Duration,
-    /// The longest time for which requests still went to what was drained.
+    /// The longest time after which a request still went to a drained server or zone.
     pub worst_drain_delay: Duration,
 }
 
--- a/testbed/src/sim/state/traffic.rs
+++ b/testbed/src/sim/state/traffic.rs
@@ -8,23 +8,23 @@
 use vanepath_config::ExecutionStatus;
 use vanepath_store::protocol::Outcome;
 
-/// How a misbehaving server answers.
+/// How a misbehaving server handles a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureMode {
-    /// As it should.
+    /// The request runs, and the response is complete.
     Healthy,
-    /// Not at all, and nothing runs.
+    /// The request does not run, and there is no response.
     NoResponse,
     /// The request runs, and the connection is reset.
     RunAndReset,
-    /// The request runs, and the response breaks off.
+    /// The request runs, and the response is truncated.
     Truncate,
 }
 
-/// A request as it came to a server.
+/// The arrival of a request at a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerArrival {
-    /// When it came.
+    /// When it arrived.
     pub at: Duration,
     /// Which request.
     pub request: usize,
@@ -32,14 +32,14 @@
     pub proxy: HostId,
 }
 
-/// A return of a server's process.
+/// A restart of a server's process.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerRestart {
-    /// When it was back.
+    /// When it was up again.
     pub at: Duration,
     /// How long it had been down.
     pub down_time: Duration,
-    /// Whether proxies were there and it was away long enough for them to notice.
+    /// Whether a proxy was ready and the server was down long enough for the proxy to notice.
     pub is_noticeable: bool,
 }
 
@@ -55,33 +55,33 @@
     pub zone: String,
     /// Its region.
     pub region: String,
-    /// How the failing part of its answers fails.
+    /// How the failing fraction of its requests fails.
     pub failure_mode: FailureMode,
-    /// The part of its requests that fails in this way, from 0 to 1.
+    /// The fraction of its requests that fails in this way, from 0 to 1.
     pub failure_rate: f64,
-    /// The mean time that a request takes.
+    /// The mean service time of a request.
     pub service_time: Duration,
     /// The load that it reports, in thousandths of its capacity.
     pub load_milli: u32,
-    /// The number of requests that it works on at one time, the others wait; 0: no bound, and the
-    /// reported load is constant.
+    /// The number of requests that it processes at the same time, while others wait in its queue. 0
+    /// means no limit; the reported load is then constant.
     pub workers: u32,
     pub(in crate::sim) busy_workers: u32,
     pub(in crate::sim) queue: VecDeque<(CallId, usize)>,
-    /// The part of its workers in use and wanted, smoothed over a second.
+    /// The requests in service and in the queue per worker, smoothed exponentially over a second.
     pub(in crate::sim) load: f64,
     pub(in crate::sim) load_at: Duration,
-    /// When it came back after it had been down.
+    /// Its restarts.
     pub restarts: Vec<ServerRestart>,
     pub(in crate::sim) lost_power: bool,
     pub(in crate::sim) was_observed: bool,
-    /// Since when it is down.
+    /// Since when it has been down; `None` while it is up.
     pub down_at: Option<Duration>,
-    /// The requests that came to it.
+    /// The requests that arrived at it.
     pub arrivals: Vec<ServerArrival>,
     /// How often each request ran.
     pub runs: HashMap<usize, u32>,
-    /// Whether its health checks say that it is warming up.
+    /// Whether it reports in health checks that it is warming up.
     pub reports_warming_up: bool,
 }
 
@@ -89,7 +89,7 @@
 pub(in crate::sim) struct Connection {
     pub(in crate::sim) server: usize,
     pub(in crate::sim) server_incarnation: u32,
-    /// When the proxy's side learns that it is closed.
+    /// When the proxy learns that the connection is closed.
     pub(in crate::sim) closed_at: Option<Duration>,
 }
 
@@ -106,8 +106,8 @@
     /// The traffic that it sends, in multiples of its ordinary share.
     pub weight: f64,
     /// Open connections, by the proxy's host and its incarnation.
-    pub(in crate::sim) open: HashSet<(HostId, u32)>,
-    /// The revisions of the steering answers that it got.
+    pub(in crate::sim) open_connections: HashSet<(HostId, u32)>,
+    /// The revisions of the steering answers that it received.
     pub steering_revisions: Vec<u64>,
 }
 
@@ -116,9 +116,9 @@
 pub enum RequestKind {
     /// An idempotent request.
     Lookup,
-    /// A request that must not run twice.
+    /// A non-idempotent request, which must not run twice.
     Filing,
-    /// A filing that must stay in one region.
+    /// A filing that must be served in one region.
     BoundFiling,
     /// An idempotent request of the class for bulk transfers.
     Bulk,
@@ -131,13 +131,13 @@
     pub kind: RequestKind,
     /// The client.
     pub client: usize,
-    /// When the client began.
+    /// When the client began the request.
     pub started_at: Duration,
-    /// When the client ended it, one way or another.
+    /// When the request ended for the client, with success or failure.
     pub ended_at: Option<Duration>,
-    /// Whether it ran, as far as the client was told.
+    /// Whether the request ran, as far as the client knows.
     pub execution: ExecutionStatus,
-    /// The last HTTP status; 0 without an answer.
+    /// The last HTTP status; 0 if there was no answer.
     pub status: u16,
     /// The client's attempts.
     pub attempts: u32,
@@ -147,10 +147,11 @@
     pub(in crate::sim) candidates: Vec<SocketAddr>,
     pub(in crate::sim) next_candidate: usize,
     pub(in crate::sim) may_have_run: bool,
-    /// It must not run twice.
-    pub(in crate::sim) is_once: bool,
-    pub(in crate::sim) connecting: bool,
-    /// It was written to a connection that its machine had forgotten.
+    /// Whether it must run at most once.
+    pub(in crate::sim) is_at_most_once: bool,
+    /// Whether the latest attempt is opening a connection to a proxy that is not reachable.
+    pub(in crate::sim) is_connecting: bool,
+    /// Whether it was written to a connection that the proxy's machine no longer knows.
     pub(in crate::sim) is_stale: bool,
     /// The hosts of the proxies that received it.
     pub forwarded_by: Vec<HostId>,
@@ -162,10 +163,10 @@
     pub reasons: String,
 }
 
-/// A request as it came to a proxy.
+/// The arrival of a request at a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProxyArrival {
-    /// When it came.
+    /// When it arrived.
     pub at: Duration,
     /// Which request.
     pub request: usize,
@@ -185,13 +186,13 @@
 /// A client's poll of the steering service.
 #[derive(Clone, Copy, Debug)]
 pub struct SteeringPoll {
-    /// When its answer came, or none did.
+    /// When the answer came or the poll failed.
     pub at: Duration,
     /// Whether there was an answer.
     pub is_answered: bool,
 }
 
-/// Servers, clients, their requests and what was counted of them.
+/// Servers, clients, their requests and the measurements of them.
 #[derive(Default)]
 pub struct World {
     /// All servers.
@@ -206,29 +207,29 @@
     pub requests: Vec<Request>,
     /// The addresses of the steering service.
     pub steering_addresses: Vec<SocketAddr>,
-    /// Requests a second of all clients together.
+    /// The rate of requests of all clients together, per second.
     pub request_rate: f64,
-    /// The shares of the kinds of requests.
+    /// The shares of the kinds of requests, in the order of [`RequestKind`].
     pub request_mix: [u32; 4],
-    /// The rate and the mix of ordinary traffic, while a flood replaces them.
+    /// The request rate and mix of the ordinary traffic, while additional downloads replace them.
     pub ordinary_traffic: Option<(f64, [u32; 4])>,
-    /// The paths of the kinds of requests.
+    /// The paths of the kinds of requests, in the order of [`RequestKind`].
     pub paths: [&'static str; 4],
-    /// When proxies admitted requests.
+    /// When requests reached the admission control of a proxy.
     pub admitted_at: Vec<Duration>,
     /// When proxies made attempts beyond the first.
     pub retries: Vec<Duration>,
-    /// The requests that came to proxies.
+    /// The requests that arrived at proxies.
     pub proxy_arrivals: Vec<ProxyArrival>,
-    /// Attempts of proxies.
+    /// The number of attempts that proxies made.
     pub attempts: u64,
-    /// Attempts of proxies at servers of other zones.
+    /// The number of attempts that proxies made at servers of other zones.
     pub cross_zone_attempts: u64,
-    /// The highest load of a server, in multiples of its capacity.
+    /// The highest load of any server, in multiples of its capacity.
     pub worst_load: f64,
-    /// Health checks so far.
+    /// The number of health checks so far.
     pub probes: u64,
-    /// Clients and operators begin nothing new.
+    /// Whether clients and operators have stopped starting requests and calls.
     pub stopped: bool,
     /// The longest TTL of a steering answer, in seconds.
     pub longest_steering_ttl: f64,
@@ -236,12 +237,12 @@
     pub config_text: String,
     /// The mean time between an operator's calls.
     pub operator_interval: Duration,
-    /// Nodes whose machines were replaced for good.
+    /// Nodes whose machines were replaced permanently.
     pub retired: HashSet<usize>,
     /// The servers that the platform marked as draining.
     pub server_drains: Vec<ServerDrain>,
     /// The polls of the steering service.
     pub steering_polls: Vec<SteeringPoll>,
-    /// What an operator could read of each revision at the end.
+    /// What an operator's read of each revision returned at the end of the run.
     pub history: Vec<(u64, Option<Outcome>)>,
 }
--- a/testbed/src/sim/traffic/clients.rs
+++ b/testbed/src/sim/traffic/clients.rs
@@ -28,7 +28,7 @@
             name: name.to_string(),
             zone: zone.to_string(),
             weight: 1.0,
-            open: HashSet::new(),
+            open_connections: HashSet::new(),
             steering_revisions: Vec::new(),
         });
         self.world.clients.len() - 1
@@ -95,7 +95,7 @@
         let path = self.world.paths[kind as usize];
         let steering = &mut self.world.clients[client].steering;
         let candidates = steering.attempt_order(now, method(kind), "h", path);
-        let is_once = steering.is_at_most_once(method(kind), "h", path);
+        let is_at_most_once = steering.is_at_most_once(method(kind), "h", path);
         self.world.requests.push(Request {
             kind,
             client,
@@ -108,8 +108,8 @@
             candidates,
             next_candidate: 0,
             may_have_run: false,
-            is_once,
-            connecting: false,
+            is_at_most_once,
+            is_connecting: false,
             is_stale: false,
             forwarded_by: Vec::new(),
             proxies_tried: Vec::new(),
@@ -141,29 +141,32 @@
         let host = self.world.clients[client].host;
         let incarnation = self.net.hosts[target].incarnation;
         let now = self.net.now;
-        let is_once = self.world.requests[number].is_once;
-        let may_use_open =
-            self.world.clients[client].steering.may_reuse_connection(now, &address, is_once);
-        let open = &mut self.world.clients[client].open;
-        let is_open = may_use_open && open.contains(&(target, incarnation));
+        let is_at_most_once = self.world.requests[number].is_at_most_once;
+        let may_use_open = self.world.clients[client].steering.may_reuse_connection(
+            now,
+            &address,
+            is_at_most_once,
+        );
+        let open_connections = &mut self.world.clients[client].open_connections;
+        let is_open = may_use_open && open_connections.contains(&(target, incarnation));
         // A connection that the other machine forgot when it lost power, without notice to this side: a
         // write to it comes back as a reset.
         let unclean_incarnations = &self.net.hosts[target].unclean_incarnations;
         let stale = unclean_incarnations
             .iter()
             .map(|incarnation| (target, *incarnation))
-            .find(|one| open.contains(one));
+            .find(|one| open_connections.contains(one));
         let is_stale = may_use_open && !is_open && stale.is_some();
         if let Some(stale) = stale {
-            open.remove(&stale);
+            open_connections.remove(&stale);
         }
         let is_reachable = self.net.hosts[target].powered && !self.net.is_cut(host, target);
         let request = &mut self.world.requests[number];
         request.is_stale = is_stale;
-        request.connecting = !is_open && !is_reachable && !is_stale;
+        request.is_connecting = !is_open && !is_reachable && !is_stale;
         let is_last = request.next_candidate >= request.candidates.len().min(MAX_ATTEMPTS);
-        let timeout = if request.connecting { Duration::from_secs(1) } else { CALL_TIMEOUT };
-        let may_leave = !request.is_once && !is_last && !request.connecting;
+        let timeout = if request.is_connecting { Duration::from_secs(1) } else { CALL_TIMEOUT };
+        let may_leave = !request.is_at_most_once && !is_last && !request.is_connecting;
         self.world.clients[client].steering.request_started(now, address);
         self.world.requests[number].proxies_tried.push(target);
         if is_stale && is_reachable {
@@ -206,12 +209,12 @@
         client.steering.request_finished(now, address, body.is_some());
         match body {
             Some(Body::Forwarded { execution, status, eligible }) => {
-                client.open.insert((target, incarnation));
+                client.open_connections.insert((target, incarnation));
                 request.execution = execution;
                 request.status = status;
                 request.may_have_run |= execution != ExecutionStatus::NotRun;
                 request.rejections += u32::from(status == 503);
-                let may_go_on = !(request.is_once && request.may_have_run)
+                let may_go_on = !(request.is_at_most_once && request.may_have_run)
                     && request.rejections < MAX_REJECTIONS
                     && self.mutation != Some(Mutation::NeverRetriesLookups);
                 if !may_go_on || !client.steering.should_retry(now, status, execution) {
@@ -228,11 +231,11 @@
             }
             _ => {
                 // A reset before anything was sent is a refused connection.
-                let is_unsent = (request.connecting
-                    || (is_reset && !client.open.contains(&(target, incarnation)))
+                let is_unsent = (request.is_connecting
+                    || (is_reset && !client.open_connections.contains(&(target, incarnation)))
                     || (is_reset && !self.net.hosts[target].up))
                     && !request.is_stale;
-                client.open.remove(&(target, incarnation));
+                client.open_connections.remove(&(target, incarnation));
                 // A client cannot see into the proxy: once a byte was sent the request may have run.
                 let was_connected = !is_unsent || request.forwarded_by.contains(&target);
                 request.execution = if was_connected {
@@ -243,7 +246,7 @@
                 request.may_have_run |= was_connected;
                 request.status = 0;
                 client.steering.penalize(now, address);
-                if request.is_once && request.may_have_run {
+                if request.is_at_most_once && request.may_have_run {
                     return self.end_request(number);
                 }
             }
