--- a/testbed/src/sim/control/discovery.rs
+++ b/testbed/src/sim/control/discovery.rs
@@ -11,7 +11,7 @@
 use vanepath_registry::discovery::{PollOutcome, poller};
 
 impl Sim {
-    /// A registry reads the platform's endpoint list, if it is time.
+    /// Lets a registry read the platform's endpoint list, if a read is due.
     pub(super) fn poll_endpoint_list(&mut self, index: usize, now: Duration, view: &ClusterView) {
         let host = self.nodes[index].host;
         let name = self.nodes[index].info.name.clone();
@@ -23,10 +23,10 @@
                     registry.list_sequencer.get_or_insert_with(|| ListSequencer::new(&name, draw));
                 sequencer.on_tick(now, view) == Some(ListEffect::Read)
             }
-            false => registry.polled_at.is_none_or(|at| now >= at + poller::POLL_INTERVAL),
+            false => registry.last_poll_at.is_none_or(|at| now >= at + poller::POLL_INTERVAL),
         };
         if is_read_due {
-            registry.polled_at = Some(now);
+            registry.last_poll_at = Some(now);
             let target = self.platform_host;
             self.net.send(
                 host,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// A registry got the platform's endpoint list, or none.
+    /// Handles the end of a registry's read of the endpoint list; `None` if the read failed.
     pub(in crate::sim) fn endpoint_list_received(
         &mut self,
         index: usize,
@@ -55,7 +55,8 @@
         }
     }
 
-    /// A registry got the list of a platform that does not number its lists, or none.
+    /// Handles the end of a registry's read from a platform that does not number its lists; `None`
+    /// if the read failed.
     fn unversioned_list_received(&mut self, index: usize, list: Option<Arc<EndpointList>>) {
         let now = self.net.local_time(self.nodes[index].host);
         let view = self.nodes[index].view.clone();
@@ -67,13 +68,13 @@
         if let (Some(ListEffect::Publish { list, began_at }), Some(source_revision)) =
             (reply, source_revision)
         {
-            let known = self.source_list_revisions.entry(list.revision).or_default();
-            *known = source_revision.max(*known);
+            let known_revision = self.source_list_revisions.entry(list.revision).or_default();
+            *known_revision = source_revision.max(*known_revision);
             self.step_gossip(index, gossip::Event::EndpointListRead { list, began_at });
         }
     }
 
-    /// The platform's own revision of the list that has this revision within the fleet.
+    /// Returns the platform's own revision of the list that has this revision within the fleet.
     pub fn source_list_revision(&self, revision: u64) -> u64 {
         match self.has_unversioned_lists {
             true => self.source_list_revisions.get(&revision).copied().unwrap_or_default(),
@@ -81,8 +82,8 @@
         }
     }
 
-    /// What the platform answers: its list, or what a platform in trouble serves in its place. Half of its
-    /// answers are good even then.
+    /// Returns the platform's response to a read: its list or, while it is faulty, something else
+    /// in half of the responses. `None` is no response.
     pub(in crate::sim) fn endpoint_list_reply(&mut self) -> Option<Body> {
         if !self.endpoint_lists_faulty {
             return Some(Body::EndpointList(self.platform_list.clone()));
@@ -101,7 +102,7 @@
             ))),
             3 => Some(Body::EndpointListText("<html>503</html>".to_string())),
             4 => {
-                // The list as it was before: no server drains.
+                // An older list, in which no server is draining.
                 list.revision = revision.saturating_sub(1);
                 list.servers.iter_mut().for_each(|server| server.draining = false);
                 Some(Body::EndpointList(Arc::new(list)))
@@ -111,7 +112,7 @@
         }
     }
 
-    /// A registry got text in place of an endpoint list.
+    /// Handles text that a registry received in place of an endpoint list.
     pub(in crate::sim) fn endpoint_list_text_received(&mut self, index: usize, text: &str) {
         let last = self.nodes[index].view.endpoints.clone();
         let (_, list) = poller::parse_response(&last, text.as_bytes());
--- a/testbed/src/sim/control/gossip.rs
+++ b/testbed/src/sim/control/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip: the core of the cluster's membership on the simulated network.
+//! Gossip: runs the cluster's membership core on the simulated network.
 
 use crate::sim::mutations::Mutation;
 use crate::sim::network::{Body, HostId, Network, Purpose};
@@ -15,7 +15,7 @@
         let host = self.nodes[index].host;
         let now = self.net.local_time(host);
         let effects = self.nodes[index].gossip.step(now, event);
-        let mut changed = false;
+        let mut is_view_changed = false;
         for effect in effects {
             match effect {
                 gossip::Effect::Pull { address, request } => {
@@ -40,36 +40,38 @@
                     let body = Body::StoreRequest(Request::ReadIndex);
                     self.net.send(host, Network::host_at(address), timeout, body, purpose);
                 }
-                gossip::Effect::ViewChanged => changed = true,
+                gossip::Effect::ViewChanged => is_view_changed = true,
                 gossip::Effect::Log(line) => {
                     let name = self.nodes[index].info.name.clone();
                     self.trace_event(|| format!("{name}: {line}"));
                 }
             }
         }
-        if changed || !self.nodes[index].view.is_up_to_date(&self.nodes[index].gossip, now) {
+        if is_view_changed || !self.nodes[index].view.is_up_to_date(&self.nodes[index].gossip, now)
+        {
             self.update_view(index, now);
         }
     }
 
-    /// Shows the role what the gossip core has.
+    /// Updates a node's view from the gossip core, with the changes of the mutations, and passes it
+    /// to the role.
     fn update_view(&mut self, index: usize, now: Duration) {
         let node = &mut self.nodes[index];
         let (mut view, log_lines) = ClusterView::from_gossip(&node.gossip, &node.view, now);
         if self.first_config.is_none() && view.committed.revision > 0 {
             self.first_config = Some(view.committed.clone());
         }
-        let is_blind = match self.mutation {
+        let hides_drained_zones = match self.mutation {
             Some(Mutation::IgnoresDrainedZones) => true,
             Some(Mutation::SteersToDrainedZones) => node.info.role == wire::Role::Registry,
             _ => false,
         };
         if self.mutation == Some(Mutation::ForgetsBounds) {
-            let mut open = (*view.config).clone();
-            open.rules.iter_mut().for_each(|rule| rule.regions.clear());
-            view.config = Arc::new(open);
+            let mut unrestricted = (*view.config).clone();
+            unrestricted.rules.iter_mut().for_each(|rule| rule.regions.clear());
+            view.config = Arc::new(unrestricted);
         }
-        if is_blind {
+        if hides_drained_zones {
             view.committed = Arc::new(wire::CommittedConfig {
                 drained_zones: Default::default(),
                 ..(*view.committed).clone()
@@ -90,7 +92,8 @@
         if is_new(&node.revisions) {
             node.revisions.push(change);
         }
-        // A store routes nothing: what it offers to others counts.
+        // A store routes no requests. There a revision is effective as soon as the store serves it
+        // to others.
         let is_store = node.info.role == wire::Role::Store;
         let is_effective =
             node.view.read_index.is_some() && (is_store || node.view.is_fresh) && revision > 0;
@@ -124,7 +127,7 @@
         }
     }
 
-    /// The mutation [`Mutation::RevertsConfig`].
+    /// Implements [`Mutation::RevertsConfig`].
     fn revert_config(&mut self, index: usize) {
         let committed = &mut self.nodes[index].gossip.committed;
         if committed.revision > 3 {
--- a/testbed/src/sim/control/mod.rs
+++ b/testbed/src/sim/control/mod.rs
@@ -1,6 +1,6 @@
-//! Nodes in the simulator: gossip for all, the consensus core of a store with its disk, a registry's
-//! calls to the stores and its singleton role. These are thin shells round the programs' cores, like
-//! those of the programs themselves.
+//! Nodes in the simulator: gossip for all nodes, the consensus core and the disk of stores, and for
+//! registries the calls to the stores, the endpoint list and the work of the leader. The modules
+//! are thin shells around the programs' cores, like the shells in the programs themselves.
 
 mod discovery;
 mod gossip;
--- a/testbed/src/sim/control/nodes.rs
+++ b/testbed/src/sim/control/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes: how they are added, start, crash and lose their disks.
+//! Adds, starts and crashes nodes, and erases their disks.
 
 use crate::sim::crash_points::CrashPoint;
 use crate::sim::mutations::Mutation;
@@ -15,8 +15,8 @@
 use vanepath_store::shell::StoreDirectory;
 
 impl Sim {
-    /// A node visits a crash point. Returns whether it is killed there; it starts again a second
-    /// later.
+    /// Records that a node visits a crash point. Returns whether the node is killed there, in which
+    /// case it is started again one second later.
     pub fn reaches_crash_point(&mut self, index: usize, point: CrashPoint) -> bool {
         let Some(planned) = self.planned_crash else { return false };
         if planned.point != point || self.crashed_at.is_some() || self.net.now < planned.from {
@@ -32,8 +32,8 @@
         true
     }
 
-    /// Adds a node on a machine of its own. `bootstrap_size` is for stores: the number of empty
-    /// stores that form the first member table.
+    /// Adds a node on a machine of its own. `bootstrap_size` is used only for stores: the number of
+    /// empty stores that form the first member table.
     pub fn add_node(
         &mut self,
         role: wire::Role,
@@ -62,8 +62,8 @@
                     identity,
                     disk,
                     inbox: VecDeque::new(),
-                    pending: VecDeque::new(),
-                    busy: false,
+                    pending_effects: VecDeque::new(),
+                    is_writing: false,
                     disk_failed: false,
                     directory: StoreDirectory::default(),
                     hint_writer: HintWriter::default(),
@@ -91,7 +91,7 @@
         index
     }
 
-    /// Starts a node's process, with empty memory.
+    /// Starts a node's process without any state from memory.
     pub fn start_node(&mut self, index: usize) {
         let host = self.nodes[index].host;
         self.net.hosts[host].powered = true;
@@ -112,8 +112,8 @@
                 let recovered = store.disk.recover(random);
                 store.core = Replica::new(store.identity.clone(), recovered, now);
                 store.inbox.clear();
-                store.pending.clear();
-                store.busy = false;
+                store.pending_effects.clear();
+                store.is_writing = false;
                 store.disk_failed = false;
                 hints = store.disk.hints.clone();
                 store.hint_writer = HintWriter::new(hints.clone());
@@ -138,11 +138,11 @@
             node.view = Arc::new(ClusterView::from_gossip(&node.gossip, &node.view, now).0);
         }
         let name = node.info.name.clone();
-        self.trace_event(|| format!("{name} starts"));
+        self.trace_event(|| format!("{name} started"));
         self.observe_reachability();
     }
 
-    /// Ends a node's process at once; with `loses_power`, its machine too.
+    /// Kills a node's process. With `loses_power`, its machine loses power too.
     pub fn crash(&mut self, index: usize, loses_power: bool) {
         let host = self.nodes[index].host;
         if loses_power {
@@ -157,7 +157,7 @@
             node.down_periods.push(DownPeriod { from: now, to: None });
         }
         if let RoleState::Store(store) = &mut node.role_state {
-            // Of the writes in flight any first part may have reached the disk.
+            // Any number of the first writes in flight may have reached the disk.
             let in_flight_writes = std::mem::take(&mut store.disk.in_flight_writes);
             let written = self.net.random.below(in_flight_writes.len() + 1);
             for write in in_flight_writes.into_iter().take(written) {
@@ -166,16 +166,18 @@
             store.disk.unsynced.clear();
         }
         let name = self.nodes[index].info.name.clone();
-        self.trace_event(|| format!("{name} ends{}", if loses_power { ", no power" } else { "" }));
+        self.trace_event(|| {
+            format!("{name} stopped{}", if loses_power { ", machine lost power" } else { "" })
+        });
     }
 
-    /// Empties a store's disk. The store must be down.
+    /// Erases a store's disk. The store must be down.
     pub fn wipe(&mut self, index: usize) {
         if let RoleState::Store(store) = &mut self.nodes[index].role_state {
             let is_full = store.disk.is_full;
             store.disk = Disk { is_full, ..Disk::default() };
         }
         let name = self.nodes[index].info.name.clone();
-        self.trace_event(|| format!("{name} loses its disk"));
+        self.trace_event(|| format!("{name}: disk erased"));
     }
 }
--- a/testbed/src/sim/control/operators.rs
+++ b/testbed/src/sim/control/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' calls to registries.
+//! The calls of operators to registries.
 
 use crate::sim::network::{Body, Purpose};
 use crate::sim::state::{Operation, OperatorCall, Sim};
@@ -7,11 +7,12 @@
 
 /// How long an operator waits for the answer to a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(9);
-/// How long the platform waits before it sends a call without a key again.
+/// How long the platform waits for an answer to a call without an idempotency key before it sends
+/// the call again.
 const KEYLESS_CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Sim {
-    /// Sends an operator's call to a registry, and returns its number.
+    /// Sends an operator's call to a registry, and returns the index of the operation.
     pub fn call_registry(&mut self, call: OperatorCall, registry: usize) -> usize {
         let started_at = self.net.now;
         self.operations.push(Operation {
@@ -31,7 +32,7 @@
         operation
     }
 
-    /// An operator got an answer, or none in time.
+    /// Ends an operator's call with its answer; `None` if none came in time.
     pub(in crate::sim) fn end_operation(&mut self, number: usize, outcome: Option<Outcome>) {
         let operation = &mut self.operations[number];
         operation.ended_at = Some(self.net.now);
--- a/testbed/src/sim/control/registries.rs
+++ b/testbed/src/sim/control/registries.rs
@@ -44,7 +44,7 @@
         self.plan_traffic_shift(index, now, &view);
     }
 
-    /// The leader among the registries makes the next traffic-shift plan.
+    /// Makes the next traffic-shift plan, on the registry that is the leader.
     fn plan_traffic_shift(&mut self, index: usize, now: Duration, view: &ClusterView) {
         let name = self.nodes[index].info.name.clone();
         let RoleState::Registry(registry) = &mut self.nodes[index].role_state else { return };
@@ -75,13 +75,13 @@
             return self.net.reply(call, Body::SteeringResponse(String::new()));
         }
         let has_long_ttl = self.has_mutation(Mutation::LongSteeringTtl);
-        let extend = |mut response: JsonValue| {
+        let apply_ttl = |mut response: JsonValue| {
             if has_long_ttl {
                 response["TTL"] = 9.into();
             }
             response.dump()
         };
-        let text = answer.response.map(extend).unwrap_or_default();
+        let text = answer.response.map(apply_ttl).unwrap_or_default();
         self.net.reply(call, Body::SteeringResponse(text));
     }
 }
--- a/testbed/src/sim/control/store_calls.rs
+++ b/testbed/src/sim/control/store_calls.rs
@@ -1,4 +1,4 @@
-//! Operators' calls from a registry to the stores.
+//! A registry's calls to the stores on behalf of operators.
 
 use crate::sim::crash_points::CrashPoint;
 use crate::sim::mutations::Mutation;
@@ -10,7 +10,7 @@
 use vanepath_store::protocol::{Change, Outcome, Request, Response};
 
 impl Sim {
-    /// An operator's call reaches a registry.
+    /// Handles an operator's call that reaches a registry.
     pub(in crate::sim) fn start_store_call(
         &mut self,
         index: usize,
@@ -29,8 +29,8 @@
         self.step_store_call(index, store_call);
     }
 
-    /// The outcome of a call that does not get as far as the stores: that of an invalid configuration, or
-    /// of a mutation.
+    /// Returns the outcome of a call that is answered without the stores: because its configuration
+    /// is invalid or because a mutation answers it.
     fn outcome_without_stores(&mut self, index: usize, operation: usize) -> Option<Outcome> {
         let operator_call = &mut self.operations[operation].call;
         if let OperatorCall::Change {
@@ -56,7 +56,9 @@
             return Some(Outcome::Accepted { revision, config_revision, is_repeat: true });
         }
         if self.has_mutation(Mutation::RefusesOperators) && operation.is_multiple_of(9) {
-            return Some(Outcome::NotApplied { reason: "broken on purpose".to_string() });
+            return Some(Outcome::NotApplied {
+                reason: "rejected by a mutation of the simulator".to_string(),
+            });
         }
         None
     }
@@ -75,7 +77,7 @@
         }
     }
 
-    /// The next step of a call to the stores.
+    /// Takes the next step of a call to the stores.
     pub(in crate::sim) fn step_store_call(&mut self, index: usize, number: usize) {
         let host = self.nodes[index].host;
         let now = self.net.local_time(host);
@@ -120,7 +122,7 @@
         }
     }
 
-    /// A store answered an attempt of a call, or did not.
+    /// Handles a store's response to an attempt of a call; `None` if there was none.
     pub(in crate::sim) fn store_call_replied(
         &mut self,
         index: usize,
@@ -152,7 +154,7 @@
         }
     }
 
-    /// A store's response, as the mutations alter it.
+    /// Returns a store's response, altered if a mutation does so.
     pub(in crate::sim) fn corrupt_response(&self, response: Response) -> Response {
         match response {
             Response::Outcome(Outcome::Value { mut value })
--- a/testbed/src/sim/control/stores.rs
+++ b/testbed/src/sim/control/stores.rs
@@ -1,4 +1,4 @@
-//! Stores: the consensus core with its disk, and what its effects do.
+//! Stores: run the consensus core with its disk and carry out its effects.
 
 use crate::sim::crash_points::CrashPoint;
 use crate::sim::mutations::Mutation;
@@ -62,10 +62,10 @@
         self.run_store(index);
     }
 
-    /// A disk that failed and works again is read anew, as the program's shell does.
+    /// Reads a disk again that failed and now works, as the program's shell does.
     fn recover_disk(&mut self, index: usize) {
         let RoleState::Store(store) = &mut self.nodes[index].role_state else { return };
-        if !store.disk_failed || store.disk.is_full || store.busy {
+        if !store.disk_failed || store.disk.is_full || store.is_writing {
             return;
         }
         store.disk_failed = false;
@@ -74,14 +74,14 @@
         store.inbox.push_back(consensus::Event::DiskRecovered(recovered));
     }
 
-    /// A write to the disk is complete, or fails because the disk is full.
+    /// Completes a write to the disk, or fails it because the disk is full.
     pub(in crate::sim) fn disk_write_done(&mut self, index: usize) {
         let RoleState::Store(store) = &mut self.nodes[index].role_state else { return };
-        store.busy = false;
+        store.is_writing = false;
         store.disk.syncs += 1;
         let in_flight_writes = std::mem::take(&mut store.disk.in_flight_writes);
         if store.disk.is_full {
-            store.pending.clear();
+            store.pending_effects.clear();
             store.disk_failed = true;
             store.inbox.push_front(consensus::Event::DiskFailed);
         } else {
@@ -100,18 +100,19 @@
         self.run_store(index);
     }
 
-    /// Handles one event after the other, and the effects of each in order.
+    /// Handles the queued events in order, and the effects of each, until a write to the disk is in
+    /// flight or the node is killed.
     fn run_store(&mut self, index: usize) {
         let host = self.nodes[index].host;
         loop {
             let RoleState::Store(store) = &mut self.nodes[index].role_state else { return };
-            if store.busy {
+            if store.is_writing {
                 return;
             }
-            let Some(effect) = store.pending.pop_front() else {
+            let Some(effect) = store.pending_effects.pop_front() else {
                 let Some(event) = store.inbox.pop_front() else { return };
                 let effects = store.core.step(self.net.local_time(host), event);
-                store.pending.extend(effects);
+                store.pending_effects.extend(effects);
                 continue;
             };
             if self.carry_out(index, effect).is_break() {
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Carries out an effect of the consensus core; breaks if the node is killed meanwhile.
+    /// Carries out an effect of the consensus core. Breaks if the node is killed at a crash point.
     fn carry_out(&mut self, index: usize, effect: consensus::Effect) -> ControlFlow<()> {
         match effect {
             consensus::Effect::Persist(writes) => {
@@ -175,7 +176,7 @@
     fn begin_write(&mut self, index: usize, writes: Vec<consensus::DiskWrite>) {
         let host = self.nodes[index].host;
         let RoleState::Store(store) = &mut self.nodes[index].role_state else { return };
-        store.busy = true;
+        store.is_writing = true;
         store.disk.in_flight_writes = writes;
         let mut duration = Duration::from_micros(500 + self.net.random.draw() % 4000);
         if self.net.random.chance(0.01) {
@@ -190,13 +191,13 @@
         let host = self.nodes[index].host;
         let RoleState::Store(store) = &mut self.nodes[index].role_state else { return };
         let Some(address) = store.directory.address_of(incarnation, &request) else {
-            // No such store is known: the same as no response.
+            // An unknown store counts as one that does not respond.
             let event = consensus::Event::ResponseReceived { call, response: None };
             store.inbox.push_back(event);
             return;
         };
         let target = Network::host_at(address);
-        // Now and then the same message arrives twice, the second time late.
+        // Some messages are duplicated, and the copies arrive independently of each other.
         if self.net.random.chance(0.01) {
             let copy = Body::StoreRequest(request.clone());
             self.net.send(host, target, CALL_TIMEOUT, copy, Purpose::None);
--- a/testbed/src/sim/reachability.rs
+++ b/testbed/src/sim/reachability.rs
@@ -1,6 +1,7 @@
-//! Reachability: what each node could have known, from outside. Which nodes are up and which paths
-//! between them work is the simulator's knowledge and not the nodes' own. No node is excused for a whole
-//! run, only for the time in which no path led to it from where something was known (design 10.5).
+//! Reachability: computes from outside what each node could have known. It uses the simulator's
+//! knowledge of which nodes are up and which paths between them work, not the nodes' own. A node is
+//! excused only for the time during which no path led to it from a node with the knowledge in
+//! question, never for a whole run (design 10.5).
 
 use super::network::HostId;
 use super::state::{
@@ -12,27 +13,29 @@
 use vanepath_cluster::wire::Role;
 use vanepath_store::protocol::{Change, Outcome};
 
-/// Within this time a new configuration, endpoint list or drained server has to be in effect.
+/// The time within which a new configuration, a new endpoint list or the drain of a server must be
+/// in effect.
 pub const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(4);
-/// Within this time a drained zone has to get no new requests.
+/// The time after which a drained zone must get no new requests.
 pub const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 /// How often the fleet is observed.
 const OBSERVATION_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Something that a proxy could have known for some time.
+/// A request that was sent in spite of a drain, and for how long the proxy could have known of the
+/// drain.
 struct Overdue {
-    late: Duration,
+    delay: Duration,
     timeout: Duration,
     text: String,
 }
 
 impl Sim {
     /// Whether a call from one node to the other, and its reply, would arrive.
-    fn is_path(&self, one: usize, other: usize) -> bool {
+    fn is_reachable(&self, one: usize, other: usize) -> bool {
         self.are_connected(self.nodes[one].host, self.nodes[other].host)
     }
 
-    /// Observes the fleet, if it is time.
+    /// Observes the fleet, if an observation is due.
     pub fn sample_reachability(&mut self) {
         if self.net.now >= self.reachability.sampled_at + OBSERVATION_INTERVAL {
             self.observe_reachability();
@@ -49,8 +52,8 @@
         reachability.incarnations.resize(self.nodes.len(), (0, false));
         reachability.started_at.resize(self.nodes.len(), Duration::ZERO);
         reachability.majority_since.resize(self.nodes.len(), None);
-        for part in self.partitions() {
-            self.learn(&mut reachability, &part);
+        for partition in self.partitions() {
+            self.update_knowable(&mut reachability, &partition);
         }
         let mut everywhere: Option<KnownRevisions> = None;
         for index in 0..self.nodes.len() {
@@ -61,8 +64,8 @@
                 reachability.majority_since[index] = None;
             }
             let incarnation = (self.net.hosts[node.host].incarnation, is_up);
-            let before = std::mem::replace(&mut reachability.incarnations[index], incarnation);
-            if before != incarnation && is_up {
+            let previous = std::mem::replace(&mut reachability.incarnations[index], incarnation);
+            if previous != incarnation && is_up {
                 reachability.minimum_at_start[index] = reachability.in_effect_everywhere;
                 reachability.started_at[index] = now;
             }
@@ -86,41 +89,43 @@
         self.reachability = reachability;
     }
 
-    /// The partitions of the fleet: within each, any node can hear of what any other one knows.
+    /// The partitions of the fleet. Within each, any node can learn what any other node knows.
     fn partitions(&self) -> Vec<Vec<usize>> {
-        let mut left: Vec<usize> =
+        let mut unassigned: Vec<usize> =
             (0..self.nodes.len()).filter(|index| self.is_up(*index)).collect();
         let mut partitions = Vec::new();
-        while let Some(first) = left.pop() {
-            let mut part = vec![first];
+        while let Some(first) = unassigned.pop() {
+            let mut partition = vec![first];
             let mut next = 0;
-            while next < part.len() {
-                let from = part[next];
+            while next < partition.len() {
+                let from = partition[next];
                 next += 1;
-                let (found, rest) = left.iter().partition(|index| self.is_path(from, **index));
-                part.extend::<Vec<usize>>(found);
-                left = rest;
+                let (found, rest) =
+                    unassigned.iter().partition(|index| self.is_reachable(from, **index));
+                partition.extend::<Vec<usize>>(found);
+                unassigned = rest;
             }
-            partitions.push(part);
+            partitions.push(partition);
         }
         partitions
     }
 
-    /// What the nodes of a partition can know from now on.
-    fn learn(&self, reachability: &mut Reachability, part: &[usize]) {
+    /// Records what the nodes of a partition can know from now on.
+    fn update_knowable(&self, reachability: &mut Reachability, partition: &[usize]) {
         let now = self.net.now;
-        let voting: Vec<usize> = self.of_role_in(part, Role::Store, Sim::is_voting);
-        let config = self.best_config(reachability, part, &voting);
-        let list = self.best_endpoint_list(part);
-        for index in part {
+        let voting: Vec<usize> = self.of_role_in(partition, Role::Store, Sim::is_voting);
+        let config = self.latest_config(reachability, partition, &voting);
+        let list = self.latest_endpoint_list(partition);
+        for index in partition {
             let knowable = &mut reachability.knowable[*index];
-            for (all, best) in [(&mut knowable.config, config), (&mut knowable.endpoint_list, list)]
+            for (revisions, latest) in
+                [(&mut knowable.config, config), (&mut knowable.endpoint_list, list)]
             {
-                all.retain(|revision, _| *revision <= best);
-                all.entry(best).or_insert(now);
+                revisions.retain(|revision, _| *revision <= latest);
+                revisions.entry(latest).or_insert(now);
             }
         }
-        for registry in self.of_role_in(part, Role::Registry, |_, _| true) {
+        for registry in self.of_role_in(partition, Role::Registry, |_, _| true) {
             if !self.reaches_majority(registry, &voting) || self.nodes[registry].is_draining {
                 reachability.majority_since[registry] = None;
             } else {
@@ -131,11 +136,12 @@
 
     fn of_role_in(
         &self,
-        part: &[usize],
+        partition: &[usize],
         role: Role,
         is_wanted: impl Fn(&Sim, usize) -> bool,
     ) -> Vec<usize> {
-        part.iter()
+        partition
+            .iter()
             .copied()
             .filter(|index| self.nodes[*index].info.role == role && is_wanted(self, *index))
             .collect()
@@ -148,10 +154,16 @@
         }
     }
 
-    /// The latest configuration that a partition can know: the latest one of its nodes, and what a
-    /// majority of its stores accepted, which they can settle between them.
-    fn best_config(&self, reachability: &Reachability, part: &[usize], voting: &[usize]) -> u64 {
-        let revisions = part.iter().map(|index| self.nodes[*index].gossip.committed.revision);
+    /// The latest configuration revision that a partition can know: the latest one of its nodes or,
+    /// if a majority of the stores is in the partition and accepted it, the latest acknowledged
+    /// one, which this majority can commit.
+    fn latest_config(
+        &self,
+        reachability: &Reachability,
+        partition: &[usize],
+        voting: &[usize],
+    ) -> u64 {
+        let revisions = partition.iter().map(|index| self.nodes[*index].gossip.committed.revision);
         let best = revisions.max().unwrap_or(0);
         let has_accepted = |index: &&usize| match &self.nodes[**index].role_state {
             RoleState::Store(store) => {
@@ -166,15 +178,15 @@
         }
     }
 
-    /// The latest endpoint list that a partition can know.
-    fn best_endpoint_list(&self, part: &[usize]) -> u64 {
-        let revisions = part.iter().map(|index| {
+    /// The latest endpoint list revision that a partition can know.
+    fn latest_endpoint_list(&self, partition: &[usize]) -> u64 {
+        let revisions = partition.iter().map(|index| {
             self.source_list_revision(self.nodes[*index].gossip.endpoints.current().revision)
         });
         let best = revisions.max().unwrap_or(0);
         let reaches_platform =
             |index: usize| self.are_connected(self.nodes[index].host, self.platform_host);
-        let registries = self.of_role_in(part, Role::Registry, |_, _| true);
+        let registries = self.of_role_in(partition, Role::Registry, |_, _| true);
         if registries.into_iter().any(reaches_platform) {
             best.max(self.platform_list.revision)
         } else {
@@ -190,35 +202,36 @@
         self.member_slots / 2 + 1
     }
 
-    /// Whether a registry reaches voting stores, and each of these a majority: a store that only the
-    /// registry reaches may be tried first, in vain.
+    /// Whether a registry reaches voting stores and each of these reaches a majority. Each of them
+    /// has to, because the registry may first try a store that reaches no majority, and fail there.
     fn reaches_majority(&self, registry: usize, voting: &[usize]) -> bool {
-        let near: Vec<usize> =
-            voting.iter().copied().filter(|store| self.is_path(registry, *store)).collect();
-        let has_others = |one: &usize| {
-            let others = near.iter().filter(|other| *other != one);
-            others.filter(|other| self.is_path(*one, **other)).count() + 1 >= self.majority()
+        let reachable: Vec<usize> =
+            voting.iter().copied().filter(|store| self.is_reachable(registry, *store)).collect();
+        let has_majority = |store: &usize| {
+            let others = reachable.iter().filter(|other| *other != store);
+            others.filter(|other| self.is_reachable(*store, **other)).count() + 1 >= self.majority()
         };
-        !near.is_empty() && near.iter().all(has_others)
+        !reachable.is_empty() && reachable.iter().all(has_majority)
     }
 
-    /// A proxy uses a revision although it could have known a newer one for too long.
+    /// Reports a violation if a proxy uses a revision although it could have known a newer one for
+    /// too long.
     fn check_delay(&self, reachability: &mut Reachability, index: usize, own: KnownRevisions) {
         let now = self.net.now;
         let knowable = reachability.knowable[index].clone();
-        for (all, own, kind) in [
-            (&knowable.config, own.config, "revision"),
-            (&knowable.endpoint_list, own.endpoint_list, "platform list"),
+        for (revisions, own, kind) in [
+            (&knowable.config, own.config, "configuration"),
+            (&knowable.endpoint_list, own.endpoint_list, "endpoint list"),
         ] {
-            let newer = all.range(own + 1..).min_by_key(|(_, since)| **since);
+            let newer = revisions.range(own + 1..).min_by_key(|(_, since)| **since);
             let Some((revision, since)) = newer else { continue };
             let delay = now - *since;
             reachability.worst_config_delay = reachability.worst_config_delay.max(delay);
             if delay > PROPAGATION_TIMEOUT {
                 let name = &self.nodes[index].info.name;
                 let text = format!(
-                    "{kind} {revision} could have been known to {name} for {:.1} s at {:.1} s and \
-                     was in force on it as {own} still",
+                    "{kind} {revision} could have been known to {name} for {:.1} s at {:.1} s, but \
+                     {own} was still in effect there",
                     delay.as_secs_f64(),
                     now.as_secs_f64()
                 );
@@ -227,11 +240,13 @@
         }
     }
 
-    /// A proxy says that it is ready, or takes a request: checks the revisions that it uses.
+    /// Checks the revisions that a proxy uses, when it reports that it is ready or admits a
+    /// request.
     pub fn check_service(&mut self, index: usize) {
         let own = {
             let node = &self.nodes[index];
-            // Its servers are those of the list that its table has, not of the one that it heard of.
+            // The proxy uses the servers of the list in its routing table, which may be older than
+            // the list in its view.
             let list = match &node.role_state {
                 RoleState::Proxy(proxy) => proxy.endpoints.table.load().revision.endpoint_list,
                 _ => node.view.endpoints.revision,
@@ -244,23 +259,23 @@
         let Some(minimum) = self.reachability.minimum_at_start.get(index).copied() else { return };
         let knowable = &self.reachability.knowable[index];
         let now = self.net.now;
-        // It must wait for what it could hear of from its start on; what a cut kept from it then is due
-        // like all updates.
+        // A proxy must wait only for revisions that it could have learned ever since its start. A
+        // revision that a cut withheld from it then is due within the same time as any update.
         let started_at = self.reachability.started_at[index];
-        let could_know = |all: &BTreeMap<u64, Duration>, minimum| {
-            knowable_since(all, minimum).is_some_and(|since| since <= started_at)
+        let could_know = |revisions: &BTreeMap<u64, Duration>, minimum| {
+            knowable_since(revisions, minimum).is_some_and(|since| since <= started_at)
         };
         let knows_config = could_know(&knowable.config, minimum.config);
         let knows_list = could_know(&knowable.endpoint_list, minimum.endpoint_list);
         for (own, minimum, could_know, kind) in [
-            (own.config, minimum.config, knows_config, "word"),
-            (own.endpoint_list, minimum.endpoint_list, knows_list, "list"),
+            (own.config, minimum.config, knows_config, "configuration revision"),
+            (own.endpoint_list, minimum.endpoint_list, knows_list, "endpoint list revision"),
         ] {
             if own < minimum && could_know {
                 let name = self.nodes[index].info.name.clone();
                 let text = format!(
-                    "{name} serves by {kind} {own} at {:.3} s, and {minimum} was in force everywhere \
-                     before it started or woke",
+                    "{name} serves with {kind} {own} at {:.3} s, but {minimum} was in effect \
+                     everywhere before it started or resumed",
                     now.as_secs_f64()
                 );
                 self.reachability.report(index, kind, minimum, text);
@@ -268,7 +283,8 @@
         }
     }
 
-    /// A request comes to a server: checks whether the proxy that sent it could have known better.
+    /// Checks, when a request arrives at a server, whether the proxy that sent it could have known
+    /// that the server or its zone was drained.
     pub fn check_server_arrival(
         &mut self,
         server: usize,
@@ -276,7 +292,7 @@
         proxy_host: HostId,
         sent_at: Duration,
     ) {
-        // A frozen server receives it later than it was sent.
+        // The time of sending counts, because a frozen server receives the request later.
         let now = sent_at;
         let Some(proxy) = self.node_by_host.get(&proxy_host).copied() else { return };
         let Some(knowable) = self.reachability.knowable.get(proxy) else { return };
@@ -289,27 +305,27 @@
         if let Some(drain) = drain
             && let Some(since) = knowable_since(&knowable.endpoint_list, drain.list_revision)
         {
-            let late = now.saturating_sub(since.max(drain.at));
-            let text = format!("leaving server {id} got work");
-            overdue.push(Overdue { late, timeout: PROPAGATION_TIMEOUT, text });
+            let delay = now.saturating_sub(since.max(drain.at));
+            let text = format!("draining server {id} received a request");
+            overdue.push(Overdue { delay, timeout: PROPAGATION_TIMEOUT, text });
         }
         for drain in self.reachability.zone_drains.iter().filter(|drain| drain.zone == zone) {
             let is_over = drain.to.is_some_and(|to| now >= to);
             if let (Some(since), false) =
                 (knowable_since(&knowable.config, drain.revision), is_over)
             {
-                let late = now.saturating_sub(since.max(drain.from));
-                let text = format!("request {request} came to {id} in emptied {zone}");
-                overdue.push(Overdue { late, timeout: DRAIN_TIMEOUT, text });
+                let delay = now.saturating_sub(since.max(drain.from));
+                let text = format!("request {request} was sent to {id} in drained zone {zone}");
+                overdue.push(Overdue { delay, timeout: DRAIN_TIMEOUT, text });
             }
         }
         let name = self.nodes[proxy].info.name.clone();
-        for Overdue { late, timeout, text } in overdue {
-            self.reachability.worst_drain_delay = self.reachability.worst_drain_delay.max(late);
-            if late > timeout {
+        for Overdue { delay, timeout, text } in overdue {
+            self.reachability.worst_drain_delay = self.reachability.worst_drain_delay.max(delay);
+            if delay > timeout {
                 let text = format!(
                     "{text} by {name}, {:.3} s after it could have known, at {:.1} s",
-                    late.as_secs_f64(),
+                    delay.as_secs_f64(),
                     now.as_secs_f64()
                 );
                 self.reachability.report(server, "drain", proxy as u64, text);
@@ -317,7 +333,8 @@
         }
     }
 
-    /// A request comes to a proxy in a drained zone: checks whether steering could have told its client.
+    /// Checks, when a request arrives at a proxy in a drained zone, whether steering could have
+    /// told the client of the drain.
     pub fn check_proxy_arrival(&mut self, index: usize) {
         let now = self.net.now;
         let zone = self.nodes[index].info.zone.clone();
@@ -326,30 +343,31 @@
             if drain.zone != zone || is_over {
                 continue;
             }
-            // Since when any steering service that clients poll could have told them.
+            // Since when any registry that is ready could have known of the drain and told clients.
             let since = (0..self.nodes.len())
-                .filter(|one| self.nodes[*one].info.role == Role::Registry)
-                .filter(|one| self.nodes[*one].is_ready && self.is_up(*one))
-                .filter_map(|one| {
-                    let knowable = self.reachability.knowable.get(one)?;
+                .filter(|node| self.nodes[*node].info.role == Role::Registry)
+                .filter(|node| self.nodes[*node].is_ready && self.is_up(*node))
+                .filter_map(|node| {
+                    let knowable = self.reachability.knowable.get(node)?;
                     knowable_since(&knowable.config, drain.revision)
                 })
                 .min();
             let Some(since) = since else { continue };
-            let late = now.saturating_sub(since.max(drain.from));
-            self.reachability.worst_drain_delay = self.reachability.worst_drain_delay.max(late);
-            if late > DRAIN_TIMEOUT {
+            let delay = now.saturating_sub(since.max(drain.from));
+            self.reachability.worst_drain_delay = self.reachability.worst_drain_delay.max(delay);
+            if delay > DRAIN_TIMEOUT {
                 let text = format!(
-                    "a caller came to {} in emptied {zone} {:.3} s after it could have been told",
+                    "a client sent a request to {} in drained zone {zone} {:.3} s after it could have \
+                     been told",
                     self.nodes[index].info.name,
-                    late.as_secs_f64()
+                    delay.as_secs_f64()
                 );
-                self.reachability.report(index, "door", drain.revision, text);
+                self.reachability.report(index, "proxy in drained zone", drain.revision, text);
             }
         }
     }
 
-    /// An operator sends a call, or it ends.
+    /// Observes that an operator's call is sent or ends.
     pub fn observe_operation(&mut self, operation: usize) {
         let now = self.net.now;
         let operation = self.operations[operation].clone();
@@ -357,7 +375,7 @@
             Some(Outcome::Accepted { revision, .. }) => Some(*revision),
             _ => None,
         };
-        // Rejected or left unknown although a majority could have settled it.
+        // Rejected, or without a known outcome, although a majority could have decided the call.
         let is_unsettled = operation.ended_at.is_some()
             && matches!(
                 operation.outcome,
@@ -365,17 +383,17 @@
             );
         let majority_since =
             self.reachability.majority_since.get(operation.registry).copied().flatten();
-        // A call without a key is sent again after a second; whether it took effect, the end of the run
-        // shows.
+        // Calls without an idempotency key are left out: they are sent again after a second, and
+        // the end of the run shows whether they took effect.
         let evacuation = operation.call.evacuation();
         let is_unsettled = is_unsettled && !operation.call.is_invalid() && evacuation.is_none();
-        // A registry that dies with a call in progress cannot end it.
+        // A registry that fails with a call in progress cannot complete it.
         let host = self.nodes[operation.registry].host;
         let is_unsettled = is_unsettled && !self.net.had_fault(host, operation.started_at, now);
         if is_unsettled && majority_since.is_some_and(|since| since <= operation.started_at) {
             let text = format!(
-                "an operator's call at {:.3} s ended {:.3} s with {:?}, and {} reached a majority \
-                 all the time: {:?}",
+                "an operator's call sent at {:.3} s ended at {:.3} s with {:?}, although {} reached \
+                 a majority all the time: {:?}",
                 operation.started_at.as_secs_f64(),
                 now.as_secs_f64(),
                 operation.outcome,
@@ -402,9 +420,9 @@
             }
             (OperatorCall::Change { change: Change::RestoreZone { zone }, .. }, _) => {
                 let is_own =
-                    |one: &&mut ZoneDrain| one.zone == *zone && one.evacuation == evacuation;
-                for one in self.reachability.zone_drains.iter_mut().filter(is_own) {
-                    one.to.get_or_insert(now);
+                    |drain: &&mut ZoneDrain| drain.zone == *zone && drain.evacuation == evacuation;
+                for drain in self.reachability.zone_drains.iter_mut().filter(is_own) {
+                    drain.to.get_or_insert(now);
                 }
             }
             _ => {}
--- a/testbed/src/sim/state/node.rs
+++ b/testbed/src/sim/state/node.rs
@@ -25,9 +25,9 @@
     /// The disk, which outlives the process.
     pub disk: Disk,
     pub(in crate::sim) inbox: VecDeque<consensus::Event>,
-    pub(in crate::sim) pending: VecDeque<consensus::Effect>,
+    pub(in crate::sim) pending_effects: VecDeque<consensus::Effect>,
     /// Whether a write is in flight.
-    pub(in crate::sim) busy: bool,
+    pub(in crate::sim) is_writing: bool,
     /// Whether a write failed and the disk has not been read again since.
     pub(in crate::sim) disk_failed: bool,
     pub(in crate::sim) directory: StoreDirectory,
@@ -44,7 +44,7 @@
     pub ready: bool,
     pub(in crate::sim) next_plan_at: Duration,
     pub(in crate::sim) leadership: LeadershipReadiness,
-    pub(in crate::sim) polled_at: Option<Duration>,
+    pub(in crate::sim) last_poll_at: Option<Duration>,
     /// Assigns revisions to the lists of a platform that does not number them. Each incarnation has
     /// a new one.
     pub(in crate::sim) list_sequencer: Option<ListSequencer>,
--- a/testbed/src/sim/state/proxy.rs
+++ b/testbed/src/sim/state/proxy.rs
@@ -22,10 +22,10 @@
     pub(in crate::sim) lifecycle: RequestLifecycle,
     pub(in crate::sim) table: Arc<RoutingTable>,
     pub(in crate::sim) rule: usize,
-    pub(in crate::sim) tried: Vec<usize>,
+    pub(in crate::sim) tried_slots: Vec<usize>,
     pub(in crate::sim) received_at: Duration,
     pub(in crate::sim) deadline: Duration,
-    pub(in crate::sim) permit: Option<AdmissionSlot>,
+    pub(in crate::sim) admission_slot: Option<AdmissionSlot>,
     /// Its ticket while it waits in the admission queue.
     pub(in crate::sim) queue_ticket: Option<u64>,
     /// The attempts in progress, the latest last.
@@ -33,7 +33,7 @@
     /// The number of the latest hedge timer. Earlier timers have no effect.
     pub(in crate::sim) hedge_timer: u32,
     /// Whether an attempt was aborted while its server may have been processing it.
-    pub(in crate::sim) was_cut_off: bool,
+    pub(in crate::sim) was_aborted: bool,
 }
 
 /// An attempt of a request at one server.
@@ -83,7 +83,7 @@
     pub(in crate::sim) next_progress_id: usize,
     pub(in crate::sim) table_revision: Option<TableRevision>,
     pub(in crate::sim) reporter: ObservationReporter,
-    pub(in crate::sim) ticked_at: Duration,
+    pub(in crate::sim) last_tick_at: Duration,
     /// Whether its listeners are closed.
     pub closed: bool,
     pub(in crate::sim) applied_plan: Option<(wire::PlanVersion, TableRevision)>,
--- a/testbed/src/sim/traffic/attempts.rs
+++ b/testbed/src/sim/traffic/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of requests within a proxy: selection, connection, hedging and outcomes.
+//! The attempts that a proxy makes for a request: selection, connection, hedging and outcomes.
 
 use super::method;
 use crate::sim::crash_points::CrashPoint;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Selects an endpoint by the table of the request.
+    /// Selects an endpoint from the routing table of the request.
     fn select_endpoint(&mut self, index: usize, progress_id: usize) -> Option<Selection> {
         let now = self.net.local_time(self.nodes[index].host);
         let node = &self.nodes[index];
@@ -60,7 +60,7 @@
         Some(proxy.endpoints.select(now, &progress.table, &context, draw))
     }
 
-    /// Starts an attempt at the selected endpoint: on an idle connection or on a new one.
+    /// Starts an attempt at the selected endpoint, on an idle connection or a new one.
     fn start_attempt(&mut self, index: usize, progress_id: usize, endpoint: usize) {
         let host = self.nodes[index].host;
         let now = self.net.local_time(host);
@@ -69,7 +69,7 @@
         let Some(progress) = proxy.in_progress.get_mut(&progress_id) else { return };
         let slot = progress.table.endpoints[endpoint].slot;
         let address = progress.table.endpoints[endpoint].server.address;
-        progress.tried.push(slot);
+        progress.tried_slots.push(slot);
         progress.lifecycle.attempts += 1;
         progress.lifecycle.state = RequestState::Connecting;
         progress.hedge_timer += 1;
@@ -94,7 +94,7 @@
         let is_open = |idle: &IdleConnection<u64>| {
             connections
                 .get(&idle.connection)
-                .is_some_and(|one| one.closed_at.is_none_or(|closed_at| closed_at > net_now))
+                .is_some_and(|entry| entry.closed_at.is_none_or(|closed_at| closed_at > net_now))
         };
         let idle = proxy.endpoints.take_idle(now, slot, is_open);
         if self.reaches_crash_point(index, CrashPoint::BeforeConnect) {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// A new connection was opened and checked, or failed.
+    /// Handles a new connection of an attempt, which was opened and checked or failed.
     pub(super) fn connected(
         &mut self,
         index: usize,
@@ -133,7 +133,8 @@
         let now = self.net.local_time(self.nodes[index].host);
         let RoleState::Proxy(proxy) = &mut self.nodes[index].role_state else { return };
         let Some(progress) = proxy.in_progress.get_mut(&progress_id) else { return };
-        let Some(attempt) = progress.attempts.iter_mut().find(|one| one.number == number) else {
+        let Some(attempt) = progress.attempts.iter_mut().find(|attempt| attempt.number == number)
+        else {
             return;
         };
         let endpoint = &attempt.table.endpoints[attempt.endpoint_index];
@@ -163,14 +164,15 @@
         }
     }
 
-    /// Sends a request to the server of an attempt.
+    /// Sends the request to the server of an attempt.
     fn send_upstream(&mut self, index: usize, progress_id: usize, number: u32) {
         let host = self.nodes[index].host;
         let now = self.net.local_time(host);
         let committed = self.nodes[index].view.committed.clone();
         let RoleState::Proxy(proxy) = &mut self.nodes[index].role_state else { return };
         let Some(progress) = proxy.in_progress.get_mut(&progress_id) else { return };
-        let Some(attempt) = progress.attempts.iter().find(|one| one.number == number) else {
+        let Some(attempt) = progress.attempts.iter().find(|attempt| attempt.number == number)
+        else {
             return;
         };
         let endpoint = &attempt.table.endpoints[attempt.endpoint_index];
@@ -178,7 +180,7 @@
         if proxy.endpoints.is_withdrawn(&attempt.table, endpoint, &committed.drained_zones) {
             return self.fail_attempt(index, progress_id, number, AttemptError::Withdrawn);
         }
-        let left = progress.deadline.saturating_sub(now);
+        let time_left = progress.deadline.saturating_sub(now);
         progress.lifecycle.record_sent();
         proxy.endpoints.record_sent(now, endpoint.slot);
         let body =
@@ -191,16 +193,18 @@
         let Some(progress) = proxy.in_progress.get_mut(&progress_id) else { return };
         self.world.requests[progress.request].sent_to.push(target);
         let purpose = Purpose::UpstreamRequest { progress_id, attempt: number };
-        let call = self.net.send(host, target, left, body, purpose);
-        if let Some(attempt) = progress.attempts.iter_mut().find(|one| one.number == number) {
+        let call = self.net.send(host, target, time_left, body, purpose);
+        if let Some(attempt) = progress.attempts.iter_mut().find(|attempt| attempt.number == number)
+        {
             attempt.upstream_call = Some((call, now));
         }
         self.schedule_hedge(index, progress_id, false);
         self.reaches_crash_point(index, CrashPoint::AfterSend);
     }
 
-    /// Sets the timer that considers another server, unless a connection to one is being made.
-    fn schedule_hedge(&mut self, index: usize, progress_id: usize, is_at_once: bool) {
+    /// Sets the timer after which another server is considered, unless a connection to one is
+    /// already being opened.
+    fn schedule_hedge(&mut self, index: usize, progress_id: usize, is_immediate: bool) {
         let host = self.nodes[index].host;
         let now = self.net.local_time(host);
         let RoleState::Proxy(proxy) = &mut self.nodes[index].role_state else { return };
@@ -209,16 +213,16 @@
         if progress.attempts.iter().any(|attempt| attempt.upstream_call.is_none()) {
             return;
         }
-        let left = progress.deadline.saturating_sub(now);
-        if let Some(delay) = progress.lifecycle.hedge_after(left) {
-            let delay = if is_at_once { Duration::ZERO } else { delay };
+        let time_left = progress.deadline.saturating_sub(now);
+        if let Some(delay) = progress.lifecycle.hedge_after(time_left) {
+            let delay = if is_immediate { Duration::ZERO } else { delay };
             let timer = Timer::HedgeRequest { progress_id, timer: progress.hedge_timer };
             self.net.set_timer(host, delay, timer);
         }
     }
 
-    /// A third of the time left passed without a reply, or an attempt beside another one failed:
-    /// considers another server.
+    /// Considers another server for a request: a third of the time left has passed without a reply,
+    /// or one of several attempts has failed.
     pub(super) fn hedge_request(&mut self, index: usize, progress_id: usize, timer: u32) {
         let now = self.net.local_time(self.nodes[index].host);
         let node = &mut self.nodes[index];
@@ -259,8 +263,8 @@
         self.schedule_hedge(index, progress_id, false);
     }
 
-    /// Begins an attempt at another server by the newest table, within the budget. Returns whether it
-    /// did.
+    /// Begins an attempt at another server of the latest routing table, if the retry budget allows
+    /// it. Returns whether it did.
     fn begin_hedge(&mut self, index: usize, progress_id: usize, reason: RetryReason) -> bool {
         let now = self.net.local_time(self.nodes[index].host);
         let region = self.nodes[index].info.region.clone();
@@ -284,26 +288,28 @@
         }
         self.mark_overdue(index, progress_id);
         if self.mutation == Some(Mutation::CutsOffSlowServers) {
-            self.cut_off_servers(index, progress_id);
+            self.abort_attempts(index, progress_id);
         }
         self.start_attempt(index, progress_id, endpoint);
         true
     }
 
-    /// The server that got the request last has had it for long.
+    /// Records that the server that got the request last is overdue with its response.
     fn mark_overdue(&mut self, index: usize, progress_id: usize) {
         let now = self.net.local_time(self.nodes[index].host);
         let RoleState::Proxy(proxy) = &mut self.nodes[index].role_state else { return };
         let Some(progress) = proxy.in_progress.get_mut(&progress_id) else { return };
-        let mut sent = progress.attempts.iter_mut().filter(|one| one.upstream_call.is_some());
+        let mut sent =
+            progress.attempts.iter_mut().filter(|attempt| attempt.upstream_call.is_some());
         if let Some(latest) = sent.next_back().filter(|latest| !latest.is_overdue) {
             latest.is_overdue = true;
             proxy.endpoints.record_outcome(now, latest.slot, Err(AttemptError::Silent));
         }
     }
 
-    /// The mutation [`Mutation::CutsOffSlowServers`]: the request is taken from the servers that have it.
-    fn cut_off_servers(&mut self, index: usize, progress_id: usize) {
+    /// Implements [`Mutation::CutsOffSlowServers`]: aborts the attempts at all servers that have
+    /// the request.
+    fn abort_attempts(&mut self, index: usize, progress_id: usize) {
         let RoleState::Proxy(proxy) = &mut self.nodes[index].role_state else { return };
         let Some(progress) = proxy.in_progress.get_mut(&progress_id) else { return };
         for attempt in std::mem::take(&mut progress.attempts) {
@@ -312,12 +318,12 @@
                 self.net.cancel(call);
                 progress.lifecycle.record_ended();
                 progress.lifecycle.may_have_run = true;
-                progress.was_cut_off = true;
+                progress.was_aborted = true;
             }
         }
     }
 
-    /// A server answered a request, or did not.
+    /// Handles a server's response to an attempt; `None` if there was none.
     pub(super) fn upstream_replied(
         &mut self,
         index: usize,
@@ -329,7 +335,8 @@
         let now = self.net.local_time(self.nodes[index].host);
         let RoleState::Proxy(proxy) = &mut self.nodes[index].role_state else { return };
         let Some(progress) = proxy.in_progress.get_mut(&progress_id) else { return };
-        let Some(attempt) = progress.attempts.iter_mut().find(|one| one.number == number) else {
+        let Some(attempt) = progress.attempts.iter_mut().find(|attempt| attempt.number == number)
+        else {
             return;
         };
         let slot = attempt.slot;
@@ -354,10 +361,10 @@
         if let Err(error) = outcome {
             return self.fail_attempt(index, progress_id, number, error);
         }
-        if let Some((connection, greeted_at)) = attempt.connection.take() {
+        if let Some((connection, verified_at)) = attempt.connection.take() {
             let idle = IdleConnection {
                 connection,
-                verified_at: greeted_at,
+                verified_at,
                 idle_since: now,
                 keep_alive: endpoints::MAX_IDLE_TIME,
                 is_used: true,
@@ -369,7 +376,8 @@
         self.answer_client(index, progress_id, Ok(()));
     }
 
-    /// An attempt failed: waits for another one, retries or ends the request.
+    /// Handles a failed attempt: waits for another attempt in progress, retries or ends the
+    /// request.
     fn fail_attempt(&mut self, index: usize, progress_id: usize, number: u32, error: AttemptError) {
         let now = self.net.local_time(self.nodes[index].host);
         let live = endpoints::live_proxies(&self.nodes[index].view);
@@ -410,7 +418,8 @@
     }
 }
 
-/// What the selection of a server for a request goes by, without the place of the proxy.
+/// The context in which a server is selected for a request, with the proxy's zone and region left
+/// empty.
 fn selection_context<'a>(
     progress: &'a RequestInProgress,
     drained_zones: &'a std::collections::BTreeSet<String>,
@@ -421,13 +430,13 @@
         drained_zones,
         zone: "",
         region: "",
-        tried: &progress.tried,
+        tried: &progress.tried_slots,
         only_alternative_for: None,
         is_past_target: false,
     }
 }
 
-/// A request goes on with the latest table; its rule may be another one there.
+/// Continues a request with the latest routing table, in which a different rule may match it.
 fn adopt_latest_table(
     proxy: &mut Proxy,
     progress_id: usize,
@@ -444,7 +453,7 @@
         rule = latest.config.rule_for(method(kind), "h", path).ok_or(Rejection::Unmatched)?;
     }
     let is_misplaced = has_new_config && !latest.config.rules[rule].allows_region(region);
-    // While a server has the request it goes by the rule that led it there.
+    // While a server has the request, the rule by which the server was selected still applies.
     if !is_misplaced || progress.attempts.is_empty() {
         progress.rule = rule;
         progress.table = latest;
--- a/testbed/src/sim/traffic/clients.rs
+++ b/testbed/src/sim/traffic/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: they poll the steering service, send requests and retry as the client library does.
+//! Clients: poll the steering service, send requests and retry them as the client library does.
 
 use super::{CALL_TIMEOUT, method};
 use crate::sim::mutations::Mutation;
@@ -13,15 +13,15 @@
 use vanepath_config::ExecutionStatus;
 
 impl Sim {
-    /// Adds a client, which does nothing yet.
+    /// Adds a client, which is inactive until it is started.
     pub fn add_client(&mut self, name: &str, zone: &str, region: &str) -> usize {
-        // Outside all zones: only the distance to clients counts.
+        // The host is outside all zones, so that the delay for clients applies to it.
         let host = self.net.add_host(name, "", "");
         self.net.hosts[host].up = true;
         self.net.hosts[host].incarnation = 1;
         let query = format!("/v1/steer?caller={name}&zone={zone}&region={region}");
-        let spread = self.net.random.draw() % 1000;
-        let steering = Steering::new(self.world.steering_addresses.clone(), query, spread);
+        let poll_offset = self.net.random.draw() % 1000;
+        let steering = Steering::new(self.world.steering_addresses.clone(), query, poll_offset);
         self.world.clients.push(Client {
             host,
             steering,
@@ -34,21 +34,21 @@
         self.world.clients.len() - 1
     }
 
-    /// Lets a client poll the steering service and send requests.
+    /// Starts a client: it polls the steering service and sends requests from now on.
     pub fn start_client(&mut self, client: usize) {
         let host = self.world.clients[client].host;
-        let spread = Duration::from_millis(self.net.random.draw() % 1000);
-        self.net.set_timer(host, spread, Timer::SteeringPoll(client));
-        self.net.set_timer(host, spread + Duration::from_secs(1), Timer::NextRequest(client));
+        let start_delay = Duration::from_millis(self.net.random.draw() % 1000);
+        self.net.set_timer(host, start_delay, Timer::SteeringPoll(client));
+        self.net.set_timer(host, start_delay + Duration::from_secs(1), Timer::NextRequest(client));
     }
 
-    /// A client polls the steering service, if it is time.
+    /// Lets a client poll the steering service, if a poll is due.
     pub(super) fn poll_steering(&mut self, client: usize) {
         let now = self.net.now;
-        let own = &mut self.world.clients[client];
-        let host = own.host;
-        if let Some((directory, uri)) = own.steering.start_poll(now) {
-            let target = Network::host_at(directory);
+        let polling = &mut self.world.clients[client];
+        let host = polling.host;
+        if let Some((address, uri)) = polling.steering.start_poll(now) {
+            let target = Network::host_at(address);
             let timeout = POLL_TIMEOUT;
             self.net.send(
                 host,
@@ -63,7 +63,7 @@
         self.net.set_timer(host, pause, Timer::SteeringPoll(client));
     }
 
-    /// A client begins a request.
+    /// Begins a request of a client.
     pub(super) fn next_request(&mut self, client: usize) {
         if self.world.stopped {
             return;
@@ -77,19 +77,19 @@
             return;
         }
         let sum: u32 = self.world.request_mix.iter().sum();
-        let mut turn = (self.net.random.draw() % u64::from(sum)) as u32;
+        let mut remainder = (self.net.random.draw() % u64::from(sum)) as u32;
         let mut kind = RequestKind::Lookup;
-        for (part, one) in self.world.request_mix.iter().zip([
+        for (share, candidate) in self.world.request_mix.iter().zip([
             RequestKind::Lookup,
             RequestKind::Filing,
             RequestKind::BoundFiling,
             RequestKind::Bulk,
         ]) {
-            kind = one;
-            if turn < *part {
+            kind = candidate;
+            if remainder < *share {
                 break;
             }
-            turn -= part;
+            remainder -= share;
         }
         let now = self.net.now;
         let path = self.world.paths[kind as usize];
@@ -120,7 +120,7 @@
         self.try_next_proxy(request);
     }
 
-    /// The next attempt of a request, as the client library makes it.
+    /// Makes the next attempt of a request, as the client library does.
     fn try_next_proxy(&mut self, number: usize) {
         let request = &mut self.world.requests[number];
         let Some(address) = request
@@ -149,13 +149,13 @@
         );
         let open_connections = &mut self.world.clients[client].open_connections;
         let is_open = may_use_open && open_connections.contains(&(target, incarnation));
-        // A connection that the other machine forgot when it lost power, without notice to this side: a
-        // write to it comes back as a reset.
+        // A connection that the proxy's machine no longer knows after it lost power, while this
+        // side got no notice. A write to it is answered by a reset.
         let unclean_incarnations = &self.net.hosts[target].unclean_incarnations;
         let stale = unclean_incarnations
             .iter()
             .map(|incarnation| (target, *incarnation))
-            .find(|one| open_connections.contains(one));
+            .find(|connection| open_connections.contains(connection));
         let is_stale = may_use_open && !is_open && stale.is_some();
         if let Some(stale) = stale {
             open_connections.remove(&stale);
@@ -166,7 +166,7 @@
         request.is_connecting = !is_open && !is_reachable && !is_stale;
         let is_last = request.next_candidate >= request.candidates.len().min(MAX_ATTEMPTS);
         let timeout = if request.is_connecting { Duration::from_secs(1) } else { CALL_TIMEOUT };
-        let may_leave = !request.is_at_most_once && !is_last && !request.is_connecting;
+        let may_switch = !request.is_at_most_once && !is_last && !request.is_connecting;
         self.world.clients[client].steering.request_started(now, address);
         self.world.requests[number].proxies_tried.push(target);
         if is_stale && is_reachable {
@@ -177,13 +177,13 @@
         }
         let purpose = Purpose::Forward { request: number };
         let call = self.net.send(host, target, timeout, Body::Forward(number), purpose);
-        if may_leave {
+        if may_switch {
             let timer = Timer::SwitchProxy { request: number, target, call };
             self.net.set_timer(host, SUSPICION_CHECK_INTERVAL, timer);
         }
     }
 
-    /// A request ends, one way or another.
+    /// Ends a request, with success or failure.
     fn end_request(&mut self, number: usize) {
         let now = self.net.now;
         let request = &mut self.world.requests[number];
@@ -193,7 +193,7 @@
         }
     }
 
-    /// A proxy answered a request, or did not.
+    /// Handles a proxy's answer to a request; `None` if there was none.
     pub(super) fn proxy_replied(
         &mut self,
         number: usize,
@@ -214,10 +214,10 @@
                 request.status = status;
                 request.may_have_run |= execution != ExecutionStatus::NotRun;
                 request.rejections += u32::from(status == 503);
-                let may_go_on = !(request.is_at_most_once && request.may_have_run)
+                let may_retry = !(request.is_at_most_once && request.may_have_run)
                     && request.rejections < MAX_REJECTIONS
                     && self.mutation != Some(Mutation::NeverRetriesLookups);
-                if !may_go_on || !client.steering.should_retry(now, status, execution) {
+                if !may_retry || !client.steering.should_retry(now, status, execution) {
                     return self.end_request(number);
                 }
                 if status == 421 {
@@ -236,7 +236,8 @@
                     || (is_reset && !self.net.hosts[target].up))
                     && !request.is_stale;
                 client.open_connections.remove(&(target, incarnation));
-                // A client cannot see into the proxy: once a byte was sent the request may have run.
+                // A client does not know what the proxy did with the request, so it may have run
+                // once a byte of it was sent.
                 let was_connected = !is_unsent || request.forwarded_by.contains(&target);
                 request.execution = if was_connected {
                     ExecutionStatus::MayHaveRun
@@ -254,8 +255,8 @@
         self.try_next_proxy(number);
     }
 
-    /// A client considers whether to give up on a proxy that does not answer: if it doubts the proxy,
-    /// it opens a new connection first.
+    /// Lets a client decide whether to give up on a proxy that does not answer. If it suspects the
+    /// proxy, it first tests it by opening a new connection.
     pub(super) fn consider_switching(
         &mut self,
         host: HostId,
@@ -279,7 +280,7 @@
         }
     }
 
-    /// The new connection was opened, or timed out.
+    /// Handles the end of the test connection, which was opened or timed out.
     pub(super) fn probe_connected(
         &mut self,
         host: HostId,
@@ -299,12 +300,13 @@
         }
     }
 
-    /// The steering service's answer to a client, or none.
+    /// Handles the steering service's answer to a client; `None` if there was none.
     pub(super) fn steering_replied(&mut self, client: usize, body: Option<Body>) {
         let response = match body {
             Some(Body::SteeringResponse(text)) => {
-                // The invariant checks use the TTL of the answer itself, not of what is parsed.
-                let ttl = jzon::parse(&text).ok().and_then(|all| all["TTL"].as_f64());
+                // The invariant checks use the TTL in the answer itself, not the one that the
+                // client library parsed.
+                let ttl = jzon::parse(&text).ok().and_then(|answer| answer["TTL"].as_f64());
                 if let Some(ttl) = ttl {
                     self.world.longest_steering_ttl = self.world.longest_steering_ttl.max(ttl);
                 }
--- a/testbed/src/sim/traffic/mod.rs
+++ b/testbed/src/sim/traffic/mod.rs
@@ -1,6 +1,6 @@
-//! Traffic in the simulator: clients, the requests in proxies, and servers. Decides nothing that the
-//! cores of the proxy and the client library decide: request lifecycle, admission, retry budget,
-//! endpoints and steering.
+//! Traffic in the simulator: clients, the requests in proxies, and servers. The decisions about
+//! request lifecycles, admission, retry budgets, endpoints and steering are made by the cores of
+//! the proxy and of the client library.
 
 mod attempts;
 mod clients;
@@ -12,10 +12,10 @@
 use super::state::{RequestKind, Sim};
 use std::time::Duration;
 
-/// How long a client waits for a proxy's answer at most.
+/// The longest time that a client waits for a proxy's answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The HTTP method of a kind of requests.
+/// The HTTP method of a kind of request.
 fn method(kind: RequestKind) -> &'static str {
     match kind {
         RequestKind::Lookup | RequestKind::Bulk => "GET",
@@ -24,7 +24,7 @@
 }
 
 impl Sim {
-    /// A timer of a client, a proxy or a server fires.
+    /// Handles a timer of a client, a proxy or a server.
     pub fn traffic_timer(&mut self, host: HostId, timer: Timer) {
         match timer {
             Timer::SteeringPoll(client) => self.poll_steering(client),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// A reply reaches a client or a proxy; `None` for a reset or a timeout.
+    /// Handles a reply that reaches a client or a proxy; `None` for a reset or a timeout.
     pub fn traffic_replied(
         &mut self,
         source: HostId,
--- a/testbed/src/sim/traffic/proxies.rs
+++ b/testbed/src/sim/traffic/proxies.rs
@@ -1,4 +1,4 @@
-//! Proxies: ticks, health checks and readiness. A thin shell round the cores of a proxy.
+//! Proxies: ticks, health checks and readiness. This is a thin shell around the cores of a proxy.
 
 use crate::sim::mutations::Mutation;
 use crate::sim::network::{Body, HostFaultKind, Network, Purpose, Timer};
@@ -11,7 +11,7 @@
 use vanepath_proxy::health::{Failure, ServerPhase};
 
 impl Sim {
-    /// A new view takes effect at once: servers, classes and rules.
+    /// Applies the servers, classes and rules of a proxy's new view at once.
     pub fn adopt_view(&mut self, index: usize) {
         let now = self.net.local_time(self.nodes[index].host);
         let view = self.nodes[index].view.clone();
@@ -27,7 +27,7 @@
             woken = proxy.admission.wake();
             proxy
                 .request_rates
-                .set_services(view.config.services.iter().map(|one| one.name.as_str()));
+                .set_services(view.config.services.iter().map(|service| service.name.as_str()));
         }
         proxy.table_revision = Some(revision);
         let slow_start_rate = |server: &ListedServer, services: &[usize]| {
@@ -52,7 +52,7 @@
         let info = self.nodes[index].info.clone();
         let is_draining = self.nodes[index].is_draining;
         let RoleState::Proxy(proxy) = &mut self.nodes[index].role_state else { return };
-        proxy.ticked_at = now;
+        proxy.last_tick_at = now;
         let revision = endpoints::revision_of(&view);
         let table = proxy.endpoints.table.load_full();
         hide_phases(proxy, &table, self.mutation);
@@ -108,18 +108,18 @@
         }
     }
 
-    /// Asks a node to stop in the planned way.
+    /// Asks a node to stop gracefully.
     pub fn terminate(&mut self, index: usize) {
         self.nodes[index].is_draining = true;
         let host = self.nodes[index].host;
-        let linger = match self.nodes[index].info.role {
+        let drain_time = match self.nodes[index].info.role {
             wire::Role::Proxy => Duration::from_millis(3500),
             _ => Duration::from_millis(300),
         };
-        self.net.set_timer(host, linger, Timer::CloseListeners);
+        self.net.set_timer(host, drain_time, Timer::CloseListeners);
     }
 
-    /// A server answered a health check, or did not.
+    /// Handles a server's response to a health check; `None` if there was none.
     pub(super) fn probe_replied(
         &mut self,
         index: usize,
@@ -169,18 +169,18 @@
         }
     }
 
-    /// Whether a proxy would take a request now.
+    /// Whether a proxy would admit a request now.
     pub(in crate::sim) fn is_proxy_ready(&self, index: usize) -> bool {
         let now = self.net.local_time(self.nodes[index].host);
         let RoleState::Proxy(proxy) = &self.nodes[index].role_state else { return false };
         let view = &self.nodes[index].view;
         let is_fresh = view.is_fresh || self.has_mutation(Mutation::StartsFromStaleConfig);
         let revision = endpoints::revision_of(view);
-        now.saturating_sub(proxy.ticked_at) < gossip::PAUSE_THRESHOLD
+        now.saturating_sub(proxy.last_tick_at) < gossip::PAUSE_THRESHOLD
             && proxy.endpoints.is_ready(now, is_fresh, revision)
     }
 
-    /// A timer of a proxy fires, or a draining node of another role ends.
+    /// Handles a timer of a proxy, or ends a draining node of another role.
     pub(super) fn proxy_timer(&mut self, index: usize, timer: Timer) {
         match timer {
             Timer::AdmitRequest(progress_id) => self.admit_request(index, progress_id),
@@ -192,7 +192,7 @@
             Timer::CloseListeners => {
                 if let RoleState::Proxy(proxy) = &mut self.nodes[index].role_state {
                     proxy.closed = true;
-                    // For clients it is down from now on.
+                    // For clients the proxy is down from now on.
                     let host = self.nodes[index].host;
                     self.net.begin_fault(host, HostFaultKind::Down);
                 } else {
@@ -204,12 +204,13 @@
     }
 }
 
-/// The mutations [`Mutation::SkipsSlowStart`] and [`Mutation::UnboundRetries`]: servers in some phases count
-/// as healthy.
+/// Implements [`Mutation::SkipsSlowStart`] and [`Mutation::UnboundRetries`]: servers in some phases
+/// count as healthy.
 fn hide_phases(proxy: &mut Proxy, table: &RoutingTable, mutation: Option<Mutation>) {
     let hidden: &[ServerPhase] = match mutation {
         Some(Mutation::SkipsSlowStart) => &[ServerPhase::WarmingUp, ServerPhase::SlowStart],
-        // Suspect servers are avoided; without that they are tried again and again.
+        // Proxies avoid suspect servers. This mutation hides the suspicion, so that such servers
+        // are tried again and again.
         Some(Mutation::UnboundRetries) => {
             &[ServerPhase::WarmingUp, ServerPhase::SlowStart, ServerPhase::Suspect]
         }
--- a/testbed/src/sim/traffic/requests.rs
+++ b/testbed/src/sim/traffic/requests.rs
@@ -1,4 +1,4 @@
-//! Requests in progress within a proxy: admission, and the answer.
+//! Requests in progress within a proxy: their admission and their answers.
 
 use super::method;
 use crate::sim::crash_points::CrashPoint;
@@ -15,7 +15,7 @@
 use vanepath_proxy::lifecycle::{Rejection, RequestLifecycle, RequestState};
 
 impl Sim {
-    /// A request reaches a proxy.
+    /// Handles a client's request that reaches a proxy.
     pub(in crate::sim) fn accept_request(&mut self, index: usize, request: usize, call: CallId) {
         let host = self.nodes[index].host;
         let now = self.net.local_time(host);
@@ -36,20 +36,20 @@
                 lifecycle: RequestLifecycle::new(),
                 table,
                 rule: 0,
-                tried: Vec::new(),
+                tried_slots: Vec::new(),
                 received_at: now,
                 deadline: now + gossip::READINESS_TIMEOUT,
-                permit: None,
+                admission_slot: None,
                 queue_ticket: None,
                 attempts: Vec::new(),
                 hedge_timer: 0,
-                was_cut_off: false,
+                was_aborted: false,
             },
         );
         self.admit_request(index, progress_id);
     }
 
-    /// Matches a request with its rule and asks for admission, once the proxy is ready.
+    /// Matches a request with a rule and asks for its admission, once the proxy is ready.
     pub(super) fn admit_request(&mut self, index: usize, progress_id: usize) {
         let host = self.nodes[index].host;
         let now = self.net.local_time(host);
@@ -77,9 +77,9 @@
         let RoleState::Proxy(proxy) = &mut self.nodes[index].role_state else { return };
         let Some(progress) = proxy.in_progress.get_mut(&progress_id) else { return };
         let request = &self.world.requests[progress.request];
-        let (verb, path) = (method(request.kind), self.world.paths[request.kind as usize]);
+        let (http_method, path) = (method(request.kind), self.world.paths[request.kind as usize]);
         let config = progress.table.config.clone();
-        let rule = config.rule_for(verb, "h", path);
+        let rule = config.rule_for(http_method, "h", path);
         let Some(rule) = rule else {
             return self.answer_client(index, progress_id, Err(Rejection::Unmatched));
         };
@@ -102,14 +102,14 @@
         proxy.retry_budget.record_request(now);
         self.world.admitted_at.push(self.net.now);
         progress.lifecycle.state = RequestState::Queued;
-        let late = progress.deadline.saturating_sub(now);
+        let time_left = progress.deadline.saturating_sub(now);
         let class_index = proxy.admission.index(&class.name);
         let Some(class_index) = class_index else {
             return self.answer_client(index, progress_id, Err(Rejection::NotReady));
         };
         let admission = proxy.admission.enter(class_index, progress.deadline);
         match admission {
-            Admission::Admitted(slot) => progress.permit = Some(slot),
+            Admission::Admitted(slot) => progress.admission_slot = Some(slot),
             Admission::QueueFull => {
                 return self.answer_client(index, progress_id, Err(Rejection::QueueFull));
             }
@@ -118,30 +118,30 @@
                 proxy.queued.insert(ticket, progress_id);
             }
         }
-        let is_in = progress.permit.is_some();
-        self.net.set_timer(host, late, Timer::QueueTimeout(progress_id));
-        if is_in {
+        let is_admitted = progress.admission_slot.is_some();
+        self.net.set_timer(host, time_left, Timer::QueueTimeout(progress_id));
+        if is_admitted {
             self.select_server(index, progress_id);
         }
     }
 
-    /// Goes on with requests that the admission queue let through.
+    /// Continues requests that were admitted from the queue.
     pub(super) fn resume_admitted(&mut self, index: usize, woken: Vec<Woken>) {
         for Woken { ticket, slot } in woken {
             let RoleState::Proxy(proxy) = &mut self.nodes[index].role_state else { return };
             let Some(progress_id) = proxy.queued.remove(&ticket) else { continue };
             if let Some(progress) = proxy.in_progress.get_mut(&progress_id) {
                 progress.queue_ticket = None;
-                progress.permit = Some(slot);
+                progress.admission_slot = Some(slot);
                 self.select_server(index, progress_id);
             }
         }
     }
 
-    /// The deadline of a request that waits for admission.
+    /// Rejects a request that still waits for admission at its deadline.
     pub(super) fn queue_timed_out(&mut self, index: usize, progress_id: usize) {
         let RoleState::Proxy(proxy) = &self.nodes[index].role_state else { return };
-        // What is with a server ends by its own timeout.
+        // An attempt at a server ends by its own timeout.
         if proxy
             .in_progress
             .get(&progress_id)
@@ -170,7 +170,8 @@
             proxy.admission.leave(ticket);
             proxy.queued.remove(&ticket);
         }
-        let woken = progress.permit.map(|slot| proxy.admission.release(slot)).unwrap_or_default();
+        let woken =
+            progress.admission_slot.map(|slot| proxy.admission.release(slot)).unwrap_or_default();
         self.check_not_given_up(index, &progress, result.is_ok());
         let is_affected = progress.lifecycle.idempotency == Idempotency::NonIdempotent
             && progress.request.is_multiple_of(50);
@@ -205,16 +206,18 @@
         self.resume_admitted(index, woken);
     }
 
-    /// Planned work ends no request whose server may be at work on it, unless another one has responded
+    /// Reports a violation if a draining proxy ends a request while its server may be processing
+    /// it, no server has responded and the deadline has not passed: a planned stop must not do so
     /// (incident 0019).
     fn check_not_given_up(&mut self, index: usize, progress: &RequestInProgress, is_served: bool) {
         let node = &self.nodes[index];
         let is_late = self.net.local_time(node.host) >= progress.deadline;
         let is_given_up = !is_served && !progress.pending().is_empty();
-        if node.is_draining && !is_late && (is_given_up || progress.was_cut_off) {
+        if node.is_draining && !is_late && (is_given_up || progress.was_aborted) {
             let (request, name) = (progress.request, node.info.name.clone());
-            self.violations
-                .push(format!("request {request} given up at its server by {name}, which drains"));
+            self.violations.push(format!(
+                "request {request} given up at its server by {name}, which is draining"
+            ));
         }
     }
 }
--- a/testbed/src/sim/traffic/servers.rs
+++ b/testbed/src/sim/traffic/servers.rs
@@ -1,4 +1,4 @@
-//! Servers: how they start and stop, what comes to them and how they answer.
+//! Servers: start, stop and misbehave, receive requests and health checks, and respond.
 
 use crate::sim::network::{Body, CallId, HostFaultKind, HostId, Timer};
 use crate::sim::state::{Connection, FailureMode, Server, ServerArrival, ServerRestart, Sim};
@@ -7,7 +7,7 @@
 use vanepath_cluster::wire;
 
 impl Sim {
-    /// Adds a server, which runs.
+    /// Adds a server, which runs from now on.
     pub fn add_server(&mut self, id: &str, app: &str, zone: &str, region: &str) -> usize {
         let host = self.net.add_host(id, zone, region);
         let service_time = Duration::from_millis(4 + self.net.random.draw() % 25);
@@ -41,7 +41,7 @@
         index
     }
 
-    /// Whether any proxy is up and ready.
+    /// Whether any proxy is up and ready, and so checks the servers' health.
     fn is_observed(&self) -> bool {
         (0..self.nodes.len()).any(|index| {
             let node = &self.nodes[index];
@@ -49,7 +49,7 @@
         })
     }
 
-    /// Ends a server's process; with `loses_power`, its machine too.
+    /// Kills a server's process. With `loses_power`, its machine loses power too.
     pub fn stop_server(&mut self, index: usize, loses_power: bool) {
         let host = self.world.servers[index].host;
         if loses_power {
@@ -61,17 +61,17 @@
         self.world.servers[index].lost_power = loses_power;
         self.world.servers[index].busy_workers = 0;
         self.world.servers[index].queue.clear();
-        let learned_at = self.net.now + Duration::from_millis(2);
+        let noticed_at = self.net.now + Duration::from_millis(2);
         for connection in self.world.connections.values_mut() {
             if connection.server == index && !loses_power {
-                connection.closed_at.get_or_insert(learned_at);
+                connection.closed_at.get_or_insert(noticed_at);
             }
         }
         let id = self.world.servers[index].id.clone();
-        self.trace_event(|| format!("server {id} ends"));
+        self.trace_event(|| format!("server {id} stopped"));
     }
 
-    /// From now on this part of a server's requests fails in this way.
+    /// Makes a fraction `rate` of a server's requests fail in this way from now on.
     pub fn set_failure_mode(&mut self, index: usize, failure_mode: FailureMode, rate: f64) {
         let host = self.world.servers[index].host;
         if rate > 0.0 {
@@ -95,18 +95,18 @@
         let is_observed = self.is_observed();
         let server = &mut self.world.servers[index];
         let down_time = now - server.down_at.take().unwrap_or(now);
-        // The next probe notices that a process is down; a silent machine takes two probes that time
-        // out.
-        let lost = server.lost_power;
-        let noticeable = Duration::from_millis(if lost { 5000 } else { 1500 });
-        // Down and back while no proxy ran: none could notice.
-        let is_noticeable = down_time >= noticeable && (server.was_observed || is_observed);
+        // The next probe detects that a process is down; a machine without power is detected by two
+        // probes that time out.
+        let lost_power = server.lost_power;
+        let noticeable_after = Duration::from_millis(if lost_power { 5000 } else { 1500 });
+        // A server that stopped and started while no proxy was ready was noticed by none.
+        let is_noticeable = down_time >= noticeable_after && (server.was_observed || is_observed);
         server.restarts.push(ServerRestart { at: now, down_time, is_noticeable });
         let id = server.id.clone();
-        self.trace_event(|| format!("server {id} is back, cold"));
+        self.trace_event(|| format!("server {id} restarted"));
     }
 
-    /// A message reaches a server.
+    /// Handles a message that reaches a server.
     pub fn arrive_at_server(&mut self, host: HostId, source: HostId, call: CallId, body: Body) {
         let Some(index) = self.world.server_by_host.get(&host).copied() else { return };
         let incarnation = self.net.hosts[host].incarnation;
@@ -131,10 +131,10 @@
                 self.net.reply(call, reply);
             }
             Body::UpstreamRequest { request, connection, sent_at } => {
-                let is_same = self.world.connections.get(&connection).is_some_and(|one| {
-                    one.server == index && one.server_incarnation == incarnation
+                let is_known = self.world.connections.get(&connection).is_some_and(|entry| {
+                    entry.server == index && entry.server_incarnation == incarnation
                 });
-                if !is_same {
+                if !is_known {
                     return self.net.reply(call, Body::Reset);
                 }
                 let now = self.net.now;
@@ -164,27 +164,27 @@
     }
 
     fn begin_service(&mut self, index: usize, call: CallId, request: usize) {
-        let part = 0.5 + self.net.random.fraction();
+        let factor = 0.5 + self.net.random.fraction();
         let server = &self.world.servers[index];
-        let (host, service) = (server.host, server.service_time.mul_f64(part));
+        let (host, service) = (server.host, server.service_time.mul_f64(factor));
         self.net.set_timer(host, service, Timer::ServerDone { call, request });
     }
 
-    /// Measures the load of a server with workers.
+    /// Updates the measured load of a server, if its number of workers is limited.
     fn measure_load(&mut self, index: usize) {
         let now = self.net.now;
         let server = &mut self.world.servers[index];
         if server.workers > 0 {
-            let part = 1.0 - (-(now - server.load_at).as_secs_f64()).exp();
-            let wanted = f64::from(server.busy_workers) + server.queue.len() as f64;
-            server.load += part * (wanted / f64::from(server.workers) - server.load);
+            let weight = 1.0 - (-(now - server.load_at).as_secs_f64()).exp();
+            let demand = f64::from(server.busy_workers) + server.queue.len() as f64;
+            server.load += weight * (demand / f64::from(server.workers) - server.load);
             self.world.worst_load = self.world.worst_load.max(server.load);
             server.load_at = now;
             server.load_milli = (server.load * 1000.0).min(5000.0) as u32;
         }
     }
 
-    /// A server has done a request: it answers and takes the next one.
+    /// Responds to a request that a server has finished, and begins the next one in its queue.
     pub(super) fn server_done(&mut self, host: HostId, call: CallId) {
         let Some(index) = self.world.server_by_host.get(&host).copied() else { return };
         if self.world.servers[index].workers > 0 {
