--- a/testbed/src/sim/control/gossip.rs
+++ b/testbed/src/sim/control/gossip.rs
@@ -104,7 +104,7 @@
         for line in log_lines {
             self.trace_event(|| format!("{name}: {line}"));
         }
-        self.adopt_view(index);
+        self.apply_view(index);
     }
 
     fn count_bytes(&mut self, from: HostId, to: HostId, bytes: u64) {
--- a/testbed/src/sim/control/nodes.rs
+++ b/testbed/src/sim/control/nodes.rs
@@ -91,7 +91,7 @@
         index
     }
 
-    /// Starts a node's process without any state from memory.
+    /// Starts a node's process with empty memory. A store keeps its disk.
     pub fn start_node(&mut self, index: usize) {
         let host = self.nodes[index].host;
         self.net.hosts[host].powered = true;
@@ -157,7 +157,7 @@
             node.down_periods.push(DownPeriod { from: now, to: None });
         }
         if let RoleState::Store(store) = &mut node.role_state {
-            // Any number of the first writes in flight may have reached the disk.
+            // A random prefix of the writes in flight has reached the disk.
             let in_flight_writes = std::mem::take(&mut store.disk.in_flight_writes);
             let written = self.net.random.below(in_flight_writes.len() + 1);
             for write in in_flight_writes.into_iter().take(written) {
--- a/testbed/src/sim/control/store_calls.rs
+++ b/testbed/src/sim/control/store_calls.rs
@@ -29,8 +29,8 @@
         self.step_store_call(index, store_call);
     }
 
-    /// Returns the outcome of a call that is answered without the stores: because its configuration
-    /// is invalid or because a mutation answers it.
+    /// Returns the outcome of a call that does not reach the stores, either because its
+    /// configuration is invalid or because a mutation decides it.
     fn outcome_without_stores(&mut self, index: usize, operation: usize) -> Option<Outcome> {
         let operator_call = &mut self.operations[operation].call;
         if let OperatorCall::Change {
--- a/testbed/src/sim/crash_points.rs
+++ b/testbed/src/sim/crash_points.rs
@@ -44,8 +44,7 @@
     AfterResponse,
 }
 
-/// A planned crash: the node is killed when the point is visited for the `visit`-th time, counted
-/// from time `from` on.
+/// A planned crash: the `visit`-th visit of the point from time `from` on kills the node.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannedCrash {
     /// The point.
--- a/testbed/src/sim/event_loop.rs
+++ b/testbed/src/sim/event_loop.rs
@@ -93,15 +93,15 @@
             return;
         }
         let Some(index) = self.node_by_host.get(&host).copied() else {
-            return self.arrive_at_server(host, source, call, body);
+            return self.handle_server_message(host, source, call, body);
         };
         match body {
             Body::Pull(mut request) => {
                 if self.has_mutation(Mutation::DelaysConfig)
                     && !self.net.now.as_secs().is_multiple_of(7)
                 {
-                    // The request claims that its sender has every revision, so that the response
-                    // carries no newer one.
+                    // Makes the request claim that its sender has every revision, so that the
+                    // response carries no newer one.
                     request.config_revision = u64::MAX;
                 }
                 self.step_gossip(index, gossip::Event::PullReceived { ticket: call, request });
--- a/testbed/src/sim/reachability.rs
+++ b/testbed/src/sim/reachability.rs
@@ -259,8 +259,9 @@
         let Some(minimum) = self.reachability.minimum_at_start.get(index).copied() else { return };
         let knowable = &self.reachability.knowable[index];
         let now = self.net.now;
-        // A proxy must wait only for revisions that it could have learned ever since its start. A
-        // revision that a cut withheld from it then is due within the same time as any update.
+        // Before a proxy serves, it must wait for revisions that it could have learned from its
+        // start on. A revision that a cut withheld from it at its start is due later, within the
+        // same time as any update.
         let started_at = self.reachability.started_at[index];
         let could_know = |revisions: &BTreeMap<u64, Duration>, minimum| {
             knowable_since(revisions, minimum).is_some_and(|since| since <= started_at)
@@ -343,7 +344,8 @@
             if drain.zone != zone || is_over {
                 continue;
             }
-            // Since when any registry that is ready could have known of the drain and told clients.
+            // The earliest time since which a registry that is up and ready could have told clients
+            // of the drain.
             let since = (0..self.nodes.len())
                 .filter(|node| self.nodes[*node].info.role == Role::Registry)
                 .filter(|node| self.nodes[*node].is_ready && self.is_up(*node))
--- a/testbed/src/sim/state/disk.rs
+++ b/testbed/src/sim/state/disk.rs
@@ -7,8 +7,8 @@
 use vanepath_store::hints::Hints;
 use vanepath_store::value::{Value, VersionId};
 
-/// A store's disk. Synced writes survive a crash; of the writes in flight, any number of the first
-/// ones may survive.
+/// A store's disk. Synced writes survive a crash; of the writes in flight, a random prefix
+/// survives.
 #[derive(Default)]
 pub struct Disk {
     /// The replica's hard state; `None` on an empty disk.
--- a/testbed/src/sim/state/node.rs
+++ b/testbed/src/sim/state/node.rs
@@ -24,7 +24,9 @@
     pub core: Replica,
     /// The disk, which outlives the process.
     pub disk: Disk,
+    /// Events that wait until the write in flight is complete.
     pub(in crate::sim) inbox: VecDeque<consensus::Event>,
+    /// Effects of the last event that are not carried out yet.
     pub(in crate::sim) pending_effects: VecDeque<consensus::Effect>,
     /// Whether a write is in flight.
     pub(in crate::sim) is_writing: bool,
@@ -38,6 +40,7 @@
 /// traffic-shift plan.
 #[derive(Default)]
 pub struct Registry {
+    /// The calls to the stores in progress, each with the operator's call that it answers.
     pub(in crate::sim) store_calls: HashMap<usize, (StoreRequest, CallId)>,
     pub(in crate::sim) next_store_call: usize,
     /// Whether it reports that it is ready.
--- a/testbed/src/sim/state/reachability.rs
+++ b/testbed/src/sim/state/reachability.rs
@@ -50,6 +50,7 @@
 /// What each node could have known, as observed from outside, and the violations found.
 #[derive(Default)]
 pub struct Reachability {
+    /// When the fleet was last observed.
     pub(in crate::sim) sampled_at: Duration,
     /// What each node could have known.
     pub knowable: Vec<KnowableRevisions>,
--- a/testbed/src/sim/state/traffic.rs
+++ b/testbed/src/sim/state/traffic.rs
@@ -70,10 +70,13 @@
     pub(in crate::sim) queue: VecDeque<(CallId, usize)>,
     /// The requests in service and in the queue per worker, smoothed exponentially over a second.
     pub(in crate::sim) load: f64,
+    /// When `load` was last updated.
     pub(in crate::sim) load_at: Duration,
     /// Its restarts.
     pub restarts: Vec<ServerRestart>,
+    /// Whether its machine lost power when the server last went down.
     pub(in crate::sim) lost_power: bool,
+    /// Whether a proxy was up and ready when the server last went down.
     pub(in crate::sim) was_observed: bool,
     /// Since when it has been down; `None` while it is up.
     pub down_at: Option<Duration>,
--- a/testbed/src/sim/traffic/proxies.rs
+++ b/testbed/src/sim/traffic/proxies.rs
@@ -12,7 +12,7 @@
 
 impl Sim {
     /// Applies the servers, classes and rules of a proxy's new view at once.
-    pub fn adopt_view(&mut self, index: usize) {
+    pub fn apply_view(&mut self, index: usize) {
         let now = self.net.local_time(self.nodes[index].host);
         let view = self.nodes[index].view.clone();
         let name = self.nodes[index].info.name.clone();
@@ -44,7 +44,7 @@
 
     /// A proxy's regular tick.
     pub fn tick_proxy(&mut self, index: usize) {
-        self.adopt_view(index);
+        self.apply_view(index);
         let host = self.nodes[index].host;
         let now = self.net.local_time(host);
         let view = self.nodes[index].view.clone();
--- a/testbed/src/sim/traffic/requests.rs
+++ b/testbed/src/sim/traffic/requests.rs
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Continues requests that were admitted from the queue.
+    /// Goes on with requests that the admission queue let through.
     pub(super) fn resume_admitted(&mut self, index: usize, woken: Vec<Woken>) {
         for Woken { ticket, slot } in woken {
             let RoleState::Proxy(proxy) = &mut self.nodes[index].role_state else { return };
--- a/testbed/src/sim/traffic/servers.rs
+++ b/testbed/src/sim/traffic/servers.rs
@@ -107,7 +107,13 @@
     }
 
     /// Handles a message that reaches a server.
-    pub fn arrive_at_server(&mut self, host: HostId, source: HostId, call: CallId, body: Body) {
+    pub fn handle_server_message(
+        &mut self,
+        host: HostId,
+        source: HostId,
+        call: CallId,
+        body: Body,
+    ) {
         let Some(index) = self.world.server_by_host.get(&host).copied() else { return };
         let incarnation = self.net.hosts[host].incarnation;
         self.measure_load(index);
