--- a/testbed/src/sim/state/reachability.rs
+++ b/testbed/src/sim/state/reachability.rs
@@ -32,8 +32,8 @@
 pub struct ZoneDrain {
     /// The zone.
     pub zone: String,
-    /// The evacuation that it belongs to, whose own restoring call alone ends it. `None` if the
-    /// zone was drained by a call with an idempotency key.
+    /// The evacuation that it belongs to; only the restore call of that evacuation ends the drain.
+    /// `None` if the zone was drained by a call with an idempotency key.
     pub evacuation: Option<usize>,
     /// The revision that drains the zone.
     pub revision: u64,
--- a/testbed/src/sim/state/traffic.rs
+++ b/testbed/src/sim/state/traffic.rs
@@ -39,7 +39,8 @@
     pub at: Duration,
     /// How long it had been down.
     pub down_time: Duration,
-    /// Whether a proxy was ready and the server was down long enough for the proxy to notice.
+    /// Whether proxies could notice the restart: one was up and ready when the server stopped or
+    /// restarted, and the server was down long enough.
     pub is_noticeable: bool,
 }
 
