--- a/testbed/src/sim/scenario/action.rs
+++ b/testbed/src/sim/scenario/action.rs
@@ -15,7 +15,7 @@
     sim.trace_event(|| format!("script: {action:?}"));
     match action {
         Action::Start(node) => start(sim, node, script_index),
-        Action::Crash { node, power } => sim.crash(node, power),
+        Action::Crash { node, loses_power } => sim.crash(node, loses_power),
         Action::CrashAll => for_all_nodes(sim, |sim, node| sim.crash(node, true)),
         Action::StartAll => for_all_nodes(sim, Sim::start_node),
         Action::Terminate(node) => sim.terminate(node),
@@ -42,7 +42,7 @@
         Action::Cut { left, right, one_way } => sim.net.cut(&left, &right, one_way),
         Action::Uncut { left, right, one_way } => sim.net.uncut(&left, &right, one_way),
         Action::DelayNetwork(delay) => sim.net.extra_delay = delay,
-        Action::StopServer { server, power } => sim.stop_server(server, power),
+        Action::StopServer { server, loses_power } => sim.stop_server(server, loses_power),
         Action::StartServer(server) => start_server(sim, server),
         Action::FreezeServer(server, is_frozen) => freeze_server(sim, server, is_frozen),
         Action::SetFailureMode { server, failure_mode, rate } => {
@@ -65,8 +65,8 @@
         Action::RestoreZone(zone) => {
             operators::change_zone(sim, Change::RestoreZone { zone: zone.to_string() });
         }
-        Action::KeylessCall { evacuation, step, dies } => {
-            operators::send_keyless_call(sim, evacuation, step, dies);
+        Action::KeylessCall { evacuation, step, registry_dies } => {
+            operators::send_keyless_call(sim, evacuation, step, registry_dies);
         }
         Action::ReplaceConfig => {
             operators::replace_config(sim, None);
@@ -85,7 +85,7 @@
     let host = sim.nodes[node].host;
     if !sim.net.hosts[host].up || !sim.net.hosts[host].powered {
         sim.start_node(node);
-    } else if sim.nodes[node].leaving {
+    } else if sim.nodes[node].is_draining {
         // The old process is still draining: the start is retried until it has exited.
         sim.net.schedule(sim.net.now + Duration::from_millis(200), Event::Script(script_index));
     }
@@ -144,7 +144,7 @@
 
 fn mark_draining(sim: &mut Sim, server: usize) {
     let id = sim.world.servers[server].id.clone();
-    let (at, list_revision) = (sim.net.now, sim.platform.revision + 1);
+    let (at, list_revision) = (sim.net.now, sim.platform_list.revision + 1);
     sim.world.server_drains.push(ServerDrain { at, server, list_revision });
     publish(sim, |list| {
         for entry in list.iter_mut().filter(|entry| entry.id == id) {
@@ -177,13 +177,13 @@
         server.service_time = Duration::from_millis(if is_flood { 3000 } else { 20 });
     }
     if is_flood {
-        world.ordinary_traffic = Some((world.rate, world.mix));
-        let weight = |percent: u32| (f64::from(percent) * world.rate) as u32;
+        world.ordinary_traffic = Some((world.request_rate, world.request_mix));
+        let weight = |percent: u32| (f64::from(percent) * world.request_rate) as u32;
         let extra_bulk = (100.0 * extra) as u32;
-        let [lookups, filings, bound, bulk] = world.mix.map(weight);
-        world.mix = [lookups, filings, bound, bulk + extra_bulk];
-        world.rate += extra;
+        let [lookups, filings, bound, bulk] = world.request_mix.map(weight);
+        world.request_mix = [lookups, filings, bound, bulk + extra_bulk];
+        world.request_rate += extra;
     } else if let Some((rate, mix)) = world.ordinary_traffic.take() {
-        (world.rate, world.mix) = (rate, mix);
+        (world.request_rate, world.request_mix) = (rate, mix);
     }
 }
--- a/testbed/src/sim/scenario/fleet.rs
+++ b/testbed/src/sim/scenario/fleet.rs
@@ -18,7 +18,7 @@
     sim.is_traced = plan.is_traced;
     sim.mutation = plan.mutation;
     sim.planned_crash = plan.planned_crash;
-    sim.stores = plan.stores;
+    sim.member_slots = plan.stores;
     sim.world.config_text = config_text(&topology, plan);
     add_nodes(&mut sim, &topology, plan);
     add_servers(&mut sim, &topology, plan);
@@ -72,7 +72,7 @@
         .filter(|node| node.info.role == Role::Registry)
         .map(|node| node.info.cluster_address)
         .collect();
-    sim.world.directories = registries.clone();
+    sim.world.steering_addresses = registries.clone();
     let seeds: Vec<SocketAddr> = registries.into_iter().take(3).collect();
     for node in &mut sim.nodes {
         node.seeds = seeds.clone();
@@ -87,11 +87,11 @@
         }
     }
     publish(sim, |_| {});
-    sim.world.rate = topology.requests_per_second * plan.rate;
+    sim.world.request_rate = topology.requests_per_second * plan.rate;
     if plan.faults.contains(&Fault::Surge) {
         // The service time makes servers 45 % busy at the ordinary request rate.
         let first_app = topology.servers[0];
-        let per_second = sim.world.rate * 0.85 / f64::from(first_app.1 as u32);
+        let per_second = sim.world.request_rate * 0.85 / f64::from(first_app.1 as u32);
         for server in sim.world.servers.iter_mut() {
             server.workers = 1;
             server.service_time = Duration::from_secs_f64(0.45 / per_second);
@@ -102,11 +102,11 @@
 fn add_clients(sim: &mut Sim, topology: &Topology, plan: &Plan) {
     match plan.deployment {
         Deployment::Raiocerto => {
-            sim.world.mix = [60, 25, 0, 15];
+            sim.world.request_mix = [60, 25, 0, 15];
             sim.world.paths = ["/stock", "/orders", "/orders", "/documents"];
         }
         Deployment::Guild => {
-            sim.world.mix = [65, 15, 5, 15];
+            sim.world.request_mix = [65, 15, 5, 15];
             sim.world.paths = ["/parcels", "/appeals", "/appeals/north", "/extracts"];
         }
     }
@@ -131,7 +131,7 @@
     }
     sim.world.operator_interval = plan.operator_interval;
     if plan.operator_interval > Duration::ZERO {
-        let operator = sim.operator;
+        let operator = sim.operator_host;
         sim.net.set_timer(operator, plan.operator_interval, Timer::NextOperatorCall);
     }
 }
--- a/testbed/src/sim/scenario/operators.rs
+++ b/testbed/src/sim/scenario/operators.rs
@@ -63,8 +63,8 @@
     if sim.world.stopped {
         return;
     }
-    let pause = sim.world.operator_interval.mul_f64(0.5 + sim.net.random.part());
-    let operator = sim.operator;
+    let pause = sim.world.operator_interval.mul_f64(0.5 + sim.net.random.fraction());
+    let operator = sim.operator_host;
     sim.net.set_timer(operator, pause, Timer::NextOperatorCall);
     let percent = sim.net.random.below(100);
     let registry = any_registry(sim);
@@ -193,9 +193,14 @@
     call_any(sim, OperatorCall::Change { key, change });
 }
 
-/// Sends a call of an evacuation without an idempotency key. With `dies`, the registry that receives it
+/// Sends a call of an evacuation without an idempotency key. With `registry_dies`, the registry that receives it
 /// crashes within 400 ms.
-pub(super) fn send_keyless_call(sim: &mut Sim, evacuation: usize, step: usize, dies: bool) {
+pub(super) fn send_keyless_call(
+    sim: &mut Sim,
+    evacuation: usize,
+    step: usize,
+    registry_dies: bool,
+) {
     let now = sim.net.now;
     let order = &mut sim.evacuations[evacuation];
     let first_sent_at = *order.sent_at[step].get_or_insert(now);
@@ -208,11 +213,11 @@
     let change = if step == 0 { Change::DrainZone { zone } } else { Change::RestoreZone { zone } };
     let key = format!("order-{evacuation}-{step}-{}", sim.operations.len());
     let (_, registry) = call_any(sim, OperatorCall::Change { key, change });
-    if dies {
+    if registry_dies {
         // The crash comes before the stores have the call, while they agree on it, or afterwards.
         let max_delay_ms = [40, 150, 400][sim.net.random.below(3)];
         let when = now + Duration::from_millis(sim.net.random.draw() % max_delay_ms);
-        sim.schedule(when, Action::Crash { node: registry, power: false });
+        sim.schedule(when, Action::Crash { node: registry, loses_power: false });
         sim.schedule(when + Duration::from_secs(3), Action::Start(registry));
     }
 }
@@ -233,14 +238,14 @@
         return;
     }
     let soon = sim.net.now + Duration::from_millis(50);
-    sim.schedule(soon, Action::KeylessCall { evacuation, step, dies: false });
+    sim.schedule(soon, Action::KeylessCall { evacuation, step, registry_dies: false });
 }
 
 /// Reads all revisions in order, at the end of a run.
 pub(super) fn read_history(sim: &mut Sim) -> Vec<(u64, Option<Outcome>)> {
     let registries = (0..sim.nodes.len())
         .filter(|index| sim.nodes[*index].info.role == Role::Registry && sim.is_up(*index));
-    let registry = registries.min().unwrap_or_else(|| sim.index("registry-0"));
+    let registry = registries.min().unwrap_or_else(|| sim.node_index("registry-0"));
     let latest = match call_and_wait(sim, OperatorCall::Read, registry) {
         Some(Outcome::Value { value }) => value.revision,
         other => return vec![(0, other)],
--- a/testbed/src/sim/scenario/schedule/servers.rs
+++ b/testbed/src/sim/scenario/schedule/servers.rs
@@ -5,8 +5,8 @@
 use crate::sim::state::{Action, FailureMode, Sim};
 use std::time::Duration;
 
-fn stop(sim: &mut Sim, server: usize, at: Duration, power: bool) {
-    sim.schedule(at, Action::StopServer { server, power });
+fn stop(sim: &mut Sim, server: usize, at: Duration, loses_power: bool) {
+    sim.schedule(at, Action::StopServer { server, loses_power });
 }
 
 fn start(sim: &mut Sim, server: usize, at: Duration) {
@@ -15,8 +15,8 @@
 
 fn kill_for_the_period(sim: &mut Sim, context: &Context) -> usize {
     let server = pick(sim, &context.servers);
-    let power = sim.net.random.chance(0.5);
-    stop(sim, server, context.start, power);
+    let loses_power = sim.net.random.chance(0.5);
+    stop(sim, server, context.start, loses_power);
     start(sim, server, context.end);
     server
 }
@@ -79,11 +79,11 @@
 
 /// Makes servers fail a part of their requests, in each failure mode.
 pub(super) fn fail_requests(sim: &mut Sim, context: &Context) -> Duration {
-    let modes = [FailureMode::RunAndReset, FailureMode::Truncate, FailureMode::Silent];
+    let modes = [FailureMode::RunAndReset, FailureMode::Truncate, FailureMode::NoResponse];
     let rounds = if sim.has_mutation(Mutation::UnboundRetries) { 30 } else { 1 };
     for failure_mode in modes.repeat(rounds) {
         let server = pick(sim, &context.servers);
-        let rate = 0.3 + 0.7 * sim.net.random.part();
+        let rate = 0.3 + 0.7 * sim.net.random.fraction();
         fail(sim, server, failure_mode, rate, (context.start, context.end));
     }
     context.end
--- a/testbed/src/sim/scenario/schedule/worst_case.rs
+++ b/testbed/src/sim/scenario/schedule/worst_case.rs
@@ -79,7 +79,7 @@
     for offset in 0..2 {
         let store = context.stores[(first + offset) % count];
         schedule_change_before(sim, when);
-        sim.schedule(when, Action::Crash { node: store, power: true });
+        sim.schedule(when, Action::Crash { node: store, loses_power: true });
         sim.schedule(when, Action::Wipe(store));
         sim.schedule(when + ms(800), Action::Start(store));
         when += ms(6000);
@@ -90,7 +90,7 @@
     when += ms(7000);
     schedule_change_before(sim, when);
     let lost = context.stores[first];
-    sim.schedule(when, Action::Crash { node: lost, power: true });
+    sim.schedule(when, Action::Crash { node: lost, loses_power: true });
     sim.schedule(when, Action::Wipe(lost));
     sim.schedule(when, Action::CrashAll);
     sim.schedule(when + ms(1000), Action::StartAll);
@@ -108,8 +108,8 @@
 pub(super) fn hundreds_of_changes(sim: &mut Sim, context: &Context) -> Duration {
     let start = context.start;
     let behind = pick(sim, &context.stores);
-    let power = sim.net.random.chance(0.5);
-    sim.schedule(start, Action::Crash { node: behind, power });
+    let loses_power = sim.net.random.chance(0.5);
+    sim.schedule(start, Action::Crash { node: behind, loses_power });
     spread(sim, 300, start + ms(200), ms(13_000), || Action::ReorderClasses);
     sim.schedule(start + ms(13_500), Action::Start(behind));
     let leader = context.stores.iter().copied().find(|store| *store != behind);
@@ -126,10 +126,10 @@
     let start = context.start;
     let end = start + ms(12_000);
     for failure_mode in
-        [FailureMode::RunAndReset, FailureMode::Truncate, FailureMode::Silent].repeat(2)
+        [FailureMode::RunAndReset, FailureMode::Truncate, FailureMode::NoResponse].repeat(2)
     {
         let server = pick(sim, &context.servers);
-        let rate = 0.05 + 0.2 * sim.net.random.part();
+        let rate = 0.05 + 0.2 * sim.net.random.fraction();
         fail(sim, server, failure_mode, rate, (start, end));
     }
     let killed = pick(sim, &context.proxies);
--- a/testbed/tests/days.rs
+++ b/testbed/tests/days.rs
@@ -338,16 +338,17 @@
 /// and also when all nodes start at one time. Figures: docs/measurements.md, "From start to ready".
 #[test]
 fn a_started_node_is_ready_within_its_limit() {
-    use vanepath_testbed::sim::startup::{Scene, measure};
+    use vanepath_testbed::sim::startup::{StartCondition, measure};
     let mut late = Vec::new();
     for deployment in [Deployment::Raiocerto, Deployment::Guild] {
-        for scene in Scene::iter() {
+        for scene in StartCondition::iter() {
             // If no majority of stores is reachable, a node waits for the read index from its peers.
-            let limit_ms = if scene == Scene::RegionCut { 2200 } else { 1000 };
+            let limit_ms = if scene == StartCondition::RegionCut { 2200 } else { 1000 };
             for seed in 1..=2 {
                 for start in measure(seed, scene, &Plan::new(deployment, &[])) {
-                    if start.took.is_none_or(|took| took > Duration::from_millis(limit_ms)) {
-                        let (role, took) = (start.role, start.took);
+                    if start.time_to_ready.is_none_or(|took| took > Duration::from_millis(limit_ms))
+                    {
+                        let (role, took) = (start.role, start.time_to_ready);
                         late.push(format!("{deployment:?} {scene} {seed} {role}: {took:?}"));
                     }
                 }
@@ -610,26 +611,26 @@
 fn nodes_killed_at_every_crash_point_violate_no_invariant() {
     use vanepath_testbed::sim::crash_points::{CrashPoint, PlannedCrash};
     let points: Vec<(CrashPoint, u32)> = CrashPoint::iter()
-        .flat_map(|point| [1, 2, 3, 5, 8, 13].map(|turn| (point, turn)))
+        .flat_map(|point| [1, 2, 3, 5, 8, 13].map(|visit| (point, visit)))
         .collect();
     let found = std::sync::Mutex::new(Vec::new());
     on_threads(cores(), points.len(), |index| {
-        let (point, turn) = points[index];
+        let (point, visit) = points[index];
         let from = Duration::from_secs(13);
-        let deployment = if turn % 2 == 0 { Deployment::Raiocerto } else { Deployment::Guild };
+        let deployment = if visit % 2 == 0 { Deployment::Raiocerto } else { Deployment::Guild };
         let plan = Plan {
-            planned_crash: Some(PlannedCrash { point, turn, from }),
+            planned_crash: Some(PlannedCrash { point, visit, from }),
             operator_interval: Duration::from_millis(300),
             rate: 0.3,
             ..Plan::new(deployment, &[Fault::None])
         };
-        let finished = run(u64::from(turn), &plan);
+        let finished = run(u64::from(visit), &plan);
         let mut violations = check(&finished).violations;
         if finished.sim.crashed_at.is_none() {
             violations.push("the crash point was never reached".to_string());
         }
         for violation in violations {
-            found.lock().unwrap().push(format!("{point} {turn}: {violation}"));
+            found.lock().unwrap().push(format!("{point} {visit}: {violation}"));
         }
     });
     let found = found.into_inner().unwrap();
