--- a/testbed/src/commands/demo.rs
+++ b/testbed/src/commands/demo.rs
@@ -1,6 +1,6 @@
 //! The demonstration fleet.
 
-use super::matches;
+use super::parse_options;
 use std::time::Duration;
 use vanepath_testbed::harness::Fleet;
 use vanepath_testbed::topology::{Topology, guild, raiocerto};
@@ -19,7 +19,7 @@
     options.optopt("", "deployment", "raiocerto (default) or guild", "NAME");
     options.optopt("", "seconds", "end by itself after so long", "N");
     let more = "";
-    let Some(matches) = matches(options, arguments, "vanepath-testbed demo [options]", more)?
+    let Some(matches) = parse_options(options, arguments, "vanepath-testbed demo [options]", more)?
     else {
         return Ok(());
     };
--- a/testbed/src/commands/mod.rs
+++ b/testbed/src/commands/mod.rs
@@ -13,7 +13,7 @@
 ///
 /// # Errors
 /// If an argument is not one of the options.
-pub fn matches(
+pub fn parse_options(
     mut options: getopts::Options,
     arguments: &[String],
     usage: &str,
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 /// If the text is not a range.
-pub fn seeds(given: Option<String>, default: &str) -> miette::Result<(u64, u64)> {
+pub fn parse_seed_range(given: Option<String>, default: &str) -> miette::Result<(u64, u64)> {
     let text = given.unwrap_or(default.to_string());
     let range = text.split_once('-').and_then(|(first, last)| {
         let (first, last): (u64, u64) = (first.parse().ok()?, last.parse().ok()?);
--- a/testbed/src/commands/replay.rs
+++ b/testbed/src/commands/replay.rs
@@ -1,6 +1,6 @@
 //! Recorded requests against a running fleet.
 
-use super::matches;
+use super::parse_options;
 use std::net::SocketAddr;
 use vanepath_testbed::replay::{ReplayPlan, Summary, read, replay};
 
@@ -17,7 +17,7 @@
     options.optflag("", "filings", "replay what runs at most once too: it is filed again");
     let more = "";
     let Some(matches) =
-        matches(options, arguments, "vanepath-testbed replay [options] FILE.har", more)?
+        parse_options(options, arguments, "vanepath-testbed replay [options] FILE.har", more)?
     else {
         return Ok(());
     };
--- a/testbed/src/commands/scale.rs
+++ b/testbed/src/commands/scale.rs
@@ -1,6 +1,6 @@
 //! Cost of the cores at several sizes of the fleet.
 
-use super::matches;
+use super::parse_options;
 use std::time::Duration;
 
 /// Measures the cores at several sizes of the fleet, on one thread (docs/CAPACITY.md).
@@ -19,7 +19,8 @@
     options.optflag("", "by-probes", "services as of old: judged by probes, no slots told");
     options.optflag("", "json", "JSON only");
     let more = "Servers, services and routes go with the daemons: 670 have 4,500, 270 and 1,100.";
-    let Some(matches) = matches(options, arguments, "vanepath-testbed scale [options]", more)?
+    let Some(matches) =
+        parse_options(options, arguments, "vanepath-testbed scale [options]", more)?
     else {
         return Ok(());
     };
--- a/testbed/src/commands/simulate.rs
+++ b/testbed/src/commands/simulate.rs
@@ -1,6 +1,6 @@
 //! Simulated scenarios over a range of seeds.
 
-use super::{matches, seeds};
+use super::{parse_options, parse_seed_range};
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::time::Duration;
@@ -79,10 +79,10 @@
         let kinds: Vec<String> = Fault::iter().map(|fault| fault.to_string()).collect();
         let more = &format!("Kinds of fault: {}", kinds.join(", "));
         let usage = "vanepath-testbed simulate [options]";
-        let Some(matches) = matches(accepted_options(), arguments, usage, more)? else {
+        let Some(matches) = parse_options(accepted_options(), arguments, usage, more)? else {
             return Ok(None);
         };
-        let (first_seed, last_seed) = seeds(matches.opt_str("seeds"), "1-20")?;
+        let (first_seed, last_seed) = parse_seed_range(matches.opt_str("seeds"), "1-20")?;
         let kind = matches.opt_str("fault").unwrap_or("each".to_string());
         let (selection, faults) = parse_faults(&kind)?;
         let deployments = match matches.opt_str("deployment").as_deref() {
--- a/testbed/src/commands/soak.rs
+++ b/testbed/src/commands/soak.rs
@@ -1,6 +1,6 @@
 //! A soak with real processes over a range of seeds.
 
-use super::{matches, seeds};
+use super::{parse_options, parse_seed_range};
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -46,7 +46,7 @@
         "Each seed plays its own script of troubles on a fleet of its own. Every {LARGE_SEED_INTERVAL}th seed has \
          64 proxies."
     );
-    let Some(matches) = matches(options, arguments, "vanepath-testbed soak [options]", more)?
+    let Some(matches) = parse_options(options, arguments, "vanepath-testbed soak [options]", more)?
     else {
         return Ok(None);
     };
@@ -59,7 +59,7 @@
         let (low, high) = (range.start(), range.end());
         number.ok_or_else(|| miette::miette!("--{name}: a whole number from {low} to {high}"))
     };
-    let (first_seed, last_seed) = seeds(matches.opt_str("seeds"), "1-5")?;
+    let (first_seed, last_seed) = parse_seed_range(matches.opt_str("seeds"), "1-5")?;
     let plan = Plan {
         proxies: whole("proxies", 6, 2..=MAX_PROXIES as u64)? as usize,
         servers: whole("servers", 18, 6..=MAX_SERVERS as u64)? as usize,
@@ -162,7 +162,7 @@
         return Ok(());
     }
     let folder = outcome
-        .keep(&options.keep)
+        .write_report(&options.keep)
         .map_err(|error| miette::miette!("cannot write to {}: {error}", options.keep.display()))?;
     println!("seed {seed}: broken");
     for fault in &outcome.violations {
--- a/testbed/src/commands/starts.rs
+++ b/testbed/src/commands/starts.rs
@@ -1,6 +1,6 @@
 //! Start-up times of daemons.
 
-use super::{matches, seeds};
+use super::{parse_options, parse_seed_range};
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::time::Duration;
@@ -25,11 +25,12 @@
     options.optopt("", "stores", "core machines (default 3)", "N");
     options.optflag("", "without-floor", "daemons go by whatever they are told first");
     let more = "";
-    let Some(matches) = matches(options, arguments, "vanepath-testbed starts [options]", more)?
+    let Some(matches) =
+        parse_options(options, arguments, "vanepath-testbed starts [options]", more)?
     else {
         return Ok(());
     };
-    let (first, last) = seeds(matches.opt_str("seeds"), "1-8")?;
+    let (first, last) = parse_seed_range(matches.opt_str("seeds"), "1-8")?;
     let stores = matches.opt_str("stores").and_then(|text| text.parse().ok()).unwrap_or(3);
     let mutation = matches.opt_present("without-floor").then_some(Mutation::SkipsReadIndex);
     let mut work = Vec::new();
--- a/testbed/src/harness.rs
+++ b/testbed/src/harness.rs
@@ -24,7 +24,7 @@
 /// Time that daemons give requests in flight when they are terminated.
 const SHUTDOWN_GRACE_MS: u64 = 15_000;
 /// Seeds that the settings of a daemon name.
-const SEEDS: usize = 3;
+const SEED_COUNT: usize = 3;
 
 /// A fleet; its processes are killed and its folder is removed when it is dropped.
 pub struct Fleet {
@@ -152,7 +152,7 @@
         let running = self.daemons.iter().filter(|daemon| daemon.child.is_some());
         let core = running.filter(|daemon| daemon.role != "proxy");
         let seeds: Vec<JsonValue> =
-            core.take(SEEDS).map(|daemon| daemon.cluster_address.to_string().into()).collect();
+            core.take(SEED_COUNT).map(|daemon| daemon.cluster_address.to_string().into()).collect();
         (!seeds.is_empty()).then(|| ("seeds", seeds.into()))
     }
 
@@ -175,7 +175,7 @@
                 self.subnet.address(FIRST_REGISTRY_HOST + machine, CLUSTER_PORT + port_offset);
             JsonValue::from(address.to_string())
         };
-        let seeds: Vec<JsonValue> = (0..SEEDS as u8).map(seed).collect();
+        let seeds: Vec<JsonValue> = (0..SEED_COUNT as u8).map(seed).collect();
         let mut document = jzon::object! {
             "fleet": self.subnet.fleet_name(),
             "name": name,
@@ -250,27 +250,27 @@
         self.daemons[index].terminate().await
     }
 
-    /// Kills the running daemons and stops the servers of all zones for which `is_hit` holds (it gets zone
+    /// Kills the running daemons and stops the servers of all zones for which `is_affected` holds (it gets zone
     /// and region). Returns the indices of the daemons.
-    pub fn kill_zones(&mut self, is_hit: impl Fn(&str, &str) -> bool) -> Vec<usize> {
-        let hit: Vec<usize> = (0..self.daemons.len())
-            .filter(|index| is_hit(self.daemons[*index].zone, self.daemons[*index].region))
+    pub fn kill_zones(&mut self, is_affected: impl Fn(&str, &str) -> bool) -> Vec<usize> {
+        let affected: Vec<usize> = (0..self.daemons.len())
+            .filter(|index| is_affected(self.daemons[*index].zone, self.daemons[*index].region))
             .filter(|index| self.daemons[*index].child.is_some())
             .collect();
-        for index in &hit {
+        for index in &affected {
             self.kill(*index);
         }
-        for index in self.servers_in(&is_hit) {
+        for index in self.servers_in(&is_affected) {
             self.servers[index].stop();
         }
-        hit
+        affected
     }
 
     /// Starts a stopped server again at its address, with its state.
     pub async fn restart_server(&mut self, index: usize) {
         let (state, address) = (self.servers[index].state.clone(), self.servers[index].address);
         self.servers[index] = loop {
-            match StubServer::start_with(state.clone(), address).await {
+            match StubServer::start_with_state(state.clone(), address).await {
                 Ok(server) => break server,
                 Err(_) => tokio::task::yield_now().await,
             }
--- a/testbed/src/harness/queries.rs
+++ b/testbed/src/harness/queries.rs
@@ -36,12 +36,12 @@
         self.with_role("registry").into_iter().map(|index| self.daemons[index].address).collect()
     }
 
-    /// The indices of the servers in all zones for which `is_hit` holds (it gets zone and region).
-    pub fn servers_in(&self, is_hit: impl Fn(&str, &str) -> bool) -> Vec<usize> {
+    /// The indices of the servers in all zones for which `is_affected` holds (it gets zone and region).
+    pub fn servers_in(&self, is_affected: impl Fn(&str, &str) -> bool) -> Vec<usize> {
         let indices = self.topology.servers.iter().flat_map(|(_, count)| 0..*count);
         let zones = indices.map(|index| self.topology.zone(index));
-        let hit = zones.enumerate().filter(|(_, (zone, region))| is_hit(zone, region));
-        hit.map(|(index, _)| index).collect()
+        let affected = zones.enumerate().filter(|(_, (zone, region))| is_affected(zone, region));
+        affected.map(|(index, _)| index).collect()
     }
 
     /// Reads a page of a daemon. `None` if it does not respond.
@@ -116,7 +116,9 @@
     pub fn execution_counts(&self) -> HashMap<String, u32> {
         let mut counts = HashMap::new();
         for server in &self.servers {
-            for (request_id, count) in server.state.runs.lock().expect("no panic").iter() {
+            for (request_id, count) in
+                server.state.execution_counts.lock().expect("no panic").iter()
+            {
                 *counts.entry(request_id.clone()).or_default() += count;
             }
         }
--- a/testbed/src/harness/subnet.rs
+++ b/testbed/src/harness/subnet.rs
@@ -19,7 +19,7 @@
 pub(super) const FIRST_STORE_HOST: u8 = 11;
 pub(super) const FIRST_PROXY_HOST: u8 = 21;
 
-static FLEETS: AtomicU8 = AtomicU8::new(0);
+static NEXT_FLEET_NUMBER: AtomicU8 = AtomicU8::new(0);
 
 /// The subnet of a fleet, unlike those of other fleets of this process and, mostly, of other processes.
 #[derive(Clone, Copy)]
@@ -32,7 +32,7 @@
 impl Subnet {
     pub fn new() -> Subnet {
         let pid = std::process::id();
-        let number = FLEETS.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_FLEET_NUMBER.fetch_add(1, Ordering::Relaxed);
         let octets = [64 + (pid % 128) as u8, (pid / 128 % 8) as u8 * 32 + number % 32];
         Subnet { octets, number }
     }
--- a/testbed/src/soak/clients.rs
+++ b/testbed/src/soak/clients.rs
@@ -5,7 +5,7 @@
 mod pipelining;
 mod shared;
 
-pub use shared::Shared;
+pub use shared::SharedState;
 
 use super::record::{RequestEnd, RequestKind};
 use crate::sim::Random;
@@ -56,7 +56,7 @@
 
 impl UsagePattern {
     /// The pattern of the client with this index.
-    pub fn of(client: usize) -> UsagePattern {
+    pub fn for_client(client: usize) -> UsagePattern {
         USAGE_PATTERNS[client % USAGE_PATTERNS.len()]
     }
 
@@ -82,7 +82,7 @@
 }
 
 /// Runs one client until the soak is over.
-pub async fn run(shared: Arc<Shared>, pattern: UsagePattern, seed: u64) {
+pub async fn run(shared: Arc<SharedState>, pattern: UsagePattern, seed: u64) {
     let mut random = Random::new(seed);
     while !shared.is_over() {
         let proxy = random.below(shared.proxies.len());
@@ -102,7 +102,7 @@
 
 /// Sends one request after the other, until the connection closes.
 async fn send_sequentially(
-    shared: &Shared,
+    shared: &SharedState,
     stream: TcpStream,
     proxy: usize,
     pattern: UsagePattern,
--- a/testbed/src/soak/clients/pipelining.rs
+++ b/testbed/src/soak/clients/pipelining.rs
@@ -1,7 +1,7 @@
 //! Several lookups at once on one connection, by HTTP pipelining (RFC 9112, 9.3.2).
 
 use super::http_requests::is_correct;
-use super::shared::{PendingRequest, Shared};
+use super::shared::{PendingRequest, SharedState};
 use super::{RESPONSE_TIMEOUT, UsagePattern};
 use crate::sim::Random;
 use crate::soak::invariants::DEADLINE;
@@ -23,7 +23,7 @@
 
 /// Sends several lookups at once and reads their responses in that order, until the connection closes.
 pub(super) async fn send_pipelined(
-    shared: &Shared,
+    shared: &SharedState,
     mut stream: TcpStream,
     proxy: usize,
     random: &mut Random,
--- a/testbed/src/soak/clients/shared.rs
+++ b/testbed/src/soak/clients/shared.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// State that all clients of a soak share.
-pub struct Shared {
+pub struct SharedState {
     /// Start of the soak.
     start: Instant,
     /// Addresses of the proxies.
@@ -20,10 +20,10 @@
     next: AtomicU64,
 }
 
-impl Shared {
+impl SharedState {
     /// State for a soak that began at `start`, with these proxies.
-    pub fn new(start: Instant, proxies: Vec<SocketAddr>) -> Arc<Shared> {
-        Arc::new(Shared {
+    pub fn new(start: Instant, proxies: Vec<SocketAddr>) -> Arc<SharedState> {
+        Arc::new(SharedState {
             start,
             proxies,
             requests: Mutex::default(),
@@ -60,7 +60,7 @@
 
 impl PendingRequest {
     /// A request that is sent now.
-    pub fn new(shared: &Shared, kind: RequestKind, proxy: usize) -> PendingRequest {
+    pub fn new(shared: &SharedState, kind: RequestKind, proxy: usize) -> PendingRequest {
         PendingRequest {
             request_id: format!("n{}", shared.next.fetch_add(1, Ordering::Relaxed)),
             kind,
--- a/testbed/src/soak/invariants.rs
+++ b/testbed/src/soak/invariants.rs
@@ -146,16 +146,17 @@
 fn executed_twice_or_misreported(observations: &Observations) -> Vec<String> {
     let mut violations = Vec::new();
     for request in observations.requests.iter().filter(|request| request.kind.is_at_most_once()) {
-        let runs = observations.runs.get(&request.request_id).copied().unwrap_or_default();
+        let count =
+            observations.execution_counts.get(&request.request_id).copied().unwrap_or_default();
         let is_true = match &request.end {
             // With another status the server may have rejected the request.
-            RequestEnd::Response { status: 200, execution, .. } if execution == "ran" => runs == 1,
-            RequestEnd::Response { execution, .. } if execution == "not-run" => runs == 0,
-            _ => runs <= 1,
+            RequestEnd::Response { status: 200, execution, .. } if execution == "ran" => count == 1,
+            RequestEnd::Response { execution, .. } if execution == "not-run" => count == 0,
+            _ => count <= 1,
         };
         if !is_true {
             violations.push(format!(
-                "{} {} ended as {} and ran {runs} times",
+                "{} {} ended as {} and ran {count} times",
                 request.kind, request.request_id, request.end
             ));
         }
@@ -188,7 +189,7 @@
     for request in
         observations.requests.iter().filter(|one| matches!(one.end, RequestEnd::ConnectionClosed))
     {
-        let has_run = observations.runs.contains_key(&request.request_id);
+        let has_run = observations.execution_counts.contains_key(&request.request_id);
         if has_run && !is_excused(observations, request) {
             violations.push(format!(
                 "{} {} of proxy {} ran, and its connection ended {} ms after it was sent, without trouble",
@@ -206,8 +207,8 @@
 /// suspended or cut off is the only excuse.
 fn given_up_at_servers_at_work(observations: &Observations) -> Vec<String> {
     let mut violations = Vec::new();
-    let cut_off = |one: &&Request| observations.cut_off.contains(&one.request_id);
-    for request in observations.requests.iter().filter(cut_off) {
+    let is_aborted = |one: &&Request| observations.aborted_requests.contains(&one.request_id);
+    for request in observations.requests.iter().filter(is_aborted) {
         let is_served = matches!(request.end, RequestEnd::Response { status: 200, .. });
         let is_late = request.ended_at - request.sent_at >= DEADLINE;
         let from = request.sent_at.saturating_sub(FAULT_AFTERMATH);
--- a/testbed/src/soak/invariants/tests.rs
+++ b/testbed/src/soak/invariants/tests.rs
@@ -1,6 +1,6 @@
 use super::super::record::{
-    Acknowledged, Arrival, DrainedZone, Fault, FaultInterval, Observations, Request, RequestEnd,
-    RequestKind, RevisionReading, ServerIncarnation, Usage, UsageComparison,
+    AcknowledgedConfig, Arrival, DrainedZone, Fault, FaultInterval, Observations, Request,
+    RequestEnd, RequestKind, RevisionReading, ServerIncarnation, Usage, UsageComparison,
 };
 use super::check;
 use std::time::Duration;
@@ -41,7 +41,7 @@
             draining_since: None,
             arrivals: vec![arrival(1005, "n1", "/stock/n1"), arrival(2005, "n2", "/orders")],
         }],
-        runs: [("n1".to_string(), 1), ("n2".to_string(), 1)].into(),
+        execution_counts: [("n1".to_string(), 1), ("n2".to_string(), 1)].into(),
         stable_at: Some(ms(60_000)),
         ..Observations::default()
     }
@@ -111,14 +111,14 @@
 #[test]
 fn double_execution_and_wrong_execution_status_are_found() {
     let twice = found(|observations| {
-        observations.runs.insert("n2".to_string(), 2);
+        observations.execution_counts.insert("n2".to_string(), 2);
     });
     assert!(twice.contains("n2") && twice.contains("ran 2 times"), "{twice}");
     let promised = found(|observations| observations.requests[1].end = rejected("not-run"));
     assert!(promised.contains("ran 1 times"), "{promised}");
     assert_eq!(found(|observations| observations.requests[1].end = rejected("may-have-run")), "");
     let lookups = found(|observations| {
-        observations.runs.insert("n1".to_string(), 2);
+        observations.execution_counts.insert("n1".to_string(), 2);
     });
     assert_eq!(lookups, "", "a lookup may run again");
 }
@@ -155,7 +155,7 @@
     }
     let untouched = found(|observations| {
         cut(observations);
-        observations.runs.remove("n1");
+        observations.execution_counts.remove("n1");
     });
     assert_eq!(untouched, "", "no server had it");
 }
@@ -189,7 +189,7 @@
     });
     assert_eq!(started, "", "one that goes by none yet says so");
     let read = found(|observations| {
-        observations.acknowledged.push(Acknowledged { revision: 8, at: ms(10) });
+        observations.acknowledged.push(AcknowledgedConfig { revision: 8, at: ms(10) });
         observations.config_reads = vec![reading("registry-0", 9, 7), reading("registry-0", 11, 7)];
     });
     assert_eq!(read, "registry-0 read out revision 7, and 8 was acknowledged before");
@@ -229,7 +229,7 @@
 fn a_request_given_up_at_a_server_at_work_is_found() {
     let given_up = |change: fn(&mut Observations)| {
         found(|observations| {
-            observations.cut_off.insert("n1".to_string());
+            observations.aborted_requests.insert("n1".to_string());
             observations.requests[0].end = RequestEnd::Response {
                 status: 504,
                 execution: "may-have-run".to_string(),
--- a/testbed/src/soak/mod.rs
+++ b/testbed/src/soak/mod.rs
@@ -62,7 +62,7 @@
     let script =
         steps.iter().map(|step| format!("{:>8.3} {:?}", step.at.as_secs_f64(), step.action));
     let script = script.collect();
-    let observations = world.play(seed, plan, &steps).await;
+    let observations = world.run_script(seed, plan, &steps).await;
     let violations = invariants::check(&observations);
     let timeline = if violations.is_empty() { String::new() } else { world.timeline() };
     Outcome { seed, observations, violations, script, timeline }
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     /// If the folder cannot be written.
-    pub fn keep(&self, folder: &Path) -> std::io::Result<PathBuf> {
+    pub fn write_report(&self, folder: &Path) -> std::io::Result<PathBuf> {
         let folder = folder.join(format!("seed-{}", self.seed));
         std::fs::create_dir_all(&folder)?;
         std::fs::write(folder.join("faults.txt"), self.violations.join("\n") + "\n")?;
--- a/testbed/src/soak/operator.rs
+++ b/testbed/src/soak/operator.rs
@@ -1,7 +1,7 @@
 //! The operator of a soak: sends configurations and orders to drain zones, one after the other, each again
 //! until it is acknowledged, and reads the active configuration.
 
-use super::record::{Acknowledged, DrainedZone, RevisionReading};
+use super::record::{AcknowledgedConfig, DrainedZone, RevisionReading};
 use crate::http::{Response, call};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -34,7 +34,7 @@
 #[derive(Debug, Default)]
 pub struct Outcome {
     /// Configurations that were acknowledged.
-    pub acknowledged: Vec<Acknowledged>,
+    pub acknowledged: Vec<AcknowledgedConfig>,
     /// Zones that were drained, and when.
     pub drained_zones: Vec<DrainedZone>,
     /// Revisions of the configurations that registries returned.
@@ -147,7 +147,7 @@
             match order {
                 Order::Configure => {
                     let revision = member("setupRevision");
-                    outcome.acknowledged.push(Acknowledged { revision, at });
+                    outcome.acknowledged.push(AcknowledgedConfig { revision, at });
                 }
                 Order::DrainZone(zone) => {
                     let drain = DrainedZone { zone: zone.clone(), from: at, to: Duration::MAX };
--- a/testbed/src/soak/record.rs
+++ b/testbed/src/soak/record.rs
@@ -140,7 +140,7 @@
 
 /// A configuration that was acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Acknowledged {
+pub struct AcknowledgedConfig {
     /// Its revision.
     pub revision: u64,
     /// When it was acknowledged.
@@ -188,15 +188,15 @@
     /// All servers.
     pub servers: Vec<ServerIncarnation>,
     /// How often each request was executed.
-    pub runs: HashMap<String, u32>,
+    pub execution_counts: HashMap<String, u32>,
     /// Requests that were cut off at a server that worked on them.
-    pub cut_off: HashSet<String>,
+    pub aborted_requests: HashSet<String>,
     /// All faults.
     pub fault_intervals: Vec<FaultInterval>,
     /// All drained zones.
     pub drained_zones: Vec<DrainedZone>,
     /// All acknowledged configurations.
-    pub acknowledged: Vec<Acknowledged>,
+    pub acknowledged: Vec<AcknowledgedConfig>,
     /// The active revisions that proxies stated.
     pub proxy_revisions: Vec<RevisionReading>,
     /// The revisions of the configurations that registries returned.
--- a/testbed/src/soak/usage.rs
+++ b/testbed/src/soak/usage.rs
@@ -3,7 +3,7 @@
 use super::record::Usage;
 
 /// The resources of the process with this identifier; `None` if it does not exist.
-pub fn of(pid: u32) -> Option<Usage> {
+pub fn read(pid: u32) -> Option<Usage> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let open_files = std::fs::read_dir(format!("/proc/{pid}/fd")).ok()?.count() as u64;
     Some(Usage {
--- a/testbed/src/soak/world.rs
+++ b/testbed/src/soak/world.rs
@@ -7,7 +7,7 @@
 mod stability;
 
 use super::Plan;
-use super::clients::{self, Shared, UsagePattern};
+use super::clients::{self, SharedState, UsagePattern};
 use super::operator::{FIRST_VERSION, NamedAddress, Operator, Order, Outcome, versioned};
 use super::record::{Observations, RevisionReading};
 use super::script::{Size, Step};
@@ -96,11 +96,11 @@
     }
 
     /// Plays the script under traffic and returns what was observed.
-    pub async fn play(&mut self, seed: u64, plan: &Plan, steps: &[Step]) -> Observations {
+    pub async fn run_script(&mut self, seed: u64, plan: &Plan, steps: &[Step]) -> Observations {
         self.start = Instant::now();
         self.faults = FaultLog::new(self.start);
         let proxies = self.addresses("proxy").iter().map(|proxy| proxy.address).collect();
-        let shared = Shared::new(self.start, proxies);
+        let shared = SharedState::new(self.start, proxies);
         let mut clients = start_clients(&shared, seed, plan);
         let outcome = Arc::new(Mutex::new(Outcome::default()));
         let operator = Arc::new(Operator::new(
@@ -118,7 +118,7 @@
 
         tokio::time::sleep(STABLE_TIME_BEFORE).await;
         let usage_before = self.usage();
-        self.play_steps(steps, &orders).await;
+        self.run_steps(steps, &orders).await;
         self.end_faults(&orders).await;
         drop(orders);
         let _ = operating.await;
@@ -141,8 +141,8 @@
         Observations {
             requests,
             servers: self.server_incarnations(),
-            runs: self.runs(),
-            cut_off: self.cut_off(),
+            execution_counts: self.execution_counts(),
+            aborted_requests: self.aborted_requests(),
             fault_intervals: self.faults.take_intervals(),
             drained_zones: outcome.drained_zones,
             acknowledged: outcome.acknowledged,
@@ -157,14 +157,14 @@
         }
     }
 
-    async fn play_steps(&mut self, steps: &[Step], orders: &Orders) {
+    async fn run_steps(&mut self, steps: &[Step], orders: &Orders) {
         let start = self.start.elapsed();
         for step in steps {
             while self.start.elapsed() < start + step.at {
                 self.start_ended_daemons();
                 tokio::time::sleep(TICK).await;
             }
-            self.act(&step.action, orders).await;
+            self.perform(&step.action, orders).await;
         }
     }
 
@@ -217,11 +217,11 @@
     incarnations
 }
 
-fn start_clients(shared: &Arc<Shared>, seed: u64, plan: &Plan) -> JoinSet<()> {
+fn start_clients(shared: &Arc<SharedState>, seed: u64, plan: &Plan) -> JoinSet<()> {
     let mut clients = JoinSet::new();
     for client in 0..plan.clients {
         let seed = seed.wrapping_mul(1000) + client as u64;
-        clients.spawn(clients::run(shared.clone(), UsagePattern::of(client), seed));
+        clients.spawn(clients::run(shared.clone(), UsagePattern::for_client(client), seed));
     }
     clients
 }
--- a/testbed/src/soak/world/actions.rs
+++ b/testbed/src/soak/world/actions.rs
@@ -13,7 +13,7 @@
 
 impl World {
     /// Carries out one action of the script.
-    pub(super) async fn act(&mut self, action: &Action, orders: &Orders) {
+    pub(super) async fn perform(&mut self, action: &Action, orders: &Orders) {
         match action {
             Action::Terminate(daemon) => {
                 if !matches!(daemon, Daemon::Proxy(_)) {
--- a/testbed/src/soak/world/servers.rs
+++ b/testbed/src/soak/world/servers.rs
@@ -96,21 +96,22 @@
     }
 
     /// Requests that were cut off at a server that worked on them.
-    pub(super) fn cut_off(&self) -> HashSet<String> {
+    pub(super) fn aborted_requests(&self) -> HashSet<String> {
         let mut all = HashSet::new();
         for incarnation in &self.incarnations {
-            let cut_off = incarnation.state.cut_off.lock().expect("no panic under this lock");
-            all.extend(cut_off.iter().cloned());
+            let aborted_requests =
+                incarnation.state.aborted_requests.lock().expect("no panic under this lock");
+            all.extend(aborted_requests.iter().cloned());
         }
         all
     }
 
     /// How often each request was executed, over all servers.
-    pub(super) fn runs(&self) -> HashMap<String, u32> {
+    pub(super) fn execution_counts(&self) -> HashMap<String, u32> {
         let mut counts = HashMap::new();
         for incarnation in &self.incarnations {
             for (request_id, count) in
-                incarnation.state.runs.lock().expect("no panic under it").iter()
+                incarnation.state.execution_counts.lock().expect("no panic under it").iter()
             {
                 *counts.entry(request_id.clone()).or_default() += count;
             }
--- a/testbed/src/soak/world/stability.rs
+++ b/testbed/src/soak/world/stability.rs
@@ -77,7 +77,7 @@
     pub(super) fn usage(&self) -> Vec<ProcessUsage> {
         let usage_of = |daemon: &Daemon| {
             let pid = daemon.pid()?;
-            Some(ProcessUsage { daemon: daemon.name.clone(), pid, usage: usage::of(pid)? })
+            Some(ProcessUsage { daemon: daemon.name.clone(), pid, usage: usage::read(pid)? })
         };
         self.fleet.daemons.iter().filter_map(usage_of).collect()
     }
--- a/testbed/src/stub/server.rs
+++ b/testbed/src/stub/server.rs
@@ -56,7 +56,7 @@
     /// How it behaves now.
     pub behavior: Mutex<Behavior>,
     /// How often each request was executed, by request identifier.
-    pub runs: Mutex<HashMap<String, u32>>,
+    pub execution_counts: Mutex<HashMap<String, u32>>,
     /// Requests received, apart from health checks.
     pub arrivals: Mutex<Vec<Arrival>>,
     /// Requests being processed.
@@ -68,15 +68,15 @@
     /// Whether it reports that it is warming up.
     pub is_warming_up: AtomicBool,
     /// Requests whose connection was closed while it worked on them.
-    pub cut_off: Mutex<Vec<String>>,
+    pub aborted_requests: Mutex<Vec<String>>,
     /// It was stopped, which closes its connections.
     is_stopped: AtomicBool,
 }
 
 impl ServerState {
-    fn count_run(&self, request_id: &str) {
-        let mut runs = self.runs.lock().expect("no panic under this lock");
-        *runs.entry(request_id.to_string()).or_default() += 1;
+    fn count_execution(&self, request_id: &str) {
+        let mut execution_counts = self.execution_counts.lock().expect("no panic under this lock");
+        *execution_counts.entry(request_id.to_string()).or_default() += 1;
     }
 }
 
@@ -110,23 +110,23 @@
         let state = Arc::new(ServerState {
             id: Mutex::new(id.to_string()),
             behavior: Mutex::new(Behavior::Normal),
-            runs: Mutex::default(),
+            execution_counts: Mutex::default(),
             arrivals: Mutex::default(),
             in_flight: AtomicU64::new(0),
             health_checks: AtomicU64::new(0),
             utilization_milli: AtomicU64::new(100),
             is_warming_up: AtomicBool::new(false),
-            cut_off: Mutex::default(),
+            aborted_requests: Mutex::default(),
             is_stopped: AtomicBool::new(false),
         });
-        StubServer::start_with(state, address).await
+        StubServer::start_with_state(state, address).await
     }
 
     /// Starts a server with the state of one that ran before.
     ///
     /// # Errors
     /// If the address cannot be bound.
-    pub async fn start_with(
+    pub async fn start_with_state(
         state: Arc<ServerState>,
         address: SocketAddr,
     ) -> std::io::Result<StubServer> {
@@ -208,8 +208,9 @@
 impl Drop for WorkGuard<'_> {
     fn drop(&mut self) {
         if !self.is_done && !self.state.is_stopped.load(Ordering::Relaxed) {
-            let mut cut_off = self.state.cut_off.lock().expect("no panic under this lock");
-            cut_off.push(self.request_id.to_string());
+            let mut aborted_requests =
+                self.state.aborted_requests.lock().expect("no panic under this lock");
+            aborted_requests.push(self.request_id.to_string());
         }
     }
 }
@@ -343,7 +344,7 @@
     request_id: &str,
     options: &RequestOptions,
 ) {
-    state.count_run(request_id);
+    state.count_execution(request_id);
     let mut work = WorkGuard { state, request_id, is_done: false };
     if behavior == Behavior::Slow {
         tokio::time::sleep(SLOW_DELAY).await;
