--- a/testbed/src/soak/clients.rs
+++ b/testbed/src/soak/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of a soak: each uses one connection until that closes, whatever happens to the process at its other
-//! end, and then connects to another proxy.
+//! Clients of a soak test. Each client uses one connection until it closes, whatever happens to the process
+//! at the other end, and then connects to a randomly chosen proxy.
 
 mod http_requests;
 mod pipelining;
@@ -22,24 +22,24 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Delay after a failed connection attempt.
 const RECONNECT_DELAY: Duration = Duration::from_millis(20);
-/// Time-out of a response: longer than the deadline of a request, so that a request which is not answered by
-/// then never will be.
+/// Time-out of a response. It is longer than the deadline of a request, so no response can be expected
+/// after it.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(8);
-/// Share of filings among the small requests.
+/// Share of filings (requests that are executed at most once) among the small requests.
 const FILING_PROBABILITY: f64 = 0.3;
 
 /// How a client uses its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UsagePattern {
-    /// Lookups and filings, one after the other.
+    /// Sends lookups and filings, one after the other.
     Steady,
-    /// The same with long pauses, in which the connection is idle.
+    /// Like `Steady`, but with long pauses in which the connection is idle.
     Idle,
-    /// Several lookups at once, by HTTP pipelining.
+    /// Sends several lookups at once, by HTTP pipelining.
     Pipelined,
-    /// Large request bodies that are sent in pieces.
+    /// Sends large request bodies in pieces.
     Uploading,
-    /// Large responses that are read slowly.
+    /// Requests large responses and reads them slowly.
     ReadingSlowly,
 }
 
@@ -55,12 +55,12 @@
 ];
 
 impl UsagePattern {
-    /// The pattern of the client with this index.
+    /// The usage pattern of the client with this index.
     pub fn for_client(client: usize) -> UsagePattern {
         USAGE_PATTERNS[client % USAGE_PATTERNS.len()]
     }
 
-    /// The kind of the next request.
+    /// Chooses the kind of the next request.
     fn request_kind(self, random: &mut Random) -> RequestKind {
         match self {
             UsagePattern::Uploading => RequestKind::Upload,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The pause before the next request.
+    /// Chooses the pause before the next request.
     fn pause(self, random: &mut Random) -> Duration {
         let (min_ms, max_ms) = match self {
             UsagePattern::Idle => (300, 4000),
@@ -81,7 +81,7 @@
     }
 }
 
-/// Runs one client until the soak is over.
+/// Runs one client until the soak test is over.
 pub async fn run(shared: Arc<SharedState>, pattern: UsagePattern, seed: u64) {
     let mut random = Random::new(seed);
     while !shared.is_over() {
@@ -100,7 +100,7 @@
     }
 }
 
-/// Sends one request after the other, until the connection closes.
+/// Sends one request after the other until the connection closes.
 async fn send_sequentially(
     shared: &SharedState,
     stream: TcpStream,
@@ -112,7 +112,7 @@
         return;
     };
     tokio::spawn(async move {
-        // Errors of the connection are reported to the requests on it.
+        // Connection errors are also returned by the requests on the connection.
         let _ = connection.await;
     });
     while !shared.is_over() {
--- a/testbed/src/soak/clients/http_requests.rs
+++ b/testbed/src/soak/clients/http_requests.rs
@@ -1,4 +1,4 @@
-//! One request over hyper, and the check of its response.
+//! Sends single requests with hyper and checks their responses.
 
 use super::shared::PendingRequest;
 use crate::soak::invariants::DEADLINE;
@@ -16,11 +16,11 @@
 use vanepath_config::execution_status;
 
 const DOWNLOAD_BYTES: usize = 150_000;
-/// Pause between two frames of a download.
+/// Pause after each frame of a download, to read it slowly.
 const DOWNLOAD_FRAME_DELAY: Duration = Duration::from_millis(30);
 const UPLOAD_PIECES: usize = 12;
 const UPLOAD_PIECE_BYTES: usize = 16 << 10;
-/// Interval between the pieces of an upload, which takes about a second.
+/// Interval between the pieces of an upload. An upload takes about a second.
 const UPLOAD_PIECE_INTERVAL: Duration = Duration::from_millis(80);
 
 pub(super) type Body = BoxBody<Bytes, Infallible>;
@@ -65,10 +65,10 @@
         .header("x-request", request_id)
         .header("vanepath-deadline-ms", DEADLINE.as_millis().to_string())
         .body(body)
-        .expect("a valid request")
+        .expect("the request is valid")
 }
 
-/// Whether a body is the successful response to this request, and complete.
+/// Whether a body is the complete body of the successful response to this request.
 pub(super) fn is_correct(request: &PendingRequest, bytes: &[u8]) -> bool {
     if request.kind == RequestKind::Download {
         return bytes == pattern(&request.request_id, DOWNLOAD_BYTES);
--- a/testbed/src/soak/clients/pipelining.rs
+++ b/testbed/src/soak/clients/pipelining.rs
@@ -1,4 +1,4 @@
-//! Several lookups at once on one connection, by HTTP pipelining (RFC 9112, 9.3.2).
+//! Sends several lookups at once on one connection, by HTTP pipelining (RFC 9112, 9.3.2).
 
 use super::http_requests::is_correct;
 use super::shared::{PendingRequest, SharedState};
@@ -10,18 +10,19 @@
 use tokio::net::TcpStream;
 use vanepath_config::execution_status;
 
-/// Lookups that are sent at once.
+/// Number of lookups that are sent at once.
 const PIPELINE_DEPTH: usize = 4;
 const MAX_HEADERS: usize = 32;
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// How a request ended, and whether the connection is over with it.
+/// How a pipelined request ended.
 struct PipelinedEnd {
     end: RequestEnd,
+    /// Whether no further response will be read from the connection.
     is_last: bool,
 }
 
-/// Sends several lookups at once and reads their responses in that order, until the connection closes.
+/// Repeatedly sends several lookups at once and reads their responses in order, until the connection closes.
 pub(super) async fn send_pipelined(
     shared: &SharedState,
     mut stream: TcpStream,
@@ -46,7 +47,8 @@
                 ended.unwrap_or(PipelinedEnd { end: RequestEnd::Timeout, is_last: true });
             shared.record(request, end);
             if is_last {
-                // The requests behind it have no answer: what servers had of these was lost.
+                // The requests behind it on the connection get no response either, even if servers executed
+                // them.
                 requests.for_each(|request| shared.record(request, RequestEnd::ConnectionClosed));
                 return;
             }
@@ -64,7 +66,7 @@
     )
 }
 
-/// Reads the next response on a connection; `received` holds bytes that were read before.
+/// Reads the next response. `received` holds bytes that were already read from the connection.
 async fn read_response(
     stream: &mut TcpStream,
     received: &mut Vec<u8>,
@@ -82,7 +84,7 @@
     }
 }
 
-/// Removes the first response from what was received, if it is complete.
+/// Parses the first response in `received` and removes it. `None` if it is not complete yet.
 fn parse_response(received: &mut Vec<u8>, request: &PendingRequest) -> Option<PipelinedEnd> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
--- a/testbed/src/soak/clients/shared.rs
+++ b/testbed/src/soak/clients/shared.rs
@@ -1,4 +1,4 @@
-//! State that all clients of a soak share.
+//! State shared by all clients of a soak test.
 
 use crate::soak::record::{Request, RequestEnd, RequestKind};
 use std::net::SocketAddr;
@@ -6,29 +6,29 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// State that all clients of a soak share.
+/// State shared by all clients of a soak test.
 pub struct SharedState {
-    /// Start of the soak.
+    /// Start of the soak test; the times of requests are relative to it.
     start: Instant,
     /// Addresses of the proxies.
     pub proxies: Vec<SocketAddr>,
     /// Requests that have ended.
     pub requests: Mutex<Vec<Request>>,
-    /// Whether clients are to stop.
+    /// Set when clients must stop.
     pub is_over: AtomicBool,
-    /// Number of the next request.
-    next: AtomicU64,
+    /// Number of the next request, from which its identifier is formed.
+    next_number: AtomicU64,
 }
 
 impl SharedState {
-    /// State for a soak that began at `start`, with these proxies.
+    /// Creates the state for a soak test that began at `start`, with these proxies.
     pub fn new(start: Instant, proxies: Vec<SocketAddr>) -> Arc<SharedState> {
         Arc::new(SharedState {
             start,
             proxies,
             requests: Mutex::default(),
             is_over: AtomicBool::new(false),
-            next: AtomicU64::new(0),
+            next_number: AtomicU64::new(0),
         })
     }
 
@@ -59,10 +59,10 @@
 }
 
 impl PendingRequest {
-    /// A request that is sent now.
+    /// Creates a request with a new identifier and the current time as its sending time.
     pub fn new(shared: &SharedState, kind: RequestKind, proxy: usize) -> PendingRequest {
         PendingRequest {
-            request_id: format!("n{}", shared.next.fetch_add(1, Ordering::Relaxed)),
+            request_id: format!("n{}", shared.next_number.fetch_add(1, Ordering::Relaxed)),
             kind,
             proxy,
             sent_at: shared.now(),
--- a/testbed/src/soak/invariants.rs
+++ b/testbed/src/soak/invariants.rs
@@ -1,29 +1,30 @@
-//! The invariants of a soak, checked on what was observed from outside.
+//! The invariants of a soak test, checked against what was observed from the outside.
 
 use super::record::{Fault, Observations, Request, RequestEnd, ServerIncarnation};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Deadline that clients give a request.
+/// Deadline that clients set for a request.
 pub const DEADLINE: Duration = Duration::from_secs(4);
-/// A server receives no new requests from this long after the endpoint list showed it as draining.
+/// A server must receive no new requests once this time has passed since the endpoint list showed it as
+/// draining.
 const SERVER_DRAIN_TIMEOUT: Duration = Duration::from_secs(4);
-/// The servers of a zone receive no requests from this long after it was drained.
+/// The servers of a zone must receive no requests once this time has passed since the zone was drained.
 const ZONE_DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
-/// A response may come this long after the deadline of its request.
+/// A failure response may arrive this long after the deadline of its request.
 const RESPONSE_TOLERANCE: Duration = Duration::from_secs(1);
-/// How long a fault affects requests after its end.
+/// How long after its end a fault may still affect requests.
 const FAULT_AFTERMATH: Duration = Duration::from_secs(4);
-/// The fleet is stable within this time after the last fault.
+/// The fleet must be stable within this time after the last fault.
 pub const STABILIZATION_TIMEOUT: Duration = Duration::from_secs(20);
-/// Growth of a process that is allowed from before the first fault until after the last one.
+/// Permitted growth in memory, open files and threads of a process over the whole script.
 const MAX_MEMORY_GROWTH_KB: u64 = 48 << 10;
 const MAX_OPEN_FILE_GROWTH: u64 = 120;
 const MAX_THREAD_GROWTH: u64 = 8;
-/// Violations of each invariant that are listed.
+/// How many violations of each invariant are listed.
 const MAX_LISTED_VIOLATIONS: usize = 5;
 
-/// All violations of the invariants, a line each.
+/// Checks all invariants and returns their violations, one line each.
 pub fn check(observations: &Observations) -> Vec<String> {
     let invariants: [fn(&Observations) -> Vec<String>; 11] = [
         sent_to_draining_servers,
@@ -32,59 +33,60 @@
         executed_twice_or_misreported,
         mismatched_responses,
         in_flight_requests_lost,
-        given_up_at_servers_at_work,
+        abandoned_during_execution,
         late_responses,
         revision_regressions,
-        not_stable,
-        grown_processes,
+        unstable_after_faults,
+        resource_leaks,
     ];
-    invariants.iter().flat_map(|invariant| limited(invariant(observations))).collect()
+    invariants.iter().flat_map(|invariant| truncate_list(invariant(observations))).collect()
 }
 
-/// Lists the first violations and counts the others.
-fn limited(mut violations: Vec<String>) -> Vec<String> {
-    let more = violations.len().saturating_sub(MAX_LISTED_VIOLATIONS);
+/// Keeps the first violations and replaces the others by their number.
+fn truncate_list(mut violations: Vec<String>) -> Vec<String> {
+    let omitted = violations.len().saturating_sub(MAX_LISTED_VIOLATIONS);
     violations.truncate(MAX_LISTED_VIOLATIONS);
-    if more > 0 {
-        violations.push(format!("... and {more} more of these"));
+    if omitted > 0 {
+        violations.push(format!("... and {omitted} more violations of this invariant"));
     }
     violations
 }
 
-/// When all proxies must know of a change made at `from`: `bound` later, extended by every fault that may keep
-/// it from them and that overlaps that time.
-fn deadline(
+/// The time by which all proxies must know of a change made at `from`: `bound` later, extended by every fault
+/// that overlaps this period and for which `is_relevant` holds, since it may delay the change.
+fn propagation_deadline(
     observations: &Observations,
     from: Duration,
     bound: Duration,
-    is_excuse: impl Fn(&Fault) -> bool,
+    is_relevant: impl Fn(&Fault) -> bool,
 ) -> Duration {
     let mut due = from + bound;
     loop {
         let intervals = observations.fault_intervals.iter();
-        let intervals = intervals.filter(|interval| is_excuse(&interval.fault));
-        let excuses =
+        let intervals = intervals.filter(|interval| is_relevant(&interval.fault));
+        let extending =
             intervals.filter(|interval| interval.from <= due && interval.to + bound > due);
-        let Some(later) = excuses.map(|interval| interval.to + bound).max() else { return due };
+        let Some(later) = extending.map(|interval| interval.to + bound).max() else { return due };
         due = later;
     }
 }
 
-/// Servers that are draining receive no new requests.
+/// Servers that are draining must receive no new requests.
 fn sent_to_draining_servers(observations: &Observations) -> Vec<String> {
     let mut violations = Vec::new();
     for server in &observations.servers {
         let Some(draining_since) = server.draining_since else { continue };
-        let due = deadline(observations, draining_since, SERVER_DRAIN_TIMEOUT, |one| {
-            *one == Fault::Platform
-        });
+        let due =
+            propagation_deadline(observations, draining_since, SERVER_DRAIN_TIMEOUT, |fault| {
+                *fault == Fault::Platform
+            });
         for arrival in server.arrivals.iter().filter(|arrival| arrival.at > due) {
             if is_from_isolated_proxy(observations, &arrival.request_id, draining_since) {
                 continue;
             }
             let after_ms = (arrival.at - draining_since).as_millis();
             violations.push(format!(
-                "request {} reached {} {after_ms} ms after the list showed it as leaving",
+                "request {} reached {} {after_ms} ms after the endpoint list showed it as draining",
                 arrival.request_id, server.id
             ));
         }
@@ -92,10 +94,11 @@
     violations
 }
 
-/// Whether the proxy of a request may have got no updates, because its link was at fault. A suspended proxy
-/// does not count.
+/// Whether a link fault may have kept updates from the proxy of this request. The suspension
+/// of a proxy does not count.
 fn is_from_isolated_proxy(observations: &Observations, request_id: &str, since: Duration) -> bool {
-    let Some(request) = observations.requests.iter().find(|one| one.request_id == request_id)
+    let Some(request) =
+        observations.requests.iter().find(|request| request.request_id == request_id)
     else {
         return false;
     };
@@ -103,11 +106,13 @@
     observations.had_fault(since, request.ended_at, is_of_link)
 }
 
-/// Servers in drained zones receive no requests.
+/// Servers in drained zones must receive no requests.
 fn sent_to_drained_zones(observations: &Observations) -> Vec<String> {
     let mut violations = Vec::new();
     for drain in &observations.drained_zones {
-        let due = deadline(observations, drain.from, ZONE_DRAIN_TIMEOUT, |one| *one == Fault::Core);
+        let due = propagation_deadline(observations, drain.from, ZONE_DRAIN_TIMEOUT, |fault| {
+            *fault == Fault::Core
+        });
         let servers = observations.servers.iter().filter(|server| server.zone == drain.zone);
         for server in servers {
             let is_late = |at: Duration| at > due && at < drain.to;
@@ -115,7 +120,7 @@
                 if !is_from_isolated_proxy(observations, &arrival.request_id, drain.from) {
                     let after_ms = (arrival.at - drain.from).as_millis();
                     violations.push(format!(
-                        "request {} reached {} in {} {after_ms} ms after that was emptied",
+                        "request {} reached {} in zone {} {after_ms} ms after the zone was drained",
                         arrival.request_id, server.id, drain.zone
                     ));
                 }
@@ -125,7 +130,7 @@
     violations
 }
 
-/// Requests go to servers of their service, downloads also to those of the spillover service.
+/// Requests must go to servers of their service; downloads may also go to servers of the spillover service.
 fn sent_to_wrong_services(observations: &Observations) -> Vec<String> {
     let is_wrong = |server: &ServerIncarnation, path: &str| {
         server.app == "documents" && !path.starts_with("/documents")
@@ -134,7 +139,7 @@
     for server in &observations.servers {
         for arrival in server.arrivals.iter().filter(|arrival| is_wrong(server, &arrival.path)) {
             violations.push(format!(
-                "request {} for {} reached {} of {}",
+                "request {} for {} reached server {} of service {}",
                 arrival.request_id, arrival.path, server.id, server.app
             ));
         }
@@ -142,21 +147,21 @@
     violations
 }
 
-/// At-most-once requests are executed at most once, and as their execution status says.
+/// At-most-once requests must be executed at most once, and their execution status must be true.
 fn executed_twice_or_misreported(observations: &Observations) -> Vec<String> {
     let mut violations = Vec::new();
     for request in observations.requests.iter().filter(|request| request.kind.is_at_most_once()) {
         let count =
             observations.execution_counts.get(&request.request_id).copied().unwrap_or_default();
         let is_true = match &request.end {
-            // With another status the server may have rejected the request.
+            // With another HTTP status the server may have rejected the request without executing it.
             RequestEnd::Response { status: 200, execution, .. } if execution == "ran" => count == 1,
             RequestEnd::Response { execution, .. } if execution == "not-run" => count == 0,
             _ => count <= 1,
         };
         if !is_true {
             violations.push(format!(
-                "{} {} ended as {} and ran {count} times",
+                "{} {} ended as {} and was executed {count} times",
                 request.kind, request.request_id, request.end
             ));
         }
@@ -164,17 +169,21 @@
     violations
 }
 
-/// Every successful response belongs to its request.
+/// Every successful response must belong to its request.
 fn mismatched_responses(observations: &Observations) -> Vec<String> {
-    let is_wrong = |request: &&Request| {
+    let is_mismatched = |request: &&Request| {
         matches!(&request.end, RequestEnd::Response { status: 200, is_correct: false, .. })
     };
-    let wrong = observations.requests.iter().filter(is_wrong);
-    wrong.map(|one| format!("{} {} got what is not its own", one.kind, one.request_id)).collect()
+    let mismatched = observations.requests.iter().filter(is_mismatched);
+    mismatched
+        .map(|request| {
+            format!("{} {} got a response that is not its own", request.kind, request.request_id)
+        })
+        .collect()
 }
 
-/// Whether a fault, rather than planned work, may have ended this request.
-fn is_excused(observations: &Observations, request: &Request) -> bool {
+/// Whether a fault, as opposed to a planned operation, may have made this request fail.
+fn may_be_affected_by_fault(observations: &Observations, request: &Request) -> bool {
     let from = request.sent_at.saturating_sub(FAULT_AFTERMATH);
     observations.had_fault(from, request.ended_at, |fault| match fault {
         Fault::Proxy(proxy) | Fault::ProxyLink(proxy) => *proxy == request.proxy,
@@ -183,16 +192,19 @@
     })
 }
 
-/// The response to an executed request reaches its client whatever planned work is done meanwhile.
+/// The response to an executed request must reach its client, whatever planned operations take place
+/// meanwhile.
 fn in_flight_requests_lost(observations: &Observations) -> Vec<String> {
     let mut violations = Vec::new();
-    for request in
-        observations.requests.iter().filter(|one| matches!(one.end, RequestEnd::ConnectionClosed))
+    for request in observations
+        .requests
+        .iter()
+        .filter(|request| matches!(request.end, RequestEnd::ConnectionClosed))
     {
         let has_run = observations.execution_counts.contains_key(&request.request_id);
-        if has_run && !is_excused(observations, request) {
+        if has_run && !may_be_affected_by_fault(observations, request) {
             violations.push(format!(
-                "{} {} of proxy {} ran, and its connection ended {} ms after it was sent, without trouble",
+                "{} {} of proxy {} was executed, but its connection closed {} ms after it was sent, without a fault",
                 request.kind,
                 request.request_id,
                 request.proxy,
@@ -203,20 +215,21 @@
     violations
 }
 
-/// No request is given up before its deadline while a server works on it (incident 0019): a proxy that is killed,
-/// suspended or cut off is the only excuse.
-fn given_up_at_servers_at_work(observations: &Observations) -> Vec<String> {
+/// No proxy may abandon a request before its deadline while a server is executing it (incident 0019),
+/// unless the proxy is killed, suspended or isolated.
+fn abandoned_during_execution(observations: &Observations) -> Vec<String> {
     let mut violations = Vec::new();
-    let is_aborted = |one: &&Request| observations.aborted_requests.contains(&one.request_id);
+    let is_aborted =
+        |request: &&Request| observations.aborted_requests.contains(&request.request_id);
     for request in observations.requests.iter().filter(is_aborted) {
         let is_served = matches!(request.end, RequestEnd::Response { status: 200, .. });
         let is_late = request.ended_at - request.sent_at >= DEADLINE;
         let from = request.sent_at.saturating_sub(FAULT_AFTERMATH);
         let is_of_proxy = |fault: &Fault| matches!(fault, Fault::Proxy(proxy) | Fault::ProxyLink(proxy) if *proxy == request.proxy);
-        let is_excused = observations.had_fault(from, request.ended_at, is_of_proxy);
-        if !is_served && !is_late && !is_excused {
+        let is_proxy_fault = observations.had_fault(from, request.ended_at, is_of_proxy);
+        if !is_served && !is_late && !is_proxy_fault {
             violations.push(format!(
-                "{} {} of proxy {} was given up at a server at work on it: {} after {} ms",
+                "{} {} of proxy {} was abandoned while a server was executing it: {} after {} ms",
                 request.kind,
                 request.request_id,
                 request.proxy,
@@ -228,7 +241,7 @@
     violations
 }
 
-/// Every request gets a response, and those that fail get it soon after their deadline.
+/// Every request must get a response, and those that fail must get it soon after their deadline.
 fn late_responses(observations: &Observations) -> Vec<String> {
     let mut violations = Vec::new();
     for request in &observations.requests {
@@ -240,7 +253,7 @@
             RequestEnd::Timeout => true,
             RequestEnd::ConnectionClosed => false,
         };
-        if is_late && !is_excused(observations, request) {
+        if is_late && !may_be_affected_by_fault(observations, request) {
             let (kind, request_id, proxy) = (request.kind, &request.request_id, request.proxy);
             let took_ms = took.as_millis();
             violations.push(format!(
@@ -252,7 +265,8 @@
     violations
 }
 
-/// No proxy goes back to an older revision, and no registry returns one that is older than an acknowledged one.
+/// No proxy may go back to an older revision, and no registry may return a configuration that is older than
+/// one that was acknowledged before the request.
 fn revision_regressions(observations: &Observations) -> Vec<String> {
     let mut violations = Vec::new();
     let mut highest: HashMap<&str, u64> = HashMap::new();
@@ -260,30 +274,28 @@
         let before = highest.entry(&reading.daemon).or_default();
         if reading.revision > 0 && reading.revision < *before {
             let (daemon, revision) = (&reading.daemon, reading.revision);
-            violations.push(format!("{daemon} went from revision {before} back to {revision}"));
+            violations.push(format!("{daemon} went back from revision {before} to {revision}"));
         }
         *before = reading.revision.max(*before);
     }
     for read in &observations.config_reads {
         let acknowledged =
-            observations.acknowledged.iter().filter(|one| one.at < read.requested_at);
-        let newest = acknowledged.map(|one| one.revision).max().unwrap_or_default();
+            observations.acknowledged.iter().filter(|config| config.at < read.requested_at);
+        let newest = acknowledged.map(|config| config.revision).max().unwrap_or_default();
         if read.revision < newest {
             let (daemon, revision) = (&read.daemon, read.revision);
             violations.push(format!(
-                "{daemon} read out revision {revision}, and {newest} was acknowledged before"
+                "{daemon} returned revision {revision} after {newest} was acknowledged"
             ));
         }
     }
     violations
 }
 
-/// The fleet is stable after the last fault, and serves every request then.
-fn not_stable(observations: &Observations) -> Vec<String> {
+/// The fleet must become stable after the last fault, and must serve every request from then on.
+fn unstable_after_faults(observations: &Observations) -> Vec<String> {
     let Some(stable_at) = observations.stable_at else {
-        return vec![format!(
-            "not ready and calm {STABILIZATION_TIMEOUT:?} after the last trouble"
-        )];
+        return vec![format!("fleet is not stable {STABILIZATION_TIMEOUT:?} after the last fault")];
     };
     let is_failed = |request: &&Request| {
         request.sent_at >= stable_at
@@ -291,12 +303,15 @@
     };
     let failed = observations.requests.iter().filter(is_failed);
     failed
-        .map(|one| format!("{} {} in the calm at the end: {}", one.kind, one.request_id, one.end))
+        .map(|request| {
+            let Request { kind, request_id, end, .. } = request;
+            format!("{kind} {request_id} failed after the fleet was stable: {end}")
+        })
         .collect()
 }
 
-/// No process leaks resources.
-fn grown_processes(observations: &Observations) -> Vec<String> {
+/// No process may leak memory, open files or threads.
+fn resource_leaks(observations: &Observations) -> Vec<String> {
     let mut violations = Vec::new();
     for usage in &observations.usage {
         let (before, after) = (usage.before, usage.after);
@@ -304,7 +319,7 @@
             || after.open_files > before.open_files + MAX_OPEN_FILE_GROWTH
             || after.threads > before.threads + MAX_THREAD_GROWTH;
         if is_grown {
-            violations.push(format!("{} had {before:?} before and {after:?} after", usage.daemon));
+            violations.push(format!("{} grew from {before:?} to {after:?}", usage.daemon));
         }
     }
     violations
--- a/testbed/src/soak/invariants/tests.rs
+++ b/testbed/src/soak/invariants/tests.rs
@@ -22,7 +22,7 @@
     RequestEnd::Response { status: 503, execution: execution.to_string(), is_correct: false }
 }
 
-/// The observations of a correct soak with one lookup and one filing.
+/// The observations of a correct soak test with one lookup and one filing.
 fn correct() -> Observations {
     let arrival = |at: u64, request_id: &str, path: &str| Arrival {
         at: ms(at),
@@ -47,8 +47,8 @@
     }
 }
 
-/// The violations after a change to the observations of the correct soak.
-fn found(change: impl FnOnce(&mut Observations)) -> String {
+/// The violations that are found after a change to the observations of the correct soak test.
+fn violations_after(change: impl FnOnce(&mut Observations)) -> String {
     let mut observations = correct();
     change(&mut observations);
     check(&observations).join("\n")
@@ -56,7 +56,7 @@
 
 #[test]
 fn a_correct_soak_has_no_violations() {
-    assert_eq!(found(|_| {}), "");
+    assert_eq!(violations_after(|_| {}), "");
 }
 
 #[test]
@@ -66,10 +66,11 @@
         observations.servers[0].arrivals[1].at = ms(5001);
         observations.requests[1].ended_at = ms(5002);
     };
-    let expected = "request n2 reached ordering-1 4001 ms after the list showed it as leaving";
-    assert_eq!(found(late), expected);
+    let expected =
+        "request n2 reached ordering-1 4001 ms after the endpoint list showed it as draining";
+    assert_eq!(violations_after(late), expected);
     let with = |fault: Fault, from: u64, to: u64| {
-        found(|observations| {
+        violations_after(|observations| {
             late(observations);
             observations.fault_intervals.push(FaultInterval { fault, from: ms(from), to: ms(to) });
         })
@@ -77,7 +78,8 @@
     // A platform fault extends the deadline, and an isolated proxy gets no updates.
     assert_eq!(with(Fault::Platform, 900, 1200), "");
     assert_eq!(with(Fault::ProxyLink(1), 1500, 3000), "");
-    // A suspended proxy and a fault of a core machine are no excuse.
+    // The suspension of the proxy, a fault of a core machine and the isolation of another proxy do not
+    // explain it.
     assert_eq!(with(Fault::Proxy(1), 1500, 4900), expected);
     assert_eq!(with(Fault::Core, 900, 3000), expected);
     assert_eq!(with(Fault::ProxyLink(2), 1500, 3000), expected);
@@ -86,7 +88,7 @@
 #[test]
 fn a_request_sent_late_to_a_drained_zone_is_found() {
     let late = |to: u64| {
-        found(|observations| {
+        violations_after(|observations| {
             let zone = "north-1".to_string();
             observations.drained_zones.push(DrainedZone { zone, from: ms(1), to: ms(to) });
             observations.servers[0].arrivals[1].at = ms(5002);
@@ -94,51 +96,57 @@
     };
     assert_eq!(
         late(6000),
-        "request n2 reached ordering-1 in north-1 5001 ms after that was emptied"
+        "request n2 reached ordering-1 in zone north-1 5001 ms after the zone was drained"
     );
-    assert_eq!(late(5000), "", "it was taken back before");
+    assert_eq!(late(5000), "", "the zone was restored before the request arrived");
 }
 
 #[test]
 fn a_request_at_another_service_is_found() {
-    let expected = found(|observations| observations.servers[0].app = "documents".to_string());
+    let expected =
+        violations_after(|observations| observations.servers[0].app = "documents".to_string());
     assert!(
-        expected.starts_with("request n1 for /stock/n1 reached ordering-1 of documents"),
+        expected
+            .starts_with("request n1 for /stock/n1 reached server ordering-1 of service documents"),
         "{expected}"
     );
 }
 
 #[test]
 fn double_execution_and_wrong_execution_status_are_found() {
-    let twice = found(|observations| {
+    let twice = violations_after(|observations| {
         observations.execution_counts.insert("n2".to_string(), 2);
     });
-    assert!(twice.contains("n2") && twice.contains("ran 2 times"), "{twice}");
-    let promised = found(|observations| observations.requests[1].end = rejected("not-run"));
-    assert!(promised.contains("ran 1 times"), "{promised}");
-    assert_eq!(found(|observations| observations.requests[1].end = rejected("may-have-run")), "");
-    let lookups = found(|observations| {
+    assert!(twice.contains("n2") && twice.contains("was executed 2 times"), "{twice}");
+    let misreported =
+        violations_after(|observations| observations.requests[1].end = rejected("not-run"));
+    assert!(misreported.contains("was executed 1 times"), "{misreported}");
+    assert_eq!(
+        violations_after(|observations| observations.requests[1].end = rejected("may-have-run")),
+        ""
+    );
+    let lookups = violations_after(|observations| {
         observations.execution_counts.insert("n1".to_string(), 2);
     });
-    assert_eq!(lookups, "", "a lookup may run again");
+    assert_eq!(lookups, "", "a lookup may be executed repeatedly");
 }
 
 #[test]
 fn a_mismatched_response_is_found() {
-    let wrong = found(|observations| {
+    let wrong = violations_after(|observations| {
         observations.requests[0].end =
             RequestEnd::Response { status: 200, execution: "ran".to_string(), is_correct: false };
     });
-    assert_eq!(wrong, "lookup n1 got what is not its own");
+    assert_eq!(wrong, "lookup n1 got a response that is not its own");
 }
 
 #[test]
 fn a_lost_request_in_flight_is_found() {
-    let cut = |observations: &mut Observations| {
+    let lose_request = |observations: &mut Observations| {
         observations.requests[0].end = RequestEnd::ConnectionClosed
     };
-    assert!(found(cut).contains("ran, and its connection ended"));
-    for (fault, is_excuse) in [
+    assert!(violations_after(lose_request).contains("was executed, but its connection closed"));
+    for (fault, is_explained) in [
         (Fault::Proxy(1), true),
         (Fault::ProxyLink(1), true),
         (Fault::Server, true),
@@ -146,29 +154,30 @@
         (Fault::Core, false),
         (Fault::Platform, false),
     ] {
-        let found = found(|observations| {
-            cut(observations);
+        let violations = violations_after(|observations| {
+            lose_request(observations);
             let fault = fault.clone();
             observations.fault_intervals.push(FaultInterval { fault, from: ms(900), to: ms(1001) });
         });
-        assert_eq!(found.is_empty(), is_excuse, "{fault:?}: {found}");
+        assert_eq!(violations.is_empty(), is_explained, "{fault:?}: {violations}");
     }
-    let untouched = found(|observations| {
-        cut(observations);
+    let not_executed = violations_after(|observations| {
+        lose_request(observations);
         observations.execution_counts.remove("n1");
     });
-    assert_eq!(untouched, "", "no server had it");
+    assert_eq!(not_executed, "", "no server executed it");
 }
 
 #[test]
 fn late_rejections_and_timeouts_are_found() {
-    let late = found(|observations| {
+    let late = violations_after(|observations| {
         observations.requests[0].end = rejected("not-run");
         observations.requests[0].ended_at = ms(6001);
     });
     assert!(late.contains("only after 5001 ms"), "{late}");
-    let silent = found(|observations| observations.requests[0].end = RequestEnd::Timeout);
-    assert!(silent.contains("Silence"), "{silent}");
+    let timed_out =
+        violations_after(|observations| observations.requests[0].end = RequestEnd::Timeout);
+    assert!(timed_out.contains("Timeout"), "{timed_out}");
 }
 
 #[test]
@@ -178,38 +187,41 @@
         requested_at: ms(at),
         revision,
     };
-    let back = found(|observations| {
+    let back = violations_after(|observations| {
         observations.proxy_revisions =
             vec![reading("proxy-1", 1, 7), reading("proxy-2", 2, 5), reading("proxy-1", 3, 6)];
     });
-    assert_eq!(back, "proxy-1 went from revision 7 back to 6");
-    let started = found(|observations| {
+    assert_eq!(back, "proxy-1 went back from revision 7 to 6");
+    let restarted = violations_after(|observations| {
         observations.proxy_revisions =
             vec![reading("proxy-1", 1, 7), reading("proxy-1", 3, 0), reading("proxy-1", 4, 7)];
     });
-    assert_eq!(started, "", "one that goes by none yet says so");
-    let read = found(|observations| {
+    assert_eq!(restarted, "", "a restarted proxy has no active revision yet");
+    let read = violations_after(|observations| {
         observations.acknowledged.push(AcknowledgedConfig { revision: 8, at: ms(10) });
         observations.config_reads = vec![reading("registry-0", 9, 7), reading("registry-0", 11, 7)];
     });
-    assert_eq!(read, "registry-0 read out revision 7, and 8 was acknowledged before");
+    assert_eq!(read, "registry-0 returned revision 7 after 8 was acknowledged");
 }
 
 #[test]
 fn instability_at_the_end_is_found() {
-    assert!(found(|observations| observations.stable_at = None).starts_with("not ready and calm"));
-    let failed = found(|observations| {
+    assert!(
+        violations_after(|observations| observations.stable_at = None)
+            .starts_with("fleet is not stable")
+    );
+    let failed = violations_after(|observations| {
         let end = rejected("not-run");
         observations.requests.push(request("n3", RequestKind::Lookup, 60_500, 60_600, end));
     });
-    assert!(failed.contains("n3 in the calm at the end"), "{failed}");
+    assert!(failed.contains("n3 failed after the fleet was stable"), "{failed}");
 }
 
 #[test]
-fn a_process_that_has_grown_is_found() {
+fn a_resource_leak_is_found() {
     let before = Usage { memory_kb: 9000, open_files: 40, threads: 5 };
     let grown = |after: Usage| {
-        found(|observations| {
+        violations_after(|observations| {
             let daemon = "proxy-1".to_string();
             observations.usage.push(UsageComparison { daemon, before, after });
         })
@@ -220,15 +232,16 @@
         Usage { open_files: 400, ..before },
         Usage { threads: 20, ..before },
     ] {
-        assert!(grown(after).starts_with("proxy-1 had"), "{after:?}");
+        assert!(grown(after).starts_with("proxy-1 grew from"), "{after:?}");
     }
 }
 
-/// Incident 0019: an answer of the proxy's own in place of the response of a server that worked on the request.
+/// Guards against incident 0019: a proxy abandoned a request that a server was still executing, and sent an
+/// error response of its own.
 #[test]
-fn a_request_given_up_at_a_server_at_work_is_found() {
-    let given_up = |change: fn(&mut Observations)| {
-        found(|observations| {
+fn a_request_abandoned_during_execution_is_found() {
+    let violations_with = |change: fn(&mut Observations)| {
+        violations_after(|observations| {
             observations.aborted_requests.insert("n1".to_string());
             observations.requests[0].end = RequestEnd::Response {
                 status: 504,
@@ -238,17 +251,20 @@
             change(observations);
         })
     };
-    let expected = given_up(|_| {});
-    assert!(expected.contains("n1 of proxy 1 was given up at a server at work"), "{expected}");
-    // A fault of a server, and of another proxy, is no excuse.
-    fn with_fault(observations: &mut Observations, fault: Fault) {
+    let expected = violations_with(|_| {});
+    assert!(
+        expected.contains("n1 of proxy 1 was abandoned while a server was executing it"),
+        "{expected}"
+    );
+    // Faults of servers and of other proxies do not explain it.
+    fn add_fault(observations: &mut Observations, fault: Fault) {
         observations.fault_intervals.push(FaultInterval { fault, from: ms(900), to: ms(1200) });
     }
-    assert_eq!(given_up(|observations| with_fault(observations, Fault::Server)), expected);
-    assert_eq!(given_up(|observations| with_fault(observations, Fault::Proxy(2))), expected);
-    assert_eq!(given_up(|observations| with_fault(observations, Fault::Proxy(1))), "");
-    // At its deadline a request may end.
-    assert_eq!(given_up(|observations| observations.requests[0].ended_at = ms(5000)), "");
-    // A server is let go of once another one has responded.
-    assert_eq!(given_up(|observations| observations.requests[0].end = served()), "");
+    assert_eq!(violations_with(|observations| add_fault(observations, Fault::Server)), expected);
+    assert_eq!(violations_with(|observations| add_fault(observations, Fault::Proxy(2))), expected);
+    assert_eq!(violations_with(|observations| add_fault(observations, Fault::Proxy(1))), "");
+    // A request may be abandoned at its deadline.
+    assert_eq!(violations_with(|observations| observations.requests[0].ended_at = ms(5000)), "");
+    // A server's attempt may be abandoned once another server has responded.
+    assert_eq!(violations_with(|observations| observations.requests[0].end = served()), "");
 }
--- a/testbed/src/soak/mod.rs
+++ b/testbed/src/soak/mod.rs
@@ -1,5 +1,6 @@
-//! A soak: a fleet of real processes under overlapping series of faults and planned work, whose invariants
-//! are checked from outside. Each seed has one script (design 10.7).
+//! Soak tests: a fleet of real processes runs under load while overlapping faults and planned operations are
+//! applied to it, and invariants are checked from the outside. Each seed determines one script of faults and
+//! operations (design 10.7).
 
 pub mod clients;
 pub mod invariants;
@@ -14,14 +15,14 @@
 use std::time::Duration;
 use world::World;
 
-/// Size and length of a soak.
+/// Size and duration of a soak test.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Number of proxies.
     pub proxies: usize,
     /// Number of servers.
     pub servers: usize,
-    /// Length of the script, without the stable times before and after it.
+    /// Duration of the script, without the fault-free periods before and after it.
     pub length: Duration,
     /// Number of clients.
     pub clients: usize,
@@ -32,22 +33,22 @@
 pub struct Outcome {
     /// The seed.
     pub seed: u64,
-    /// What was observed.
+    /// What was observed during the run.
     pub observations: Observations,
-    /// Violations of the invariants, a line each.
+    /// Invariant violations, one line each.
     pub violations: Vec<String>,
-    /// The steps of the script, a line each.
+    /// The steps of the script, one line each.
     pub script: Vec<String>,
-    /// The logs of all processes on one timeline; empty if there are no violations.
+    /// The logs of all processes, merged by time; empty if there are no violations.
     pub timeline: String,
 }
 
-/// One seed in this many has as many processes as the machine can run.
+/// Every seed divisible by this number runs with as many processes as the machine can hold.
 pub const LARGE_SEED_INTERVAL: u64 = 10;
 const LARGE_PROXIES: usize = 64;
 
 impl Plan {
-    /// The plan for one of several seeds: some have many processes.
+    /// The plan for one seed of a series: seeds divisible by [`LARGE_SEED_INTERVAL`] get a large fleet.
     pub fn for_seed(&self, seed: u64) -> Plan {
         let is_large = seed.is_multiple_of(LARGE_SEED_INTERVAL);
         let proxies = if is_large { LARGE_PROXIES.max(self.proxies) } else { self.proxies };
@@ -55,7 +56,7 @@
     }
 }
 
-/// Runs the script of a seed on a fleet of its own and checks the invariants.
+/// Runs the script of a seed on a newly started fleet and checks the invariants.
 pub async fn run(seed: u64, plan: &Plan) -> Outcome {
     let mut world = World::start(plan).await;
     let steps = script::generate(seed, world.size(), plan.length);
@@ -69,10 +70,11 @@
 }
 
 impl Outcome {
-    /// Writes what is needed to examine a seed to a folder of its own, and returns that.
+    /// Writes the violations, the script and the merged logs to a subfolder for this seed, and returns its
+    /// path.
     ///
     /// # Errors
-    /// If the folder cannot be written.
+    /// If the files cannot be written.
     pub fn write_report(&self, folder: &Path) -> std::io::Result<PathBuf> {
         let folder = folder.join(format!("seed-{}", self.seed));
         std::fs::create_dir_all(&folder)?;
--- a/testbed/src/soak/operator.rs
+++ b/testbed/src/soak/operator.rs
@@ -1,5 +1,5 @@
-//! The operator of a soak: sends configurations and orders to drain zones, one after the other, each again
-//! until it is acknowledged, and reads the active configuration.
+//! The operator of a soak test. It sends configurations and drains and restores zones, one order after the
+//! other, and retries each until it is acknowledged. It also reads the active configuration at intervals.
 
 use super::record::{AcknowledgedConfig, DrainedZone, RevisionReading};
 use crate::http::{Response, call};
@@ -12,14 +12,14 @@
 const ORDER_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time-out of one request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Delay between two requests of an order.
+/// Delay between two attempts of an order.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Interval between two reads of the active configuration.
 const READ_INTERVAL: Duration = Duration::from_millis(250);
 /// Version of the configuration that a fleet starts with.
 pub const FIRST_VERSION: u64 = 1;
 
-/// What the operator is to do.
+/// A change that the operator requests from the registries.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
     /// Send the next version of the configuration.
@@ -30,18 +30,18 @@
     RestoreZone(String),
 }
 
-/// What the operator did and read.
+/// The changes that the operator made and the configurations that it read.
 #[derive(Debug, Default)]
 pub struct Outcome {
     /// Configurations that were acknowledged.
     pub acknowledged: Vec<AcknowledgedConfig>,
-    /// Zones that were drained, and when.
+    /// Zones that were drained, with the periods.
     pub drained_zones: Vec<DrainedZone>,
     /// Revisions of the configurations that registries returned.
     pub config_reads: Vec<RevisionReading>,
-    /// The highest revision of any acknowledgement.
+    /// The highest revision in any acknowledgement.
     pub revision: u64,
-    /// Orders that were acknowledged.
+    /// Number of orders that were acknowledged.
     pub changes: usize,
     /// Version of the configuration that was sent last.
     version: u64,
@@ -58,7 +58,7 @@
 
 /// The operator of one fleet.
 pub struct Operator {
-    /// Start of the soak.
+    /// Start of the soak test.
     start: Instant,
     registries: Vec<NamedAddress>,
     /// The configuration document without a version.
@@ -67,7 +67,7 @@
 }
 
 impl Operator {
-    /// An operator of a fleet whose active configuration is the first version of this one.
+    /// Creates the operator of a fleet whose active configuration is the first version of `config`.
     pub fn new(
         start: Instant,
         registries: Vec<NamedAddress>,
@@ -78,7 +78,7 @@
         Operator { start, registries, config, outcome }
     }
 
-    /// Carries out orders until the sender is dropped.
+    /// Carries out orders until the sender of the channel is dropped.
     pub async fn run(self: Arc<Self>, mut orders: UnboundedReceiver<Order>) {
         let mut number = 0;
         while let Some(order) = orders.recv().await {
@@ -97,7 +97,7 @@
         if let Order::RestoreZone(zone) = &order {
             self.end_drain(zone);
         }
-        // The same key with every request of the order, so that it is applied once.
+        // All attempts of an order carry the same idempotency key, so that it is applied only once.
         let key = format!("soak-{number}");
         let headers = [("idempotency-key", key.as_str())];
         let mut attempt = number;
@@ -128,7 +128,8 @@
         }
     }
 
-    /// A zone may get requests again from the moment at which its restoration is first requested.
+    /// Records the end of a drain. A zone may receive requests as soon as its restoration is first
+    /// requested, since an unacknowledged request may take effect.
     fn end_drain(&self, zone: &str) {
         let now = self.start.elapsed();
         self.with_outcome(|outcome| {
@@ -158,7 +159,7 @@
         });
     }
 
-    /// Reads the active configuration from each registry in turn, until it is aborted.
+    /// Reads the active configuration from each registry in turn until the task is aborted.
     pub async fn keep_reading(self: Arc<Self>) {
         for number in 0.. {
             tokio::time::sleep(READ_INTERVAL).await;
@@ -178,15 +179,15 @@
     }
 }
 
-/// The response to a request, if it comes in time and has status 200.
+/// The response to a request if it arrives in time and has status 200.
 async fn successful(call: impl Future<Output = Option<Response>>) -> Option<Response> {
     let response = tokio::time::timeout(REQUEST_TIMEOUT, call).await.ok().flatten();
     response.filter(|response| response.status == 200)
 }
 
-/// The configuration with a version.
+/// Returns the configuration document with this version.
 pub fn versioned(config: &str, version: u64) -> String {
-    let mut value = jzon::parse(config).expect("the topology's configuration is a document");
+    let mut value = jzon::parse(config).expect("the topology's configuration is valid JSON");
     value["version"] = version.into();
     value.dump()
 }
--- a/testbed/src/soak/record.rs
+++ b/testbed/src/soak/record.rs
@@ -1,5 +1,5 @@
-//! What a soak observed from outside: requests as their clients saw them, what servers received, and what was
-//! done to the fleet when. Times are from the start of the soak.
+//! What a soak test observes from the outside: requests as seen by clients and by servers, and the faults and
+//! changes applied to the fleet. All times are relative to the start of the soak test.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt::{Display, Formatter};
@@ -9,13 +9,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum RequestKind {
-    /// A small response; repeatable.
+    /// A request with a small response, which may be executed repeatedly.
     Lookup,
-    /// Executed at most once.
+    /// A request that must be executed at most once.
     Filing,
     /// A filing with a large body.
     Upload,
-    /// A large response; repeatable.
+    /// A request with a large response, which may be executed repeatedly.
     Download,
 }
 
@@ -33,27 +33,27 @@
     Response {
         /// HTTP status code.
         status: u16,
-        /// Execution status that the proxy stated; empty if none.
+        /// Execution status that the proxy reported; empty if none.
         execution: String,
-        /// Whether the body is the response to this request, and complete.
+        /// Whether the body is the complete response to this request.
         is_correct: bool,
     },
-    /// The connection closed first.
+    /// The connection closed before the response was complete.
     ConnectionClosed,
-    /// Nothing was received for much longer than the deadline of the request.
+    /// No complete response arrived within a time-out that is much longer than the deadline of the request.
     Timeout,
 }
 
 impl Display for RequestEnd {
-    /// The form in which violations show it.
+    /// The form shown in violations.
     fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
         match self {
             RequestEnd::Response { status, execution, is_correct } => write!(
                 formatter,
-                "Answered {{ status: {status}, verdict: {execution:?}, is_right: {is_correct} }}"
+                "Response {{ status: {status}, execution: {execution:?}, is_correct: {is_correct} }}"
             ),
-            RequestEnd::ConnectionClosed => formatter.write_str("Cut"),
-            RequestEnd::Timeout => formatter.write_str("Silence"),
+            RequestEnd::ConnectionClosed => formatter.write_str("ConnectionClosed"),
+            RequestEnd::Timeout => formatter.write_str("Timeout"),
         }
     }
 }
@@ -86,12 +86,12 @@
     pub path: String,
 }
 
-/// A server from its start at an address to its end there.
+/// A server at one address, from its start to its end.
 #[derive(Clone, Debug)]
 pub struct ServerIncarnation {
     /// Its identifier.
     pub id: String,
-    /// Its service, by the label `app`.
+    /// Its service: the value of its label `app`.
     pub app: String,
     /// Its zone.
     pub zone: String,
@@ -101,7 +101,7 @@
     pub arrivals: Vec<Arrival>,
 }
 
-/// How long a fault lasted.
+/// A fault and the period in which it lasted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FaultInterval {
     /// The fault.
@@ -112,14 +112,14 @@
     pub to: Duration,
 }
 
-/// Where a fault is.
+/// The kind of a fault and the component that it affects.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// An unplanned fault of the proxy with this index: killed or suspended.
+    /// The proxy with this index was killed or suspended. A planned restart is no fault.
     Proxy(usize),
-    /// A fault of the link towards the proxy with this index, which may get no updates.
+    /// A fault of the link to the proxy with this index, which may keep updates from it.
     ProxyLink(usize),
-    /// A fault of a core machine, planned or not.
+    /// A fault of a core machine; planned restarts count too.
     Core,
     /// A fault of a server.
     Server,
@@ -127,18 +127,18 @@
     Platform,
 }
 
-/// A drained zone: from the acknowledgement of the order to the first request to restore the zone.
+/// A drained zone, from the acknowledgement of the drain to the first request to restore the zone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DrainedZone {
     /// Name of the zone.
     pub zone: String,
-    /// When the order was acknowledged.
+    /// When the drain was acknowledged.
     pub from: Duration,
-    /// When the restoration was requested; [`Duration::MAX`] before.
+    /// When the restoration was first requested; [`Duration::MAX`] if it was not yet.
     pub to: Duration,
 }
 
-/// A configuration that was acknowledged.
+/// A configuration that a registry acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AcknowledgedConfig {
     /// Its revision.
@@ -147,7 +147,7 @@
     pub at: Duration,
 }
 
-/// A revision that a daemon stated.
+/// A revision that a daemon reported.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RevisionReading {
     /// Name of the daemon.
@@ -158,7 +158,7 @@
     pub revision: u64,
 }
 
-/// Resources of a process.
+/// Resource usage of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
     /// Resident memory.
@@ -169,7 +169,7 @@
     pub threads: u64,
 }
 
-/// Resources of the same process before the first fault and after the last one.
+/// Resource usage of one process before the first fault and after the last one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UsageComparison {
     /// Name of the daemon.
@@ -180,7 +180,7 @@
     pub after: Usage,
 }
 
-/// All that one soak observed.
+/// Everything that one soak test observed.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
     /// Requests that have ended.
@@ -189,7 +189,7 @@
     pub servers: Vec<ServerIncarnation>,
     /// How often each request was executed.
     pub execution_counts: HashMap<String, u32>,
-    /// Requests that were cut off at a server that worked on them.
+    /// Requests whose connection was closed while a server was executing them.
     pub aborted_requests: HashSet<String>,
     /// All faults.
     pub fault_intervals: Vec<FaultInterval>,
@@ -197,26 +197,26 @@
     pub drained_zones: Vec<DrainedZone>,
     /// All acknowledged configurations.
     pub acknowledged: Vec<AcknowledgedConfig>,
-    /// The active revisions that proxies stated.
+    /// The active revisions that proxies reported.
     pub proxy_revisions: Vec<RevisionReading>,
     /// The revisions of the configurations that registries returned.
     pub config_reads: Vec<RevisionReading>,
-    /// Resources of the processes that ran all the time.
+    /// Resource usage of the processes that were never restarted.
     pub usage: Vec<UsageComparison>,
-    /// When the fleet was stable again after the last fault; `None` if it was not in time.
+    /// When the fleet was stable after the last fault; `None` if it was not within the time-out.
     pub stable_at: Option<Duration>,
     /// When the last fault ended.
     pub last_fault_at: Duration,
-    /// Signals sent to daemons.
+    /// Number of signals sent to daemons.
     pub signals: usize,
-    /// Orders of the operator that were acknowledged.
+    /// Number of the operator's orders that were acknowledged.
     pub changes: usize,
-    /// Processes of the fleet.
+    /// Number of processes in the fleet.
     pub processes: usize,
 }
 
 impl Observations {
-    /// Whether any fault for which `is_relevant` holds lasted at any moment from `from` to `to`.
+    /// Whether any fault for which `is_relevant` holds overlaps the period from `from` to `to`.
     pub fn had_fault(
         &self,
         from: Duration,
--- a/testbed/src/soak/script.rs
+++ b/testbed/src/soak/script.rs
@@ -1,11 +1,11 @@
-//! The script of a soak: overlapping series of faults and planned work, generated from a seed.
+//! Scripts of soak tests: overlapping series of faults and planned operations, generated from a seed.
 
 use crate::sim::Random;
 use crate::stub::Behavior;
 use std::time::Duration;
 
-/// One action on the fleet. Daemons are given by their index among those of their role, servers and zones by
-/// their index among all.
+/// One action on the fleet. Daemons are identified by their index among those of the same role, servers and
+/// zones by their index among all.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send SIGTERM.
@@ -14,7 +14,7 @@
     TerminateAgain(Daemon),
     /// Send SIGKILL.
     Kill(Daemon),
-    /// Start the daemon again once it has ended.
+    /// Start the daemon again as soon as it has ended.
     Start(Daemon),
     /// Send SIGSTOP.
     Suspend(Daemon),
@@ -22,36 +22,36 @@
     Resume(Daemon),
     /// Send SIGHUP.
     HangUp(Daemon),
-    /// Set the state of the links towards the daemon.
+    /// Set the state of the links to the daemon.
     SetLink(Daemon, LinkState),
-    /// The endpoint list shows the server as draining.
+    /// Mark the server as draining in the endpoint list.
     DrainServer(usize),
-    /// The server ends, and the endpoint list does not contain it any more.
+    /// Stop the server and remove it from the endpoint list.
     RemoveServer(usize),
-    /// A new server starts at the address of an ended one, and is listed at once.
+    /// Start a new server at the address of a removed one and list it at once.
     ReuseAddress {
-        /// The ended server.
+        /// The removed server.
         server: usize,
-        /// Whether the new one belongs to the other service.
+        /// Whether the new server belongs to the other service.
         is_other_service: bool,
     },
-    /// The server ends without notice.
+    /// Stop the server without notice; it stays in the endpoint list.
     CrashServer(usize),
-    /// A crashed server starts again.
+    /// Restart a crashed server.
     RestartServer(usize),
-    /// Set how a server responds.
+    /// Set the behavior of a server.
     SetBehavior(usize, Behavior),
-    /// The operator sends the next configuration.
+    /// Have the operator send the next configuration.
     Configure,
-    /// The operator drains a zone.
+    /// Have the operator drain a zone.
     DrainZone(usize),
-    /// The operator ends the draining of a zone.
+    /// Have the operator restore a drained zone.
     RestoreZone(usize),
-    /// Set how the platform responds.
+    /// Set the response of the platform.
     Platform(PlatformState),
 }
 
-/// A daemon by its role and its index among those of the role.
+/// A daemon, identified by its role and its index within the role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Daemon {
     /// A proxy.
@@ -62,42 +62,42 @@
     Store(usize),
 }
 
-/// State of the links towards a daemon.
+/// State of the links to a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkState {
-    /// Everything passes.
+    /// All data passes.
     Healthy,
-    /// Nothing passes.
+    /// No data passes in either direction.
     Partitioned,
-    /// Nothing passes from the daemon.
+    /// No data passes from the daemon to its peers.
     OutboundBlocked,
-    /// Everything passes with a delay.
+    /// All data passes with a delay.
     Slow,
     /// All connections are closed once.
     Reset,
 }
 
-/// How the platform responds.
+/// Response of the platform to requests for the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlatformState {
-    /// With the endpoint list.
+    /// The endpoint list.
     Normal,
-    /// With a text that is no endpoint list.
+    /// A text that is no endpoint list.
     Malformed,
-    /// With an empty list.
+    /// An empty endpoint list.
     Empty,
 }
 
-/// An action and when it is due.
+/// An action and the time at which it is due.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// When it is due, from the start of the script.
+    /// When it is due, relative to the start of the script.
     pub at: Duration,
     /// The action.
     pub action: Action,
 }
 
-/// The size of the fleet that a script is for.
+/// The size of the fleet for which a script is generated.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     /// Number of proxies.
@@ -110,7 +110,7 @@
     pub zones: usize,
 }
 
-/// The series that scripts consist of.
+/// The series from which scripts are composed.
 const SERIES: [fn(&mut ScriptBuilder<'_>); 15] = [
     rolling_restart,
     restart_beside_slow_servers,
@@ -129,22 +129,22 @@
     zone_drain,
 ];
 const PLATFORM_FAULT_PROBABILITY: f64 = 0.4;
-/// Time from the draining of a server to its removal: a little more than its drain time-out.
+/// Time from the start of a server's drain to its removal: slightly longer than the drain time-out.
 const DRAIN_NOTICE: Duration = Duration::from_millis(5500);
-/// The same for a server whose machine is reclaimed by its provider.
+/// Time from the start of a server's drain to its removal if the cloud provider reclaims its machine.
 const SPOT_NOTICE: Duration = Duration::from_millis(1500);
 
-/// A script under construction. The order of its random draws determines the script of a seed.
+/// Builds a script. The order of the random draws determines the script of a seed, so it must not change.
 struct ScriptBuilder<'r> {
     random: &'r mut Random,
     size: Size,
-    /// Series begin between these times.
+    /// Series begin between `earliest` and `latest`.
     earliest: Duration,
     latest: Duration,
     steps: Vec<Step>,
-    /// Servers that were used already: each is drained, crashes or misbehaves once.
+    /// Servers that already have a fault: each server is drained, crashes or misbehaves at most once.
     used_servers: Vec<usize>,
-    /// When the last fault of a core machine is over: one has a fault at a time.
+    /// When the next fault of a core machine may begin: only one core machine has a fault at a time.
     core_available_at: Duration,
 }
 
@@ -153,7 +153,7 @@
         self.steps.push(Step { at, action });
     }
 
-    /// When a series begins.
+    /// Draws the start time of a series.
     fn start_time(&mut self) -> Duration {
         self.random.between(self.earliest, self.latest)
     }
@@ -162,31 +162,31 @@
         self.random.between(Duration::from_millis(low_ms), Duration::from_millis(high_ms))
     }
 
-    fn proxy(&mut self) -> Daemon {
+    fn random_proxy(&mut self) -> Daemon {
         Daemon::Proxy(self.random.below(self.size.proxies))
     }
 
-    /// A server that was not used yet; `None` if a third or fewer of them are left.
-    fn server(&mut self) -> Option<usize> {
-        let free: Vec<usize> =
+    /// Draws a server that was not used yet; `None` if a third or fewer of all servers are unused.
+    fn unused_server(&mut self) -> Option<usize> {
+        let unused: Vec<usize> =
             (0..self.size.servers).filter(|server| !self.used_servers.contains(server)).collect();
-        if free.len() <= self.size.servers / 3 {
+        if unused.len() <= self.size.servers / 3 {
             return None;
         }
-        let server = free[self.random.below(free.len())];
+        let server = unused[self.random.below(unused.len())];
         self.used_servers.push(server);
         Some(server)
     }
 
-    /// Neighbouring proxies, as many as this share of all.
-    fn some_proxies(&mut self, share: f64) -> Vec<Daemon> {
+    /// Draws proxies with consecutive indices, as many as this share of all.
+    fn consecutive_proxies(&mut self, share: f64) -> Vec<Daemon> {
         let count = ((self.size.proxies as f64 * share) as usize).max(1);
         let first = self.random.below(self.size.proxies);
         (0..count).map(|offset| Daemon::Proxy((first + offset) % self.size.proxies)).collect()
     }
 }
 
-/// The script of a seed, ordered by time.
+/// Generates the script of a seed, ordered by time.
 pub fn generate(seed: u64, size: Size, length: Duration) -> Vec<Step> {
     let mut random = Random::new(seed);
     let earliest = Duration::from_millis(500);
@@ -203,8 +203,8 @@
     let count = 5 + builder.random.below(5);
     let first = builder.random.below(SERIES.len());
     for index in 0..count {
-        // Every series is used before any is used again, whatever the seed: the step and the number of
-        // series have no common factor.
+        // The step (4) and the number of series (15) have no common factor, so no series occurs twice in a
+        // script, whatever the seed.
         SERIES[(first + seed as usize + 4 * index) % SERIES.len()](&mut builder);
     }
     if builder.random.chance(PLATFORM_FAULT_PROBABILITY) {
@@ -219,38 +219,39 @@
 fn rolling_restart(builder: &mut ScriptBuilder<'_>) {
     let mut at = builder.start_time();
     let gap = builder.pause(100, 900);
-    for proxy in builder.some_proxies(0.5) {
+    for proxy in builder.consecutive_proxies(0.5) {
         builder.step(at, Action::Terminate(proxy));
-        let down = builder.pause(300, 4000);
-        builder.step(at + down, Action::Start(proxy));
+        let downtime = builder.pause(300, 4000);
+        builder.step(at + downtime, Action::Start(proxy));
         at += gap;
     }
 }
 
-/// Proxies are stopped while servers work long on requests, and others reject what is sent to them instead.
+/// Proxies are restarted while some servers respond slowly and another one rejects the requests that
+/// proxies send to it instead.
 fn restart_beside_slow_servers(builder: &mut ScriptBuilder<'_>) {
     let at = builder.start_time();
     let duration = builder.pause(3000, 5000);
     for behavior in [Behavior::Slow, Behavior::Slow, Behavior::Slow, Behavior::Overloaded] {
-        let Some(server) = builder.server() else { break };
+        let Some(server) = builder.unused_server() else { break };
         builder.step(at, Action::SetBehavior(server, behavior));
         builder.step(at + duration, Action::SetBehavior(server, Behavior::Normal));
     }
     let mut stop_at = at + Duration::from_millis(600);
-    for proxy in builder.some_proxies(0.6) {
+    for proxy in builder.consecutive_proxies(0.6) {
         builder.step(stop_at, Action::Terminate(proxy));
-        let down = builder.pause(300, 2000);
-        builder.step(stop_at + down, Action::Start(proxy));
+        let downtime = builder.pause(300, 2000);
+        builder.step(stop_at + downtime, Action::Start(proxy));
         stop_at += Duration::from_millis(300);
     }
 }
 
 fn simultaneous_kills(builder: &mut ScriptBuilder<'_>) {
     let at = builder.start_time();
-    for proxy in builder.some_proxies(0.4) {
+    for proxy in builder.consecutive_proxies(0.4) {
         builder.step(at, Action::Kill(proxy));
-        let down = builder.pause(100, 2500);
-        builder.step(at + down, Action::Start(proxy));
+        let downtime = builder.pause(100, 2500);
+        builder.step(at + downtime, Action::Start(proxy));
     }
 }
 
@@ -258,7 +259,7 @@
     let count = 1 + builder.random.below(3);
     for _ in 0..count {
         let (at, proxy, duration) =
-            (builder.start_time(), builder.proxy(), builder.pause(300, 5500));
+            (builder.start_time(), builder.random_proxy(), builder.pause(300, 5500));
         builder.step(at, Action::Suspend(proxy));
         builder.step(at + duration, Action::Resume(proxy));
     }
@@ -266,31 +267,31 @@
 
 fn hang_ups(builder: &mut ScriptBuilder<'_>) {
     let mut at = builder.start_time();
-    for proxy in builder.some_proxies(0.7) {
+    for proxy in builder.consecutive_proxies(0.7) {
         builder.step(at, Action::HangUp(proxy));
         at += Duration::from_millis(120);
     }
 }
 
 fn stops_during_startup(builder: &mut ScriptBuilder<'_>) {
-    let (at, proxy) = (builder.start_time(), builder.proxy());
+    let (at, proxy) = (builder.start_time(), builder.random_proxy());
     builder.step(at, Action::Kill(proxy));
     let mut next = at + Duration::from_millis(200);
     for index in 0..3 {
         builder.step(next, Action::Start(proxy));
-        let soon = builder.pause(5, 400);
+        let stop_delay = builder.pause(5, 400);
         let stop = if index == 1 { Action::Kill(proxy) } else { Action::Terminate(proxy) };
-        builder.step(next + soon, stop);
-        next += soon + Duration::from_millis(700);
+        builder.step(next + stop_delay, stop);
+        next += stop_delay + Duration::from_millis(700);
     }
     builder.step(next + Duration::from_secs(3), Action::Start(proxy));
 }
 
 fn double_terminations(builder: &mut ScriptBuilder<'_>) {
-    let (at, proxy) = (builder.start_time(), builder.proxy());
-    let again = builder.pause(50, 2500);
+    let (at, proxy) = (builder.start_time(), builder.random_proxy());
+    let second_delay = builder.pause(50, 2500);
     builder.step(at, Action::Terminate(proxy));
-    builder.step(at + again, Action::TerminateAgain(proxy));
+    builder.step(at + second_delay, Action::TerminateAgain(proxy));
     builder.step(at + Duration::from_secs(5), Action::Start(proxy));
 }
 
@@ -299,7 +300,7 @@
     let gap = builder.pause(100, 900);
     let count = 3 + builder.random.below(4);
     for _ in 0..count {
-        let Some(server) = builder.server() else { return };
+        let Some(server) = builder.unused_server() else { return };
         let is_other_service = builder.random.chance(0.5);
         builder.step(at, Action::DrainServer(server));
         builder.step(at + DRAIN_NOTICE, Action::RemoveServer(server));
@@ -312,7 +313,7 @@
 fn spot_notices(builder: &mut ScriptBuilder<'_>) {
     let at = builder.start_time();
     for _ in 0..2 {
-        let Some(server) = builder.server() else { return };
+        let Some(server) = builder.unused_server() else { return };
         builder.step(at, Action::DrainServer(server));
         builder.step(at + SPOT_NOTICE, Action::RemoveServer(server));
     }
@@ -321,10 +322,10 @@
 fn server_crashes(builder: &mut ScriptBuilder<'_>) {
     let at = builder.start_time();
     for _ in 0..2 {
-        let Some(server) = builder.server() else { return };
+        let Some(server) = builder.unused_server() else { return };
         builder.step(at, Action::CrashServer(server));
-        let down = builder.pause(300, 5000);
-        builder.step(at + down, Action::RestartServer(server));
+        let downtime = builder.pause(300, 5000);
+        builder.step(at + downtime, Action::RestartServer(server));
     }
 }
 
@@ -337,7 +338,7 @@
         Behavior::ExtraResponse,
     ];
     for _ in 0..2 {
-        let Some(server) = builder.server() else { return };
+        let Some(server) = builder.unused_server() else { return };
         let behavior = behaviors[builder.random.below(behaviors.len())];
         let (at, duration) = (builder.start_time(), builder.pause(500, 4000));
         builder.step(at, Action::SetBehavior(server, behavior));
@@ -351,13 +352,13 @@
     for _ in 0..2 {
         let state = states[builder.random.below(states.len())];
         let (at, proxy, duration) =
-            (builder.start_time(), builder.proxy(), builder.pause(300, 4000));
+            (builder.start_time(), builder.random_proxy(), builder.pause(300, 4000));
         builder.step(at, Action::SetLink(proxy, state));
         builder.step(at + duration, Action::SetLink(proxy, LinkState::Healthy));
     }
 }
 
-/// Faults of one core machine after the other: of its registry, its store, or both.
+/// Faults of core machines, one after the other; each affects the registry, the store, or both.
 fn core_faults(builder: &mut ScriptBuilder<'_>) {
     let count = 1 + builder.random.below(2);
     for _ in 0..count {
--- a/testbed/src/soak/usage.rs
+++ b/testbed/src/soak/usage.rs
@@ -1,8 +1,8 @@
-//! Resources of a process, from `/proc`.
+//! Resource usage of a process, read from `/proc`.
 
 use super::record::Usage;
 
-/// The resources of the process with this identifier; `None` if it does not exist.
+/// Reads the resource usage of a process; `None` if the process does not exist.
 pub fn read(pid: u32) -> Option<Usage> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let open_files = std::fs::read_dir(format!("/proc/{pid}/fd")).ok()?.count() as u64;
--- a/testbed/src/soak/world.rs
+++ b/testbed/src/soak/world.rs
@@ -1,4 +1,4 @@
-//! The fleet of a soak while its script is played.
+//! The fleet of a soak test and the run of its script.
 
 mod actions;
 mod fault_log;
@@ -29,15 +29,15 @@
 /// Traffic without faults before and after the script.
 const STABLE_TIME_BEFORE: Duration = Duration::from_millis(1500);
 const STABLE_TIME_AFTER: Duration = Duration::from_millis(2500);
-/// Time for the requests in flight at the end.
+/// Time-out for the requests in flight at the end.
 const WIND_DOWN_TIMEOUT: Duration = Duration::from_secs(6);
-/// Interval at which ended daemons are started again while the next step is awaited.
+/// Interval of the checks for ended daemons that must be started again, while waiting for the next step.
 const TICK: Duration = Duration::from_millis(20);
 
-/// Orders to the operator.
+/// Sends orders to the operator.
 type Orders = mpsc::UnboundedSender<Order>;
 
-/// A server from its start at an address to its end there.
+/// A server at one address, from its start to its end.
 struct Incarnation {
     state: Arc<ServerState>,
     id: String,
@@ -48,25 +48,25 @@
     draining_since: Option<Duration>,
 }
 
-/// A fleet, its faults and what was done to it.
+/// The fleet of a soak test, with a log of its faults.
 pub struct World {
     fleet: Fleet,
     start: Instant,
     /// All incarnations of servers, past and present.
     incarnations: Vec<Incarnation>,
-    /// The present incarnation of each server.
+    /// Index into `incarnations` of the present incarnation of each server.
     current: Vec<usize>,
     faults: FaultLog,
-    /// Daemons that are to be started again once they have ended.
+    /// Daemons that are started again as soon as they have ended.
     to_restart: Vec<usize>,
-    /// Signals sent to daemons.
+    /// Number of signals sent to daemons.
     signals: usize,
-    /// How often the links towards each daemon were reset.
+    /// How often the links to each daemon were reset.
     resets: Vec<u64>,
 }
 
 impl World {
-    /// Starts a fleet and waits until it serves.
+    /// Starts a fleet and waits until all proxies are ready.
     pub async fn start(plan: &Plan) -> World {
         let fleet = Fleet::start_with_relays(topology(plan)).await;
         let revision = fleet.put_config(&versioned(&fleet.topology.config, FIRST_VERSION)).await;
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The size of the fleet, for a script.
+    /// The size of the fleet, for generating a script.
     pub fn size(&self) -> Size {
         Size {
             proxies: self.fleet.topology.proxies,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Plays the script under traffic and returns what was observed.
+    /// Runs the script under traffic and returns what was observed.
     pub async fn run_script(&mut self, seed: u64, plan: &Plan, steps: &[Step]) -> Observations {
         self.start = Instant::now();
         self.faults = FaultLog::new(self.start);
@@ -127,7 +127,7 @@
         tokio::time::sleep(STABLE_TIME_AFTER).await;
         shared.is_over.store(true, Ordering::Relaxed);
         let ended = async { while clients.join_next().await.is_some() {} };
-        // Requests that have not ended by then are not recorded.
+        // Requests that are still in flight after the time-out are not recorded.
         let _ = tokio::time::timeout(WIND_DOWN_TIMEOUT, ended).await;
         clients.shutdown().await;
         reading.abort();
@@ -135,7 +135,8 @@
 
         let usage = self.usage_since(&usage_before);
         let outcome = std::mem::take(&mut *outcome.lock().expect("no panic under this lock"));
-        let requests = std::mem::take(&mut *shared.requests.lock().expect("no panic under it"));
+        let requests =
+            std::mem::take(&mut *shared.requests.lock().expect("no panic under this lock"));
         let proxy_revisions =
             std::mem::take(&mut *proxy_revisions.lock().expect("no panic under this lock"));
         Observations {
@@ -168,7 +169,7 @@
         }
     }
 
-    /// The logs of all daemons on one timeline, since each line begins with the time of day.
+    /// The logs of all daemons, merged by the time at the beginning of each line.
     pub fn timeline(&self) -> String {
         let mut lines: Vec<String> = Vec::new();
         for daemon in &self.fleet.daemons {
@@ -200,7 +201,7 @@
     topology
 }
 
-/// The servers that a fleet starts with.
+/// The incarnations of the servers with which a fleet starts.
 fn first_incarnations(fleet: &Fleet) -> Vec<Incarnation> {
     let mut incarnations = Vec::new();
     for (app, count) in &fleet.topology.servers {
--- a/testbed/src/soak/world/actions.rs
+++ b/testbed/src/soak/world/actions.rs
@@ -1,4 +1,4 @@
-//! The actions of a script, carried out on the fleet.
+//! Performs the actions of a script on the fleet.
 
 use super::{Orders, World};
 use crate::relay::Link;
@@ -12,7 +12,7 @@
 const SLOW_LINK_DELAY: Duration = Duration::from_millis(80);
 
 impl World {
-    /// Carries out one action of the script.
+    /// Performs one action of the script.
     pub(super) async fn perform(&mut self, action: &Action, orders: &Orders) {
         match action {
             Action::Terminate(daemon) => {
@@ -23,7 +23,7 @@
             }
             Action::TerminateAgain(daemon) => self.signal(*daemon, Signal::TERM),
             Action::Kill(daemon) => {
-                self.faults.begin(format!("down {daemon:?}"), fault_of(*daemon));
+                self.faults.begin(format!("down {daemon:?}"), downtime_fault(*daemon));
                 let index = self.index(*daemon);
                 self.to_restart.retain(|one| *one != index);
                 self.signals += 1;
@@ -35,7 +35,7 @@
                 self.faults.end(&format!("down {daemon:?}"));
             }
             Action::Suspend(daemon) => {
-                self.faults.begin(format!("suspended {daemon:?}"), fault_of(*daemon));
+                self.faults.begin(format!("suspended {daemon:?}"), downtime_fault(*daemon));
                 self.signal(*daemon, Signal::STOP);
             }
             Action::Resume(daemon) => {
@@ -81,7 +81,7 @@
         self.fleet.signal(self.index(daemon), signal);
     }
 
-    /// Starts the daemons that are to run again and have ended.
+    /// Starts the daemons in `to_restart` that have ended.
     pub(super) fn start_ended_daemons(&mut self) {
         let mut still_running = Vec::new();
         for index in std::mem::take(&mut self.to_restart) {
@@ -133,7 +133,7 @@
         self.fleet.platform.override_response(override_text);
     }
 
-    /// The index of a daemon of the script in the fleet.
+    /// The index in the fleet of a daemon that the script names.
     fn index(&self, daemon: Daemon) -> usize {
         let (role, position) = match daemon {
             Daemon::Proxy(position) => ("proxy", position),
@@ -145,8 +145,8 @@
     }
 }
 
-/// The fault of a daemon that does not run.
-fn fault_of(daemon: Daemon) -> Fault {
+/// The fault that a killed or suspended daemon causes.
+fn downtime_fault(daemon: Daemon) -> Fault {
     match daemon {
         Daemon::Proxy(index) => Fault::Proxy(index),
         Daemon::Registry(_) | Daemon::Store(_) => Fault::Core,
--- a/testbed/src/soak/world/fault_log.rs
+++ b/testbed/src/soak/world/fault_log.rs
@@ -1,17 +1,17 @@
-//! The faults of a soak and how long each lasted.
+//! A log of the faults of a soak test and of the period in which each lasted.
 
 use crate::soak::record::{Fault, FaultInterval};
 use std::time::{Duration, Instant};
 
-/// A fault that lasts.
+/// A fault that has not ended yet.
 struct OngoingFault {
-    /// What is at fault, to find it when the fault ends.
+    /// Identifies the fault when it ends.
     key: String,
     fault: Fault,
     from: Duration,
 }
 
-/// Records when faults begin and end. Times are from the start of the soak.
+/// Records when faults begin and end. Times are relative to the start of the soak test.
 pub(super) struct FaultLog {
     start: Instant,
     ongoing: Vec<OngoingFault>,
@@ -29,14 +29,14 @@
         }
     }
 
-    /// A fault begins.
+    /// Records that a fault begins.
     pub fn begin(&mut self, key: String, fault: Fault) {
         let now = self.start.elapsed();
         self.last_change_at = now;
         self.ongoing.push(OngoingFault { key, fault, from: now });
     }
 
-    /// All faults with that key end.
+    /// Records that all faults with this key end.
     pub fn end(&mut self, key: &str) {
         let now = self.start.elapsed();
         self.last_change_at = now;
@@ -51,7 +51,7 @@
         }));
     }
 
-    /// A fault that lasts for a known time.
+    /// Records a fault that begins now and lasts for a known time.
     pub fn record(&mut self, fault: Fault, duration: Duration) {
         let now = self.start.elapsed();
         self.last_change_at = now;
@@ -62,7 +62,7 @@
         self.ongoing.iter().any(|fault| fault.key == key)
     }
 
-    /// All faults end.
+    /// Records that all faults end.
     pub fn end_all(&mut self) {
         let keys: Vec<String> = self.ongoing.iter().map(|fault| fault.key.clone()).collect();
         keys.iter().for_each(|key| self.end(key));
@@ -74,7 +74,7 @@
         self.last_change_at
     }
 
-    /// All faults that have ended.
+    /// Removes and returns all faults that have ended.
     pub fn take_intervals(&mut self) -> Vec<FaultInterval> {
         std::mem::take(&mut self.intervals)
     }
--- a/testbed/src/soak/world/revision_watch.rs
+++ b/testbed/src/soak/world/revision_watch.rs
@@ -1,4 +1,4 @@
-//! Readings of the revisions that proxies go through.
+//! Polls the active revisions of all proxies.
 
 use crate::http::call;
 use crate::soak::operator::NamedAddress;
@@ -10,7 +10,7 @@
 const WATCH_INTERVAL: Duration = Duration::from_millis(200);
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Reads the active revision of every proxy at intervals, until it is aborted.
+/// Reads the active revision of every proxy at intervals until the task is aborted.
 pub(super) async fn watch(
     start: Instant,
     proxies: Vec<NamedAddress>,
--- a/testbed/src/soak/world/servers.rs
+++ b/testbed/src/soak/world/servers.rs
@@ -1,4 +1,4 @@
-//! The stub servers of a soak.
+//! Actions on the stub servers of a soak test, and what the servers recorded.
 
 use super::{APPS, Incarnation, TICK, World};
 use crate::soak::record::{Arrival, Fault, ServerIncarnation};
@@ -6,11 +6,11 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// How long the removal of a server may cost the requests that it had in flight.
+/// How long after the removal of a server the loss of its requests in flight counts as the effect of a fault.
 const SERVER_REMOVAL_FAULT: Duration = Duration::from_secs(1);
 
 impl World {
-    /// The endpoint list shows the server as draining.
+    /// Marks the server as draining in the endpoint list.
     pub(super) fn drain_server(&mut self, server: usize) {
         let now = self.start.elapsed();
         let incarnation = &mut self.incarnations[self.current[server]];
@@ -21,7 +21,7 @@
         });
     }
 
-    /// The server ends, and the endpoint list does not contain it any more.
+    /// Stops the server and removes it from the endpoint list.
     pub(super) fn remove_server(&mut self, server: usize) {
         self.faults.record(Fault::Server, SERVER_REMOVAL_FAULT);
         let id = self.incarnations[self.current[server]].id.clone();
@@ -29,7 +29,7 @@
         self.fleet.platform.update_list(|list| list.retain(|one| one.id != id));
     }
 
-    /// A new server starts at the address of one that ended, and is listed at once.
+    /// Starts a new server at the address of a removed one and lists it at once.
     pub(super) async fn reuse_address(&mut self, server: usize, is_other_service: bool) {
         let old = &self.incarnations[self.current[server]];
         let position = APPS.iter().position(|app| *app == old.app).unwrap_or_default();
@@ -62,19 +62,19 @@
         self.fleet.platform.update_list(|list| list.push(listed));
     }
 
-    /// Sets how a server responds.
+    /// Sets the behavior of a server.
     pub(super) fn set_behavior(&mut self, server: usize, behavior: Behavior) {
         let key = format!("behavior {server}");
         if behavior == Behavior::Normal {
             self.faults.end(&key);
         } else if behavior != Behavior::Slow {
-            // A server that is only slow is no excuse for anything.
+            // Slow responses are no fault: no invariant may be violated because of them.
             self.faults.begin(key, Fault::Server);
         }
         self.fleet.servers[server].set_behavior(behavior);
     }
 
-    /// What all servers received, by incarnation.
+    /// All incarnations of servers with the requests that they received.
     pub(super) fn server_incarnations(&self) -> Vec<ServerIncarnation> {
         let start = self.start;
         let incarnation = |incarnation: &Incarnation| {
@@ -95,7 +95,7 @@
         self.incarnations.iter().map(incarnation).collect()
     }
 
-    /// Requests that were cut off at a server that worked on them.
+    /// Requests whose connection was closed while a server was executing them.
     pub(super) fn aborted_requests(&self) -> HashSet<String> {
         let mut all = HashSet::new();
         for incarnation in &self.incarnations {
@@ -106,12 +106,12 @@
         all
     }
 
-    /// How often each request was executed, over all servers.
+    /// How often each request was executed, summed over all servers.
     pub(super) fn execution_counts(&self) -> HashMap<String, u32> {
         let mut counts = HashMap::new();
         for incarnation in &self.incarnations {
             for (request_id, count) in
-                incarnation.state.execution_counts.lock().expect("no panic under it").iter()
+                incarnation.state.execution_counts.lock().expect("no panic under this lock").iter()
             {
                 *counts.entry(request_id.clone()).or_default() += count;
             }
--- a/testbed/src/soak/world/stability.rs
+++ b/testbed/src/soak/world/stability.rs
@@ -1,4 +1,4 @@
-//! The stable state of a fleet without faults, and the resources that its processes use in it.
+//! Waits for the stable state of a fleet after all faults, and measures the resource usage of its processes.
 
 use super::{Orders, World};
 use crate::harness::Daemon;
@@ -11,10 +11,10 @@
 use rustix::process::Signal;
 use std::time::{Duration, Instant};
 
-/// Delay between two checks whether the fleet is stable.
+/// Delay between two checks for the stable state.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The resources of one process at one moment.
+/// The resource usage of one process at one time.
 pub(super) struct ProcessUsage {
     daemon: String,
     pid: u32,
@@ -26,7 +26,7 @@
     pub(super) async fn end_faults(&mut self, orders: &Orders) {
         for index in 0..self.fleet.daemons.len() {
             self.fleet.signal(index, Signal::CONT);
-            // The same number of resets: connections over the link stay open.
+            // The number of resets does not change, so that connections over the link stay open.
             self.fleet.set_links(index, Link { resets: self.resets[index], ..Link::default() });
         }
         self.set_platform(PlatformState::Normal);
@@ -43,13 +43,13 @@
         self.faults.end_all();
     }
 
-    /// Waits until every daemon runs and every proxy is ready with the acknowledged configuration, and returns
-    /// when that was. `None` if it is not within the time-out.
+    /// Waits until every daemon runs and every proxy is ready with this revision or a later one, and
+    /// returns the time. `None` if this is not the case within the time-out.
     pub(super) async fn wait_until_stable(&mut self, revision: u64) -> Option<Duration> {
         let start = Instant::now();
         let all: Vec<usize> = (0..self.fleet.daemons.len()).collect();
         while start.elapsed() < invariants::STABILIZATION_TIMEOUT {
-            // A daemon that is terminating may take its whole grace period.
+            // A daemon that is terminating may take its whole grace period to end; it is started after that.
             for index in &all {
                 if !self.fleet.is_running(*index) {
                     self.fleet.start_daemon(*index);
@@ -73,7 +73,7 @@
         true
     }
 
-    /// The resources of all running processes.
+    /// The resource usage of all running processes.
     pub(super) fn usage(&self) -> Vec<ProcessUsage> {
         let usage_of = |daemon: &Daemon| {
             let pid = daemon.pid()?;
@@ -82,7 +82,8 @@
         self.fleet.daemons.iter().filter_map(usage_of).collect()
     }
 
-    /// The resources of the processes that have run since then.
+    /// Compares the resource usage of the processes in `before` that are still running with their present
+    /// one.
     pub(super) fn usage_since(&self, before: &[ProcessUsage]) -> Vec<UsageComparison> {
         let after = self.usage();
         let same = before.iter().filter_map(|before| {
