--- a/testbed/src/harness.rs
+++ b/testbed/src/harness.rs
@@ -1,5 +1,5 @@
-//! A whole fleet as processes on one machine: each daemon at a loopback address of its own, with stub
-//! servers and a stub platform in this process.
+//! Runs a whole fleet on one machine. Each daemon is a process with its own loopback address; the stub
+//! servers and the stub platform run in this process.
 
 mod daemon;
 mod queries;
@@ -12,7 +12,7 @@
 use crate::relay::Link;
 use crate::stub::{ListedServer, StubPlatform, StubServer};
 use crate::topology::Topology;
-use daemon::program;
+use daemon::program_path;
 use jzon::JsonValue;
 use rustix::process::Signal;
 use std::path::{Path, PathBuf};
@@ -21,35 +21,35 @@
     LAST_HOST_BEFORE_SERVERS, PLATFORM_HOST, RELAY_PORT_OFFSET, Subnet,
 };
 
-/// Time that daemons give requests in flight when they are terminated.
+/// Grace period of terminated daemons for their requests in flight.
 const SHUTDOWN_GRACE_MS: u64 = 15_000;
-/// Seeds that the settings of a daemon name.
+/// Number of seeds in the settings of a daemon.
 const SEED_COUNT: usize = 3;
 
-/// A fleet; its processes are killed and its folder is removed when it is dropped.
+/// A running fleet. When it is dropped, its processes are killed and its folder is removed.
 pub struct Fleet {
-    /// The deployment that it was started as.
+    /// The deployment from which it was started.
     pub topology: Topology,
-    /// Settings, logs and data of its daemons.
+    /// Folder with the settings, logs and data of its daemons.
     pub folder: PathBuf,
-    /// All daemons, running or not; functions refer to them by index.
+    /// All daemons, running or not. Functions identify a daemon by its index here.
     pub daemons: Vec<Daemon>,
-    /// Serves the endpoint list.
+    /// The stub platform, which serves the endpoint list.
     pub platform: StubPlatform,
     /// The stub servers, in the order of the topology.
     pub servers: Vec<StubServer>,
     subnet: Subnet,
-    /// Whether daemons are reached through relays.
+    /// Whether daemons are reached through TCP relays.
     has_relays: bool,
 }
 
 impl Fleet {
-    /// Starts stubs and daemons, with a relay in front of every address of every daemon.
+    /// Like [`Fleet::start`], with a TCP relay in front of every address of every daemon.
     pub async fn start_with_relays(topology: Topology) -> Fleet {
         Self::start_all(topology, true).await
     }
 
-    /// Starts stubs and daemons, and does not wait until these are ready.
+    /// Starts the stubs and the daemons, without waiting until the daemons are ready.
     pub async fn start(topology: Topology) -> Fleet {
         Self::start_all(topology, false).await
     }
@@ -57,9 +57,9 @@
     async fn start_all(topology: Topology, has_relays: bool) -> Fleet {
         let subnet = Subnet::new();
         let folder = std::env::temp_dir().join(subnet.folder_name());
-        // Left behind by an earlier process of the same number, if it is there.
+        // An earlier process with the same process identifier may have left a folder of this name.
         let _ = std::fs::remove_dir_all(&folder);
-        std::fs::create_dir_all(&folder).expect("the folder for temporary files takes a folder");
+        std::fs::create_dir_all(&folder).expect("the folder for temporary files is writable");
         let platform = StubPlatform::start(subnet.address(PLATFORM_HOST, HTTP_PORT));
         let platform = platform.await.expect("the address is free");
         let mut fleet = Fleet {
@@ -107,7 +107,7 @@
         self.platform.update_list(|list| *list = listed);
     }
 
-    /// The core machines, with a store and a registry each.
+    /// Adds the core machines, with a store and a registry each.
     fn add_core(&mut self) {
         for machine in 0..self.topology.stores {
             let (zone, region) = self.topology.zones[machine];
@@ -126,7 +126,8 @@
         }
     }
 
-    /// Adds a store with an empty data folder and returns its index; `suffix` distinguishes replacements.
+    /// Adds a store with an empty data folder and returns its index. `suffix` is appended to its name, so
+    /// that the name of a replacement differs.
     pub fn add_store(
         &mut self,
         machine: usize,
@@ -146,8 +147,8 @@
         self.add_daemon("store", &name, zone, region, host, &settings)
     }
 
-    /// The setting `seeds` for a daemon that is added to a running fleet: some of its registries and
-    /// stores. `None` if none of these runs.
+    /// The setting `seeds` for a daemon that is added to a running fleet: a few of its running registries and
+    /// stores. `None` if none is running.
     pub fn running_seeds(&self) -> Option<(&'static str, JsonValue)> {
         let running = self.daemons.iter().filter(|daemon| daemon.child.is_some());
         let core = running.filter(|daemon| daemon.role != "proxy");
@@ -156,8 +157,8 @@
         (!seeds.is_empty()).then(|| ("seeds", seeds.into()))
     }
 
-    /// Adds a daemon, writes its settings and returns its index. `settings` are added to the common ones, or
-    /// replace them.
+    /// Adds a daemon, writes its settings file and returns its index. `settings` are added to the common
+    /// settings or replace them. The process is not started.
     pub fn add_daemon(
         &mut self,
         role: &'static str,
@@ -195,7 +196,7 @@
             document[*key] = value.clone();
         }
         let settings = self.folder.join(format!("{name}.json"));
-        std::fs::write(&settings, document.pretty(2)).expect("the folder takes files");
+        std::fs::write(&settings, document.pretty(2)).expect("the folder is writable");
         self.daemons.push(Daemon {
             name: name.to_string(),
             role,
@@ -215,22 +216,23 @@
         self.daemons[index].start(&self.folder);
     }
 
-    /// Sets the state of all links towards a daemon; its own connections to others use their links.
+    /// Sets the state of all links to a daemon. Connections that it opens to other daemons use the links of
+    /// those.
     pub fn set_links(&self, index: usize, link: Link) {
         self.daemons[index].set_links(link);
     }
 
-    /// Sends a signal to a daemon, if it runs.
+    /// Sends a signal to a daemon if it is running.
     pub fn signal(&self, index: usize, signal: Signal) {
         self.daemons[index].signal(signal);
     }
 
-    /// Kills a daemon at once, which is what a power loss is to the process.
+    /// Kills a daemon, as a power loss does.
     pub fn kill(&mut self, index: usize) {
         self.daemons[index].kill();
     }
 
-    /// Suspends a daemon, as a long pause of its machine does.
+    /// Suspends a daemon (SIGSTOP), as a long pause of its machine does.
     pub fn suspend(&self, index: usize) {
         self.signal(index, Signal::STOP);
     }
@@ -240,18 +242,18 @@
         self.signal(index, Signal::CONT);
     }
 
-    /// Whether a daemon runs.
+    /// Whether a daemon is running.
     pub fn is_running(&mut self, index: usize) -> bool {
         self.daemons[index].is_running()
     }
 
-    /// Terminates a daemon, waits until it has ended, and returns whether it ended with success.
+    /// Terminates a daemon, waits until it has exited, and returns whether it exited with status 0.
     pub async fn terminate(&mut self, index: usize) -> bool {
         self.daemons[index].terminate().await
     }
 
-    /// Kills the running daemons and stops the servers of all zones for which `is_affected` holds (it gets zone
-    /// and region). Returns the indices of the daemons.
+    /// Kills the running daemons and stops the servers of all zones for which `is_affected` holds (its
+    /// arguments are zone and region). Returns the indices of the killed daemons.
     pub fn kill_zones(&mut self, is_affected: impl Fn(&str, &str) -> bool) -> Vec<usize> {
         let affected: Vec<usize> = (0..self.daemons.len())
             .filter(|index| is_affected(self.daemons[*index].zone, self.daemons[*index].region))
@@ -266,7 +268,7 @@
         affected
     }
 
-    /// Starts a stopped server again at its address, with its state.
+    /// Restarts a stopped server at the same address and with the same state.
     pub async fn restart_server(&mut self, index: usize) {
         let (state, address) = (self.servers[index].state.clone(), self.servers[index].address);
         self.servers[index] = loop {
@@ -277,13 +279,13 @@
         };
     }
 
-    /// Removes a store's data, as the loss of its disk does. The store must not be running.
+    /// Removes the data of a store, as the loss of its disk does. The store must not be running.
     pub fn wipe_data(&self, index: usize) {
-        // It may have no data yet.
+        // The folder does not exist if the store has not saved any data yet.
         let _ = std::fs::remove_dir_all(self.data_folder(index));
     }
 
-    /// The folder of a store's data.
+    /// The data folder of a store.
     pub fn data_folder(&self, index: usize) -> PathBuf {
         self.daemons[index].data_folder(&self.folder)
     }
@@ -293,9 +295,9 @@
         &self.daemons[index].settings
     }
 
-    /// The path of a program of the workspace, by its name without the prefix.
+    /// The path of a program of the workspace, given its name without the prefix `vanepath-`.
     pub fn program(&self, role: &str) -> PathBuf {
-        program(role)
+        program_path(role)
     }
 }
 
@@ -307,7 +309,7 @@
         for daemon in &mut self.daemons {
             daemon.kill();
         }
-        // A folder that cannot be removed does no harm.
+        // Failing to remove the folder is harmless.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
--- a/testbed/src/harness/daemon.rs
+++ b/testbed/src/harness/daemon.rs
@@ -1,4 +1,4 @@
-//! One daemon of a fleet: its settings, its process and the relays in front of it.
+//! A daemon of a fleet: its settings, its process and the relays in front of it.
 
 use super::subnet::{CLUSTER_PORT, HTTP_PORT};
 use crate::relay::{Link, Relay};
@@ -8,19 +8,19 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// A daemon of a fleet, whether it runs or not.
+/// A daemon of a fleet, running or not.
 pub struct Daemon {
-    /// Its name, as in its settings.
+    /// Its name in its settings.
     pub name: String,
     /// `proxy`, `registry` or `store`.
     pub role: &'static str,
     /// Its zone.
     pub zone: &'static str,
-    /// Region of that zone.
+    /// Region of its zone.
     pub region: &'static str,
-    /// Where its HTTP interface is reached.
+    /// Advertised address of its HTTP interface.
     pub address: SocketAddr,
-    /// Where other daemons reach it.
+    /// Advertised address for connections from other daemons.
     pub cluster_address: SocketAddr,
     pub(super) settings: PathBuf,
     pub(super) child: Option<Child>,
@@ -28,12 +28,12 @@
 }
 
 impl Daemon {
-    /// Process identifier, if it runs.
+    /// Process identifier if it is running.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Puts a relay in front of both of its addresses.
+    /// Starts a relay in front of each of its two addresses.
     pub(super) async fn start_relays(&mut self) {
         for (address, port) in [(self.address, HTTP_PORT), (self.cluster_address, CLUSTER_PORT)] {
             let target = SocketAddr::new(address.ip(), port);
@@ -48,21 +48,21 @@
         }
     }
 
-    /// Starts the process; its log goes to a file in that folder.
+    /// Starts the process and appends its log to a file in this folder.
     pub(super) fn start(&mut self, folder: &Path) {
         let log = File::options()
             .create(true)
             .append(true)
             .open(self.log_file(folder))
-            .expect("the folder takes files");
-        let child = Command::new(program(self.role))
+            .expect("the folder is writable");
+        let child = Command::new(program_path(self.role))
             .arg("--settings")
             .arg(&self.settings)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()
-            .expect("the program starts");
+            .expect("the program can be started");
         self.child = Some(child);
     }
 
@@ -78,14 +78,14 @@
         if let Some(child) = &self.child
             && let Some(pid) = Pid::from_raw(child.id() as i32)
         {
-            // It may have ended meanwhile.
+            // The process may have exited already.
             let _ = kill_process(pid, signal);
         }
     }
 
     pub(super) fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended by itself.
+            // The process may have exited already.
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -110,11 +110,13 @@
     }
 }
 
-/// A program of the workspace, in one of the folders around the running one.
-pub(super) fn program(role: &str) -> PathBuf {
-    let own = std::env::current_exe().expect("a running program has a path");
+/// The path of a program of the workspace, which is searched in the folder of the running program and in
+/// the two folders above it.
+pub(super) fn program_path(role: &str) -> PathBuf {
+    let own_path = std::env::current_exe().expect("a running program has a path");
     let name = format!("vanepath-{role}");
-    own.ancestors()
+    own_path
+        .ancestors()
         .skip(1)
         .take(3)
         .map(|folder| folder.join(&name))
--- a/testbed/src/harness/queries.rs
+++ b/testbed/src/harness/queries.rs
@@ -1,4 +1,4 @@
-//! What tests ask of a fleet, and what an operator asks of its registries.
+//! Queries of tests about a fleet, and requests that an operator sends to its registries.
 
 use super::Fleet;
 use super::wait::wait_until;
@@ -8,17 +8,17 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long a configuration is sent to one registry after the other.
+/// How long [`Fleet::put_config`] tries one registry after the other.
 const PUT_CONFIG_TIMEOUT: Duration = Duration::from_secs(20);
 const PUT_CONFIG_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Lines of each log that a failed test shows.
+/// How many lines of each log a failed test prints.
 const LOG_TAIL_LINES: usize = 12;
 
 impl Fleet {
-    /// The index of the daemon of that name.
+    /// The index of the daemon with this name.
     ///
     /// # Panics
-    /// If there is none.
+    /// If there is no such daemon.
     pub fn index_of(&self, name: &str) -> usize {
         self.daemons
             .iter()
@@ -26,7 +26,7 @@
             .unwrap_or_else(|| panic!("no daemon is named {name}"))
     }
 
-    /// The indices of all daemons of a role.
+    /// The indices of all daemons with this role.
     pub fn with_role(&self, role: &str) -> Vec<usize> {
         (0..self.daemons.len()).filter(|index| self.daemons[*index].role == role).collect()
     }
@@ -36,7 +36,8 @@
         self.with_role("registry").into_iter().map(|index| self.daemons[index].address).collect()
     }
 
-    /// The indices of the servers in all zones for which `is_affected` holds (it gets zone and region).
+    /// The indices of the servers in all zones for which `is_affected` holds (its arguments are zone
+    /// and region).
     pub fn servers_in(&self, is_affected: impl Fn(&str, &str) -> bool) -> Vec<usize> {
         let indices = self.topology.servers.iter().flat_map(|(_, count)| 0..*count);
         let zones = indices.map(|index| self.topology.zone(index));
@@ -44,13 +45,13 @@
         affected.map(|(index, _)| index).collect()
     }
 
-    /// Reads a page of a daemon. `None` if it does not respond.
+    /// Sends a GET request to a daemon. `None` if it does not respond.
     pub async fn get(&self, index: usize, path: &str) -> Option<Response> {
         call(self.daemons[index].address, "GET", path, &[], b"").await
     }
 
-    /// A daemon's page `status`, `metrics` or `ready`, whose path differs by role; null if the daemon does
-    /// not respond.
+    /// Reads the resource `status`, `metrics` or `ready` of a daemon as JSON; its path depends on the role
+    /// of the daemon. Null if the daemon does not respond.
     pub async fn page(&self, index: usize, page: &str) -> JsonValue {
         let prefix = if self.daemons[index].role == "proxy" { "/vanepath" } else { "" };
         match self.get(index, &format!("{prefix}/v1/{page}")).await {
@@ -70,17 +71,19 @@
             for address in self.registry_addresses() {
                 match call(address, "PUT", "/v1/setup", &[], config.as_bytes()).await {
                     Some(response) if response.status == 200 => {
-                        return response.json()["revision"].as_u64().expect("a receipt says it");
+                        return response.json()["revision"]
+                            .as_u64()
+                            .expect("an acknowledgement contains the revision");
                     }
                     Some(response) => {
                         last_failure = String::from_utf8_lossy(&response.body).to_string();
                     }
-                    None => last_failure = format!("{address} does not reply"),
+                    None => last_failure = format!("{address} did not respond"),
                 }
             }
             tokio::time::sleep(PUT_CONFIG_RETRY_DELAY).await;
         }
-        panic!("no registry takes the setup: {last_failure}");
+        panic!("no registry accepted the configuration; last failure: {last_failure}");
     }
 
     /// Whether a daemon is ready with this revision or a later one.
@@ -112,12 +115,12 @@
         .await
     }
 
-    /// How often each request was executed, over all servers, by request identifier.
+    /// How often each request was executed, summed over all servers, by request identifier.
     pub fn execution_counts(&self) -> HashMap<String, u32> {
         let mut counts = HashMap::new();
         for server in &self.servers {
             for (request_id, count) in
-                server.state.execution_counts.lock().expect("no panic").iter()
+                server.state.execution_counts.lock().expect("no panic under this lock").iter()
             {
                 *counts.entry(request_id.clone()).or_default() += count;
             }
@@ -125,7 +128,7 @@
         counts
     }
 
-    /// The last lines of the logs of all daemons, for a failed test.
+    /// The last lines of the logs of all daemons, which a failed test prints.
     pub fn logs(&self) -> String {
         let mut logs = String::new();
         for daemon in &self.daemons {
--- a/testbed/src/harness/subnet.rs
+++ b/testbed/src/harness/subnet.rs
@@ -1,27 +1,28 @@
-//! Loopback addresses of a fleet: each fleet has a subnet of its own, each daemon and server a host in it.
+//! Loopback addresses of a fleet. Each fleet has its own subnet, and each daemon and server a host in it.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicU8, Ordering};
 
-/// Port of a daemon's HTTP interface; the next one is for connections between daemons.
+/// Port of the HTTP interface of a daemon.
 pub(super) const HTTP_PORT: u16 = 7000;
 /// Port for connections between daemons.
 pub(super) const CLUSTER_PORT: u16 = HTTP_PORT + 1;
-/// Ports through which daemons are reached over a relay are this much higher.
+/// Ports of relays are higher than those of the daemons behind them by this number.
 pub(super) const RELAY_PORT_OFFSET: u16 = 100;
 
 /// Host of the stub platform.
 pub(super) const PLATFORM_HOST: u8 = 250;
-/// The hosts after this one are stub servers.
+/// Stub servers use the hosts after this one.
 pub(super) const LAST_HOST_BEFORE_SERVERS: u8 = 100;
-/// First hosts of the daemons of each role.
+/// First host for the daemons of each role.
 pub(super) const FIRST_REGISTRY_HOST: u8 = 1;
 pub(super) const FIRST_STORE_HOST: u8 = 11;
 pub(super) const FIRST_PROXY_HOST: u8 = 21;
 
 static NEXT_FLEET_NUMBER: AtomicU8 = AtomicU8::new(0);
 
-/// The subnet of a fleet, unlike those of other fleets of this process and, mostly, of other processes.
+/// The subnet of a fleet. It differs from those of the other fleets of this process and, with high
+/// probability, from those of other processes.
 #[derive(Clone, Copy)]
 pub(super) struct Subnet {
     octets: [u8; 2],
@@ -41,12 +42,12 @@
         SocketAddr::from((Ipv4Addr::new(127, self.octets[0], self.octets[1], host), port))
     }
 
-    /// The name of the fleet, which its daemons share.
+    /// The name of the fleet in the settings of all its daemons.
     pub fn fleet_name(self) -> String {
         format!("fleet-{}-{}", self.octets[0], self.octets[1])
     }
 
-    /// A folder name that no other fleet uses.
+    /// The name of the folder of the fleet, which no other fleet uses.
     pub fn folder_name(self) -> String {
         format!("vanepath-testbed-{}-{}", std::process::id(), self.number)
     }
--- a/testbed/src/harness/wait.rs
+++ b/testbed/src/harness/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting for a condition.
+//! Waits for a condition.
 
 use std::time::{Duration, Instant};
 
@@ -7,9 +7,9 @@
 /// Waits until the condition holds and returns how long that took.
 ///
 /// # Panics
-/// If it does not hold within the time-out; the message names what was awaited.
+/// If it does not hold within the time-out. The message contains `description`.
 pub async fn wait_until(
-    what: &str,
+    description: &str,
     timeout: Duration,
     mut condition: impl AsyncFnMut() -> bool,
 ) -> Duration {
@@ -18,7 +18,10 @@
         if condition().await {
             return start.elapsed();
         }
-        assert!(start.elapsed() < timeout, "not within {timeout:?}: {what}");
+        assert!(
+            start.elapsed() < timeout,
+            "condition does not hold after {timeout:?}: {description}"
+        );
         tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
--- a/testbed/src/stub.rs
+++ b/testbed/src/stub.rs
@@ -1,4 +1,4 @@
-//! Stub servers, which count the requests that they execute and misbehave on demand, and a stub platform,
+//! Stub servers, which count the requests that they execute and can simulate faults, and a stub platform,
 //! which serves the endpoint list.
 
 mod body;
--- a/testbed/src/stub/body.rs
+++ b/testbed/src/stub/body.rs
@@ -11,30 +11,30 @@
 
 pub(super) type Body = BoxBody<Bytes, Infallible>;
 
-/// Size of the chunks of a body without a length.
+/// Size of the chunks of a chunked body.
 const CHUNK_BYTES: usize = 16 << 10;
-/// Pieces of a throttled body.
+/// Number of pieces of a throttled body.
 const THROTTLED_PIECES: usize = 20;
 
-/// Bytes that belong to one request and no other.
+/// A byte sequence that is unique to a request: its identifier, repeated up to this size.
 pub fn pattern(request_id: &str, size: usize) -> Vec<u8> {
     let unit = format!("<{request_id}>").into_bytes();
     unit.iter().copied().cycle().take(size).collect()
 }
 
-/// A body that is sent at once, with its length.
+/// A body of a known length that is sent at once.
 pub(super) fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).boxed()
 }
 
-/// A body without a length, sent in chunks.
+/// A body without a declared length, sent in chunks.
 pub(super) fn chunked(bytes: &[u8]) -> Body {
     let chunks: Vec<Bytes> = bytes.chunks(CHUNK_BYTES).map(Bytes::copy_from_slice).collect();
     BodyExt::boxed(ChunkedBody { chunks: chunks.into_iter() })
 }
 
-/// A body of a known length that is sent in twenty pieces, one per interval. `guard` lives as long as the
-/// body.
+/// A body of a known length that is sent in [`THROTTLED_PIECES`] pieces, one per interval. `guard` is dropped
+/// together with the body.
 pub(super) fn throttled<G: Send + Sync + Unpin + 'static>(
     bytes: Vec<u8>,
     interval: Duration,
--- a/testbed/src/stub/faulty_stream.rs
+++ b/testbed/src/stub/faulty_stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that falsifies what is written to it.
+//! A TCP stream that injects faults into the data written to it.
 
 use std::io::{Error, ErrorKind};
 use std::pin::Pin;
@@ -8,25 +8,26 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// What is done to the bytes that hyper writes to a connection.
+/// A fault that is injected into the data that hyper writes to a connection.
 #[derive(Default)]
 pub(super) struct WriteFault {
-    /// Write this many more bytes, then fail as if the connection was reset.
+    /// After this many more bytes, writes fail as if the connection had been reset.
     pub bytes_until_reset: Option<usize>,
-    /// Written right after the next write.
+    /// Data that is written right after the next write.
     pub extra: Vec<u8>,
-    /// Written in place of the next write.
+    /// Data that replaces the next write.
     pub replacement: Vec<u8>,
-    /// Written this long after the next write.
+    /// Data that is written a delay after the next write.
     pub delayed_extra: Option<(Duration, &'static [u8])>,
 }
 
-/// A stream whose writes are subject to a [`WriteFault`].
+/// A stream that applies a [`WriteFault`] to its writes.
 pub(super) struct FaultyStream {
     stream: TcpStream,
     fault: Arc<Mutex<WriteFault>>,
+    /// Data that must be written to the socket before anything else.
     pending: Vec<u8>,
-    /// The same socket, for delayed writes that hyper knows nothing of.
+    /// A second handle of the same socket, for delayed writes that bypass hyper.
     second_handle: Arc<TcpStream>,
 }
 
@@ -44,7 +45,7 @@
         let stream = self.second_handle.clone();
         tokio::spawn(async move {
             tokio::time::sleep(delay).await;
-            // Nothing to do if the connection is closed by then.
+            // The connection may have been closed by then.
             let _ = stream.try_write(bytes);
         });
     }
--- a/testbed/src/stub/platform.rs
+++ b/testbed/src/stub/platform.rs
@@ -1,4 +1,4 @@
-//! A stub platform, which serves the endpoint list over HTTP.
+//! A stub platform that serves the endpoint list over HTTP.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -25,9 +25,9 @@
     pub region: String,
     /// Its zone.
     pub zone: String,
-    /// Labels that services select by.
+    /// Labels by which services select servers.
     pub labels: Vec<(String, String)>,
-    /// Whether it takes no new work any more.
+    /// Whether it is draining, that is, accepts no new requests.
     pub draining: bool,
 }
 
@@ -35,11 +35,11 @@
 struct EndpointList {
     revision: u64,
     servers: Vec<ListedServer>,
-    /// Served in place of the list.
+    /// Response body that is served in place of the list.
     override_text: Option<String>,
 }
 
-/// Serves the endpoint list, whose revision rises with each update, until it is dropped.
+/// Serves the endpoint list until it is dropped. Each update increments the revision of the list.
 pub struct StubPlatform {
     /// Where it listens.
     pub address: SocketAddr,
@@ -48,7 +48,7 @@
 }
 
 impl StubPlatform {
-    /// Starts with an empty list of revision 0.
+    /// Starts the platform with an empty list of revision 0.
     ///
     /// # Errors
     /// If the address cannot be bound.
@@ -59,14 +59,14 @@
         Ok(StubPlatform { address, list, accept_task })
     }
 
-    /// Updates the list, which gets the next revision.
+    /// Updates the list and increments its revision.
     pub fn update_list(&self, update: impl FnOnce(&mut Vec<ListedServer>)) {
         let mut list = self.list.lock().expect("no panic under this lock");
         update(&mut list.servers);
         list.revision += 1;
     }
 
-    /// Serves this text in place of the list, or the list again.
+    /// Serves this text in place of the list; `None` serves the list again.
     pub fn override_response(&self, text: Option<String>) {
         self.list.lock().expect("no panic under this lock").override_text = text;
     }
@@ -92,16 +92,16 @@
 fn respond(list: &EndpointList, request: &Request<Incoming>) -> Response<Full<Bytes>> {
     let builder = Response::builder();
     if let Some(text) = &list.override_text {
-        return builder.body(text.clone().into()).expect("a valid response");
+        return builder.body(text.clone().into()).expect("the response is valid");
     }
     let tag = format!("\"{}\"", list.revision);
     let known = request.headers().get(IF_NONE_MATCH);
     if known.is_some_and(|known| known.as_bytes() == tag.as_bytes()) {
         let builder = builder.status(StatusCode::NOT_MODIFIED);
-        return builder.body(Full::default()).expect("a valid response");
+        return builder.body(Full::default()).expect("the response is valid");
     }
     let body = Full::new(Bytes::from(list_as_json(list).dump()));
-    builder.header(ETAG, tag).body(body).expect("a valid response")
+    builder.header(ETAG, tag).body(body).expect("the response is valid")
 }
 
 fn list_as_json(list: &EndpointList) -> jzon::JsonValue {
--- a/testbed/src/stub/server.rs
+++ b/testbed/src/stub/server.rs
@@ -1,4 +1,4 @@
-//! Stub servers: they count the requests that they execute, and misbehave on demand.
+//! Stub servers, which count the requests that they execute and can simulate faults.
 
 use super::body::{self, Body, pattern};
 use super::faulty_stream::{FaultyStream, WriteFault};
@@ -21,17 +21,18 @@
 /// How a server responds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behavior {
-    /// Correctly.
+    /// Responds correctly.
     Normal,
-    /// Accepts requests and health checks and never responds.
+    /// Accepts requests and health checks but never responds.
     Silent,
-    /// Responds to health checks and to nothing else.
+    /// Responds to health checks only.
     Stalled,
-    /// Executes the request and closes the connection before the response.
+    /// Executes the request and closes the connection without a response.
     DisconnectAfterExecution,
-    /// Sends a second complete response right after the right one.
+    /// Sends a second complete response right after the correct one.
     ExtraResponse,
-    /// Sends the second response a little later, when the connection may be in use for the next request.
+    /// Sends the second response after a delay, when the connection may already be in use for the next
+    /// request.
     DelayedExtraResponse,
     /// Closes the connection in the middle of the response body.
     TruncatedResponse,
@@ -39,37 +40,37 @@
     InvalidResponse,
     /// Fails its health checks.
     Unhealthy,
-    /// Responds with status 503 to everything but health checks.
+    /// Responds with status 503 to all requests except health checks.
     Overloaded,
     /// Responds correctly, after [`SLOW_DELAY`].
     Slow,
 }
 
-/// How long a slow server works on a request: longer than proxies wait before they look for another server, and
-/// shorter than clients do.
+/// How long a slow server takes to execute a request: longer than proxies wait before they try another
+/// server, and shorter than clients wait.
 pub const SLOW_DELAY: Duration = Duration::from_millis(2500);
 
-/// What a server counts and how it behaves; it outlives restarts of the server.
+/// Counters and behavior of a server. The state survives restarts of the server.
 pub struct ServerState {
-    /// Identifier that it responds with.
+    /// Identifier that it sends in responses.
     pub id: Mutex<String>,
-    /// How it behaves now.
+    /// Current behavior.
     pub behavior: Mutex<Behavior>,
     /// How often each request was executed, by request identifier.
     pub execution_counts: Mutex<HashMap<String, u32>>,
-    /// Requests received, apart from health checks.
+    /// Requests received, except health checks.
     pub arrivals: Mutex<Vec<Arrival>>,
-    /// Requests being processed.
+    /// Number of requests being processed.
     pub in_flight: AtomicU64,
-    /// Health checks received.
+    /// Number of health checks received.
     pub health_checks: AtomicU64,
     /// Utilization that it reports, in thousandths.
     pub utilization_milli: AtomicU64,
     /// Whether it reports that it is warming up.
     pub is_warming_up: AtomicBool,
-    /// Requests whose connection was closed while it worked on them.
+    /// Requests whose connection was closed while the server was executing them.
     pub aborted_requests: Mutex<Vec<String>>,
-    /// It was stopped, which closes its connections.
+    /// Set when the server is stopped; connections that close because of that are not recorded as aborted.
     is_stopped: AtomicBool,
 }
 
@@ -87,22 +88,22 @@
     pub at: Instant,
     /// Its identifier, from the header `x-request`.
     pub request_id: String,
-    /// Path without the query.
+    /// Its path, without the query.
     pub path: String,
 }
 
-/// A server that listens until it is stopped or dropped.
+/// A stub server, which accepts connections until it is stopped or dropped.
 pub struct StubServer {
     /// Where it listens.
     pub address: SocketAddr,
-    /// Its counts and behavior.
+    /// Its counters and behavior.
     pub state: Arc<ServerState>,
     accept_task: tokio::task::JoinHandle<()>,
     stop: watch::Sender<bool>,
 }
 
 impl StubServer {
-    /// Starts a server that behaves normally.
+    /// Starts a server with normal behavior.
     ///
     /// # Errors
     /// If the address cannot be bound.
@@ -122,7 +123,7 @@
         StubServer::start_with_state(state, address).await
     }
 
-    /// Starts a server with the state of one that ran before.
+    /// Starts a server with the state of a stopped one.
     ///
     /// # Errors
     /// If the address cannot be bound.
@@ -140,14 +141,14 @@
         Ok(StubServer { address, state, accept_task, stop })
     }
 
-    /// Stops at once, like a killed process: nothing listens, and all connections are closed.
+    /// Stops at once, like a killed process: closes the listening socket and all connections.
     pub fn stop(&self) {
         self.state.is_stopped.store(true, Ordering::Relaxed);
         self.accept_task.abort();
         self.stop.send_replace(true);
     }
 
-    /// Sets how it behaves from now on.
+    /// Sets the behavior for subsequent requests.
     pub fn set_behavior(&self, behavior: Behavior) {
         *self.state.behavior.lock().expect("no panic under this lock") = behavior;
     }
@@ -182,7 +183,7 @@
     }
 }
 
-/// Counts a request as in flight until it is dropped.
+/// Counts a request as in flight until the guard is dropped.
 struct InFlightGuard(Arc<ServerState>);
 
 impl InFlightGuard {
@@ -198,14 +199,14 @@
     }
 }
 
-/// Records a request as cut off if it is dropped before the work is done.
-struct WorkGuard<'s> {
+/// Records a request as aborted if the guard is dropped before the execution is complete.
+struct ExecutionGuard<'s> {
     state: &'s ServerState,
     request_id: &'s str,
     is_done: bool,
 }
 
-impl Drop for WorkGuard<'_> {
+impl Drop for ExecutionGuard<'_> {
     fn drop(&mut self) {
         if !self.is_done && !self.state.is_stopped.load(Ordering::Relaxed) {
             let mut aborted_requests =
@@ -215,10 +216,10 @@
     }
 }
 
-/// Adds the headers that a server sends with every response.
+/// Builds responses with the headers that a server sends in every response.
 struct ResponseBuilder<'s> {
     state: &'s ServerState,
-    /// As they were when the request was received.
+    /// Identifier and utilization at the time when the request was received.
     id: String,
     utilization: f64,
 }
@@ -241,7 +242,7 @@
         if self.state.is_warming_up.load(Ordering::Relaxed) {
             response = response.header("server-state", "cold");
         }
-        response.body(body).expect("valid header values")
+        response.body(body).expect("the header values are valid")
     }
 }
 
@@ -308,15 +309,15 @@
     header.and_then(|value| value.to_str().ok()).unwrap_or("none").to_string()
 }
 
-/// What the query of a request asks of the server.
+/// Options for the response, from the query of the request.
 struct RequestOptions {
-    /// Time before the response.
+    /// Delay before the response.
     delay: Option<Duration>,
     /// Size of the response body in bytes; 0 for a JSON echo of the request.
     size: usize,
     /// Interval between the pieces of a throttled body.
     throttle_interval: Option<Duration>,
-    /// Whether the body is sent in chunks, without a length.
+    /// Whether the body is sent in chunks, without a declared length.
     is_chunked: bool,
 }
 
@@ -345,21 +346,22 @@
     options: &RequestOptions,
 ) {
     state.count_execution(request_id);
-    let mut work = WorkGuard { state, request_id, is_done: false };
+    let mut execution = ExecutionGuard { state, request_id, is_done: false };
     if behavior == Behavior::Slow {
         tokio::time::sleep(SLOW_DELAY).await;
     }
     if let Some(delay) = options.delay {
         tokio::time::sleep(delay).await;
     }
-    work.is_done = true;
+    execution.is_done = true;
 }
 
-/// Delay of the second response: longer than a proxy keeps a connection out of use after a response.
+/// Delay of the second response: longer than the time for which a proxy does not reuse a connection after a
+/// response.
 const EXTRA_RESPONSE_DELAY: Duration = Duration::from_millis(45);
 const EXTRA_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 11\r\n\r\n{\"x\":\"old\"}";
 
-/// Has the response on this connection falsified as the behavior asks for.
+/// Injects the fault that the behavior requires into the next response on this connection.
 fn inject_fault(fault: &Mutex<WriteFault>, behavior: Behavior, size: usize) {
     let mut fault = fault.lock().expect("no panic under this lock");
     match behavior {
@@ -381,7 +383,7 @@
     }
 }
 
-/// The body of a download; a throttled one counts as in flight until it is sent.
+/// The body of a download. A throttled download counts as in flight until its body is sent.
 fn download(request_id: &str, options: &RequestOptions, in_flight: InFlightGuard) -> Body {
     let bytes = pattern(request_id, options.size);
     match options.throttle_interval {
