--- a/testbed/src/commands/demo.rs
+++ b/testbed/src/commands/demo.rs
@@ -1,4 +1,4 @@
-//! The demonstration fleet.
+//! The command `demo`: runs a demonstration fleet.
 
 use super::parse_options;
 use std::time::Duration;
@@ -6,20 +6,21 @@
 use vanepath_testbed::topology::{Topology, guild, raiocerto};
 use vanepath_testbed::traffic::{OutcomeCounts, Traffic, count_outcomes};
 
-/// Share of the deployment's traffic that the fleet gets.
+/// The fleet gets this fraction of the deployment's traffic.
 const RATE_FACTOR: f64 = 0.1;
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Runs a fleet of processes on this machine, with stub servers, clients and platform.
 ///
 /// # Errors
-/// If the arguments are not understood, or the system gives no threads or files.
+/// If the arguments are invalid, or if threads cannot be started or files written.
 pub fn run(arguments: &[String]) -> miette::Result<()> {
     let mut options = getopts::Options::new();
     options.optopt("", "deployment", "raiocerto (default) or guild", "NAME");
     options.optopt("", "seconds", "end by itself after so long", "N");
-    let more = "";
-    let Some(matches) = parse_options(options, arguments, "vanepath-testbed demo [options]", more)?
+    let additional_help = "";
+    let Some(matches) =
+        parse_options(options, arguments, "vanepath-testbed demo [options]", additional_help)?
     else {
         return Ok(());
     };
@@ -46,28 +47,35 @@
         () = tokio::time::sleep(duration) => {}
     }
     let (records, mismatches) = traffic.finish().await;
-    println!("{} requests, {} of them wrong", records.len(), mismatches.len());
+    println!(
+        "{} requests, {} with a response that is not their own",
+        records.len(),
+        mismatches.len()
+    );
     for (kind, counts) in count_outcomes(&records) {
         let OutcomeCounts { ran, not_run, may_have_run } = counts;
         println!(
-            "  {kind:?}: Sum {{ ran: {ran}, not_run: {not_run}, may_have_run: {may_have_run} }}"
+            "  {kind:?}: OutcomeCounts {{ ran: {ran}, not_run: {not_run}, may_have_run: {may_have_run} }}"
         );
     }
     Ok(())
 }
 
-/// Prints the addresses of the fleet and commands to try on it.
+/// Prints the addresses of the fleet and commands to try.
 fn print_instructions(fleet: &Fleet) -> miette::Result<()> {
     let registry = fleet.registry_addresses()[0];
     let proxy = fleet.daemons[fleet.with_role("proxy")[0]].address;
     let config = fleet.folder.join("setup.json");
     std::fs::write(&config, &fleet.topology.config)
         .map_err(|error| miette::miette!("cannot write {}: {error}", config.display()))?;
-    println!("a fleet in the shape of {} is up, with a tenth of its traffic", fleet.topology.name);
+    println!(
+        "the fleet of deployment {} is running, with a tenth of its traffic",
+        fleet.topology.name
+    );
     for daemon in &fleet.daemons {
         println!("  {:12} {:10} {}", daemon.name, daemon.zone, daemon.address);
     }
-    println!("logs, settings and the setup lie in {}\n", fleet.folder.display());
+    println!("logs, settings and the configuration are in {}\n", fleet.folder.display());
     println!("Try, from another terminal:");
     println!("  curl '{registry}/v1/steer?caller=me&zone=north-1&why=1'");
     println!("  curl -i '{proxy}{}/7' -H 'x-request: 7'", fleet.topology.lookup_path);
@@ -77,6 +85,6 @@
     println!("  curl -X DELETE {registry}/v1/zones/north-1/emptied");
     println!("  curl -T {} {registry}/v1/setup", config.display());
     println!("  target/debug/vanepath-config-check --registry {registry} {}", config.display());
-    println!("\nCtrl-C ends it.");
+    println!("\nPress Ctrl-C to stop.");
     Ok(())
 }
--- a/testbed/src/commands/measure.rs
+++ b/testbed/src/commands/measure.rs
@@ -1,4 +1,4 @@
-//! Processor time that a proxy adds to a request.
+//! The command `measure`: measures the processor time that a proxy adds to a request.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,18 +8,19 @@
 use vanepath_testbed::topology::raiocerto;
 
 const ROUNDS: usize = 3;
-/// Connections that are in use at one time.
+/// Number of connections that are used concurrently.
 const CONNECTIONS: usize = 32;
 const REQUESTS: usize = 2400;
-/// About 800 requests per second: connections are idle between two requests, as they are in a fleet.
+/// Gives about 800 requests per second over all connections, so that connections are idle between two
+/// requests, as they are in a fleet.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(40);
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Makes the same lookups and filings direct to a server and through a proxy, in turns, and prints the
+/// Sends the same lookups and filings alternately to a server directly and through a proxy, and prints the
 /// processor time of both.
 ///
 /// # Errors
-/// If a request is not served, or the system gives no threads.
+/// If a request is not served, or if threads cannot be started.
 pub fn run() -> miette::Result<()> {
     let runtime = tokio::runtime::Runtime::new()
         .map_err(|error| miette::miette!("cannot start threads: {error}"))?;
@@ -41,19 +42,19 @@
     let mut ratios = Vec::new();
     for (method, path) in [("GET", "/stock/1"), ("POST", "/orders")] {
         for round in 0..ROUNDS {
-            let run = |address, label: usize| Run {
+            let series = |address, label: usize| RequestSeries {
                 address,
                 method,
                 path,
                 request_id: format!("{method}-{round}-{label}"),
             };
-            let direct = run(server_address, 0).measure(proxy_pid).await?;
-            let proxied = run(proxy_address, 1).measure(proxy_pid).await?;
+            let direct = series(server_address, 0).measure(proxy_pid).await?;
+            let proxied = series(proxy_address, 1).measure(proxy_pid).await?;
             let ratio = proxied.total() as f64 / direct.total().max(1) as f64;
             ratios.push(ratio);
             print_connections(&fleet, proxy).await;
             println!(
-                "{method}: direct {} ticks, by the proxy {} (in it {}): {ratio:.2} times",
+                "{method}: direct {} ticks, through the proxy {} (of these in the proxy {}): ratio {ratio:.2}",
                 direct.total(),
                 proxied.total(),
                 proxied.proxy
@@ -61,7 +62,7 @@
         }
     }
     ratios.sort_by(f64::total_cmp);
-    println!("median {:.2} times the processor time of going direct", ratios[ratios.len() / 2]);
+    println!("median: {:.2} times the processor time of direct requests", ratios[ratios.len() / 2]);
     Ok(())
 }
 
@@ -69,15 +70,15 @@
     let metrics = fleet.page(proxy, "metrics").await;
     let opened = metrics["connectionsOpened"].as_u64().unwrap_or(0);
     let reused = metrics["connectionsReused"].as_u64().unwrap_or(0);
-    println!("connections so far: {opened} opened, {reused} used again");
+    println!("connections of the proxy so far: {opened} opened, {reused} reused");
 }
 
-/// Processor time in clock ticks, hundredths of a second.
+/// Processor time in clock ticks (hundredths of a second).
 #[derive(Clone, Copy)]
 struct ProcessorTime {
-    /// Of this process, with the clients and the server.
+    /// Processor time of this process, which contains the clients and the server.
     own: u64,
-    /// Of the proxy.
+    /// Processor time of the proxy.
     proxy: u64,
 }
 
@@ -95,26 +96,27 @@
     }
 }
 
-/// Processor time of a process so far, in clock ticks; 0 if it is not there.
+/// Processor time of a process so far, in clock ticks; 0 if the process does not exist.
 fn ticks(pid: u32) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-    // After the name, which may contain anything: user time is the 12th field, system time the 13th.
+    // The process name may contain any character, so parsing starts after its closing parenthesis. From
+    // there, user time is the 12th field and system time the 13th.
     let rest = text.rsplit_once(')').map_or("", |(_, rest)| rest);
     let fields: Vec<u64> =
         rest.split_whitespace().skip(1).map(|field| field.parse().unwrap_or(0)).collect();
     fields.get(10).copied().unwrap_or(0) + fields.get(11).copied().unwrap_or(0)
 }
 
-/// The same request many times to one address.
-struct Run {
+/// A series of equal requests to one address.
+struct RequestSeries {
     address: SocketAddr,
     method: &'static str,
     path: &'static str,
     request_id: String,
 }
 
-impl Run {
-    /// Makes the requests and returns the processor time that they took.
+impl RequestSeries {
+    /// Sends the requests and returns the processor time that they took.
     async fn measure(self, proxy_pid: u32) -> miette::Result<ProcessorTime> {
         let before = ProcessorTime::now(proxy_pid);
         let mut tasks = JoinSet::new();
@@ -133,7 +135,7 @@
             served += done.unwrap_or(0);
         }
         if served != REQUESTS {
-            miette::bail!("{served} of {REQUESTS} requests were served");
+            miette::bail!("only {served} of {REQUESTS} requests were served");
         }
         Ok(ProcessorTime::now(proxy_pid).since(before))
     }
--- a/testbed/src/commands/mod.rs
+++ b/testbed/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands of the command line, one module each.
+//! The commands of the command line, one module for each.
 
 pub mod demo;
 pub mod measure;
@@ -8,16 +8,16 @@
 pub mod soak;
 pub mod starts;
 
-/// Parses the arguments of a command. `None` if its help was requested, which was then printed, with `more`
-/// after the options.
+/// Parses the arguments of a command. If they request help, prints it, with `additional_help` after the
+/// options, and returns `None`.
 ///
 /// # Errors
-/// If an argument is not one of the options.
+/// If an argument is not a valid option.
 pub fn parse_options(
     mut options: getopts::Options,
     arguments: &[String],
     usage: &str,
-    more: &str,
+    additional_help: &str,
 ) -> miette::Result<Option<getopts::Matches>> {
     options.optflag("h", "help", "show this and end");
     let matches = options.parse(arguments).map_err(|error| miette::miette!("{error}"))?;
@@ -25,16 +25,16 @@
         return Ok(Some(matches));
     }
     println!("{}", options.usage(&format!("Usage: {usage}")));
-    if !more.is_empty() {
-        println!("{more}");
+    if !additional_help.is_empty() {
+        println!("{additional_help}");
     }
     Ok(None)
 }
 
-/// The first and the last seed of a range such as `1-20`.
+/// Parses a range of seeds such as `1-20` and returns the first and the last seed.
 ///
 /// # Errors
-/// If the text is not a range.
+/// If the text is not a valid range.
 pub fn parse_seed_range(given: Option<String>, default: &str) -> miette::Result<(u64, u64)> {
     let text = given.unwrap_or(default.to_string());
     let range = text.split_once('-').and_then(|(first, last)| {
--- a/testbed/src/commands/replay.rs
+++ b/testbed/src/commands/replay.rs
@@ -1,4 +1,4 @@
-//! Recorded requests against a running fleet.
+//! The command `replay`: replays recorded requests against a running fleet.
 
 use super::parse_options;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 /// Replays the requests of a recorded file against a running fleet and prints a summary.
 ///
 /// # Errors
-/// If the arguments are not understood, or the file cannot be replayed.
+/// If the arguments are invalid, or if the file cannot be replayed.
 pub fn run(arguments: &[String]) -> miette::Result<()> {
     let mut options = getopts::Options::new();
     options.optmulti("", "registry", "a directory to ask; again for further ones", "IP:PORT");
@@ -15,16 +15,20 @@
     options.optopt("", "region", "its region", "NAME");
     options.optopt("", "factor", "so many times faster than recorded (default 1)", "F");
     options.optflag("", "filings", "replay what runs at most once too: it is filed again");
-    let more = "";
-    let Some(matches) =
-        parse_options(options, arguments, "vanepath-testbed replay [options] FILE.har", more)?
+    let additional_help = "";
+    let Some(matches) = parse_options(
+        options,
+        arguments,
+        "vanepath-testbed replay [options] FILE.har",
+        additional_help,
+    )?
     else {
         return Ok(());
     };
     let [file] = &matches.free[..] else {
         miette::bail!("one HAR file is wanted, not {}; see --help", matches.free.len());
     };
-    let plan = plan(&matches)?;
+    let plan = replay_plan(&matches)?;
     let bytes =
         std::fs::read(file).map_err(|error| miette::miette!("cannot read {file}: {error}"))?;
     let recorded = read(&bytes)?;
@@ -34,7 +38,7 @@
     Ok(())
 }
 
-fn plan(matches: &getopts::Matches) -> miette::Result<ReplayPlan> {
+fn replay_plan(matches: &getopts::Matches) -> miette::Result<ReplayPlan> {
     let registries: Vec<SocketAddr> = matches
         .opt_strs("registry")
         .iter()
--- a/testbed/src/commands/scale.rs
+++ b/testbed/src/commands/scale.rs
@@ -1,12 +1,12 @@
-//! Cost of the cores at several sizes of the fleet.
+//! The command `scale`: measures the cost of the daemons' core logic at several sizes of the fleet.
 
 use super::parse_options;
 use std::time::Duration;
 
-/// Measures the cores at several sizes of the fleet, on one thread (docs/CAPACITY.md).
+/// Measures the core logic at several sizes of the fleet, on one thread (docs/CAPACITY.md).
 ///
 /// # Errors
-/// If the arguments are not understood.
+/// If the arguments are invalid.
 pub fn run(arguments: &[String]) -> miette::Result<()> {
     let mut options = getopts::Options::new();
     options.optopt("", "daemons", "sizes of the fleet (default 14,84,250,670)", "N,N…");
@@ -18,13 +18,14 @@
     options.optflag("", "no-details", "proxies tell registries nothing of their servers");
     options.optflag("", "by-probes", "services as of old: judged by probes, no slots told");
     options.optflag("", "json", "JSON only");
-    let more = "Servers, services and routes go with the daemons: 670 have 4,500, 270 and 1,100.";
+    let additional_help =
+        "Servers, services and routes go with the daemons: 670 have 4,500, 270 and 1,100.";
     let Some(matches) =
-        parse_options(options, arguments, "vanepath-testbed scale [options]", more)?
+        parse_options(options, arguments, "vanepath-testbed scale [options]", additional_help)?
     else {
         return Ok(());
     };
-    let whole = |name: &str, default: u64| match matches.opt_str(name) {
+    let parse_number = |name: &str, default: u64| match matches.opt_str(name) {
         None => Ok(default),
         Some(text) => {
             text.parse::<u64>().ok().filter(|number| (1..=10_000).contains(number)).ok_or_else(
@@ -38,9 +39,9 @@
         .map(|text| text.parse().ok().filter(|size| (6..=1400).contains(size)))
         .collect::<Option<_>>()
         .ok_or_else(|| miette::miette!("--daemons: numbers from 6 to 1400, as in 14,84"))?;
-    let seconds = whole("seconds", 2)?;
-    let limit = Duration::from_secs(whole("limit-seconds", 60)?);
-    let span = Duration::from_millis(whole("span-ms", 100)?);
+    let seconds = parse_number("seconds", 2)?;
+    let limit = Duration::from_secs(parse_number("limit-seconds", 60)?);
+    let span = Duration::from_millis(parse_number("span-ms", 100)?);
     let only = matches.opt_str("only");
     let parts = ["memory", "news", "setups", "proxies", "registries", "stores"];
     if let Some(part) = only.as_deref().filter(|part| !parts.contains(part)) {
@@ -51,22 +52,22 @@
         false => vanepath_testbed::scale::Judged::ByTraffic,
     };
     let is_json = matches.opt_present("json");
-    let mut all = Vec::new();
-    let mut show = |rows: Vec<vanepath_testbed::scale::Row>| {
+    let mut all_rows = Vec::new();
+    let mut add_rows = |rows: Vec<vanepath_testbed::scale::Row>| {
         for row in rows {
             if !is_json {
                 println!("{row}");
             }
-            all.push(row.as_json());
+            all_rows.push(row.as_json());
         }
     };
     for part in parts.into_iter().filter(|part| only.as_deref().is_none_or(|only| only == *part)) {
         match part {
-            "memory" => show(vanepath_testbed::scale::cores::memory(judged)),
-            "setups" => show(vanepath_testbed::scale::cores::setups(span, judged)),
-            "proxies" => show(vanepath_testbed::scale::cores::proxies(span, judged)),
-            "registries" => show(vanepath_testbed::scale::cores::registries(span, judged)),
-            "stores" => show(vanepath_testbed::scale::cores::stores(span, judged)),
+            "memory" => add_rows(vanepath_testbed::scale::cores::memory(judged)),
+            "setups" => add_rows(vanepath_testbed::scale::cores::setups(span, judged)),
+            "proxies" => add_rows(vanepath_testbed::scale::cores::proxies(span, judged)),
+            "registries" => add_rows(vanepath_testbed::scale::cores::registries(span, judged)),
+            "stores" => add_rows(vanepath_testbed::scale::cores::stores(span, judged)),
             _ => {
                 for daemons in &sizes {
                     use vanepath_testbed::scale;
@@ -82,13 +83,13 @@
                         measure: Duration::from_secs(seconds),
                         limit,
                     };
-                    show(scale::hollow::run(&plan));
+                    add_rows(scale::hollow::run(&plan));
                 }
             }
         }
     }
     if is_json {
-        println!("{}", jzon::JsonValue::Array(all).pretty(2));
+        println!("{}", jzon::JsonValue::Array(all_rows).pretty(2));
     }
     Ok(())
 }
--- a/testbed/src/commands/soak.rs
+++ b/testbed/src/commands/soak.rs
@@ -1,4 +1,4 @@
-//! A soak with real processes over a range of seeds.
+//! The command `soak`: runs soak tests with real processes over a range of seeds.
 
 use super::{parse_options, parse_seed_range};
 use std::ops::RangeInclusive;
@@ -15,23 +15,23 @@
 struct Options {
     first_seed: u64,
     last_seed: u64,
-    /// Seeds that run at one time.
+    /// Number of seeds that run concurrently.
     jobs: usize,
     plan: Plan,
-    /// Where failed seeds leave their files.
-    keep: PathBuf,
+    /// Folder for the files of failed seeds.
+    report_folder: PathBuf,
 }
 
-/// Runs seeds, a few at a time, and prints the violations of each and a line of totals.
+/// Runs the seeds, up to `--jobs` of them concurrently, and prints the violations of each and the totals.
 ///
 /// # Errors
-/// If the arguments are not understood, or an invariant was violated.
+/// If the arguments are invalid, or if an invariant was violated.
 pub fn run(arguments: &[String]) -> miette::Result<()> {
-    let Some(options) = read(arguments)? else { return Ok(()) };
+    let Some(options) = parse_arguments(arguments)? else { return Ok(()) };
     run_all(&Arc::new(options))
 }
 
-fn read(arguments: &[String]) -> miette::Result<Option<Options>> {
+fn parse_arguments(arguments: &[String]) -> miette::Result<Option<Options>> {
     let mut options = getopts::Options::new();
     options.optopt("", "seeds", "first and last seed, as in 1-50 (default 1-5)", "A-B");
     options.optopt("", "proxies", "proxies of a fleet, 2 to 78 (default 6)", "N");
@@ -42,18 +42,19 @@
     let keep_help = "where failed seeds leave script, logs and reasons (default: soak-failed in the folder for \
                 temporary files)";
     options.optopt("", "keep", keep_help, "DIR");
-    let more = &format!(
+    let additional_help = &format!(
         "Each seed plays its own script of troubles on a fleet of its own. Every {LARGE_SEED_INTERVAL}th seed has \
          64 proxies."
     );
-    let Some(matches) = parse_options(options, arguments, "vanepath-testbed soak [options]", more)?
+    let Some(matches) =
+        parse_options(options, arguments, "vanepath-testbed soak [options]", additional_help)?
     else {
         return Ok(None);
     };
     if let Some(argument) = matches.free.first() {
         miette::bail!("'{argument}' is not understood; see --help");
     }
-    let whole = |name: &str, default: u64, range: RangeInclusive<u64>| {
+    let parse_number = |name: &str, default: u64, range: RangeInclusive<u64>| {
         let Some(text) = matches.opt_str(name) else { return Ok(default) };
         let number = text.parse().ok().filter(|number| range.contains(number));
         let (low, high) = (range.start(), range.end());
@@ -61,15 +62,15 @@
     };
     let (first_seed, last_seed) = parse_seed_range(matches.opt_str("seeds"), "1-5")?;
     let plan = Plan {
-        proxies: whole("proxies", 6, 2..=MAX_PROXIES as u64)? as usize,
-        servers: whole("servers", 18, 6..=MAX_SERVERS as u64)? as usize,
-        length: Duration::from_secs(whole("seconds", 16, 3..=600)?),
-        clients: whole("clients", 32, 1..=500)? as usize,
+        proxies: parse_number("proxies", 6, 2..=MAX_PROXIES as u64)? as usize,
+        servers: parse_number("servers", 18, 6..=MAX_SERVERS as u64)? as usize,
+        length: Duration::from_secs(parse_number("seconds", 16, 3..=600)?),
+        clients: parse_number("clients", 32, 1..=500)? as usize,
     };
-    let jobs = whole("jobs", 1, 1..=8)? as usize;
-    let keep = matches.opt_str("keep").map(PathBuf::from);
-    let keep = keep.unwrap_or_else(|| std::env::temp_dir().join("soak-failed"));
-    Ok(Some(Options { first_seed, last_seed, jobs, plan, keep }))
+    let jobs = parse_number("jobs", 1, 1..=8)? as usize;
+    let report_folder = matches.opt_str("keep").map(PathBuf::from);
+    let report_folder = report_folder.unwrap_or_else(|| std::env::temp_dir().join("soak-failed"));
+    Ok(Some(Options { first_seed, last_seed, jobs, plan, report_folder }))
 }
 
 /// Totals over all seeds.
@@ -77,7 +78,7 @@
 struct Totals {
     seeds: usize,
     requests: usize,
-    /// Requests received by servers.
+    /// Number of requests that servers received, including retries.
     attempts: usize,
     signals: usize,
     changes: usize,
@@ -113,11 +114,11 @@
     let mut totals = Totals::default();
     for outcome in received {
         totals.add(&outcome);
-        show(&outcome, options)?;
+        report(&outcome, options)?;
     }
     println!(
-        "{} seeds, {} requests, {} tries, {} signals, {} changes, {} broken; {} processes and {} MB in one \
-         fleet at the most",
+        "{} seeds, {} requests, {} attempts, {} signals, {} changes, {} seeds with violations; at most {} \
+         processes and {} MB in one fleet",
         totals.seeds,
         totals.requests,
         totals.attempts,
@@ -127,22 +128,19 @@
         totals.max_processes,
         totals.max_memory_mb
     );
-    let wanted = (options.last_seed - options.first_seed + 1) as usize;
-    if totals.seeds < wanted {
-        miette::bail!(
-            "{} of {wanted} seeds ended by themselves before their time",
-            wanted - totals.seeds
-        );
+    let seed_count = (options.last_seed - options.first_seed + 1) as usize;
+    if totals.seeds < seed_count {
+        miette::bail!("{} of {seed_count} seeds ended without a result", seed_count - totals.seeds);
     }
     if totals.failed_seeds > 0 {
-        miette::bail!("{} seeds broken", totals.failed_seeds);
+        miette::bail!("{} seeds with violations", totals.failed_seeds);
     }
     Ok(())
 }
 
-/// Runs one seed after the other until none is left.
+/// Runs one seed after the other until none remains.
 fn run_seeds(options: &Options, next: &AtomicU64, outcomes: &mpsc::Sender<Outcome>) {
-    let runtime = tokio::runtime::Runtime::new().expect("the system starts threads");
+    let runtime = tokio::runtime::Runtime::new().expect("the system can start threads");
     loop {
         let seed = next.fetch_add(1, Ordering::Relaxed);
         if seed > options.last_seed {
@@ -155,23 +153,23 @@
     }
 }
 
-fn show(outcome: &Outcome, options: &Options) -> miette::Result<()> {
+fn report(outcome: &Outcome, options: &Options) -> miette::Result<()> {
     let (seed, observations) = (outcome.seed, &outcome.observations);
     if outcome.violations.is_empty() {
-        println!("seed {seed}: {} requests, nothing broken", observations.requests.len());
+        println!("seed {seed}: {} requests, no violations", observations.requests.len());
         return Ok(());
     }
-    let folder = outcome
-        .write_report(&options.keep)
-        .map_err(|error| miette::miette!("cannot write to {}: {error}", options.keep.display()))?;
-    println!("seed {seed}: broken");
-    for fault in &outcome.violations {
-        println!("    {fault}");
+    let folder = outcome.write_report(&options.report_folder).map_err(|error| {
+        miette::miette!("cannot write to {}: {error}", options.report_folder.display())
+    })?;
+    println!("seed {seed}: violations");
+    for violation in &outcome.violations {
+        println!("    {violation}");
     }
     let Plan { proxies, servers, length, clients } = &options.plan;
-    println!("    script, logs and reasons: {}", folder.display());
+    println!("    script, logs and violations: {}", folder.display());
     println!(
-        "    again: vanepath-testbed soak --seeds {seed}-{seed} --proxies {proxies} --servers {servers} \
+        "    to repeat: vanepath-testbed soak --seeds {seed}-{seed} --proxies {proxies} --servers {servers} \
          --clients {clients} --seconds {}",
         length.as_secs()
     );
--- a/testbed/src/commands/starts.rs
+++ b/testbed/src/commands/starts.rs
@@ -1,4 +1,4 @@
-//! Start-up times of daemons.
+//! The command `starts`: measures the start-up times of daemons.
 
 use super::{parse_options, parse_seed_range};
 use std::collections::BTreeMap;
@@ -9,24 +9,24 @@
 use vanepath_testbed::sim::scenario::{Deployment, Plan};
 use vanepath_testbed::sim::{cores, on_threads, startup};
 
-/// Threads that run simulations at one time, at most.
+/// Maximum number of threads that run simulations.
 const MAX_THREADS: usize = 3;
 
 /// Start-up times by deployment, scene and role; `None` for a daemon that was never ready.
 type Rows = BTreeMap<(String, startup::Scene, String), Vec<Option<Duration>>>;
 
-/// Measures how long daemons take from their start until they accept work (design 5.8), and prints a table.
+/// Measures the time from the start of daemons until they accept requests (design 5.8), and prints a table.
 ///
 /// # Errors
-/// If the arguments are not understood.
+/// If the arguments are invalid.
 pub fn run(arguments: &[String]) -> miette::Result<()> {
     let mut options = getopts::Options::new();
     options.optopt("", "seeds", "first and last seed, as in 1-8 (default)", "A-B");
     options.optopt("", "stores", "core machines (default 3)", "N");
     options.optflag("", "without-floor", "daemons go by whatever they are told first");
-    let more = "";
+    let additional_help = "";
     let Some(matches) =
-        parse_options(options, arguments, "vanepath-testbed starts [options]", more)?
+        parse_options(options, arguments, "vanepath-testbed starts [options]", additional_help)?
     else {
         return Ok(());
     };
--- a/testbed/src/http.rs
+++ b/testbed/src/http.rs
@@ -1,4 +1,4 @@
-//! Plain HTTP requests, as an operator's script makes them.
+//! Plain HTTP requests, as operators' scripts send them.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Time-out of a request, connection included.
+/// Time-out of a request, including the connection attempt.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A complete response.
@@ -22,14 +22,14 @@
 }
 
 impl Response {
-    /// The body as JSON; null if it is none.
+    /// The body as JSON; null if it is not valid JSON.
     pub fn json(&self) -> jzon::JsonValue {
         let text = String::from_utf8_lossy(&self.body);
         jzon::parse(&text).unwrap_or(jzon::JsonValue::Null)
     }
 }
 
-/// Makes a request over a connection of its own. `None` if there is no complete response in time.
+/// Sends a request over a new connection. `None` if there is no complete response within the time-out.
 pub async fn call(
     address: SocketAddr,
     method: &str,
@@ -55,8 +55,8 @@
     tokio::time::timeout(REQUEST_TIMEOUT, call).await.ok().flatten()
 }
 
-/// Makes the same request `count` times over one connection, one per interval, and returns how many were
-/// served. Stops at the first that fails.
+/// Sends the same request `count` times over one connection, one per interval, and returns how many got
+/// status 200. Stops at the first connection error.
 pub async fn repeat_request(
     address: SocketAddr,
     method: &'static str,
@@ -83,8 +83,8 @@
             return served;
         }
         let Ok(response) = connection.send_request(request).await else { return served };
-        let is_good = response.status() == hyper::StatusCode::OK;
-        if response.into_body().collect().await.is_ok() && is_good {
+        let is_ok = response.status() == hyper::StatusCode::OK;
+        if response.into_body().collect().await.is_ok() && is_ok {
             served += 1;
         }
     }
@@ -94,7 +94,7 @@
 async fn connect(stream: TcpStream) -> Option<SendRequest<Full<Bytes>>> {
     let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
     tokio::spawn(async move {
-        // Errors of the connection are reported to the requests on it.
+        // Connection errors are also returned by the requests on the connection.
         let _ = connection.await;
     });
     Some(sender)
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,5 +1,5 @@
 //! The test bed of vanepath (design 10): a simulator, a harness that runs a whole fleet as processes on one
-//! machine, stub servers and a stub platform, test clients, and soaks.
+//! machine, stub servers, a stub platform, test clients and soak tests.
 
 pub mod harness;
 pub mod http;
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -1,4 +1,5 @@
-//! vanepath-testbed: the simulator, the soak and the demonstration fleet from the command line.
+//! vanepath-testbed: the command line of the simulator, the soak tests, the demonstration fleet and the
+//! measurements.
 
 mod commands;
 
--- a/testbed/src/relay.rs
+++ b/testbed/src/relay.rs
@@ -1,5 +1,5 @@
-//! A TCP relay between the address that a daemon advertises and the one that it listens at, so that links
-//! can be partitioned, blocked, delayed and reset.
+//! A TCP relay between the address that a daemon advertises and the address at which it listens. It simulates
+//! network partitions, blocked directions, delays and connection resets.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,20 +11,20 @@
 /// Size of the buffer for each direction of a connection.
 const BUFFER_BYTES: usize = 64 << 10;
 
-/// State of the link towards a daemon.
+/// State of the link to a daemon.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Link {
-    /// Nothing passes in either direction, and connections stay open.
+    /// No data passes in either direction. Connections stay open.
     pub is_partitioned: bool,
-    /// Nothing passes from the daemon to its peers; what they send arrives.
+    /// No data passes from the daemon to its peers. Data from the peers still passes.
     pub is_outbound_blocked: bool,
-    /// Delay of everything that passes.
+    /// Delay of all data that passes.
     pub delay: Duration,
-    /// A change of this count closes all connections over the link.
+    /// Number of resets so far; a change closes all connections over the link.
     pub resets: u64,
 }
 
-/// Direction of bytes through a relay.
+/// Direction of data through a relay.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Direction {
     ToDaemon,
@@ -45,7 +45,7 @@
 }
 
 impl Relay {
-    /// Relays connections at `listen` to `target`.
+    /// Starts to accept connections at `listen` and to relay them to `target`.
     ///
     /// # Errors
     /// If the address cannot be bound.
@@ -73,7 +73,7 @@
 }
 
 async fn relay_connection(client: TcpStream, target: SocketAddr, mut link: watch::Receiver<Link>) {
-    // A connection made over a partitioned link hangs.
+    // A connection that is opened over a partitioned link hangs until the partition ends.
     let Ok(resets) = link.wait_for(|link| !link.is_partitioned).await.map(|link| link.resets)
     else {
         return;
@@ -98,7 +98,7 @@
     let mut buffer = vec![0; BUFFER_BYTES];
     loop {
         let read = reader.read(&mut buffer).await;
-        // What is in transit when the link is partitioned stays in transit.
+        // Data that was read before the link was blocked is delivered once the link passes data again.
         let Ok(link) = link.wait_for(|link| link.passes(direction)).await.map(|link| *link) else {
             return;
         };
--- a/testbed/src/replay.rs
+++ b/testbed/src/replay.rs
@@ -1,5 +1,5 @@
-//! Replays the requests of a recorded HAR file against a fleet by the client library, and sums up their
-//! outcomes (design 10.6). The file is read by the `har` crate.
+//! Replays the requests of a HAR file against a fleet through the client library and summarizes their
+//! outcomes (design 10.6). The file is parsed by the `har` crate.
 
 mod reader;
 
@@ -15,7 +15,7 @@
 /// One recorded request, ready to be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecordedRequest {
-    /// When it is sent, from the first request of the file.
+    /// When it is sent, relative to the first request of the file.
     pub at: Duration,
     /// HTTP method.
     pub method: String,
@@ -23,7 +23,7 @@
     pub host: String,
     /// Path and query of its URL.
     pub target: String,
-    /// Header fields, without those of the recorded connection.
+    /// Header fields, without those that belong to the recorded connection.
     pub headers: Vec<(String, String)>,
     /// The whole body.
     pub body: bytes::Bytes,
@@ -31,32 +31,32 @@
 
 /// How recorded requests are replayed.
 pub struct ReplayPlan {
-    /// Registries to poll.
+    /// Registries that the clients poll for steering responses.
     pub registries: Vec<SocketAddr>,
-    /// Zone that the clients state.
+    /// Zone that the clients report.
     pub zone: String,
-    /// Region that the clients state.
+    /// Region that the clients report.
     pub region: String,
-    /// How many times faster than recorded.
+    /// Factor by which the replay is faster than the recording.
     pub speed_factor: f64,
-    /// Whether at-most-once requests are replayed as well: they would be executed a second time.
+    /// Whether at-most-once requests (filings) are replayed as well, and so are executed a second time.
     pub replays_filings: bool,
 }
 
-/// What became of the replayed requests.
+/// Outcomes of the replayed requests.
 #[derive(Debug, Default, PartialEq)]
 pub struct Summary {
-    /// Requests by execution status.
+    /// Number of requests by execution status.
     pub by_execution_status: BTreeMap<String, usize>,
-    /// Responses by HTTP status.
+    /// Number of responses by HTTP status.
     pub by_http_status: BTreeMap<u16, usize>,
     /// Durations of all requests in milliseconds, ascending.
     pub durations_ms: Vec<u64>,
-    /// At-most-once requests that were not replayed.
+    /// Number of at-most-once requests that were not replayed.
     pub skipped_filings: usize,
 }
 
-/// A client for one host, polling in the background until it is dropped.
+/// A client for one host, which polls in the background until it is dropped.
 struct HostClient {
     client: Arc<Client>,
     polling: JoinHandle<()>,
@@ -68,7 +68,7 @@
     }
 }
 
-/// Sends the requests at their recorded times, by one client for each host, and waits for all.
+/// Sends the requests at their recorded times, with one client for each host, and waits until all have ended.
 pub async fn replay(plan: &ReplayPlan, recorded: Vec<RecordedRequest>) -> Summary {
     let clients = start_clients(plan, &recorded).await;
     let mut summary = Summary::default();
@@ -113,8 +113,8 @@
     clients
 }
 
-/// By the steering rules. Without a steering response these are not known, and every request counts as
-/// at-most-once whose method is not safe.
+/// Whether the steering rules make this request an at-most-once request. As long as there is no steering
+/// response, the rules are unknown and every request whose method is not safe counts as at-most-once.
 fn is_at_most_once(client: &Client, request: &RecordedRequest) -> bool {
     let steering = client.steering();
     match steering.response() {
--- a/testbed/src/replay/reader.rs
+++ b/testbed/src/replay/reader.rs
@@ -1,4 +1,4 @@
-//! Reads HAR files.
+//! Reads the requests of HAR files.
 
 use super::RecordedRequest;
 use hyper::header::{HeaderName, HeaderValue};
@@ -6,7 +6,7 @@
 use std::error::Error;
 use std::time::Duration;
 
-/// Headers that are not replayed: they belong to the recorded connection, or are generated anew.
+/// Headers that are not replayed, since they belong to the recorded connection or are generated again.
 const CONNECTION_HEADERS: [&str; 9] = [
     "host",
     "connection",
@@ -25,7 +25,7 @@
     /// The file is not in the HAR format.
     #[error("this is no HAR file: {0}")]
     Format(String),
-    /// Some entries cannot be sent as requests; each is named, a line each.
+    /// Some entries cannot be sent as requests; the text has one line for each of them.
     #[error("these entries cannot be sent:\n{0}")]
     Entries(String),
 }
@@ -33,16 +33,16 @@
 /// Why an entry cannot be sent as a request.
 #[derive(Debug, thiserror::Error)]
 pub enum EntryError {
-    /// The start time is not a timestamp.
+    /// The start time is not a valid timestamp.
     #[error("startedDateTime '{0}' is no time")]
     Time(String),
-    /// The method is not valid HTTP.
+    /// The method is not a valid HTTP method.
     #[error("method '{0}' is none")]
     Method(String),
     /// The URL is not valid.
     #[error("url '{0}' is none")]
     Url(String),
-    /// The URL has another scheme.
+    /// The scheme of the URL is neither `http` nor `https`.
     #[error("url '{0}' is neither http nor https")]
     Scheme(String),
     /// The name or the value of a header is not valid HTTP.
@@ -50,7 +50,7 @@
     Header(String),
 }
 
-/// What is used of an entry; both versions of the format have these members.
+/// The fields of an entry that are used; both versions of the format have them.
 struct Entry {
     started_at: String,
     method: String,
@@ -59,10 +59,10 @@
     body: Option<String>,
 }
 
-/// The requests of a file, in the order of their times.
+/// Returns the requests of a file, ordered by their start times.
 ///
 /// # Errors
-/// If the file is not in the HAR format, or any entry cannot be sent.
+/// If the file is not in the HAR format, or if any of its entries cannot be sent as a request.
 pub fn read(bytes: &[u8]) -> Result<Vec<RecordedRequest>, ReadError> {
     let mut requests = Vec::new();
     let mut errors = Vec::new();
@@ -93,7 +93,7 @@
         let cause = error.source().map(|cause| format!(": {cause}"));
         ReadError::Format(format!("{error}{}", cause.unwrap_or_default()))
     })?;
-    // The types of the two versions differ by name alone.
+    // The types of the two versions of the format have the same fields but different names.
     macro_rules! entries {
         ($log:expr) => {
             $log.entries
@@ -120,7 +120,7 @@
     })
 }
 
-/// The request of an entry, with its start in milliseconds since the epoch.
+/// Converts an entry to a request, and returns it with its start time in milliseconds since the epoch.
 fn request(entry: Entry) -> Result<(i64, RecordedRequest), EntryError> {
     let Entry { started_at, method, url, headers, body } = entry;
     let started_at: jiff::Timestamp =
@@ -135,7 +135,7 @@
     let host = uri.host().unwrap_or_default().to_string();
     let target = uri.path_and_query().map_or("/", |target| target.as_str()).to_string();
     let headers: Vec<(String, String)> =
-        headers.into_iter().filter(|(name, _)| !is_of_connection(name)).collect();
+        headers.into_iter().filter(|(name, _)| !is_connection_header(name)).collect();
     if let Some((name, _)) = headers.iter().find(|(name, value)| !is_valid_header(name, value)) {
         return Err(EntryError::Header(name.clone()));
     }
@@ -144,8 +144,9 @@
     Ok((started_at.as_millisecond(), request))
 }
 
-fn is_of_connection(name: &str) -> bool {
-    name.starts_with(':') || CONNECTION_HEADERS.iter().any(|own| own.eq_ignore_ascii_case(name))
+fn is_connection_header(name: &str) -> bool {
+    name.starts_with(':')
+        || CONNECTION_HEADERS.iter().any(|header| header.eq_ignore_ascii_case(name))
 }
 
 fn is_valid_header(name: &str, value: &str) -> bool {
--- a/testbed/src/replay/tests.rs
+++ b/testbed/src/replay/tests.rs
@@ -18,16 +18,17 @@
     )
 }
 
-/// In the order of their times, with what belongs to the request; and what cannot be sent is named.
+/// The requests are ordered by time and have no headers of the recorded connection. The error for entries
+/// that cannot be sent names them.
 #[test]
-fn entries_are_read_or_named() {
+fn entries_are_read_in_order_of_time_and_invalid_entries_are_reported() {
     let later = entry("2026-01-02T03:04:06.500+01:00", "GET", "http://shop.example/stock/1?a=b");
     let first = entry("2026-01-02T02:04:05Z", "POST", "https://shop.example:8443/orders");
     let all = super::read(har(&format!("{later}, {first}")).as_bytes()).unwrap();
     assert_eq!((all[0].method.as_str(), all[0].target.as_str()), ("POST", "/orders"));
     assert_eq!((all[1].at.as_millis(), all[1].target.as_str()), (1500, "/stock/1?a=b"));
     assert_eq!((all[1].host.as_str(), all[1].headers.len()), ("shop.example", 1));
-    for (text, said) in [
+    for (text, expected) in [
         ("[]".to_string(), "no HAR file"),
         ("{\"log\": {\"version\": \"9\"}}".to_string(), "no HAR file"),
         (har(&entry("yesterday", "GET", "http://h/")), "entries[0]: startedDateTime"),
@@ -35,6 +36,6 @@
         (har(&entry("2026-01-02T02:04:05Z", "GET", "ftp://h/")), "neither http nor https"),
     ] {
         let error = super::read(text.as_bytes()).unwrap_err().to_string();
-        assert!(error.contains(said), "{error}");
+        assert!(error.contains(expected), "{error}");
     }
 }
--- a/testbed/src/soak/invariants.rs
+++ b/testbed/src/soak/invariants.rs
@@ -304,8 +304,10 @@
     let failed = observations.requests.iter().filter(is_failed);
     failed
         .map(|request| {
-            let Request { kind, request_id, end, .. } = request;
-            format!("{kind} {request_id} failed after the fleet was stable: {end}")
+            format!(
+                "{} {} failed after the fleet was stable: {}",
+                request.kind, request.request_id, request.end
+            )
         })
         .collect()
 }
--- a/testbed/src/topology.rs
+++ b/testbed/src/topology.rs
@@ -1,17 +1,18 @@
-//! The two deployments of the users, scaled to one machine.
+//! The two reference deployments, scaled down to one machine.
 
 /// A deployment: its daemons, servers, configuration and traffic.
 #[derive(Clone, Debug)]
 pub struct Topology {
     /// Name of the deployment.
     pub name: &'static str,
-    /// Zones with their regions; core machines stand in the first zones, one in each.
+    /// Zones with their regions. The core machines are in the first zones, one in each.
     pub zones: Vec<(&'static str, &'static str)>,
-    /// Number of proxies, spread over the zones in turn.
+    /// Number of proxies, distributed round-robin over the zones.
     pub proxies: usize,
     /// Number of core machines, with a registry and a store each.
     pub stores: usize,
-    /// The servers by value of the label `app`, and how many of each; spread over the zones in turn.
+    /// Values of the label `app`, each with its number of servers. The servers of each value are distributed
+    /// round-robin over the zones.
     pub servers: Vec<(&'static str, usize)>,
     /// The configuration document.
     pub config: String,
@@ -21,13 +22,13 @@
     pub traffic_mix: TrafficMix,
     /// Path prefix of lookups.
     pub lookup_path: &'static str,
-    /// Path of filings, which run at most once.
+    /// Path of filings, which are executed at most once.
     pub filing_path: &'static str,
     /// Path prefix of downloads.
     pub bulk_path: &'static str,
 }
 
-/// Shares of requests in percent; the rest are downloads.
+/// Shares of the kinds of requests in percent; the remaining requests are downloads.
 #[derive(Clone, Copy, Debug)]
 pub struct TrafficMix {
     /// Share of lookups.
@@ -37,7 +38,8 @@
 }
 
 impl Topology {
-    /// Zone and region of the proxy or server with this index: they are spread over the zones in turn.
+    /// Zone and region of the proxy or server with this index; indices are distributed round-robin over the
+    /// zones.
     pub fn zone(&self, index: usize) -> (&'static str, &'static str) {
         self.zones[index % self.zones.len()]
     }
@@ -52,7 +54,7 @@
     ("south-2", "south"),
 ];
 
-/// The zones as members of the configuration document.
+/// The zones as JSON objects for the configuration document.
 fn zones_as_json() -> String {
     let zones: Vec<String> = ZONES
         .iter()
@@ -104,7 +106,8 @@
     }
 }
 
-/// A guild of assessors: parcels, appeals, roll extracts; appeals of the north stay there.
+/// An association of property assessors: parcels, appeals and extracts of the rolls. Appeals of region
+/// north are served only there.
 pub fn guild() -> Topology {
     let config = format!(
         r#"{{
--- a/testbed/src/traffic.rs
+++ b/testbed/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Mixed traffic from test clients, and checks of what the clients observed.
+//! Mixed traffic from test clients, and checks of what the clients observe.
 
 use crate::harness::{Fleet, wait_until};
 use crate::stub::pattern;
@@ -12,21 +12,21 @@
 use vanepath_client::{Client, Outcome};
 use vanepath_config::ExecutionStatus;
 
-/// Size of a download.
+/// Size of the response to a bulk request.
 const DOWNLOAD_BYTES: usize = 150_000;
-/// How much of a wrong response a mismatch shows.
-const SHOWN_BYTES: usize = 120;
-/// How long [`Traffic::wait_for_requests`] waits.
+/// How many bytes of a mismatched response are shown.
+const EXCERPT_BYTES: usize = 120;
+/// Time-out of [`Traffic::wait_for_requests`].
 const PROGRESS_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Kinds of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum RequestKind {
-    /// A small response; repeatable.
+    /// A request with a small response, which may be executed repeatedly.
     Lookup,
-    /// Executed at most once.
+    /// A request that must be executed at most once.
     Filing,
-    /// A large response; repeatable.
+    /// A request with a large response, which may be executed repeatedly.
     Bulk,
 }
 
@@ -37,25 +37,25 @@
     pub request_id: String,
     /// Its kind.
     pub kind: RequestKind,
-    /// Whether it was executed, as the client was told.
+    /// Execution status that the client received.
     pub execution: ExecutionStatus,
     /// Status of the response; 0 if there was none.
     pub status: u16,
-    /// When it was started, from the start of the traffic.
+    /// When it was started, relative to the start of the traffic.
     pub started_at: Duration,
     /// How long it took, in milliseconds.
     pub duration_ms: u64,
 }
 
-/// What all clients observed so far.
+/// What all clients have observed so far.
 #[derive(Clone, Default)]
 struct Observations {
     records: Arc<Mutex<Vec<RequestRecord>>>,
-    /// Responses that do not belong to their request, a line each.
+    /// Responses that do not belong to their request, one line each.
     mismatches: Arc<Mutex<Vec<String>>>,
 }
 
-/// Traffic on a fleet, until it is finished.
+/// Traffic on a fleet. It continues until [`Traffic::finish`] is called.
 pub struct Traffic {
     observations: Observations,
     stop: Arc<AtomicBool>,
@@ -63,12 +63,13 @@
     polling: Vec<JoinHandle<()>>,
     /// The clients, in the order of their zones.
     pub clients: Vec<Arc<Client>>,
-    /// Requests started so far.
+    /// Number of requests started so far.
     pub sent: Arc<AtomicU64>,
 }
 
 impl Traffic {
-    /// Starts clients in every zone that send the topology's mix at `rate_factor` of its rate.
+    /// Starts clients in every zone. Together they send the traffic mix of the topology at its rate
+    /// multiplied by `rate_factor`.
     pub async fn start(fleet: &Fleet, clients_per_zone: usize, rate_factor: f64) -> Traffic {
         let start = Instant::now();
         let mut traffic = Traffic {
@@ -111,22 +112,23 @@
         }
     }
 
-    /// How many requests have ended.
+    /// Number of requests that have ended.
     pub fn count(&self) -> usize {
         self.observations.records.lock().expect("no panic under this lock").len()
     }
 
-    /// Waits until this many more requests have ended.
+    /// Waits until `count` more requests have ended.
     ///
     /// # Panics
-    /// If they have not within two minutes.
+    /// If they have not ended within two minutes.
     pub async fn wait_for_requests(&self, count: usize) {
-        let wanted = self.count() + count;
-        wait_until("traffic goes on", PROGRESS_TIMEOUT, async || self.count() >= wanted).await;
+        let target = self.count() + count;
+        wait_until("the requests have ended", PROGRESS_TIMEOUT, async || self.count() >= target)
+            .await;
     }
 
-    /// Stops the traffic, waits for requests in flight, and returns all records and all responses that do
-    /// not belong to their request.
+    /// Stops the traffic, waits for the requests in flight, and returns the records of all requests and one
+    /// line for each response that does not belong to its request.
     pub async fn finish(self) -> (Vec<RequestRecord>, Vec<String>) {
         self.stop.store(true, Ordering::Relaxed);
         for task in self.senders {
@@ -158,7 +160,7 @@
         let mut interval = tokio::time::interval(interval);
         interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut tasks = JoinSet::new();
-        // Steps through all shares of the mix, since 61 and 100 have no common divisor.
+        // Every client goes through all residues modulo 100, since 61 and 100 have no common divisor.
         let mut step = self.index as u32 * 37;
         while !self.stop.load(Ordering::Relaxed) {
             interval.tick().await;
@@ -230,47 +232,47 @@
                 ("POST", topology.filing_path.to_string(), request_id.as_bytes().to_vec())
             }
             RequestKind::Bulk => {
-                let form = if request_id.len().is_multiple_of(2) { "&chunked=1" } else { "" };
+                let option = if request_id.len().is_multiple_of(2) { "&chunked=1" } else { "" };
                 let path = topology.bulk_path;
-                ("GET", format!("{path}/{request_id}?size={DOWNLOAD_BYTES}{form}"), Vec::new())
+                ("GET", format!("{path}/{request_id}?size={DOWNLOAD_BYTES}{option}"), Vec::new())
             }
         }
     }
 
-    /// Why an executed request's response is not its own, if it is not.
+    /// A description of the response to an executed request if it does not belong to the request.
     fn mismatch(&self, outcome: &Outcome) -> Option<String> {
         let Outcome::Response { status, body, execution: ExecutionStatus::Ran, .. } = outcome
         else {
             return None;
         };
-        let is_own = match self.kind {
+        let is_matching = match self.kind {
             RequestKind::Bulk => **body == *pattern(&self.request_id, DOWNLOAD_BYTES),
             RequestKind::Lookup | RequestKind::Filing => {
                 jzon::parse(&String::from_utf8_lossy(body))
                     .is_ok_and(|value| value["request"].as_str() == Some(&*self.request_id))
             }
         };
-        if *status == 200 && is_own {
+        if *status == 200 && is_matching {
             return None;
         }
-        let shown = String::from_utf8_lossy(&body[..body.len().min(SHOWN_BYTES)]).to_string();
+        let excerpt = String::from_utf8_lossy(&body[..body.len().min(EXCERPT_BYTES)]).to_string();
         let (kind, request_id, size) = (self.kind, &self.request_id, body.len());
-        Some(format!("{kind:?} {request_id}: {status} with {size} bytes: {shown}"))
+        Some(format!("{kind:?} {request_id}: {status} with {size} bytes: {excerpt}"))
     }
 }
 
-/// How many requests of one kind were executed.
+/// Numbers of requests of one kind by execution status.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
     /// Executed, with a response.
     pub ran: u64,
     /// Not executed.
     pub not_run: u64,
-    /// Not known.
+    /// Possibly executed.
     pub may_have_run: u64,
 }
 
-/// Counts the outcomes by kind of request.
+/// Counts the outcomes of requests by kind.
 pub fn count_outcomes(records: &[RequestRecord]) -> HashMap<RequestKind, OutcomeCounts> {
     let mut counts: HashMap<RequestKind, OutcomeCounts> = HashMap::new();
     for record in records {
@@ -284,12 +286,15 @@
     counts
 }
 
-/// Checks that every filing was executed at most once and that its execution status is true. `runs` is how
-/// often each request was executed. Returns a line for each violation.
-pub fn check_filings(records: &[RequestRecord], runs: &HashMap<String, u32>) -> Vec<String> {
+/// Checks that every filing was executed at most once and that its execution status is true.
+/// `execution_counts` contains how often each request was executed. Returns one line for each violation.
+pub fn check_filings(
+    records: &[RequestRecord],
+    execution_counts: &HashMap<String, u32>,
+) -> Vec<String> {
     let mut violations = Vec::new();
     for record in records.iter().filter(|record| record.kind == RequestKind::Filing) {
-        let count = runs.get(&record.request_id).copied().unwrap_or_default();
+        let count = execution_counts.get(&record.request_id).copied().unwrap_or_default();
         let is_true = match record.execution {
             ExecutionStatus::Ran => count == 1,
             ExecutionStatus::NotRun => count == 0,
@@ -297,7 +302,7 @@
         };
         if !is_true {
             violations.push(format!(
-                "filing {} was told {} ({}) and ran {count} times",
+                "filing {} got execution status {} ({}) and was executed {count} times",
                 record.request_id, record.execution, record.status
             ));
         }
--- a/testbed/tests/architecture.rs
+++ b/testbed/tests/architecture.rs
@@ -1,4 +1,4 @@
-//! The architecture page names modules, types and functions: all of them exist.
+//! Checks that all modules, types and functions named in docs/architecture.md exist.
 
 use std::path::{Path, PathBuf};
 
@@ -18,7 +18,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("..")
 }
 
-/// The paths in code font that begin with a crate of this repository.
+/// The paths in backticks that begin with the name of a crate of this repository.
 fn named_paths(page: &str) -> Vec<Vec<&str>> {
     let spans = page.split('`').skip(1).step_by(2);
     spans
@@ -27,9 +27,9 @@
         .collect()
 }
 
-/// The sources below a module: its file and, if it has one, its directory.
-fn sources(module: &Path) -> Vec<PathBuf> {
-    let mut found = vec![module.with_extension("rs")];
+/// The source files of a module: its own file and, if it has a directory, all files in that.
+fn source_files(module: &Path) -> Vec<PathBuf> {
+    let mut files = vec![module.with_extension("rs")];
     let mut directories = vec![module.to_path_buf()];
     while let Some(directory) = directories.pop() {
         let Ok(entries) = std::fs::read_dir(&directory) else { continue };
@@ -38,15 +38,16 @@
             if path.is_dir() {
                 directories.push(path);
             } else {
-                found.push(path);
+                files.push(path);
             }
         }
     }
-    found.retain(|path| path.extension().is_some_and(|extension| extension == "rs"));
-    found.retain(|path| path.exists());
-    found
+    files.retain(|path| path.extension().is_some_and(|extension| extension == "rs"));
+    files.retain(|path| path.exists());
+    files
 }
 
+/// Whether a source file defines a function or type with this name.
 fn defines(source: &str, name: &str) -> bool {
     ["fn", "struct", "enum", "trait", "type"].iter().any(|kind| {
         let start = format!("{kind} {name}");
@@ -58,26 +59,26 @@
 }
 
 #[test]
-fn the_architecture_page_names_what_exists() {
+fn items_named_on_the_architecture_page_exist() {
     let page = std::fs::read_to_string(root().join("docs/architecture.md")).unwrap();
     let paths = named_paths(&page);
-    assert!(paths.len() > 40, "only {} names are found on the page", paths.len());
+    assert!(paths.len() > 40, "only {} paths were found on the page", paths.len());
     for path in paths {
         let mut module = root().join(path[0]).join("src");
         let mut rest = &path[1..];
-        while let Some((next, after)) = rest.split_first() {
-            let deeper = module.join(next);
-            if !deeper.is_dir() && !deeper.with_extension("rs").exists() {
+        while let Some((segment, remaining)) = rest.split_first() {
+            let child = module.join(segment);
+            if !child.is_dir() && !child.with_extension("rs").exists() {
                 break;
             }
-            module = deeper;
-            rest = after;
+            module = child;
+            rest = remaining;
         }
         for name in rest {
-            let found = sources(&module)
+            let found = source_files(&module)
                 .iter()
                 .any(|source| defines(&std::fs::read_to_string(source).unwrap(), name));
-            assert!(found, "{}: there is no '{name}'", path.join("::"));
+            assert!(found, "{}: '{name}' is not defined", path.join("::"));
         }
     }
 }
--- a/testbed/tests/outside_names.rs
+++ b/testbed/tests/outside_names.rs
@@ -1,32 +1,34 @@
-//! The names of the external interfaces, as operators' scripts and clients' programs use them: paths, JSON keys,
-//! headers, counters, flags and exit codes (docs/operators.md). They do not follow the names in the code.
+//! Checks that the names of the external interfaces, which operators' scripts and client programs use, do
+//! not change: paths, JSON keys, headers, counters, flags and exit codes (docs/operators.md). They are
+//! independent of the names in the code.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 use vanepath_testbed::harness::{Fleet, wait_until};
 use vanepath_testbed::{http, topology};
 
-/// Objects whose keys are names that operators chose.
+/// JSON objects whose keys are names chosen by operators.
 const MAPS: [&str; 2] = ["orders", "labels"];
 
-/// All paths of keys in a JSON document, arrays as `[]`, chosen names as `*`.
-fn paths(value: &jzon::JsonValue, path: &str, into: &mut BTreeSet<String>) {
+/// Collects the paths of all keys in a JSON document, with `[]` for array elements and `*` for keys chosen
+/// by operators.
+fn collect_paths(value: &jzon::JsonValue, path: &str, into: &mut BTreeSet<String>) {
     if let Some(object) = value.as_object() {
         let is_map = MAPS.iter().any(|name| path.ends_with(&format!(".{name}")));
-        for (key, one) in object.iter() {
-            let next = format!("{path}.{}", if is_map { "*" } else { key });
-            into.insert(next.clone());
-            paths(one, &next, into);
+        for (key, member) in object.iter() {
+            let member_path = format!("{path}.{}", if is_map { "*" } else { key });
+            into.insert(member_path.clone());
+            collect_paths(member, &member_path, into);
         }
     } else if let Some(array) = value.as_array() {
-        for one in array {
-            paths(one, &format!("{path}[]"), into);
+        for element in array {
+            collect_paths(element, &format!("{path}[]"), into);
         }
     }
 }
 
-/// Status, headers and keys of one response.
-async fn call(
+/// Sends a request and describes the response: its status, header names and JSON keys.
+async fn describe_response(
     fleet: &Fleet,
     index: usize,
     method: &str,
@@ -35,12 +37,13 @@
     body: &[u8],
 ) -> String {
     let address = fleet.daemons[index].address;
-    let reply = http::call(address, method, path, headers, body).await.expect("a reply");
+    let response =
+        http::call(address, method, path, headers, body).await.expect("the daemon responds");
     let mut keys = BTreeSet::new();
-    paths(&reply.json(), "$", &mut keys);
-    let names: BTreeSet<String> = reply.headers.keys().map(|name| name.to_string()).collect();
+    collect_paths(&response.json(), "$", &mut keys);
+    let names: BTreeSet<String> = response.headers.keys().map(|name| name.to_string()).collect();
     let label = format!("{} {method} {path}", fleet.daemons[index].role);
-    let mut text = format!("{label} {}\n", reply.status);
+    let mut text = format!("{label} {}\n", response.status);
     text += &format!("  headers {}\n", Vec::from_iter(names).join(" "));
     for key in keys {
         text += &format!("  {key}\n");
@@ -55,9 +58,9 @@
     small_topology
 }
 
-/// The names in all responses of a running fleet.
+/// The names in the responses of a running fleet are those of the fixture.
 #[tokio::test(flavor = "multi_thread")]
-async fn pages_and_answers_keep_their_names() {
+async fn responses_keep_their_names() {
     let fleet = Fleet::start(small_topology()).await;
     let revision = fleet.put_config(&fleet.topology.config).await;
     fleet.wait_until_active(revision, Duration::from_secs(10)).await;
@@ -66,11 +69,11 @@
     wait_until("the lookup is served", Duration::from_secs(5), async || {
         let headers = [("x-request", "7")];
         let address = fleet.daemons[proxy].address;
-        let reply = http::call(address, "GET", "/stock/7", &headers, b"").await;
-        reply.is_some_and(|reply| reply.status == 200)
+        let response = http::call(address, "GET", "/stock/7", &headers, b"").await;
+        response.is_some_and(|response| response.status == 200)
     })
     .await;
-    wait_until("the status has servers", Duration::from_secs(10), async || {
+    wait_until("the status lists servers and drain orders", Duration::from_secs(10), async || {
         let status = fleet.page(registry, "status").await;
         !status["servers"].is_empty() && status["ordersFromHere"][0]["order"].len() > 1
     })
@@ -118,13 +121,13 @@
         (proxy, "GET", "/stock/7", vec![("x-request", "8")], ""),
         (proxy, "PATCH", "/nowhere", vec![], ""),
     ] {
-        text += &call(&fleet, index, method, path, &headers, body.as_bytes()).await;
+        text += &describe_response(&fleet, index, method, path, &headers, body.as_bytes()).await;
     }
     expect_test::expect_file!["fixtures/pages.txt"].assert_eq(&text);
 }
 
-/// The flags that a program's help lists.
-fn flags(help: &str) -> Vec<&str> {
+/// The flags in the help text of a program.
+fn listed_flags(help: &str) -> Vec<&str> {
     let words = help.split([' ', '\n', ',']);
     let mut flags: Vec<&str> =
         words.filter(|word| word.starts_with("--") && word.len() > 2).collect();
@@ -133,27 +136,27 @@
     flags
 }
 
-/// The flags and exit codes of the programs.
+/// The flags and exit codes of the programs are those of the fixture.
 #[tokio::test(flavor = "multi_thread")]
 async fn flags_and_exit_codes_keep_their_names() {
     let fleet = Fleet::start(small_topology()).await;
     let mut text = String::new();
     let run = |role: &str, arguments: &[&str]| {
-        let run = std::process::Command::new(fleet.program(role)).args(arguments).output().unwrap();
-        let said = String::from_utf8_lossy(&run.stdout).to_string();
-        (run.status.code(), said)
+        let output =
+            std::process::Command::new(fleet.program(role)).args(arguments).output().unwrap();
+        let output_text = String::from_utf8_lossy(&output.stdout).to_string();
+        (output.status.code(), output_text)
     };
     for role in ["proxy", "registry", "store"] {
         let (code, help) = run(role, &["--help"]);
-        text += &format!("{role} --help {code:?} {}\n", flags(&help).join(" "));
+        text += &format!("{role} --help {code:?} {}\n", listed_flags(&help).join(" "));
         let index = fleet.with_role(role)[0];
         let settings = fleet.settings_file(index).to_string_lossy().to_string();
-        let (code, said) = run(role, &["--settings", &settings, "--check"]);
-        text += &format!("{role} --check {code:?} {said}");
-        for mismatches in [vec!["--nothing"], vec!["--settings", "/nowhere"], vec!["free"], vec![]]
-        {
-            let (code, said) = run(role, &mismatches);
-            text += &format!("{role} {mismatches:?} {code:?} {said}\n");
+        let (code, output_text) = run(role, &["--settings", &settings, "--check"]);
+        text += &format!("{role} --check {code:?} {output_text}");
+        for arguments in [vec!["--nothing"], vec!["--settings", "/nowhere"], vec!["free"], vec![]] {
+            let (code, output_text) = run(role, &arguments);
+            text += &format!("{role} {arguments:?} {code:?} {output_text}\n");
         }
     }
     expect_test::expect_file!["fixtures/programs.txt"].assert_eq(&text);
--- a/testbed/tests/soak.rs
+++ b/testbed/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short soak with real processes and fixed seeds. Longer ones:
+//! A short soak test with real processes and fixed seeds. To run longer ones:
 //! `cargo run --release -p vanepath-testbed -- soak --seeds 1-50`.
 
 use std::time::Duration;
@@ -7,7 +7,7 @@
 
 const SIZE: Size = Size { proxies: 6, cores: 3, servers: 18, zones: 6 };
 
-/// Two seeds, one after the other.
+/// Runs two seeds, one after the other.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_short_soak_has_no_violations() {
     let plan = Plan { proxies: 4, servers: 12, length: Duration::from_secs(10), clients: 16 };
@@ -24,9 +24,10 @@
     }
 }
 
-/// A seed always has the same script, ordered by time and within its length; other seeds have others.
+/// The same seed always gives the same script, which is ordered by time and within its length. The next
+/// seed gives a different one.
 #[test]
-fn a_seed_has_one_script() {
+fn a_seed_determines_its_script() {
     let length = Duration::from_secs(16);
     for seed in 1..=50 {
         let script = generate(seed, SIZE, length);
@@ -37,33 +38,34 @@
     }
 }
 
-/// Fifty seeds contain every kind of action, and overlapping series.
+/// The scripts of fifty seeds contain every kind of action at least five times.
 #[test]
-fn fifty_seeds_hold_every_kind_of_action() {
+fn fifty_seeds_contain_every_kind_of_action() {
     let length = Duration::from_secs(16);
-    let all: Vec<Action> =
+    let actions: Vec<Action> =
         (1..=50).flat_map(|seed| generate(seed, SIZE, length)).map(|step| step.action).collect();
-    let has = |is_meant: fn(&Action) -> bool| all.iter().filter(|one| is_meant(one)).count() >= 5;
+    let has =
+        |is_kind: fn(&Action) -> bool| actions.iter().filter(|action| is_kind(action)).count() >= 5;
     let kinds: [fn(&Action) -> bool; 17] = [
-        |one| matches!(one, Action::Terminate(_)),
-        |one| matches!(one, Action::TerminateAgain(_)),
-        |one| matches!(one, Action::Kill(_)),
-        |one| matches!(one, Action::Start(_)),
-        |one| matches!(one, Action::Suspend(_)),
-        |one| matches!(one, Action::Resume(_)),
-        |one| matches!(one, Action::HangUp(_)),
-        |one| matches!(one, Action::SetLink(..)),
-        |one| matches!(one, Action::DrainServer(_)),
-        |one| matches!(one, Action::RemoveServer(_)),
-        |one| matches!(one, Action::ReuseAddress { .. }),
-        |one| matches!(one, Action::CrashServer(_)),
-        |one| matches!(one, Action::SetBehavior(..)),
-        |one| matches!(one, Action::Configure),
-        |one| matches!(one, Action::DrainZone(_)),
-        |one| matches!(one, Action::RestoreZone(_)),
-        |one| matches!(one, Action::Platform(_)),
+        |action| matches!(action, Action::Terminate(_)),
+        |action| matches!(action, Action::TerminateAgain(_)),
+        |action| matches!(action, Action::Kill(_)),
+        |action| matches!(action, Action::Start(_)),
+        |action| matches!(action, Action::Suspend(_)),
+        |action| matches!(action, Action::Resume(_)),
+        |action| matches!(action, Action::HangUp(_)),
+        |action| matches!(action, Action::SetLink(..)),
+        |action| matches!(action, Action::DrainServer(_)),
+        |action| matches!(action, Action::RemoveServer(_)),
+        |action| matches!(action, Action::ReuseAddress { .. }),
+        |action| matches!(action, Action::CrashServer(_)),
+        |action| matches!(action, Action::SetBehavior(..)),
+        |action| matches!(action, Action::Configure),
+        |action| matches!(action, Action::DrainZone(_)),
+        |action| matches!(action, Action::RestoreZone(_)),
+        |action| matches!(action, Action::Platform(_)),
     ];
-    for (place, kind) in kinds.into_iter().enumerate() {
-        assert!(has(kind), "kind {place}");
+    for (index, kind) in kinds.into_iter().enumerate() {
+        assert!(has(kind), "action kind {index} occurs fewer than five times");
     }
 }
--- a/testbed/tests/whole_path.rs
+++ b/testbed/tests/whole_path.rs
@@ -1,4 +1,5 @@
-//! The whole path of a configuration and a request, with real processes on loopback.
+//! End-to-end tests of a configuration change, a request and a replay, with real processes on loopback
+//! addresses.
 
 use std::time::Duration;
 use vanepath_testbed::harness::{Fleet, wait_until};
@@ -12,7 +13,8 @@
     small_topology
 }
 
-/// Daemons find each other, a configuration is accepted and reaches all, a lookup is served.
+/// The daemons discover each other, a configuration is accepted and becomes active at all proxies, a lookup
+/// is served, and every registry returns the configuration.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_configuration_is_accepted_and_a_lookup_served() {
     let fleet = Fleet::start(small_topology()).await;
@@ -21,26 +23,27 @@
     let proxy = fleet.daemons[fleet.with_role("proxy")[0]].address;
     let headers = [("x-request", "7")];
     wait_until("the lookup is served", Duration::from_secs(5), async || {
-        let reply = call(proxy, "GET", "/stock/7", &headers, b"").await;
-        reply.is_some_and(|reply| {
-            reply.status == 200
-                && reply.headers.get("vanepath-verdict").is_some_and(|status| status == "ran")
-                && reply.json()["request"].as_str() == Some("7")
+        let response = call(proxy, "GET", "/stock/7", &headers, b"").await;
+        response.is_some_and(|response| {
+            response.status == 200
+                && response.headers.get("vanepath-verdict").is_some_and(|status| status == "ran")
+                && response.json()["request"].as_str() == Some("7")
         })
     })
     .await;
-    // Exactly what was accepted is returned by every registry.
+    // Every registry returns exactly the document that was accepted.
     for index in fleet.with_role("registry") {
         for path in ["/v1/setup".to_string(), format!("/v1/setup/{revision}")] {
-            let read = fleet.get(index, &path).await.expect("a registry replies");
-            assert_eq!(read.status, 200, "{path}: {:?}", read.body);
-            assert_eq!(read.body, fleet.topology.config.as_bytes());
+            let response = fleet.get(index, &path).await.expect("the registry responds");
+            assert_eq!(response.status, 200, "{path}: {:?}", response.body);
+            assert_eq!(response.body, fleet.topology.config.as_bytes());
         }
     }
 }
 
-/// A recorded file is replayed through steering and proxies, filings only on request. A file that is not in the HAR
-/// format and invalid options end with a message and an error code.
+/// A HAR file is replayed through steering and proxies, with filings only if the option `--filings` is
+/// given. A file that is not in the HAR format and invalid options lead to an error message and an error
+/// exit code.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_recorded_file_is_replayed() {
     let fleet = Fleet::start(small_topology()).await;
@@ -70,31 +73,39 @@
     );
     let file = fleet.folder.join("day.har");
     std::fs::write(&file, text).unwrap();
-    let tool = fleet.program("testbed");
+    let testbed = fleet.program("testbed");
     let run = |arguments: &[&str]| {
-        let run = std::process::Command::new(&tool).arg("replay").args(arguments).output().unwrap();
-        let said = String::from_utf8_lossy(&run.stdout).to_string();
-        (run.status.success(), said + &String::from_utf8_lossy(&run.stderr))
+        let output =
+            std::process::Command::new(&testbed).arg("replay").args(arguments).output().unwrap();
+        let output_text = String::from_utf8_lossy(&output.stdout).to_string();
+        (output.status.success(), output_text + &String::from_utf8_lossy(&output.stderr))
     };
     let registry = fleet.registry_addresses()[0].to_string();
-    let place = ["--registry", &registry, "--zone", "north-1", "--region", "north"];
-    let name = file.to_string_lossy().to_string();
-    let with = |more: &[&str]| run(&[&place[..], &["--factor", "20"], more].concat());
-    let (is_good, said) = with(&[&name]);
-    assert!(is_good && said.contains("2 ran") && said.contains("1 filings left out"), "{said}");
+    let common_options = ["--registry", &registry, "--zone", "north-1", "--region", "north"];
+    let path = file.to_string_lossy().to_string();
+    let replay =
+        |arguments: &[&str]| run(&[&common_options[..], &["--factor", "20"], arguments].concat());
+    let (is_success, output_text) = replay(&[&path]);
+    assert!(
+        is_success && output_text.contains("2 ran") && output_text.contains("1 filings left out"),
+        "{output_text}"
+    );
     assert_eq!(fleet.execution_counts().get("r6"), None);
-    let (is_good, said) = with(&["--filings", &name]);
-    assert!(is_good && said.contains("3 ran") && said.contains("3 with status 200"), "{said}");
+    let (is_success, output_text) = replay(&["--filings", &path]);
+    assert!(
+        is_success && output_text.contains("3 ran") && output_text.contains("3 with status 200"),
+        "{output_text}"
+    );
     assert_eq!(fleet.execution_counts()["r6"], 1);
     let config = fleet.settings_file(0).to_string_lossy().to_string();
-    for (arguments, wanted) in [
+    for (arguments, expected) in [
         (vec!["--registry", &registry, &config], "no HAR file"),
-        (vec!["--registry", "nowhere", &name], "--registry"),
-        (vec!["--registry", &registry, "--factor", "0", &name], "--factor"),
-        (vec![&*name], "--registry"),
+        (vec!["--registry", "nowhere", &path], "--registry"),
+        (vec!["--registry", &registry, "--factor", "0", &path], "--factor"),
+        (vec![&*path], "--registry"),
         (vec!["--registry", &registry], "one HAR file"),
     ] {
-        let (is_good, said) = run(&arguments);
-        assert!(!is_good && said.contains(wanted), "{arguments:?}: {said}");
+        let (is_success, output_text) = run(&arguments);
+        assert!(!is_success && output_text.contains(expected), "{arguments:?}: {output_text}");
     }
 }
