--- a/testbed/src/commands/measure.rs
+++ b/testbed/src/commands/measure.rs
@@ -77,22 +77,25 @@
 #[derive(Clone, Copy)]
 struct ProcessorTime {
     /// Processor time of this process, which contains the clients and the server.
-    own: u64,
+    this_process: u64,
     /// Processor time of the proxy.
     proxy: u64,
 }
 
 impl ProcessorTime {
     fn now(proxy_pid: u32) -> ProcessorTime {
-        ProcessorTime { own: ticks(std::process::id()), proxy: ticks(proxy_pid) }
+        ProcessorTime { this_process: ticks(std::process::id()), proxy: ticks(proxy_pid) }
     }
 
     fn since(self, earlier: ProcessorTime) -> ProcessorTime {
-        ProcessorTime { own: self.own - earlier.own, proxy: self.proxy - earlier.proxy }
+        ProcessorTime {
+            this_process: self.this_process - earlier.this_process,
+            proxy: self.proxy - earlier.proxy,
+        }
     }
 
     fn total(self) -> u64 {
-        self.own + self.proxy
+        self.this_process + self.proxy
     }
 }
 
--- a/testbed/src/commands/soak.rs
+++ b/testbed/src/commands/soak.rs
@@ -104,11 +104,11 @@
 }
 
 fn run_all(options: &Arc<Options>) -> miette::Result<()> {
-    let next = Arc::new(AtomicU64::new(options.first_seed));
+    let next_seed = Arc::new(AtomicU64::new(options.first_seed));
     let (outcomes, received) = mpsc::channel();
     for _ in 0..options.jobs {
-        let (options, next, outcomes) = (options.clone(), next.clone(), outcomes.clone());
-        std::thread::spawn(move || run_seeds(&options, &next, &outcomes));
+        let (options, next_seed, outcomes) = (options.clone(), next_seed.clone(), outcomes.clone());
+        std::thread::spawn(move || run_seeds(&options, &next_seed, &outcomes));
     }
     drop(outcomes);
     let mut totals = Totals::default();
@@ -139,10 +139,10 @@
 }
 
 /// Runs one seed after the other until none remains.
-fn run_seeds(options: &Options, next: &AtomicU64, outcomes: &mpsc::Sender<Outcome>) {
+fn run_seeds(options: &Options, next_seed: &AtomicU64, outcomes: &mpsc::Sender<Outcome>) {
     let runtime = tokio::runtime::Runtime::new().expect("the system can start threads");
     loop {
-        let seed = next.fetch_add(1, Ordering::Relaxed);
+        let seed = next_seed.fetch_add(1, Ordering::Relaxed);
         if seed > options.last_seed {
             return;
         }
--- a/testbed/src/commands/starts.rs
+++ b/testbed/src/commands/starts.rs
@@ -59,21 +59,21 @@
     println!(
         "deployment  scene         role      starts   median ms  9 of 10 ms   worst ms   never"
     );
-    for ((deployment, scene, role), all) in rows {
-        let mut took: Vec<Duration> = all.iter().flatten().copied().collect();
-        took.sort_unstable();
-        let percentile_ms = |percent: usize| match took.len() {
+    for ((deployment, scene, role), times) in rows {
+        let mut ready_times: Vec<Duration> = times.iter().flatten().copied().collect();
+        ready_times.sort_unstable();
+        let percentile_ms = |percent: usize| match ready_times.len() {
             0 => "-".to_string(),
-            count => took[(count - 1) * percent / 100].as_millis().to_string(),
+            count => ready_times[(count - 1) * percent / 100].as_millis().to_string(),
         };
         println!(
             "{deployment:11} {:13} {role:9} {:6} {:>11} {:>11} {:>10} {:7}",
             scene.to_string(),
-            all.len(),
+            times.len(),
             percentile_ms(50),
             percentile_ms(90),
             percentile_ms(100),
-            all.len() - took.len()
+            times.len() - ready_times.len()
         );
     }
 }
--- a/testbed/src/harness/queries.rs
+++ b/testbed/src/harness/queries.rs
@@ -63,7 +63,7 @@
     /// Sends a configuration to one registry after the other until one accepts it, and returns its revision.
     ///
     /// # Panics
-    /// If none accepts it in time.
+    /// If none accepts it within the time-out.
     pub async fn put_config(&self, config: &str) -> u64 {
         let mut last_failure = String::new();
         let start = Instant::now();
@@ -96,7 +96,7 @@
     /// Waits until every running proxy is ready with this revision or a later one.
     ///
     /// # Panics
-    /// If one is not within the time-out.
+    /// If any of them is not within the time-out.
     pub async fn wait_until_active(&self, revision: u64, timeout: Duration) -> Duration {
         let proxies: Vec<usize> = self
             .with_role("proxy")
--- a/testbed/src/replay/tests.rs
+++ b/testbed/src/replay/tests.rs
@@ -24,10 +24,10 @@
 fn entries_are_read_in_order_of_time_and_invalid_entries_are_reported() {
     let later = entry("2026-01-02T03:04:06.500+01:00", "GET", "http://shop.example/stock/1?a=b");
     let first = entry("2026-01-02T02:04:05Z", "POST", "https://shop.example:8443/orders");
-    let all = super::read(har(&format!("{later}, {first}")).as_bytes()).unwrap();
-    assert_eq!((all[0].method.as_str(), all[0].target.as_str()), ("POST", "/orders"));
-    assert_eq!((all[1].at.as_millis(), all[1].target.as_str()), (1500, "/stock/1?a=b"));
-    assert_eq!((all[1].host.as_str(), all[1].headers.len()), ("shop.example", 1));
+    let requests = super::read(har(&format!("{later}, {first}")).as_bytes()).unwrap();
+    assert_eq!((requests[0].method.as_str(), requests[0].target.as_str()), ("POST", "/orders"));
+    assert_eq!((requests[1].at.as_millis(), requests[1].target.as_str()), (1500, "/stock/1?a=b"));
+    assert_eq!((requests[1].host.as_str(), requests[1].headers.len()), ("shop.example", 1));
     for (text, expected) in [
         ("[]".to_string(), "no HAR file"),
         ("{\"log\": {\"version\": \"9\"}}".to_string(), "no HAR file"),
--- a/testbed/src/soak/clients/pipelining.rs
+++ b/testbed/src/soak/clients/pipelining.rs
@@ -98,8 +98,8 @@
         }
     };
     let header = |name: &str| {
-        let found = head.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
-        found.and_then(|header| std::str::from_utf8(header.value).ok()).unwrap_or("").to_string()
+        let matching = head.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
+        matching.and_then(|header| std::str::from_utf8(header.value).ok()).unwrap_or("").to_string()
     };
     let body_bytes: usize = header("content-length").parse().unwrap_or(0);
     let status = head.code.unwrap_or(0);
--- a/testbed/src/soak/invariants.rs
+++ b/testbed/src/soak/invariants.rs
@@ -245,19 +245,19 @@
 fn late_responses(observations: &Observations) -> Vec<String> {
     let mut violations = Vec::new();
     for request in &observations.requests {
-        let took = request.ended_at - request.sent_at;
+        let duration = request.ended_at - request.sent_at;
         let is_late = match &request.end {
             RequestEnd::Response { status, .. } => {
-                *status >= 500 && took > DEADLINE + RESPONSE_TOLERANCE
+                *status >= 500 && duration > DEADLINE + RESPONSE_TOLERANCE
             }
             RequestEnd::Timeout => true,
             RequestEnd::ConnectionClosed => false,
         };
         if is_late && !may_be_affected_by_fault(observations, request) {
             let (kind, request_id, proxy) = (request.kind, &request.request_id, request.proxy);
-            let took_ms = took.as_millis();
+            let duration_ms = duration.as_millis();
             violations.push(format!(
-                "{kind} {request_id} of proxy {proxy}: {} only after {took_ms} ms",
+                "{kind} {request_id} of proxy {proxy}: {} only after {duration_ms} ms",
                 request.end
             ));
         }
--- a/testbed/src/soak/record.rs
+++ b/testbed/src/soak/record.rs
@@ -20,7 +20,7 @@
 }
 
 impl RequestKind {
-    /// Whether the request may be executed at most once.
+    /// Whether the request must be executed at most once.
     pub fn is_at_most_once(self) -> bool {
         matches!(self, RequestKind::Filing | RequestKind::Upload)
     }
--- a/testbed/src/soak/script.rs
+++ b/testbed/src/soak/script.rs
@@ -120,7 +120,7 @@
     stops_during_startup,
     double_terminations,
     drains_in_series,
-    spot_notices,
+    spot_terminations,
     server_crashes,
     server_misbehavior,
     link_faults,
@@ -276,15 +276,15 @@
 fn stops_during_startup(builder: &mut ScriptBuilder<'_>) {
     let (at, proxy) = (builder.start_time(), builder.random_proxy());
     builder.step(at, Action::Kill(proxy));
-    let mut next = at + Duration::from_millis(200);
+    let mut start_at = at + Duration::from_millis(200);
     for index in 0..3 {
-        builder.step(next, Action::Start(proxy));
+        builder.step(start_at, Action::Start(proxy));
         let stop_delay = builder.pause(5, 400);
         let stop = if index == 1 { Action::Kill(proxy) } else { Action::Terminate(proxy) };
-        builder.step(next + stop_delay, stop);
-        next += stop_delay + Duration::from_millis(700);
+        builder.step(start_at + stop_delay, stop);
+        start_at += stop_delay + Duration::from_millis(700);
     }
-    builder.step(next + Duration::from_secs(3), Action::Start(proxy));
+    builder.step(start_at + Duration::from_secs(3), Action::Start(proxy));
 }
 
 fn double_terminations(builder: &mut ScriptBuilder<'_>) {
@@ -310,7 +310,7 @@
     }
 }
 
-fn spot_notices(builder: &mut ScriptBuilder<'_>) {
+fn spot_terminations(builder: &mut ScriptBuilder<'_>) {
     let at = builder.start_time();
     for _ in 0..2 {
         let Some(server) = builder.unused_server() else { return };
--- a/testbed/src/soak/world.rs
+++ b/testbed/src/soak/world.rs
@@ -31,8 +31,9 @@
 const STABLE_TIME_AFTER: Duration = Duration::from_millis(2500);
 /// Time-out for the requests in flight at the end.
 const WIND_DOWN_TIMEOUT: Duration = Duration::from_secs(6);
-/// Interval of the checks for ended daemons that must be started again, while waiting for the next step.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval of the checks for ended daemons that must be started again, and of the attempts to start a
+/// server at the address of a removed one.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Sends orders to the operator.
 type Orders = mpsc::UnboundedSender<Order>;
@@ -163,7 +164,7 @@
         for step in steps {
             while self.start.elapsed() < start + step.at {
                 self.start_ended_daemons();
-                tokio::time::sleep(TICK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
             self.perform(&step.action, orders).await;
         }
--- a/testbed/src/soak/world/actions.rs
+++ b/testbed/src/soak/world/actions.rs
@@ -25,7 +25,7 @@
             Action::Kill(daemon) => {
                 self.faults.begin(format!("down {daemon:?}"), downtime_fault(*daemon));
                 let index = self.index(*daemon);
-                self.to_restart.retain(|one| *one != index);
+                self.to_restart.retain(|other| *other != index);
                 self.signals += 1;
                 self.fleet.kill(index);
             }
--- a/testbed/src/soak/world/servers.rs
+++ b/testbed/src/soak/world/servers.rs
@@ -1,6 +1,6 @@
 //! Actions on the stub servers of a soak test, and what the servers recorded.
 
-use super::{APPS, Incarnation, TICK, World};
+use super::{APPS, Incarnation, POLL_INTERVAL, World};
 use crate::soak::record::{Arrival, Fault, ServerIncarnation};
 use crate::stub::{Behavior, ListedServer, StubServer};
 use std::collections::{HashMap, HashSet};
@@ -17,7 +17,7 @@
         incarnation.draining_since = Some(now);
         let id = incarnation.id.clone();
         self.fleet.platform.update_list(|list| {
-            list.iter_mut().filter(|one| one.id == id).for_each(|one| one.draining = true);
+            list.iter_mut().filter(|entry| entry.id == id).for_each(|entry| entry.draining = true);
         });
     }
 
@@ -26,7 +26,7 @@
         self.faults.record(Fault::Server, SERVER_REMOVAL_FAULT);
         let id = self.incarnations[self.current[server]].id.clone();
         self.fleet.servers[server].stop();
-        self.fleet.platform.update_list(|list| list.retain(|one| one.id != id));
+        self.fleet.platform.update_list(|list| list.retain(|entry| entry.id != id));
     }
 
     /// Starts a new server at the address of a removed one and lists it at once.
@@ -39,7 +39,7 @@
         let new = loop {
             match StubServer::start(&id, address).await {
                 Ok(new) => break new,
-                Err(_) => tokio::time::sleep(TICK).await,
+                Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
             }
         };
         let listed = ListedServer {
@@ -79,10 +79,10 @@
         let start = self.start;
         let incarnation = |incarnation: &Incarnation| {
             let arrivals = incarnation.state.arrivals.lock().expect("no panic under this lock");
-            let arrivals = arrivals.iter().map(|one| Arrival {
-                at: one.at.saturating_duration_since(start),
-                request_id: one.request_id.clone(),
-                path: one.path.clone(),
+            let arrivals = arrivals.iter().map(|arrival| Arrival {
+                at: arrival.at.saturating_duration_since(start),
+                request_id: arrival.request_id.clone(),
+                path: arrival.path.clone(),
             });
             ServerIncarnation {
                 id: incarnation.id.clone(),
@@ -97,13 +97,13 @@
 
     /// Requests whose connection was closed while a server was executing them.
     pub(super) fn aborted_requests(&self) -> HashSet<String> {
-        let mut all = HashSet::new();
+        let mut request_ids = HashSet::new();
         for incarnation in &self.incarnations {
             let aborted_requests =
                 incarnation.state.aborted_requests.lock().expect("no panic under this lock");
-            all.extend(aborted_requests.iter().cloned());
+            request_ids.extend(aborted_requests.iter().cloned());
         }
-        all
+        request_ids
     }
 
     /// How often each request was executed, summed over all servers.
--- a/testbed/src/soak/world/stability.rs
+++ b/testbed/src/soak/world/stability.rs
@@ -47,10 +47,10 @@
     /// returns the time. `None` if this is not the case within the time-out.
     pub(super) async fn wait_until_stable(&mut self, revision: u64) -> Option<Duration> {
         let start = Instant::now();
-        let all: Vec<usize> = (0..self.fleet.daemons.len()).collect();
+        let indices: Vec<usize> = (0..self.fleet.daemons.len()).collect();
         while start.elapsed() < invariants::STABILIZATION_TIMEOUT {
             // A daemon that is terminating may take its whole grace period to end; it is started after that.
-            for index in &all {
+            for index in &indices {
                 if !self.fleet.is_running(*index) {
                     self.fleet.start_daemon(*index);
                 }
--- a/testbed/src/stub/body.rs
+++ b/testbed/src/stub/body.rs
@@ -43,7 +43,7 @@
     BodyExt::boxed(ThrottledBody {
         interval: tokio::time::interval(interval),
         piece_bytes: bytes.len().div_ceil(THROTTLED_PIECES),
-        rest: Bytes::from(bytes),
+        remaining: Bytes::from(bytes),
         _guard: guard,
     })
 }
@@ -66,7 +66,7 @@
 
 struct ThrottledBody<G> {
     interval: tokio::time::Interval,
-    rest: Bytes,
+    remaining: Bytes,
     piece_bytes: usize,
     _guard: G,
 }
@@ -79,16 +79,16 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        if self.rest.is_empty() {
+        if self.remaining.is_empty() {
             return Poll::Ready(None);
         }
         ready!(self.interval.poll_tick(context));
-        let count = self.piece_bytes.min(self.rest.len());
-        let piece = self.rest.split_to(count);
+        let count = self.piece_bytes.min(self.remaining.len());
+        let piece = self.remaining.split_to(count);
         Poll::Ready(Some(Ok(Frame::data(piece))))
     }
 
     fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.rest.len() as u64)
+        SizeHint::with_exact(self.remaining.len() as u64)
     }
 }
--- a/testbed/src/stub/faulty_stream.rs
+++ b/testbed/src/stub/faulty_stream.rs
@@ -98,8 +98,8 @@
         context: &mut Context<'_>,
     ) -> Poll<std::io::Result<()>> {
         while !self.pending.is_empty() {
-            let own = &mut *self;
-            let written = Pin::new(&mut own.stream).poll_write(context, &own.pending);
+            let this = &mut *self;
+            let written = Pin::new(&mut this.stream).poll_write(context, &this.pending);
             let written = ready!(written)?;
             self.pending.drain(..written);
         }
--- a/testbed/src/stub/platform.rs
+++ b/testbed/src/stub/platform.rs
@@ -95,8 +95,8 @@
         return builder.body(text.clone().into()).expect("the response is valid");
     }
     let tag = format!("\"{}\"", list.revision);
-    let known = request.headers().get(IF_NONE_MATCH);
-    if known.is_some_and(|known| known.as_bytes() == tag.as_bytes()) {
+    let known_tag = request.headers().get(IF_NONE_MATCH);
+    if known_tag.is_some_and(|known_tag| known_tag.as_bytes() == tag.as_bytes()) {
         let builder = builder.status(StatusCode::NOT_MODIFIED);
         return builder.body(Full::default()).expect("the response is valid");
     }
--- a/testbed/src/stub/server.rs
+++ b/testbed/src/stub/server.rs
@@ -286,7 +286,7 @@
         "target": head.uri.to_string(),
         "filed": head.method == Method::POST,
         "bodyBytes": request_body.len(),
-        "host": head.headers.get("host").and_then(|one| one.to_str().ok()).unwrap_or(""),
+        "host": head.headers.get("host").and_then(|value| value.to_str().ok()).unwrap_or(""),
     };
     response.build(200, body::full(echo.dump()))
 }
--- a/testbed/tests/architecture.rs
+++ b/testbed/tests/architecture.rs
@@ -75,10 +75,10 @@
             rest = remaining;
         }
         for name in rest {
-            let found = source_files(&module)
+            let is_defined = source_files(&module)
                 .iter()
                 .any(|source| defines(&std::fs::read_to_string(source).unwrap(), name));
-            assert!(found, "{}: '{name}' is not defined", path.join("::"));
+            assert!(is_defined, "{}: '{name}' is not defined", path.join("::"));
         }
     }
 }
