--- a/testbed/src/soak/world/servers.rs
+++ b/testbed/src/soak/world/servers.rs
@@ -1,35 +1,35 @@
-//! The stub servers of a soak.
+//! Actions on the stub servers of a soak test, and what the servers recorded.
 
-use super::{APPS, Incarnation, TICK, World};
+use super::{APPS, Incarnation, POLL_INTERVAL, World};
 use crate::soak::record::{Arrival, Fault, ServerIncarnation};
 use crate::stub::{Behavior, ListedServer, StubServer};
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// How long the removal of a server may cost the requests that it had in flight.
+/// How long after the removal of a server the loss of its requests in flight counts as the effect of a fault.
 const SERVER_REMOVAL_FAULT: Duration = Duration::from_secs(1);
 
 impl World {
-    /// The endpoint list shows the server as draining.
+    /// Marks the server as draining in the endpoint list.
     pub(super) fn drain_server(&mut self, server: usize) {
         let now = self.start.elapsed();
         let incarnation = &mut self.incarnations[self.current[server]];
         incarnation.draining_since = Some(now);
         let id = incarnation.id.clone();
         self.fleet.platform.update_list(|list| {
-            list.iter_mut().filter(|one| one.id == id).for_each(|one| one.draining = true);
+            list.iter_mut().filter(|entry| entry.id == id).for_each(|entry| entry.draining = true);
         });
     }
 
-    /// The server ends, and the endpoint list does not contain it any more.
+    /// Stops the server and removes it from the endpoint list.
     pub(super) fn remove_server(&mut self, server: usize) {
         self.faults.record(Fault::Server, SERVER_REMOVAL_FAULT);
         let id = self.incarnations[self.current[server]].id.clone();
         self.fleet.servers[server].stop();
-        self.fleet.platform.update_list(|list| list.retain(|one| one.id != id));
+        self.fleet.platform.update_list(|list| list.retain(|entry| entry.id != id));
     }
 
-    /// A new server starts at the address of one that ended, and is listed at once.
+    /// Starts a new server at the address of a removed one and lists it at once.
     pub(super) async fn reuse_address(&mut self, server: usize, is_other_service: bool) {
         let old = &self.incarnations[self.current[server]];
         let position = APPS.iter().position(|app| *app == old.app).unwrap_or_default();
@@ -39,7 +39,7 @@
         let new = loop {
             match StubServer::start(&id, address).await {
                 Ok(new) => break new,
-                Err(_) => tokio::time::sleep(TICK).await,
+                Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
             }
         };
         let listed = ListedServer {
@@ -62,27 +62,27 @@
         self.fleet.platform.update_list(|list| list.push(listed));
     }
 
-    /// Sets how a server responds.
+    /// Sets the behavior of a server.
     pub(super) fn set_behavior(&mut self, server: usize, behavior: Behavior) {
         let key = format!("behavior {server}");
         if behavior == Behavior::Normal {
             self.faults.end(&key);
         } else if behavior != Behavior::Slow {
-            // A server that is only slow is no excuse for anything.
+            // Slow responses are no fault: no invariant may be violated because of them.
             self.faults.begin(key, Fault::Server);
         }
         self.fleet.servers[server].set_behavior(behavior);
     }
 
-    /// What all servers received, by incarnation.
+    /// All incarnations of servers with the requests that they received.
     pub(super) fn server_incarnations(&self) -> Vec<ServerIncarnation> {
         let start = self.start;
         let incarnation = |incarnation: &Incarnation| {
             let arrivals = incarnation.state.arrivals.lock().expect("no panic under this lock");
-            let arrivals = arrivals.iter().map(|one| Arrival {
-                at: one.at.saturating_duration_since(start),
-                request_id: one.request_id.clone(),
-                path: one.path.clone(),
+            let arrivals = arrivals.iter().map(|arrival| Arrival {
+                at: arrival.at.saturating_duration_since(start),
+                request_id: arrival.request_id.clone(),
+                path: arrival.path.clone(),
             });
             ServerIncarnation {
                 id: incarnation.id.clone(),
@@ -95,22 +95,23 @@
         self.incarnations.iter().map(incarnation).collect()
     }
 
-    /// Requests that were cut off at a server that worked on them.
-    pub(super) fn cut_off(&self) -> HashSet<String> {
-        let mut all = HashSet::new();
+    /// Requests whose connection was closed while a server was executing them.
+    pub(super) fn aborted_requests(&self) -> HashSet<String> {
+        let mut request_ids = HashSet::new();
         for incarnation in &self.incarnations {
-            let cut_off = incarnation.state.cut_off.lock().expect("no panic under this lock");
-            all.extend(cut_off.iter().cloned());
+            let aborted_requests =
+                incarnation.state.aborted_requests.lock().expect("no panic under this lock");
+            request_ids.extend(aborted_requests.iter().cloned());
         }
-        all
+        request_ids
     }
 
-    /// How often each request was executed, over all servers.
-    pub(super) fn runs(&self) -> HashMap<String, u32> {
+    /// How often each request was executed, summed over all servers.
+    pub(super) fn execution_counts(&self) -> HashMap<String, u32> {
         let mut counts = HashMap::new();
         for incarnation in &self.incarnations {
             for (request_id, count) in
-                incarnation.state.runs.lock().expect("no panic under it").iter()
+                incarnation.state.execution_counts.lock().expect("no panic under this lock").iter()
             {
                 *counts.entry(request_id.clone()).or_default() += count;
             }
--- a/testbed/src/stub/body.rs
+++ b/testbed/src/stub/body.rs
@@ -11,30 +11,30 @@
 
 pub(super) type Body = BoxBody<Bytes, Infallible>;
 
-/// Size of the chunks of a body without a length.
+/// Size of the chunks of a chunked body.
 const CHUNK_BYTES: usize = 16 << 10;
-/// Pieces of a throttled body.
+/// Number of pieces of a throttled body.
 const THROTTLED_PIECES: usize = 20;
 
-/// Bytes that belong to one request and no other.
+/// A byte sequence that is unique to a request: its identifier, repeated up to this size.
 pub fn pattern(request_id: &str, size: usize) -> Vec<u8> {
     let unit = format!("<{request_id}>").into_bytes();
     unit.iter().copied().cycle().take(size).collect()
 }
 
-/// A body that is sent at once, with its length.
+/// A body of a known length that is sent at once.
 pub(super) fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).boxed()
 }
 
-/// A body without a length, sent in chunks.
+/// A body without a declared length, sent in chunks.
 pub(super) fn chunked(bytes: &[u8]) -> Body {
     let chunks: Vec<Bytes> = bytes.chunks(CHUNK_BYTES).map(Bytes::copy_from_slice).collect();
     BodyExt::boxed(ChunkedBody { chunks: chunks.into_iter() })
 }
 
-/// A body of a known length that is sent in twenty pieces, one per interval. `guard` lives as long as the
-/// body.
+/// A body of a known length that is sent in [`THROTTLED_PIECES`] pieces, one per interval. `guard` is dropped
+/// together with the body.
 pub(super) fn throttled<G: Send + Sync + Unpin + 'static>(
     bytes: Vec<u8>,
     interval: Duration,
@@ -43,7 +43,7 @@
     BodyExt::boxed(ThrottledBody {
         interval: tokio::time::interval(interval),
         piece_bytes: bytes.len().div_ceil(THROTTLED_PIECES),
-        rest: Bytes::from(bytes),
+        remaining: Bytes::from(bytes),
         _guard: guard,
     })
 }
@@ -66,7 +66,7 @@
 
 struct ThrottledBody<G> {
     interval: tokio::time::Interval,
-    rest: Bytes,
+    remaining: Bytes,
     piece_bytes: usize,
     _guard: G,
 }
@@ -79,16 +79,16 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        if self.rest.is_empty() {
+        if self.remaining.is_empty() {
             return Poll::Ready(None);
         }
         ready!(self.interval.poll_tick(context));
-        let count = self.piece_bytes.min(self.rest.len());
-        let piece = self.rest.split_to(count);
+        let count = self.piece_bytes.min(self.remaining.len());
+        let piece = self.remaining.split_to(count);
         Poll::Ready(Some(Ok(Frame::data(piece))))
     }
 
     fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.rest.len() as u64)
+        SizeHint::with_exact(self.remaining.len() as u64)
     }
 }
