--- a/testbed/src/commands/starts.rs
+++ b/testbed/src/commands/starts.rs
@@ -12,7 +12,7 @@
 /// Maximum number of threads that run simulations.
 const MAX_THREADS: usize = 3;
 
-/// Start-up times by deployment, scene and role; `None` for a daemon that was never ready.
+/// Start-up times by deployment, start condition and role; `None` for a daemon that was never ready.
 type Rows = BTreeMap<(String, startup::StartCondition, String), Vec<Option<Duration>>>;
 
 /// Measures the time from the start of daemons until they accept requests (design 5.8), and prints a table.
@@ -35,19 +35,19 @@
     let mutation = matches.opt_present("without-floor").then_some(Mutation::SkipsReadIndex);
     let mut work = Vec::new();
     for deployment in [Deployment::Raiocerto, Deployment::Guild] {
-        for scene in startup::StartCondition::iter() {
-            work.extend((first..=last).map(|seed| (deployment, scene, seed)));
+        for condition in startup::StartCondition::iter() {
+            work.extend((first..=last).map(|seed| (deployment, condition, seed)));
         }
     }
     let rows = Mutex::new(Rows::new());
     let threads = cores().min(MAX_THREADS);
     on_threads(threads, work.len(), |index| {
-        let (deployment, scene, seed) = work[index];
+        let (deployment, condition, seed) = work[index];
         let plan = Plan { mutation, stores, ..Plan::new(deployment, &[]) };
-        let all = startup::measure(seed, scene, &plan);
+        let all = startup::measure(seed, condition, &plan);
         let mut rows = rows.lock().expect("no panic under this lock");
         for start in all {
-            let key = (format!("{deployment:?}"), scene, start.role.to_string());
+            let key = (format!("{deployment:?}"), condition, start.role.to_string());
             rows.entry(key).or_default().push(start.time_to_ready);
         }
     });
@@ -57,9 +57,9 @@
 
 fn print_table(rows: Rows) {
     println!(
-        "deployment  scene         role      starts   median ms  9 of 10 ms   worst ms   never"
+        "deployment  condition     role      starts   median ms  9 of 10 ms   worst ms   never"
     );
-    for ((deployment, scene, role), times) in rows {
+    for ((deployment, condition, role), times) in rows {
         let mut ready_times: Vec<Duration> = times.iter().flatten().copied().collect();
         ready_times.sort_unstable();
         let percentile_ms = |percent: usize| match ready_times.len() {
@@ -68,7 +68,7 @@
         };
         println!(
             "{deployment:11} {:13} {role:9} {:6} {:>11} {:>11} {:>10} {:7}",
-            scene.to_string(),
+            condition.to_string(),
             times.len(),
             percentile_ms(50),
             percentile_ms(90),
--- a/testbed/src/sim/traffic/proxies.rs
+++ b/testbed/src/sim/traffic/proxies.rs
@@ -21,10 +21,10 @@
         if proxy.table_revision == Some(revision) {
             return;
         }
-        let mut woken = Vec::new();
+        let mut admitted = Vec::new();
         if proxy.table_revision.is_none_or(|old| old.config != revision.config) {
             proxy.admission.apply_config(&view.config);
-            woken = proxy.admission.admit_queued();
+            admitted = proxy.admission.admit_queued();
             proxy
                 .request_rates
                 .set_services(view.config.services.iter().map(|service| service.name.as_str()));
@@ -39,7 +39,7 @@
         }
         proxy.endpoints.update(now, revision, &view.config, &list, slow_start_rate);
         proxy.probe_schedule.invalidate();
-        self.resume_admitted(index, woken);
+        self.resume_admitted(index, admitted);
     }
 
     /// A proxy's regular tick.
--- a/testbed/src/sim/traffic/requests.rs
+++ b/testbed/src/sim/traffic/requests.rs
@@ -125,9 +125,9 @@
         }
     }
 
-    /// Goes on with requests that the admission queue let through.
-    pub(super) fn resume_admitted(&mut self, index: usize, woken: Vec<AdmittedRequest>) {
-        for AdmittedRequest { ticket, slot } in woken {
+    /// Continues requests that were admitted from the queue.
+    pub(super) fn resume_admitted(&mut self, index: usize, admitted: Vec<AdmittedRequest>) {
+        for AdmittedRequest { ticket, slot } in admitted {
             let RoleState::Proxy(proxy) = &mut self.nodes[index].role_state else { return };
             let Some(progress_id) = proxy.queued.remove(&ticket) else { continue };
             if let Some(progress) = proxy.in_progress.get_mut(&progress_id) {
@@ -170,7 +170,7 @@
             proxy.admission.remove_queued(ticket);
             proxy.queued.remove(&ticket);
         }
-        let woken =
+        let admitted =
             progress.admission_slot.map(|slot| proxy.admission.release(slot)).unwrap_or_default();
         self.check_not_given_up(index, &progress, result.is_ok());
         let is_affected = progress.lifecycle.idempotency == Idempotency::NonIdempotent
@@ -203,7 +203,7 @@
         if self.reaches_crash_point(index, CrashPoint::AfterResponse) {
             return;
         }
-        self.resume_admitted(index, woken);
+        self.resume_admitted(index, admitted);
     }
 
     /// Reports a violation if a draining proxy ends a request while its server may be processing
--- a/testbed/tests/days.rs
+++ b/testbed/tests/days.rs
@@ -341,15 +341,15 @@
     use vanepath_testbed::sim::startup::{StartCondition, measure};
     let mut late = Vec::new();
     for deployment in [Deployment::Raiocerto, Deployment::Guild] {
-        for scene in StartCondition::iter() {
+        for condition in StartCondition::iter() {
             // If no majority of stores is reachable, a node waits for the read index from its peers.
-            let limit_ms = if scene == StartCondition::RegionCut { 2200 } else { 1000 };
+            let limit_ms = if condition == StartCondition::RegionCut { 2200 } else { 1000 };
             for seed in 1..=2 {
-                for start in measure(seed, scene, &Plan::new(deployment, &[])) {
+                for start in measure(seed, condition, &Plan::new(deployment, &[])) {
                     if start.time_to_ready.is_none_or(|took| took > Duration::from_millis(limit_ms))
                     {
                         let (role, took) = (start.role, start.time_to_ready);
-                        late.push(format!("{deployment:?} {scene} {seed} {role}: {took:?}"));
+                        late.push(format!("{deployment:?} {condition} {seed} {role}: {took:?}"));
                     }
                 }
             }
