--- a/testbed/src/sim/reachability.rs
+++ b/testbed/src/sim/reachability.rs
@@ -269,8 +269,8 @@
         let knows_config = could_know(&knowable.config, minimum.config);
         let knows_list = could_know(&knowable.endpoint_list, minimum.endpoint_list);
         for (own, minimum, could_know, kind) in [
-            (own.config, minimum.config, knows_config, "configuration revision"),
-            (own.endpoint_list, minimum.endpoint_list, knows_list, "endpoint list revision"),
+            (own.config, minimum.config, knows_config, "active configuration"),
+            (own.endpoint_list, minimum.endpoint_list, knows_list, "applied endpoint list"),
         ] {
             if own < minimum && could_know {
                 let name = self.nodes[index].info.name.clone();
